--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -11,7 +11,11 @@
 pub fn catalog() -> Catalog {
     let kind = |name: &str, cores: u64| MachineType {
         name: name.to_owned(),
-        room: Amount { cores: cores * 1_000, accelerators: 0, memory: cores * 4_000 },
+        room: Amount {
+            cores: cores * 1_000,
+            accelerators: 0,
+            memory: cores * 4_000,
+        },
         cache: 50_000,
         fetch: 1_000,
         price: cores * 100,
@@ -19,5 +23,7 @@
         boot: Micros::secs(30),
         zones: vec!["a".to_owned(), "b".to_owned()],
     };
-    Catalog { types: vec![kind("small", 8), kind("large", 32)] }
+    Catalog {
+        types: vec![kind("small", 8), kind("large", 32)],
+    }
 }
--- a/benches/rules.rs
+++ b/benches/rules.rs
@@ -55,11 +55,18 @@
         i % 40
     );
     let spec: JobSpec = serde_json::from_str(&text).expect("a job");
-    let record: JobRecord =
-        serde_json::from_value(serde_json::json!({"s": serde_json::to_value(&spec).expect("a job"), "t": i}))
-            .expect("");
+    let record: JobRecord = serde_json::from_value(
+        serde_json::json!({"s": serde_json::to_value(&spec).expect("a job"), "t": i}),
+    )
+    .expect("");
     let stage = Stage::alone(&spec);
-    Job { record, stamp: 1, chunks: BTreeMap::new(), ends: Finished::default(), stage }
+    Job {
+        record,
+        stamp: 1,
+        chunks: BTreeMap::new(),
+        ends: Finished::default(),
+        stage,
+    }
 }
 
 impl Cluster {
@@ -70,16 +77,38 @@
         for m in 0..MACHINES {
             let build = if m % 5 == 0 { "large" } else { "small" };
             let yard = if m % 2 == 0 { "a" } else { "b" };
-            let class = Class { build: build.into(), yard: yard.into(), spot: m % 3 > 0, machine: None };
+            let class = Class {
+                build: build.into(),
+                yard: yard.into(),
+                spot: m % 3 > 0,
+                machine: None,
+            };
             classes.come(MachineId(m), class);
         }
         let sets = vec![Arc::new(RuleSet::parse(RULES).expect("rules"))];
-        let traits: Vec<ClassTraits> = classes.all().iter().map(|c| traits(c, &sets, &catalog)).collect();
+        let traits: Vec<ClassTraits> = classes
+            .all()
+            .iter()
+            .map(|c| traits(c, &sets, &catalog))
+            .collect();
         let jobs: HashMap<JobId, Job> = (0..JOBS).map(|i| (JobId(i), job(i, beside))).collect();
-        let admissions =
-            jobs.iter().filter_map(|(id, j)| Some((*id, Admission::of(j.spec(), &sets, &traits)?))).collect();
-        let images = (0..MACHINES).map(|m| vec![(format!("img-{}", m % 40).into(), 500)]).collect();
-        Cluster { catalog, classes, traits, sets, jobs, admissions, order: (0..JOBS).map(JobId).collect(), images }
+        let admissions = jobs
+            .iter()
+            .filter_map(|(id, j)| Some((*id, Admission::of(j.spec(), &sets, &traits)?)))
+            .collect();
+        let images = (0..MACHINES)
+            .map(|m| vec![(format!("img-{}", m % 40).into(), 500)])
+            .collect();
+        Cluster {
+            catalog,
+            classes,
+            traits,
+            sets,
+            jobs,
+            admissions,
+            order: (0..JOBS).map(JobId).collect(),
+            images,
+        }
     }
 
     fn slots(&self, beside: bool) -> Vec<Slot<'_>> {
@@ -89,7 +118,11 @@
                 let c = &self.classes.all()[class];
                 let t = self.catalog.get(&c.build).expect("a type");
                 // Half of the machines are full.
-                let left = if m % 2 == 0 { 0 } else { t.room.cores / (1 + m % 4) };
+                let left = if m % 2 == 0 {
+                    0
+                } else {
+                    t.room.cores / (1 + m % 4)
+                };
                 Slot {
                     machine: MachineId(m),
                     group: (m / 50) as usize,
@@ -99,14 +132,25 @@
                     spot: c.spot,
                     price: t.price_of(c.spot),
                     all: t.room,
-                    free: Amount { cores: left, ..t.room },
+                    free: Amount {
+                        cores: left,
+                        ..t.room
+                    },
                     kept: false,
                     images: &self.images[m as usize],
                     fetches: None,
                     running: Vec::new(),
                     class,
-                    guarded: beside && self.admissions.get(&JobId(m % JOBS)).is_some_and(Admission::asks_beside),
-                    there: if beside { vec![JobId(m % JOBS)] } else { Vec::new() },
+                    guarded: beside
+                        && self
+                            .admissions
+                            .get(&JobId(m % JOBS))
+                            .is_some_and(Admission::asks_beside),
+                    there: if beside {
+                        vec![JobId(m % JOBS)]
+                    } else {
+                        Vec::new()
+                    },
                 }
             })
             .collect()
@@ -132,7 +176,11 @@
                 modest: false,
                 whole: false,
                 avoid: &[],
-                rules: rules.map(|house| Rules { house, admission, insisted: 0 }),
+                rules: rules.map(|house| Rules {
+                    house,
+                    admission,
+                    insisted: 0,
+                }),
             }
         };
         self.order.iter().map(ask).collect()
@@ -143,8 +191,19 @@
     let beside = house.is_some_and(|h| h.beside);
     c.bench_function(name, |b| {
         b.iter_batched(
-            || (cluster.slots(beside), cluster.asks(house), Groups { open: vec![false; 40], left: 11 }),
-            |(mut slots, mut asks, mut groups)| black_box(plan(&mut slots, &mut asks, &mut groups, CLAIMS)),
+            || {
+                (
+                    cluster.slots(beside),
+                    cluster.asks(house),
+                    Groups {
+                        open: vec![false; 40],
+                        left: 11,
+                    },
+                )
+            },
+            |(mut slots, mut asks, mut groups)| {
+                black_box(plan(&mut slots, &mut asks, &mut groups, CLAIMS))
+            },
             BatchSize::LargeInput,
         );
     });
@@ -153,15 +212,24 @@
 fn plans(c: &mut Criterion) {
     for beside in [false, true] {
         let cluster = Cluster::new(beside);
-        let house = House { jobs: &cluster.jobs, admissions: &cluster.admissions, beside };
-        let what = if beside { "a fifth with rules, some of them about what is beside" } else { "a fifth with rules" };
+        let house = House {
+            jobs: &cluster.jobs,
+            admissions: &cluster.admissions,
+            beside,
+        };
+        let what = if beside {
+            "a fifth with rules, some of them about what is beside"
+        } else {
+            "a fifth with rules"
+        };
         planned(c, "no rules", &cluster, None);
         planned(c, what, &cluster, Some(&house));
     }
     let cluster = Cluster::new(true);
     c.bench_function("rules judged for 100 jobs, all classes", |b| {
         b.iter(|| {
-            let of = |id: &JobId| Admission::of(cluster.jobs[id].spec(), &cluster.sets, &cluster.traits);
+            let of =
+                |id: &JobId| Admission::of(cluster.jobs[id].spec(), &cluster.sets, &cluster.traits);
             cluster.order.iter().filter_map(of).count()
         });
     });
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -7,7 +7,9 @@
 use cometlead::bookkeeping::ids::{Attempt, JobId, MachineId, TaskId};
 use cometlead::bookkeeping::job::JobRecord;
 use cometlead::bookkeeping::placement::{Ask, Groups, Slot, plan};
-use cometlead::bookkeeping::records::{Booking, Fitness, GroupRecord, Key, LAYOUT, MachineRecord, MetaRecord};
+use cometlead::bookkeeping::records::{
+    Booking, Fitness, GroupRecord, Key, LAYOUT, MachineRecord, MetaRecord,
+};
 use cometlead::bookkeeping::view::{Change, Content, Touched, View};
 use cometlead::protocol::state::{decode, encode};
 use common::{CLAIMS, catalog};
@@ -37,11 +39,22 @@
 fn machine(m: u64) -> MachineRecord {
     let tasks = (0..TASKS).map(|t| {
         let n = m * TASKS + t;
-        let task = TaskId { job: JobId(1_000_000 + n / PIECES), index: (n % PIECES) as u32 };
-        Booking::of(Attempt { task, number: 70_000 + n })
+        let task = TaskId {
+            job: JobId(1_000_000 + n / PIECES),
+            index: (n % PIECES) as u32,
+        };
+        Booking::of(Attempt {
+            task,
+            number: 70_000 + n,
+        })
     });
     MachineRecord {
-        build: if m.is_multiple_of(5) { "large" } else { "small" }.into(),
+        build: if m.is_multiple_of(5) {
+            "large"
+        } else {
+            "small"
+        }
+        .into(),
         yard: if m.is_multiple_of(2) { "a" } else { "b" }.into(),
         spot: !m.is_multiple_of(3),
         endpoint: format!("10.0.{}.{}:9000", m / 250, m % 250).parse().ok(),
@@ -55,12 +68,23 @@
 
 /// The records of a cluster, as the state service has them.
 fn records(machines: u64, waiting: u64) -> Vec<(Key, Content)> {
-    let meta = MetaRecord { layout: LAYOUT, slices: SLICES as usize, teams: BTreeMap::new() };
-    let mut all = vec![(Key::Meta, Content::Meta(meta)), (Key::Types, Content::Types(catalog()))];
+    let meta = MetaRecord {
+        layout: LAYOUT,
+        slices: SLICES as usize,
+        teams: BTreeMap::new(),
+    };
+    let mut all = vec![
+        (Key::Meta, Content::Meta(meta)),
+        (Key::Types, Content::Types(catalog())),
+    ];
     let mut groups: BTreeMap<(u64, u64), GroupRecord> = BTreeMap::new();
     for m in 0..machines {
         let at = (m % SLICES, m / SLICES / GROUP);
-        groups.entry(at).or_default().machines.insert(MachineId(m), machine(m));
+        groups
+            .entry(at)
+            .or_default()
+            .machines
+            .insert(MachineId(m), machine(m));
     }
     let groups = groups.into_iter().map(|((k, n), g)| {
         let g = GroupRecord { terse: true, ..g };
@@ -68,14 +92,20 @@
     });
     all.extend(groups);
     let running = (machines * TASKS).div_ceil(PIECES);
-    let jobs = (0..running).map(|i| 1_000_000 + i).chain(2_000_000..2_000_000 + waiting);
+    let jobs = (0..running)
+        .map(|i| 1_000_000 + i)
+        .chain(2_000_000..2_000_000 + waiting);
     all.extend(jobs.map(|i| (Key::Job(JobId(i)), Content::Job(Box::new(job(i))))));
     all
 }
 
 fn view(records: &[(Key, Content)]) -> View {
     let mut view = View::default();
-    let changes = records.iter().map(|(k, c)| Change { key: k.clone(), content: Some(c.clone()), stamp: 1 });
+    let changes = records.iter().map(|(k, c)| Change {
+        key: k.clone(),
+        content: Some(c.clone()),
+        stamp: 1,
+    });
     view.apply(changes, &mut Touched::default());
     view.advance(1);
     view
@@ -95,7 +125,11 @@
 /// A plan over all machines, half of which have no room, for jobs that wait; those beyond the first few find none.
 fn plans(c: &mut Criterion) {
     let mut group = c.benchmark_group("plan");
-    for (machines, waiting) in SIZES.map(|m| (m, 100)).into_iter().chain(WAITING.map(|w| (1_000, w))) {
+    for (machines, waiting) in SIZES
+        .map(|m| (m, 100))
+        .into_iter()
+        .chain(WAITING.map(|w| (1_000, w)))
+    {
         let view = view(&records(machines, waiting));
         let slots = || -> Vec<Slot<'_>> {
             let slot = |(k, m, r): (usize, MachineId, &'_ MachineRecord)| {
@@ -110,7 +144,11 @@
                     spot: r.spot,
                     price: t.price_of(r.spot),
                     all: t.room,
-                    free: if m.0 % 2 == 0 { Amount::default() } else { view.free(r) },
+                    free: if m.0 % 2 == 0 {
+                        Amount::default()
+                    } else {
+                        view.free(r)
+                    },
                     kept: false,
                     images: &r.images,
                     fetches: None,
@@ -147,14 +185,20 @@
             })
             .collect()
         };
-        group.bench_function(BenchmarkId::from_parameter(format!("{machines} machines, {waiting} waiting")), |b| {
-            let groups = || Groups { open: vec![false; (machines / GROUP) as usize + 1], left: 11 };
-            b.iter_batched(
-                || (slots(), asks(), groups()),
-                |(mut s, mut a, mut g)| black_box(plan(&mut s, &mut a, &mut g, CLAIMS)),
-                BatchSize::LargeInput,
-            );
-        });
+        group.bench_function(
+            BenchmarkId::from_parameter(format!("{machines} machines, {waiting} waiting")),
+            |b| {
+                let groups = || Groups {
+                    open: vec![false; (machines / GROUP) as usize + 1],
+                    left: 11,
+                };
+                b.iter_batched(
+                    || (slots(), asks(), groups()),
+                    |(mut s, mut a, mut g)| black_box(plan(&mut s, &mut a, &mut g, CLAIMS)),
+                    BatchSize::LargeInput,
+                );
+            },
+        );
     }
     group.finish();
 }
@@ -166,31 +210,41 @@
         let records = records(machines, 100);
         let mut view = view(&records);
         let mut stamp = 1;
-        group.bench_function(BenchmarkId::from_parameter(format!("{machines} machines")), |b| {
-            b.iter_batched(
-                || {
-                    stamp += 1;
-                    let groups = records.iter().filter(|(k, _)| matches!(k, Key::Group(..))).take(10);
-                    let change = |(key, content): &(Key, Content)| {
-                        let mut content = content.clone();
-                        if let Content::Group(g) = &mut content
-                            && let Some(r) = g.machines.values_mut().next()
-                        {
-                            r.tasks.truncate(TASKS as usize - (stamp % 2) as usize);
-                        }
-                        Change { key: key.clone(), content: Some(content), stamp }
-                    };
-                    groups.map(change).collect::<Vec<_>>()
-                },
-                |changes| {
-                    let mut touched = Touched::default();
-                    view.apply(changes, &mut touched);
-                    view.advance(view.latest);
-                    black_box(touched)
-                },
-                BatchSize::SmallInput,
-            );
-        });
+        group.bench_function(
+            BenchmarkId::from_parameter(format!("{machines} machines")),
+            |b| {
+                b.iter_batched(
+                    || {
+                        stamp += 1;
+                        let groups = records
+                            .iter()
+                            .filter(|(k, _)| matches!(k, Key::Group(..)))
+                            .take(10);
+                        let change = |(key, content): &(Key, Content)| {
+                            let mut content = content.clone();
+                            if let Content::Group(g) = &mut content
+                                && let Some(r) = g.machines.values_mut().next()
+                            {
+                                r.tasks.truncate(TASKS as usize - (stamp % 2) as usize);
+                            }
+                            Change {
+                                key: key.clone(),
+                                content: Some(content),
+                                stamp,
+                            }
+                        };
+                        groups.map(change).collect::<Vec<_>>()
+                    },
+                    |changes| {
+                        let mut touched = Touched::default();
+                        view.apply(changes, &mut touched);
+                        view.advance(view.latest);
+                        black_box(touched)
+                    },
+                    BatchSize::SmallInput,
+                );
+            },
+        );
     }
     group.finish();
 }
@@ -200,16 +254,23 @@
     let mut group = c.benchmark_group("start");
     group.sample_size(10);
     for machines in SIZES {
-        let texts: Vec<(Key, Box<RawValue>)> =
-            records(machines, 1_000).iter().map(|(k, content)| (k.clone(), text(content))).collect();
+        let texts: Vec<(Key, Box<RawValue>)> = records(machines, 1_000)
+            .iter()
+            .map(|(k, content)| (k.clone(), text(content)))
+            .collect();
         let bytes: usize = texts.iter().map(|(_, t)| t.get().len()).sum();
         group.throughput(Throughput::Bytes(bytes as u64));
-        group.bench_function(BenchmarkId::from_parameter(format!("{machines} machines, 1000 waiting")), |b| {
-            b.iter(|| {
-                let read = texts.iter().map(|(k, t)| (k.clone(), decode(k, t).expect("a record")));
-                black_box(view(&read.collect::<Vec<_>>()).latest)
-            });
-        });
+        group.bench_function(
+            BenchmarkId::from_parameter(format!("{machines} machines, 1000 waiting")),
+            |b| {
+                b.iter(|| {
+                    let read = texts
+                        .iter()
+                        .map(|(k, t)| (k.clone(), decode(k, t).expect("a record")));
+                    black_box(view(&read.collect::<Vec<_>>()).latest)
+                });
+            },
+        );
     }
     group.finish();
 }
@@ -220,16 +281,27 @@
     for machines in SIZES {
         let records = records(machines, 100);
         let mut view = view(&records);
-        let changed = records.iter().find(|(k, _)| matches!(k, Key::Group(..))).expect("a group").clone();
+        let changed = records
+            .iter()
+            .find(|(k, _)| matches!(k, Key::Group(..)))
+            .expect("a group")
+            .clone();
         let mut stamp = 1;
-        group.bench_function(BenchmarkId::from_parameter(format!("{machines} machines")), |b| {
-            b.iter(|| {
-                stamp += 1;
-                let change = Change { key: changed.0.clone(), content: Some(changed.1.clone()), stamp };
-                view.apply([change], &mut Touched::default());
-                black_box(view.used(0, "team"))
-            });
-        });
+        group.bench_function(
+            BenchmarkId::from_parameter(format!("{machines} machines")),
+            |b| {
+                b.iter(|| {
+                    stamp += 1;
+                    let change = Change {
+                        key: changed.0.clone(),
+                        content: Some(changed.1.clone()),
+                        stamp,
+                    };
+                    view.apply([change], &mut Touched::default());
+                    black_box(view.used(0, "team"))
+                });
+            },
+        );
     }
     group.finish();
 }
--- a/crates/constraints/src/clash.rs
+++ b/crates/constraints/src/clash.rs
@@ -33,7 +33,9 @@
 /// A set of at most `size` more rules that hits every place.
 fn hit(places: &[RuleMask], chosen: RuleMask, size: usize) -> Option<RuleMask> {
     let mut open = places.iter().filter(|p| *p & chosen == 0);
-    let Some(first) = open.clone().min_by_key(|p| p.count_ones()) else { return Some(chosen) };
+    let Some(first) = open.clone().min_by_key(|p| p.count_ones()) else {
+        return Some(chosen);
+    };
     // Places that share no rule take one each.
     let mut seen = 0;
     let apart = open
@@ -49,5 +51,7 @@
         return None;
     }
     let tried = (0..MOST).filter(|i| first >> i & 1 == 1);
-    tried.filter_map(|i| hit(places, chosen | 1 << i, size - 1)).min_by_key(|s| (s.count_ones(), s.reverse_bits()))
+    tried
+        .filter_map(|i| hit(places, chosen | 1 << i, size - 1))
+        .min_by_key(|s| (s.count_ones(), s.reverse_bits()))
 }
--- a/crates/constraints/src/explain.rs
+++ b/crates/constraints/src/explain.rs
@@ -42,23 +42,46 @@
 }
 
 /// Judges a machine by rules.
-pub fn explain<'a>(rules: impl Iterator<Item = &'a Rule>, traits: &Traits, now: &dyn Now) -> Verdict {
+pub fn explain<'a>(
+    rules: impl Iterator<Item = &'a Rule>,
+    traits: &Traits,
+    now: &dyn Now,
+) -> Verdict {
     let findings: Vec<Finding> = rules
         .map(|r| {
             let parts = match &r.expr {
                 Expr::And(all) => &all[..],
                 one => std::slice::from_ref(one),
             };
-            let clauses: Vec<Clause> =
-                parts.iter().map(|e| Clause { text: e.to_string(), met: e.holds(traits, now) }).collect();
+            let clauses: Vec<Clause> = parts
+                .iter()
+                .map(|e| Clause {
+                    text: e.to_string(),
+                    met: e.holds(traits, now),
+                })
+                .collect();
             let weight = match r.kind {
                 Kind::Require => None,
                 Kind::Prefer { weight, .. } => Some(weight),
             };
             let met = clauses.iter().all(|c| c.met);
-            Finding { rule: r.name.clone(), hard: r.is_hard(), met, weight, clauses }
+            Finding {
+                rule: r.name.clone(),
+                hard: r.is_hard(),
+                met,
+                weight,
+                clauses,
+            }
         })
         .collect();
-    let worth = findings.iter().filter(|f| f.met).filter_map(|f| f.weight).sum();
-    Verdict { allowed: findings.iter().all(|f| f.met || !f.hard), worth, findings }
+    let worth = findings
+        .iter()
+        .filter(|f| f.met)
+        .filter_map(|f| f.weight)
+        .sum();
+    Verdict {
+        allowed: findings.iter().all(|f| f.met || !f.hard),
+        worth,
+        findings,
+    }
 }
--- a/crates/constraints/src/expr.rs
+++ b/crates/constraints/src/expr.rs
@@ -144,11 +144,16 @@
 }
 
 /// Words that have a meaning of their own and are quoted where they are meant as words.
-pub const KEYWORDS: [&str; 11] = ["and", "or", "not", "in", "has", "holds", "beside", "present", "any", "all", "own"];
+pub const KEYWORDS: [&str; 11] = [
+    "and", "or", "not", "in", "has", "holds", "beside", "present", "any", "all", "own",
+];
 
 fn print_word(f: &mut fmt::Formatter<'_>, word: &str) -> fmt::Result {
     let bare = |c: char| c.is_ascii_alphanumeric() || "_-./:+".contains(c);
-    let first = word.chars().next().is_some_and(|c| c.is_ascii_alphabetic() || c == '_');
+    let first = word
+        .chars()
+        .next()
+        .is_some_and(|c| c.is_ascii_alphabetic() || c == '_');
     if first && word.chars().all(bare) && !KEYWORDS.contains(&word) {
         return f.write_str(word);
     }
@@ -181,7 +186,11 @@
     }
 
     fn print_in(&self, f: &mut fmt::Formatter<'_>, around: u8) -> fmt::Result {
-        if self.strength() < around { write!(f, "({self})") } else { write!(f, "{self}") }
+        if self.strength() < around {
+            write!(f, "({self})")
+        } else {
+            write!(f, "{self}")
+        }
     }
 }
 
@@ -189,7 +198,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Expr::Or(all) | Expr::And(all) => {
-                let between = if matches!(self, Expr::Or(_)) { " or " } else { " and " };
+                let between = if matches!(self, Expr::Or(_)) {
+                    " or "
+                } else {
+                    " and "
+                };
                 for (i, e) in all.iter().enumerate() {
                     if i > 0 {
                         f.write_str(between)?;
@@ -208,7 +221,10 @@
                 print_words(f, words)
             }
             Expr::Beside(field, words) => {
-                let name = Field::ALL.iter().find(|(x, _)| x == field).map_or("", |(_, name)| name);
+                let name = Field::ALL
+                    .iter()
+                    .find(|(x, _)| x == field)
+                    .map_or("", |(_, name)| name);
                 write!(f, "beside {name} ")?;
                 print_words(f, words)
             }
@@ -216,7 +232,10 @@
                 Test::Flag => f.write_str(name),
                 Test::Present => write!(f, "present {name}"),
                 Test::Compare(c, operand) => {
-                    let sign = Comparison::ALL.iter().find(|(x, _)| x == c).map_or("", |(_, sign)| sign);
+                    let sign = Comparison::ALL
+                        .iter()
+                        .find(|(x, _)| x == c)
+                        .map_or("", |(_, sign)| sign);
                     write!(f, "{name} {sign} ")?;
                     match operand {
                         Operand::Word(w) => print_word(f, w),
--- a/crates/constraints/src/parse.rs
+++ b/crates/constraints/src/parse.rs
@@ -40,7 +40,11 @@
 impl ParseError {
     /// An error at some place.
     pub fn at(at: At, what: impl Into<String>) -> ParseError {
-        ParseError { line: at.line, column: at.column, what: what.into() }
+        ParseError {
+            line: at.line,
+            column: at.column,
+            what: what.into(),
+        }
     }
 }
 
@@ -70,7 +74,12 @@
         Rule::unit => "a unit (MB, GB, TB, ms, s, min, h, MB/s, GB/s)",
         Rule::name | Rule::flag | Rule::compare | Rule::within | Rule::not_within => "a trait",
         Rule::has_any | Rule::has_all => "a trait",
-        Rule::expression | Rule::either | Rule::both | Rule::unary | Rule::primary | Rule::group => "a condition",
+        Rule::expression
+        | Rule::either
+        | Rule::both
+        | Rule::unary
+        | Rule::primary
+        | Rule::group => "a condition",
         Rule::WHITESPACE => "space",
         _ => "something else",
     }
@@ -83,7 +92,10 @@
     let what = match error.variant {
         ErrorVariant::ParsingError { positives, .. } if !positives.is_empty() => {
             let names: BTreeSet<&str> = positives.into_iter().map(called).collect();
-            format!("expected {}", names.into_iter().collect::<Vec<_>>().join(", "))
+            format!(
+                "expected {}",
+                names.into_iter().collect::<Vec<_>>().join(", ")
+            )
         }
         ErrorVariant::ParsingError { .. } => "not understood".to_owned(),
         ErrorVariant::CustomError { message } => message,
@@ -105,9 +117,22 @@
             _ => {}
         }
         if depth > DEPTH_LIMIT {
-            return Err(ParseError::at(at, format!("nested deeper than {DEPTH_LIMIT}")));
+            return Err(ParseError::at(
+                at,
+                format!("nested deeper than {DEPTH_LIMIT}"),
+            ));
         }
-        at = if c == '\n' { At { line: at.line + 1, column: 1 } } else { At { column: at.column + 1, ..at } };
+        at = if c == '\n' {
+            At {
+                line: at.line + 1,
+                column: 1,
+            }
+        } else {
+            At {
+                column: at.column + 1,
+                ..at
+            }
+        };
     }
     Ok(())
 }
@@ -118,7 +143,9 @@
 }
 
 fn one_word(pair: Pair<'_, Rule>) -> String {
-    let Some(inner) = pair.into_inner().next() else { return String::new() };
+    let Some(inner) = pair.into_inner().next() else {
+        return String::new();
+    };
     if inner.as_rule() == Rule::bare {
         return inner.as_str().to_owned();
     }
@@ -156,13 +183,20 @@
     fn expr(&mut self, pair: Pair<'_, Rule>, depth: usize) -> Result<Expr, ParseError> {
         let at = place(&pair);
         if depth > DEPTH_LIMIT {
-            return Err(ParseError::at(at, format!("nested deeper than {DEPTH_LIMIT}")));
+            return Err(ParseError::at(
+                at,
+                format!("nested deeper than {DEPTH_LIMIT}"),
+            ));
         }
         match pair.as_rule() {
             Rule::either | Rule::both => {
                 let either = pair.as_rule() == Rule::either;
-                let parts = pair.into_inner().filter(|p| !matches!(p.as_rule(), Rule::or | Rule::and));
-                let mut all = parts.map(|p| self.expr(p, depth)).collect::<Result<Vec<_>, _>>()?;
+                let parts = pair
+                    .into_inner()
+                    .filter(|p| !matches!(p.as_rule(), Rule::or | Rule::and));
+                let mut all = parts
+                    .map(|p| self.expr(p, depth))
+                    .collect::<Result<Vec<_>, _>>()?;
                 Ok(match (all.len(), either) {
                     (1, _) => all.remove(0),
                     (_, true) => Expr::Or(all),
@@ -183,7 +217,10 @@
             }
             Rule::group => {
                 let inner = pair.into_inner().find(|p| p.as_rule() == Rule::either);
-                inner.map_or_else(|| Err(ParseError::at(at, "expected a condition")), |p| self.expr(p, depth + 1))
+                inner.map_or_else(
+                    || Err(ParseError::at(at, "expected a condition")),
+                    |p| self.expr(p, depth + 1),
+                )
             }
             _ => self.test(pair, at),
         }
@@ -195,7 +232,8 @@
             return Err(ParseError::at(at, format!("more than {TESTS_LIMIT} tests")));
         }
         let rule = pair.as_rule();
-        let (mut name, mut set, mut sign, mut operand, mut field) = (String::new(), Words::new(), None, None, None);
+        let (mut name, mut set, mut sign, mut operand, mut field) =
+            (String::new(), Words::new(), None, None, None);
         for p in pair.into_inner() {
             match p.as_rule() {
                 Rule::name => name = p.as_str().to_owned(),
@@ -203,9 +241,17 @@
                 Rule::word => operand = Some(Operand::Word(one_word(p))),
                 Rule::quantity => operand = Some(Operand::Number(quantity(p)?)),
                 Rule::operator => {
-                    sign = Comparison::ALL.iter().find(|(_, sign)| *sign == p.as_str()).map(|(c, _)| *c);
+                    sign = Comparison::ALL
+                        .iter()
+                        .find(|(_, sign)| *sign == p.as_str())
+                        .map(|(c, _)| *c);
+                }
+                Rule::field => {
+                    field = Field::ALL
+                        .iter()
+                        .find(|(_, name)| *name == p.as_str())
+                        .map(|(f, _)| *f)
                 }
-                Rule::field => field = Field::ALL.iter().find(|(_, name)| *name == p.as_str()).map(|(f, _)| *f),
                 _ => {}
             }
         }
@@ -213,13 +259,20 @@
             Rule::holds_own => return Ok(Expr::HoldsOwn),
             Rule::holds => return Ok(Expr::Holds(set)),
             Rule::beside => {
-                let field = field.ok_or_else(|| ParseError::at(at, "expected what to be beside"))?;
+                let field =
+                    field.ok_or_else(|| ParseError::at(at, "expected what to be beside"))?;
                 return Ok(Expr::Beside(field, set));
             }
             Rule::present => Test::Present,
             Rule::flag => Test::Flag,
             Rule::within => Test::Within(set),
-            Rule::not_within => return Ok(Expr::Not(Box::new(Expr::Trait(name, Test::Within(set), at)))),
+            Rule::not_within => {
+                return Ok(Expr::Not(Box::new(Expr::Trait(
+                    name,
+                    Test::Within(set),
+                    at,
+                ))));
+            }
             Rule::has_all => Test::HasAll(set),
             Rule::has_any => Test::HasAny(set),
             _ => match (sign, operand) {
@@ -237,14 +290,22 @@
     fn from_str(text: &str) -> Result<Expr, ParseError> {
         if text.len() > TEXT_LIMIT {
             let at = At { line: 1, column: 1 };
-            return Err(ParseError::at(at, format!("longer than {TEXT_LIMIT} bytes")));
+            return Err(ParseError::at(
+                at,
+                format!("longer than {TEXT_LIMIT} bytes"),
+            ));
         }
         check_depth(text)?;
         let mut pairs = Grammar::parse(Rule::expression, text).map_err(explained)?;
-        let whole = pairs.next().and_then(|p| p.into_inner().find(|p| p.as_rule() == Rule::either));
+        let whole = pairs
+            .next()
+            .and_then(|p| p.into_inner().find(|p| p.as_rule() == Rule::either));
         match whole {
             Some(p) => Builder { tests: 0 }.expr(p, 0),
-            None => Err(ParseError::at(At { line: 1, column: 1 }, "expected a condition")),
+            None => Err(ParseError::at(
+                At { line: 1, column: 1 },
+                "expected a condition",
+            )),
         }
     }
 }
--- a/crates/constraints/src/rules.rs
+++ b/crates/constraints/src/rules.rs
@@ -55,12 +55,14 @@
     fn value(&self) -> Result<Value, String> {
         Ok(match self {
             LabelValue::Flag(set) => Value::Flag(*set),
-            LabelValue::Number(n) if (0.0..=1e9).contains(n) => {
-                Value::Number(Quantity::thousandths((n * 1e3).round() as u64, Dimension::Plain))
-            }
+            LabelValue::Number(n) if (0.0..=1e9).contains(n) => Value::Number(
+                Quantity::thousandths((n * 1e3).round() as u64, Dimension::Plain),
+            ),
             LabelValue::Number(_) => return Err("must be 0 to 1e9".to_owned()),
             LabelValue::Word(w) if !w.is_empty() => Value::Word(w.clone()),
-            LabelValue::Words(set) if set.iter().all(|w| !w.is_empty()) => Value::Words(set.clone()),
+            LabelValue::Words(set) if set.iter().all(|w| !w.is_empty()) => {
+                Value::Words(set.clone())
+            }
             _ => return Err("has an empty word".to_owned()),
         })
     }
@@ -209,12 +211,25 @@
                 if !(0.0..=WAIT_LIMIT).contains(&wait) {
                     return bad("waitS: must be 0 to 86400");
                 }
-                (text, Kind::Prefer { weight, wait: (wait * 1e6) as u64 })
+                (
+                    text,
+                    Kind::Prefer {
+                        weight,
+                        wait: (wait * 1e6) as u64,
+                    },
+                )
             }
             _ => return bad("must have either `require` or `prefer`"),
         };
-        let expr = text.parse().map_err(|e| BadRules::Expression(self.name.clone(), e))?;
-        Ok(Rule { name: self.name.clone(), scope: self.scope.clone(), kind, expr })
+        let expr = text
+            .parse()
+            .map_err(|e| BadRules::Expression(self.name.clone(), e))?;
+        Ok(Rule {
+            name: self.name.clone(),
+            scope: self.scope.clone(),
+            kind,
+            expr,
+        })
     }
 }
 
@@ -224,9 +239,15 @@
         return Err(BadRules::Form(format!("more than {JOB_LIMIT} rules")));
     }
     if let Some(t) = texts.iter().find(|t| !is_everybody(&t.scope)) {
-        return Err(BadRules::Rule(t.name.clone(), "`for` is not for a job's own rules".to_owned()));
+        return Err(BadRules::Rule(
+            t.name.clone(),
+            "`for` is not for a job's own rules".to_owned(),
+        ));
     }
-    let rules = texts.iter().map(RuleText::read).collect::<Result<Vec<_>, _>>()?;
+    let rules = texts
+        .iter()
+        .map(RuleText::read)
+        .collect::<Result<Vec<_>, _>>()?;
     unlike(&rules)?;
     Ok(rules)
 }
@@ -234,7 +255,10 @@
 fn unlike(rules: &[Rule]) -> Result<(), BadRules> {
     let mut seen = BTreeSet::new();
     match rules.iter().find(|r| !seen.insert(&r.name)) {
-        Some(r) => Err(BadRules::Rule(r.name.clone(), "the name is used twice".to_owned())),
+        Some(r) => Err(BadRules::Rule(
+            r.name.clone(),
+            "the name is used twice".to_owned(),
+        )),
         None => Ok(()),
     }
 }
@@ -260,7 +284,9 @@
 
     /// Whether it holds for a job.
     pub fn concerns(&self, job: &Subject<'_>) -> bool {
-        let names = |list: &Option<BTreeSet<String>>, one: &str| list.as_ref().is_none_or(|l| l.contains(one));
+        let names = |list: &Option<BTreeSet<String>>, one: &str| {
+            list.as_ref().is_none_or(|l| l.contains(one))
+        };
         names(&self.scope.lanes, job.lane)
             && names(&self.scope.crews, job.crew)
             && names(&self.scope.images, job.image)
@@ -304,7 +330,12 @@
             Written::Soft(name, text, weight, wait) => (name, text, Kind::Prefer { weight, wait }),
         };
         let expr = text.parse().map_err(serde::de::Error::custom)?;
-        Ok(Rule { name: name.into_owned(), scope: Scope::default(), kind, expr })
+        Ok(Rule {
+            name: name.into_owned(),
+            scope: Scope::default(),
+            kind,
+            expr,
+        })
     }
 }
 
@@ -330,21 +361,29 @@
     /// The traits that machines have by themselves, and those that operators give them.
     fn of(labels: &Labels) -> Result<Vocabulary, BadRules> {
         let mut known: BTreeMap<String, Sort> = BTreeMap::new();
-        let tables = [&labels.types, &labels.zones, &labels.machines].into_iter().flat_map(|t| t.values());
+        let tables = [&labels.types, &labels.zones, &labels.machines]
+            .into_iter()
+            .flat_map(|t| t.values());
         for (name, value) in tables.flatten() {
             let bad = |what: String| Err(BadRules::Label(name.clone(), what));
             if BUILT_IN.iter().any(|(b, _)| b == name) {
                 return bad("is what machines have by themselves".to_owned());
             }
             if !matches!(name.parse(), Ok(Expr::Trait(n, Test::Flag, _)) if n == *name) {
-                return bad("a name is lower-case letters, digits, `-` and `_`, and no keyword".to_owned());
+                return bad(
+                    "a name is lower-case letters, digits, `-` and `_`, and no keyword".to_owned(),
+                );
             }
             let sort = match value.value() {
                 Ok(value) => value.sort(),
                 Err(what) => return bad(what),
             };
             if let Some(other) = known.insert(name.clone(), sort).filter(|o| *o != sort) {
-                return bad(format!("is {} here and {} there", sort.described(), other.described()));
+                return bad(format!(
+                    "is {} here and {} there",
+                    sort.described(),
+                    other.described()
+                ));
             }
         }
         known.extend(BUILT_IN.map(|(name, sort)| (name.to_owned(), sort)));
@@ -353,12 +392,19 @@
 
     /// What is wrong with a test.
     fn mismatch(&self, test: &Expr) -> Option<ParseError> {
-        let Expr::Trait(name, test, at) = test else { return None };
+        let Expr::Trait(name, test, at) = test else {
+            return None;
+        };
         let Some(sort) = self.0.get(name) else {
             let near = self.0.keys().map(|k| (strsim::jaro_winkler(k, name), k));
-            let near = near.filter(|(likeness, _)| *likeness > 0.8).max_by(|a, b| a.0.total_cmp(&b.0));
+            let near = near
+                .filter(|(likeness, _)| *likeness > 0.8)
+                .max_by(|a, b| a.0.total_cmp(&b.0));
             let hint = near.map_or(String::new(), |(_, k)| format!("; is `{k}` meant?"));
-            return Some(ParseError::at(*at, format!("no machine has a trait `{name}`{hint}")));
+            return Some(ParseError::at(
+                *at,
+                format!("no machine has a trait `{name}`{hint}"),
+            ));
         };
         let wanted = match test {
             Test::Present => return None,
@@ -368,14 +414,21 @@
             Test::Compare(c, Operand::Word(_)) => {
                 use super::expr::Comparison::{Equal, Unequal};
                 if *sort == Sort::Word && !matches!(c, Equal | Unequal) {
-                    return Some(ParseError::at(*at, format!("`{name}` is a word: only = and != are for words")));
+                    return Some(ParseError::at(
+                        *at,
+                        format!("`{name}` is a word: only = and != are for words"),
+                    ));
                 }
                 Sort::Word
             }
             Test::Compare(_, Operand::Number(n)) => Sort::Number(n.unit.dimension),
         };
         (*sort != wanted).then(|| {
-            let what = format!("`{name}` is {}, and is asked as if it were {}", sort.described(), wanted.described());
+            let what = format!(
+                "`{name}` is {}, and is asked as if it were {}",
+                sort.described(),
+                wanted.described()
+            );
             ParseError::at(*at, what)
         })
     }
@@ -397,7 +450,8 @@
 impl RuleSet {
     /// Reads the text of a rules file. The error is one line that names what is wrong.
     pub fn parse(text: &[u8]) -> Result<RuleSet, BadRules> {
-        let file: RulesFile = serde_json::from_slice(text).map_err(|e| BadRules::Form(e.to_string()))?;
+        let file: RulesFile =
+            serde_json::from_slice(text).map_err(|e| BadRules::Form(e.to_string()))?;
         RuleSet::of(file)
     }
 
@@ -407,11 +461,20 @@
             return Err(BadRules::Form(format!("rules: more than {FILE_LIMIT}")));
         }
         let vocabulary = Vocabulary::of(&file.labels)?;
-        let rules = file.rules.iter().map(RuleText::read).collect::<Result<Vec<_>, _>>()?;
+        let rules = file
+            .rules
+            .iter()
+            .map(RuleText::read)
+            .collect::<Result<Vec<_>, _>>()?;
         unlike(&rules)?;
         rules.iter().try_for_each(|r| r.check(&vocabulary))?;
         let text = serde_json::to_vec(&file).map_err(|e| BadRules::Form(e.to_string()))?;
-        Ok(RuleSet { rules, vocabulary, digest: xxh3_64(&text), file })
+        Ok(RuleSet {
+            rules,
+            vocabulary,
+            digest: xxh3_64(&text),
+            file,
+        })
     }
 
     /// The rules that hold for a job, its own ones aside.
--- a/crates/constraints/src/value.rs
+++ b/crates/constraints/src/value.rs
@@ -29,16 +29,56 @@
 
 /// All units, the usual one of each dimension first.
 pub const UNITS: [Unit; 10] = [
-    Unit { name: "", dimension: Dimension::Plain, millionths: 1_000_000 },
-    Unit { name: "GB", dimension: Dimension::Size, millionths: 1_000_000 },
-    Unit { name: "TB", dimension: Dimension::Size, millionths: 1_000_000_000 },
-    Unit { name: "MB", dimension: Dimension::Size, millionths: 1_000 },
-    Unit { name: "s", dimension: Dimension::Time, millionths: 1_000_000 },
-    Unit { name: "min", dimension: Dimension::Time, millionths: 60_000_000 },
-    Unit { name: "h", dimension: Dimension::Time, millionths: 3_600_000_000 },
-    Unit { name: "ms", dimension: Dimension::Time, millionths: 1_000 },
-    Unit { name: "GB/s", dimension: Dimension::Rate, millionths: 1_000_000 },
-    Unit { name: "MB/s", dimension: Dimension::Rate, millionths: 1_000 },
+    Unit {
+        name: "",
+        dimension: Dimension::Plain,
+        millionths: 1_000_000,
+    },
+    Unit {
+        name: "GB",
+        dimension: Dimension::Size,
+        millionths: 1_000_000,
+    },
+    Unit {
+        name: "TB",
+        dimension: Dimension::Size,
+        millionths: 1_000_000_000,
+    },
+    Unit {
+        name: "MB",
+        dimension: Dimension::Size,
+        millionths: 1_000,
+    },
+    Unit {
+        name: "s",
+        dimension: Dimension::Time,
+        millionths: 1_000_000,
+    },
+    Unit {
+        name: "min",
+        dimension: Dimension::Time,
+        millionths: 60_000_000,
+    },
+    Unit {
+        name: "h",
+        dimension: Dimension::Time,
+        millionths: 3_600_000_000,
+    },
+    Unit {
+        name: "ms",
+        dimension: Dimension::Time,
+        millionths: 1_000,
+    },
+    Unit {
+        name: "GB/s",
+        dimension: Dimension::Rate,
+        millionths: 1_000_000,
+    },
+    Unit {
+        name: "MB/s",
+        dimension: Dimension::Rate,
+        millionths: 1_000,
+    },
 ];
 
 impl Dimension {
@@ -74,17 +114,34 @@
 impl Quantity {
     /// So many thousandths of the base of a dimension.
     pub fn thousandths(n: u64, dimension: Dimension) -> Quantity {
-        let unit = UNITS.into_iter().find(|u| u.dimension == dimension).unwrap_or(UNITS[0]);
-        Quantity { millionths: u128::from(n) * 1_000, unit }
+        let unit = UNITS
+            .into_iter()
+            .find(|u| u.dimension == dimension)
+            .unwrap_or(UNITS[0]);
+        Quantity {
+            millionths: u128::from(n) * 1_000,
+            unit,
+        }
     }
 
     /// Reads what the grammar lets through: digits with at most three decimals, and a unit's name.
     pub fn read(number: &str, unit: &str) -> Option<Quantity> {
         let unit = UNITS.into_iter().find(|u| u.name == unit)?;
         let (whole, part) = number.split_once('.').unwrap_or((number, ""));
-        let part: u128 = if part.is_empty() { 0 } else { format!("{part:0<3}").parse().ok()? };
-        let thousandths = whole.parse::<u128>().ok()?.checked_mul(1_000)?.checked_add(part)?;
-        Some(Quantity { millionths: thousandths.checked_mul(unit.millionths)? / 1_000, unit })
+        let part: u128 = if part.is_empty() {
+            0
+        } else {
+            format!("{part:0<3}").parse().ok()?
+        };
+        let thousandths = whole
+            .parse::<u128>()
+            .ok()?
+            .checked_mul(1_000)?
+            .checked_add(part)?;
+        Some(Quantity {
+            millionths: thousandths.checked_mul(unit.millionths)? / 1_000,
+            unit,
+        })
     }
 }
 
@@ -97,7 +154,11 @@
             let part = format!("{:03}", thousandths % 1_000);
             write!(f, ".{}", part.trim_end_matches('0'))?;
         }
-        if self.unit.name.is_empty() { Ok(()) } else { write!(f, " {}", self.unit.name) }
+        if self.unit.name.is_empty() {
+            Ok(())
+        } else {
+            write!(f, " {}", self.unit.name)
+        }
     }
 }
 
--- a/crates/constraints/tests/language.rs
+++ b/crates/constraints/tests/language.rs
@@ -17,10 +17,16 @@
     for (text, error) in [
         ("", "line 1, column 1: expected"),
         ("fonts has", "line 1, column 10: expected"),
-        ("cores >= 16 and\n  memory >", "line 2, column 11: expected a number, a word"),
+        (
+            "cores >= 16 and\n  memory >",
+            "line 2, column 11: expected a number, a word",
+        ),
         ("(zone = a", "line 1, column 10: expected `)`"),
         ("zone = a or or spot", "line 1, column 13: expected"),
-        ("beside wing a", "line 1, column 8: expected `lane`, `crew`, `image`, `urgency` or `job`"),
+        (
+            "beside wing a",
+            "line 1, column 8: expected `lane`, `crew`, `image`, `urgency` or `job`",
+        ),
         ("zone in {a, }", "line 1, column 13: expected a word"),
         ("zone = \"a", "line 1, column"),
         ("Zone = a", "line 1, column 1: expected"),
@@ -49,7 +55,10 @@
         ("memory", Value::Number(Quantity::read("64", "GB").unwrap())),
         ("boot", Value::Number(Quantity::read("30", "s").unwrap())),
         ("zone", Value::Word("7-hills".to_owned())),
-        ("fonts", Value::Words(["latin", "oromo"].map(str::to_owned).into())),
+        (
+            "fonts",
+            Value::Words(["latin", "oromo"].map(str::to_owned).into()),
+        ),
         ("exposed", Value::Flag(true)),
     ]
     .map(|(k, v)| (k.to_owned(), v))
@@ -71,7 +80,11 @@
         ("colour != red", false),
     ] {
         let expr: Expr = text.parse().unwrap_or_else(|e| panic!("{text}: {e}"));
-        assert_eq!(expr.holds(&traits, &cometlead_constraints::judge::Empty), holds, "{text}");
+        assert_eq!(
+            expr.holds(&traits, &cometlead_constraints::judge::Empty),
+            holds,
+            "{text}"
+        );
     }
 }
 
@@ -85,8 +98,15 @@
     let set = RuleSet::parse(FILE.as_bytes()).unwrap();
     let mut traits = Traits::new();
     set.label(&mut traits, "kiosk-box", "merkato", Some("i-000007"));
-    assert_eq!(traits["floor"], Value::Number(Quantity::read("3", "").unwrap()), "the machine's own counts");
-    assert_eq!(traits["fonts"], Value::Words(["latin", "oromo"].map(str::to_owned).into()));
+    assert_eq!(
+        traits["floor"],
+        Value::Number(Quantity::read("3", "").unwrap()),
+        "the machine's own counts"
+    );
+    assert_eq!(
+        traits["fonts"],
+        Value::Words(["latin", "oromo"].map(str::to_owned).into())
+    );
     assert_eq!(traits["exposed"], Value::Flag(true));
     let again: RuleSet = serde_json::from_str(&serde_json::to_string(&set).unwrap()).unwrap();
     assert_eq!(again, set, "it survives the store, digest included");
@@ -97,28 +117,87 @@
     for (from, to, error) in [
         ("\"rules\":", "\"ruels\":", "unknown field `ruels`"),
         ("\"weight\": 5", "\"weigth\": 5", "unknown field `weigth`"),
-        ("\"weight\": 5", "\"weight\": 0", "rule print-room: weight: must be 1 to 1000"),
-        ("\"waitS\": 20", "\"waitS\": -1", "rule print-room: waitS: must be 0 to 86400"),
-        ("\"print-room\"", "\"fonts\"", "rule fonts: the name is used twice"),
-        ("\"print-room\"", "\"Print room\"", "rule Print room: a name is"),
-        ("has oromo", "has oromo and", "rule fonts: line 1, column 20: expected"),
-        ("fonts has oromo", "fonst has oromo", "no machine has a trait `fonst`; is `fonts` meant?"),
-        ("fonts has oromo", "fonts = oromo", "`fonts` is a set of words, and is asked as if it were a word"),
-        ("fonts has oromo", "boot > 30", "`boot` is a time (ms, s, min, h), and is asked as if it were a plain number"),
-        ("fonts has oromo", "zone < oromo", "only = and != are for words"),
-        ("fonts has oromo", "cores > 9999999999999", "asked as if it were a word"),
+        (
+            "\"weight\": 5",
+            "\"weight\": 0",
+            "rule print-room: weight: must be 1 to 1000",
+        ),
+        (
+            "\"waitS\": 20",
+            "\"waitS\": -1",
+            "rule print-room: waitS: must be 0 to 86400",
+        ),
+        (
+            "\"print-room\"",
+            "\"fonts\"",
+            "rule fonts: the name is used twice",
+        ),
+        (
+            "\"print-room\"",
+            "\"Print room\"",
+            "rule Print room: a name is",
+        ),
+        (
+            "has oromo",
+            "has oromo and",
+            "rule fonts: line 1, column 20: expected",
+        ),
+        (
+            "fonts has oromo",
+            "fonst has oromo",
+            "no machine has a trait `fonst`; is `fonts` meant?",
+        ),
+        (
+            "fonts has oromo",
+            "fonts = oromo",
+            "`fonts` is a set of words, and is asked as if it were a word",
+        ),
+        (
+            "fonts has oromo",
+            "boot > 30",
+            "`boot` is a time (ms, s, min, h), and is asked as if it were a plain number",
+        ),
+        (
+            "fonts has oromo",
+            "zone < oromo",
+            "only = and != are for words",
+        ),
+        (
+            "fonts has oromo",
+            "cores > 9999999999999",
+            "asked as if it were a word",
+        ),
         ("\"floor\": 2", "\"floor\": \"two\"", "label floor: is"),
-        ("\"floor\": 2", "\"floor\": -2", "label floor: must be 0 to 1e9"),
-        ("\"floor\": 2", "\"cores\": 2", "label cores: is what machines have by themselves"),
+        (
+            "\"floor\": 2",
+            "\"floor\": -2",
+            "label floor: must be 0 to 1e9",
+        ),
+        (
+            "\"floor\": 2",
+            "\"cores\": 2",
+            "label cores: is what machines have by themselves",
+        ),
         ("\"floor\": 2", "\"own\": 2", "label own: a name is"),
         ("\"lanes\"", "\"lane\"", "unknown field `lane`"),
-        ("\"lanes\": [\"renders\"]", "\"urgencies\": [\"urgent\"]", "for.urgencies"),
-        ("\"require\"", "\"waitS\": 1, \"require\"", "weight and waitS are for `prefer`"),
+        (
+            "\"lanes\": [\"renders\"]",
+            "\"urgencies\": [\"urgent\"]",
+            "for.urgencies",
+        ),
+        (
+            "\"require\"",
+            "\"waitS\": 1, \"require\"",
+            "weight and waitS are for `prefer`",
+        ),
     ] {
         let text = FILE.replacen(from, to, 1);
         assert_ne!(text, FILE);
         let found = RuleSet::parse(text.as_bytes()).expect_err(to).to_string();
-        assert!(found.contains(error) && !found.contains('\n'), "{to}: {found}");
+        assert!(
+            found.contains(error) && !found.contains('\n'),
+            "{to}: {found}"
+        );
     }
 }
 
@@ -130,11 +209,22 @@
     .unwrap();
     let rules = read_own(&texts).unwrap();
     let text = serde_json::to_string(&rules).unwrap();
-    assert_eq!(text, r#"[["a","not beside lane {masters, \"raw cuts\"}"],["b","spot",3,1500000]]"#);
-    assert_eq!(serde_json::from_str::<Vec<cometlead_constraints::Rule>>(&text).unwrap(), rules);
-    let scoped =
-        texts.iter().map(|t| RuleText { scope: serde_json::from_str(r#"{"lanes":["x"]}"#).unwrap(), ..t.clone() });
-    assert!(read_own(&scoped.collect::<Vec<_>>()).is_err(), "a job cannot make rules for others");
+    assert_eq!(
+        text,
+        r#"[["a","not beside lane {masters, \"raw cuts\"}"],["b","spot",3,1500000]]"#
+    );
+    assert_eq!(
+        serde_json::from_str::<Vec<cometlead_constraints::Rule>>(&text).unwrap(),
+        rules
+    );
+    let scoped = texts.iter().map(|t| RuleText {
+        scope: serde_json::from_str(r#"{"lanes":["x"]}"#).unwrap(),
+        ..t.clone()
+    });
+    assert!(
+        read_own(&scoped.collect::<Vec<_>>()).is_err(),
+        "a job cannot make rules for others"
+    );
     assert!(read_own(&vec![texts[0].clone(); 13]).is_err());
 }
 
@@ -160,7 +250,10 @@
 const NAMES: [&str; 4] = ["zone", "fonts", "floor", "exposed"];
 
 fn test_of_a_trait() -> impl Strategy<Value = Expr> {
-    let operand = prop_oneof![word().prop_map(Operand::Word), quantity().prop_map(Operand::Number)];
+    let operand = prop_oneof![
+        word().prop_map(Operand::Word),
+        quantity().prop_map(Operand::Number)
+    ];
     let sign = (0..Comparison::ALL.len()).prop_map(|i| Comparison::ALL[i].0);
     let test = prop_oneof![
         Just(Test::Flag),
@@ -170,7 +263,8 @@
         words().prop_map(Test::HasAny),
         words().prop_map(Test::HasAll),
     ];
-    (prop::sample::select(&NAMES[..]), test).prop_map(|(n, t)| Expr::Trait(n.to_owned(), t, Default::default()))
+    (prop::sample::select(&NAMES[..]), test)
+        .prop_map(|(n, t)| Expr::Trait(n.to_owned(), t, Default::default()))
 }
 
 fn expr() -> impl Strategy<Value = Expr> {
@@ -212,7 +306,11 @@
         any::<bool>().prop_map(Value::Flag),
         quantity().prop_map(Value::Number),
     ];
-    prop::collection::btree_map(prop::sample::select(&NAMES[..]).prop_map(str::to_owned), value, 0..4)
+    prop::collection::btree_map(
+        prop::sample::select(&NAMES[..]).prop_map(str::to_owned),
+        value,
+        0..4,
+    )
 }
 
 proptest! {
--- a/crates/emulator/src/addresses.rs
+++ b/crates/emulator/src/addresses.rs
@@ -27,8 +27,11 @@
     /// [`NoPort`] if none is.
     pub fn find(seed: u64) -> Result<Addresses, NoPort> {
         let span = u64::from(PORTS.end - PORTS.start) / 2;
-        let candidates = (0..span).map(|i| PORTS.start + 2 * ((seed.wrapping_add(i)) % span) as u16);
-        let mut free = candidates.map(|port| Addresses { port }).filter(|a| TcpListener::bind(a.state(0)).is_ok());
+        let candidates =
+            (0..span).map(|i| PORTS.start + 2 * ((seed.wrapping_add(i)) % span) as u16);
+        let mut free = candidates
+            .map(|port| Addresses { port })
+            .filter(|a| TcpListener::bind(a.state(0)).is_ok());
         free.next().ok_or(NoPort)
     }
 
--- a/crates/emulator/src/capacity.rs
+++ b/crates/emulator/src/capacity.rs
@@ -203,7 +203,10 @@
 
 fn read<T: for<'a> Deserialize<'a>>(path: &Path) -> Result<T, CapacityError> {
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|error| CapacityError::File { path: name.clone(), error })?;
+    let text = std::fs::read_to_string(path).map_err(|error| CapacityError::File {
+        path: name.clone(),
+        error,
+    })?;
     Ok(toml::from_str(&text).map_err(|error| Malformed::new(&name, &text, &error))?)
 }
 
@@ -224,8 +227,17 @@
     }
 
     /// What a role spends of a resource in a region at a time; `None` if no slope says so.
-    pub fn total(&self, role: &str, resource: &str, region: &RegionSize, phase: &Phase) -> Option<f64> {
-        let mut of = self.slopes().filter(|s| s.role == role && s.resource == resource).peekable();
+    pub fn total(
+        &self,
+        role: &str,
+        resource: &str,
+        region: &RegionSize,
+        phase: &Phase,
+    ) -> Option<f64> {
+        let mut of = self
+            .slopes()
+            .filter(|s| s.role == role && s.resource == resource)
+            .peekable();
         of.peek()?;
         Some(of.map(|slope| slope.at(region, phase)).sum())
     }
@@ -234,10 +246,13 @@
     fn roles(&self) -> Vec<(&str, Vec<&str>)> {
         let mut roles: Vec<(&str, Vec<&str>)> = Vec::new();
         for slope in self.slopes() {
-            let at = roles.iter().position(|(role, _)| *role == slope.role).unwrap_or_else(|| {
-                roles.push((&slope.role, Vec::new()));
-                roles.len() - 1
-            });
+            let at = roles
+                .iter()
+                .position(|(role, _)| *role == slope.role)
+                .unwrap_or_else(|| {
+                    roles.push((&slope.role, Vec::new()));
+                    roles.len() - 1
+                });
             if !roles[at].1.contains(&slope.resource.as_str()) {
                 roles[at].1.push(&slope.resource);
             }
@@ -274,7 +289,11 @@
             let columns: Vec<String> = self
                 .phase
                 .iter()
-                .flat_map(|p| self.region.iter().map(move |r| format!("{}, {}", p.name, r.name)))
+                .flat_map(|p| {
+                    self.region
+                        .iter()
+                        .map(move |r| format!("{}, {}", p.name, r.name))
+                })
                 .collect();
             let _ = writeln!(text, "| resource | {} | budget |", columns.join(" | "));
             let _ = writeln!(text, "| --- |{}", " --- |".repeat(columns.len() + 1));
@@ -283,10 +302,17 @@
                     .phase
                     .iter()
                     .flat_map(|p| self.region.iter().map(move |r| (p, r)))
-                    .map(|(p, r)| self.total(role, resource, r, p).map_or_else(|| "-".to_owned(), amount))
+                    .map(|(p, r)| {
+                        self.total(role, resource, r, p)
+                            .map_or_else(|| "-".to_owned(), amount)
+                    })
                     .collect();
-                let _ =
-                    writeln!(text, "| {resource} | {} | {} |", totals.join(" | "), self.budget_text(role, resource));
+                let _ = writeln!(
+                    text,
+                    "| {resource} | {} | {} |",
+                    totals.join(" | "),
+                    self.budget_text(role, resource)
+                );
             }
             let _ = writeln!(text, "\nSlopes: {}.", self.slopes_text(role));
         }
@@ -294,7 +320,10 @@
     }
 
     fn budget_text(&self, role: &str, resource: &str) -> String {
-        let of = self.budget.iter().find(|b| b.role == role && b.resource == resource);
+        let of = self
+            .budget
+            .iter()
+            .find(|b| b.role == role && b.resource == resource);
         of.map_or_else(String::new, |b| match &b.missing {
             None => format!("{} ({})", amount(b.limit), b.from),
             Some(why) => format!("{} ({}); **missing**: {why}", amount(b.limit), b.from),
@@ -308,15 +337,20 @@
 
     /// The table of the letter's lines, as it stands in the page.
     pub fn lines(&self) -> String {
-        let mut text =
-            String::from("\n| figure | mechanism | status | margin, or order |\n| --- | --- | --- | --- |\n");
+        let mut text = String::from(
+            "\n| figure | mechanism | status | margin, or order |\n| --- | --- | --- | --- |\n",
+        );
         for line in &self.line {
             let status = match line.status {
                 Status::Measured => "measured",
                 Status::Derived => "derived",
                 Status::Missing => "**missing**",
             };
-            let _ = writeln!(text, "| {} | {} | {status} | {} |", line.figure, line.mechanism, line.margin);
+            let _ = writeln!(
+                text,
+                "| {} | {} | {status} | {} |",
+                line.figure, line.mechanism, line.margin
+            );
         }
         text
     }
@@ -333,10 +367,21 @@
 }
 
 /// Puts a text between two markers.
-fn replace(page: &str, begin: &'static str, end: &'static str, text: &str) -> Result<String, CapacityError> {
-    let (before, rest) = page.split_once(&format!("<!-- {begin} -->\n")).ok_or(CapacityError::NoMarker(begin))?;
-    let (_, after) = rest.split_once(&format!("<!-- {end} -->")).ok_or(CapacityError::NoMarker(end))?;
-    Ok(format!("{before}<!-- {begin} -->\n{text}<!-- {end} -->{after}"))
+fn replace(
+    page: &str,
+    begin: &'static str,
+    end: &'static str,
+    text: &str,
+) -> Result<String, CapacityError> {
+    let (before, rest) = page
+        .split_once(&format!("<!-- {begin} -->\n"))
+        .ok_or(CapacityError::NoMarker(begin))?;
+    let (_, after) = rest
+        .split_once(&format!("<!-- {end} -->"))
+        .ok_or(CapacityError::NoMarker(end))?;
+    Ok(format!(
+        "{before}<!-- {begin} -->\n{text}<!-- {end} -->{after}"
+    ))
 }
 
 /// A number with three digits that count.
@@ -350,7 +395,11 @@
         let unit = 10_f64.powi(-digits);
         let rounded = (value / unit).round() * unit;
         let text = format!("{rounded:.0}");
-        return if rounded.abs() < GROUPED { text } else { grouped(&text) };
+        return if rounded.abs() < GROUPED {
+            text
+        } else {
+            grouped(&text)
+        };
     }
     let text = format!("{value:.*}", digits as usize);
     text.trim_end_matches('0').trim_end_matches('.').to_owned()
@@ -381,7 +430,11 @@
             Per::TaskOfWorker => region.running / region.workers,
             Per::StartOfWorker => starts / region.workers,
         };
-        let among = if self.divided { region.controllers - phase.controllers_away } else { 1.0 };
+        let among = if self.divided {
+            region.controllers - phase.controllers_away
+        } else {
+            1.0
+        };
         self.value * size / among
     }
 
@@ -395,11 +448,20 @@
             Per::TaskOfWorker => "a task of the worker",
             Per::StartOfWorker => "a start a second at the worker",
         };
-        let divided = if self.divided { ", divided among the controllers" } else { "" };
+        let divided = if self.divided {
+            ", divided among the controllers"
+        } else {
+            ""
+        };
         let known = match self.known {
             Known::Measured => "measured, ",
             Known::Derived => "derived: ",
         };
-        format!("{} {} {per}{divided} ({known}{})", self.resource, amount(self.value), self.basis)
+        format!(
+            "{} {} {per}{divided} ({known}{})",
+            self.resource,
+            amount(self.value),
+            self.basis
+        )
     }
 }
--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -50,15 +50,21 @@
         folder: &Path,
     ) -> std::io::Result<Controller> {
         let deploy = deploy_file(world, region, node, shares);
-        let mut controller =
-            Controller { region, node, folder: folder.to_owned(), binary: binary.to_owned(), process: None };
+        let mut controller = Controller {
+            region,
+            node,
+            folder: folder.to_owned(),
+            binary: binary.to_owned(),
+            process: None,
+        };
         std::fs::write(controller.path("json"), deploy.to_string())?;
         controller.begin()?;
         Ok(controller)
     }
 
     fn path(&self, extension: &str) -> PathBuf {
-        self.folder.join(format!("r{}-n{}.{extension}", self.region, self.node))
+        self.folder
+            .join(format!("r{}-n{}.{extension}", self.region, self.node))
     }
 
     /// Starts the process again after it was ended.
@@ -67,7 +73,10 @@
     ///
     /// What the system says.
     pub fn begin(&mut self) -> std::io::Result<()> {
-        let log = File::options().create(true).append(true).open(self.path("log"))?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(self.path("log"))?;
         let child = Command::new(&self.binary)
             .arg("--config")
             .arg(self.path("json"))
@@ -95,7 +104,9 @@
 
     /// Whether the process has ended by itself.
     pub fn has_ended(&mut self) -> bool {
-        self.process.as_mut().is_some_and(|p| matches!(p.try_wait(), Ok(Some(_))))
+        self.process
+            .as_mut()
+            .is_some_and(|p| matches!(p.try_wait(), Ok(Some(_))))
     }
 }
 
--- a/crates/emulator/src/fit.rs
+++ b/crates/emulator/src/fit.rs
@@ -30,23 +30,43 @@
         return Err(Unfit);
     }
     // Inputs of very different sizes are brought to one.
-    let scale: Vec<f64> = (0..width).map(|c| inputs.iter().map(|r| r[c].abs()).fold(0.0, f64::max)).collect();
+    let scale: Vec<f64> = (0..width)
+        .map(|c| inputs.iter().map(|r| r[c].abs()).fold(0.0, f64::max))
+        .collect();
     if scale.contains(&0.0) {
         return Err(Unfit);
     }
-    let rows: Vec<Vec<f64>> =
-        inputs.iter().map(|r| r.iter().zip(&scale).map(|(value, scale)| value / scale).collect()).collect();
+    let rows: Vec<Vec<f64>> = inputs
+        .iter()
+        .map(|r| {
+            r.iter()
+                .zip(&scale)
+                .map(|(value, scale)| value / scale)
+                .collect()
+        })
+        .collect();
     let mut equations = normal_equations(&rows, outputs);
     let solved = solve(&mut equations)?;
-    let factors: Vec<f64> = solved.iter().zip(&scale).map(|(factor, scale)| factor / scale).collect();
-    let squares = inputs.iter().zip(outputs).map(|(row, output)| (predict(&factors, row) - output).powi(2));
+    let factors: Vec<f64> = solved
+        .iter()
+        .zip(&scale)
+        .map(|(factor, scale)| factor / scale)
+        .collect();
+    let squares = inputs
+        .iter()
+        .zip(outputs)
+        .map(|(row, output)| (predict(&factors, row) - output).powi(2));
     let error = (squares.sum::<f64>() / outputs.len() as f64).sqrt();
     Ok(Fit { factors, error })
 }
 
 /// The value that factors give for a row of inputs.
 pub fn predict(factors: &[f64], row: &[f64]) -> f64 {
-    factors.iter().zip(row).map(|(factor, value)| factor * value).sum()
+    factors
+        .iter()
+        .zip(row)
+        .map(|(factor, value)| factor * value)
+        .sum()
 }
 
 /// One row for each factor: its sums of products with the others, then with the outputs.
@@ -54,15 +74,29 @@
     let width = rows[0].len();
     let product = |i: usize, j: usize| rows.iter().map(|r| r[i] * r[j]).sum::<f64>();
     let with_output = |i: usize| rows.iter().zip(outputs).map(|(r, o)| r[i] * o).sum::<f64>();
-    (0..width).map(|i| (0..width).map(|j| product(i, j)).chain([with_output(i)]).collect()).collect()
+    (0..width)
+        .map(|i| {
+            (0..width)
+                .map(|j| product(i, j))
+                .chain([with_output(i)])
+                .collect()
+        })
+        .collect()
 }
 
 /// Gaussian elimination with the largest pivot first.
 fn solve(equations: &mut [Vec<f64>]) -> Result<Vec<f64>, Unfit> {
     let width = equations.len();
-    let largest = equations.iter().flatten().fold(0.0_f64, |most, v| most.max(v.abs()));
+    let largest = equations
+        .iter()
+        .flatten()
+        .fold(0.0_f64, |most, v| most.max(v.abs()));
     for column in 0..width {
-        let by_size = |a: &usize, b: &usize| equations[*a][column].abs().total_cmp(&equations[*b][column].abs());
+        let by_size = |a: &usize, b: &usize| {
+            equations[*a][column]
+                .abs()
+                .total_cmp(&equations[*b][column].abs())
+        };
         let pivot = (column..width).max_by(by_size).ok_or(Unfit)?;
         equations.swap(column, pivot);
         if equations[column][column].abs() <= largest * SINGULAR {
@@ -78,5 +112,7 @@
             }
         }
     }
-    Ok((0..width).map(|i| equations[i][width] / equations[i][i]).collect())
+    Ok((0..width)
+        .map(|i| equations[i][width] / equations[i][i])
+        .collect())
 }
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -19,7 +19,8 @@
 const LEAST_PAUSE: u64 = 1_000;
 
 /// A report on its way: by which connection, and what came back.
-type Exchange = Pin<Box<dyn Future<Output = (Option<Connection>, Result<Answer, NoAnswer>)> + Send>>;
+type Exchange =
+    Pin<Box<dyn Future<Output = (Option<Connection>, Result<Answer, NoAnswer>)> + Send>>;
 
 /// A worker and its connections.
 pub struct HollowWorker {
@@ -90,7 +91,9 @@
 
     /// Lives until its machine is gone.
     pub async fn run(self: Arc<Self>, listener: TcpListener) {
-        let Some(region) = self.region.upgrade() else { return };
+        let Some(region) = self.region.upgrade() else {
+            return;
+        };
         let keep = region.world.scenario.workers.keep_command_connections;
         let commanded = Arc::clone(&self);
         let handler = move |taken| Arc::clone(&commanded).command(taken);
@@ -106,7 +109,9 @@
             let now = region.world.now();
             let cut = region.is_cut(&self.zone, now);
             if let Some(due) = self.bring_forward(region, now, cut) {
-                let open = connection.take().filter(|(node, c)| *node == due.node && c.is_open());
+                let open = connection
+                    .take()
+                    .filter(|(node, c)| *node == due.node && c.is_open());
                 let sending = self.send(region, &due, open.map(|(_, c)| c));
                 exchange = Some((due, Box::pin(sending)));
             }
@@ -141,8 +146,17 @@
             }
             worker.check_lease(now, &mut deeds);
             worker.advance(now, &jobs, &mut deeds);
-            let body = if cut { None } else { worker.due_report(now, interval) };
-            body.map(|body| Due { body, node: worker.node, sent: now, session: worker.shift })
+            let body = if cut {
+                None
+            } else {
+                worker.due_report(now, interval)
+            };
+            body.map(|body| Due {
+                body,
+                node: worker.node,
+                sent: now,
+                session: worker.shift,
+            })
         };
         self.judge(region, &deeds);
         due
@@ -177,7 +191,11 @@
         let now = region.world.now();
         let nodes = region.world.scenario.regions[region.index].controllers;
         // What a zone in a cut was sent does not reach it.
-        let result = if region.is_cut(&self.zone, now) { Err(NoAnswer) } else { result };
+        let result = if region.is_cut(&self.zone, now) {
+            Err(NoAnswer)
+        } else {
+            result
+        };
         if !result.as_ref().is_ok_and(|a| a.status == 200) {
             self.reports_failed.fetch_add(1, Ordering::Relaxed);
         }
@@ -229,7 +247,9 @@
 }
 
 /// Waits for a report's answer, for ever if none is under way.
-async fn wait_for(exchange: &mut Option<(Due, Exchange)>) -> (Option<Connection>, Result<Answer, NoAnswer>) {
+async fn wait_for(
+    exchange: &mut Option<(Due, Exchange)>,
+) -> (Option<Connection>, Result<Answer, NoAnswer>) {
     match exchange {
         Some((_, exchange)) => exchange.await,
         None => std::future::pending().await,
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -50,16 +50,26 @@
 }
 
 impl AsyncRead for Counted {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<std::io::Result<()>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<std::io::Result<()>> {
         let before = buf.filled().len();
         let result = Pin::new(&mut self.stream).poll_read(cx, buf);
-        self.traffic.read.fetch_add((buf.filled().len() - before) as u64, Ordering::Relaxed);
+        self.traffic
+            .read
+            .fetch_add((buf.filled().len() - before) as u64, Ordering::Relaxed);
         result
     }
 }
 
 impl AsyncWrite for Counted {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<std::io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        data: &[u8],
+    ) -> Poll<std::io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write(cx, data);
         if let Poll::Ready(Ok(n)) = &result {
             self.traffic.written.fetch_add(*n as u64, Ordering::Relaxed);
@@ -90,7 +100,11 @@
 impl Answer {
     /// An answer with a JSON body.
     pub fn new(status: u16, body: &serde_json::Value) -> Answer {
-        Answer { status, body: body.to_string().into(), retry_after: None }
+        Answer {
+            status,
+            body: body.to_string().into(),
+            retry_after: None,
+        }
     }
 }
 
@@ -123,14 +137,24 @@
         let stream = connecting.map_err(|_| NoAnswer)?.map_err(|_| NoAnswer)?;
         stream.set_nodelay(true).map_err(|_| NoAnswer)?;
         traffic.connections.fetch_add(1, Ordering::Relaxed);
-        let counted = Counted { stream, traffic: Arc::clone(traffic) };
-        let (sender, connection) = handshake(TokioIo::new(counted)).await.map_err(|_| NoAnswer)?;
+        let counted = Counted {
+            stream,
+            traffic: Arc::clone(traffic),
+        };
+        let (sender, connection) = handshake(TokioIo::new(counted))
+            .await
+            .map_err(|_| NoAnswer)?;
         let driver = tokio::spawn(async move {
             // How a connection ends shows at its sender.
             let _ = connection.await;
         });
         let host = HeaderValue::from_str(&to.to_string()).map_err(|_| NoAnswer)?;
-        Ok(Connection { sender, driver: driver.abort_handle(), host, traffic: Arc::clone(traffic) })
+        Ok(Connection {
+            sender,
+            driver: driver.abort_handle(),
+            host,
+            traffic: Arc::clone(traffic),
+        })
     }
 
     /// Whether another request can be sent.
@@ -143,7 +167,12 @@
     /// # Errors
     ///
     /// [`NoAnswer`] if the connection fails first.
-    pub async fn call(&mut self, method: &str, path: &str, body: Bytes) -> Result<Answer, NoAnswer> {
+    pub async fn call(
+        &mut self,
+        method: &str,
+        path: &str,
+        body: Bytes,
+    ) -> Result<Answer, NoAnswer> {
         self.sender.ready().await.map_err(|_| NoAnswer)?;
         let request = Request::builder()
             .method(method)
@@ -153,11 +182,27 @@
             .body(Full::new(body))
             .map_err(|_| NoAnswer)?;
         self.traffic.requests.fetch_add(1, Ordering::Relaxed);
-        let response = self.sender.send_request(request).await.map_err(|_| NoAnswer)?;
+        let response = self
+            .sender
+            .send_request(request)
+            .await
+            .map_err(|_| NoAnswer)?;
         let status = response.status().as_u16();
-        let retry_after = response.headers().get(RETRY_AFTER).and_then(|v| v.to_str().ok()?.parse().ok());
-        let body = response.into_body().collect().await.map_err(|_| NoAnswer)?.to_bytes();
-        Ok(Answer { status, body, retry_after })
+        let retry_after = response
+            .headers()
+            .get(RETRY_AFTER)
+            .and_then(|v| v.to_str().ok()?.parse().ok());
+        let body = response
+            .into_body()
+            .collect()
+            .await
+            .map_err(|_| NoAnswer)?
+            .to_bytes();
+        Ok(Answer {
+            status,
+            body,
+            retry_after,
+        })
     }
 }
 
@@ -186,7 +231,12 @@
             continue;
         };
         traffic.connections.fetch_add(1, Ordering::Relaxed);
-        tokio::spawn(serve_connection(stream, Arc::clone(&traffic), keep, handler.clone()));
+        tokio::spawn(serve_connection(
+            stream,
+            Arc::clone(&traffic),
+            keep,
+            handler.clone(),
+        ));
     }
 }
 
@@ -197,19 +247,31 @@
 {
     // Only speed is lost without it.
     let _ = stream.set_nodelay(true);
-    let counted = Counted { stream, traffic: Arc::clone(&traffic) };
+    let counted = Counted {
+        stream,
+        traffic: Arc::clone(&traffic),
+    };
     let service = service_fn(move |request: Request<Incoming>| {
         traffic.requests.fetch_add(1, Ordering::Relaxed);
         let handler = handler.clone();
         async move {
             let method = request.method().as_str().to_owned();
-            let path = request.uri().path_and_query().map_or_else(String::new, ToString::to_string);
-            let body = request.into_body().collect().await.map_err(|_| Closed)?.to_bytes();
+            let path = request
+                .uri()
+                .path_and_query()
+                .map_or_else(String::new, ToString::to_string);
+            let body = request
+                .into_body()
+                .collect()
+                .await
+                .map_err(|_| Closed)?
+                .to_bytes();
             let answer = handler(Taken { method, path, body }).await.ok_or(Closed)?;
             response(answer, keep).map_err(|_: Infallible| Closed)
         }
     });
-    let connection = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(counted), service);
+    let connection =
+        hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(counted), service);
     // A client that goes away is nothing to report.
     let _ = connection.await;
 }
@@ -221,10 +283,15 @@
 
 fn response(answer: Answer, keep: bool) -> Result<Response<Full<Bytes>>, Infallible> {
     let mut response = Response::new(Full::new(answer.body));
-    *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    *response.status_mut() =
+        StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if !keep {
-        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response
+            .headers_mut()
+            .insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
 }
--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -113,7 +113,11 @@
     fn violated(&mut self, now: u64, rule: Rule, what: String) {
         *self.counts.entry(rule).or_default() += 1;
         if self.violations.len() < MOST_KEPT {
-            self.violations.push(Violation { at_s: now as f64 / 1e6, rule, what });
+            self.violations.push(Violation {
+                at_s: now as f64 / 1e6,
+                rule,
+                what,
+            });
         }
     }
 
@@ -143,20 +147,32 @@
     fn started(&mut self, now: u64, machine: Machine, task: Task) {
         self.starts += 1;
         if let Some(other) = self.on.get(&task).filter(|other| **other != machine) {
-            let what = format!("{} starts on {machine:?} while it is on {other:?}", task_name(task));
+            let what = format!(
+                "{} starts on {machine:?} while it is on {other:?}",
+                task_name(task)
+            );
             self.violated(now, Rule::RanTwice, what);
         }
-        let Some(job) = self.jobs.get_mut(&task.0) else { return };
+        let Some(job) = self.jobs.get_mut(&task.0) else {
+            return;
+        };
         job.first_start.get_or_insert(now);
         let (team, cores, cancelled_at) = (job.team, job.cores, job.cancelled_at);
         if cancelled_at.is_some_and(|at| now > at + self.cancel) {
-            self.violated(now, Rule::RanCancelled, format!("{} starts", task_name(task)));
+            self.violated(
+                now,
+                Rule::RanCancelled,
+                format!("{} starts", task_name(task)),
+            );
         }
         if self.on.insert(task, machine).is_none() {
             self.used[team] += cores;
         }
         if self.used[team] > self.quotas[team] + ROUNDING {
-            let what = format!("team {team} uses {:.3} of {:.3} cores", self.used[team], self.quotas[team]);
+            let what = format!(
+                "team {team} uses {:.3} of {:.3} cores",
+                self.used[team], self.quotas[team]
+            );
             self.violated(now, Rule::Quota, what);
         }
     }
@@ -166,7 +182,9 @@
             return;
         }
         self.on.remove(&task);
-        let Some(job) = self.jobs.get_mut(&task.0) else { return };
+        let Some(job) = self.jobs.get_mut(&task.0) else {
+            return;
+        };
         self.used[job.team] -= job.cores;
         if cause == "done" {
             job.done.insert(task.1);
@@ -176,7 +194,9 @@
 
     /// A user was told a job's state, in an answer to a request sent at `asked`.
     pub fn told(&mut self, now: u64, asked: u64, job: u64, state: Told) {
-        let Some(facts) = self.jobs.get_mut(&job) else { return };
+        let Some(facts) = self.jobs.get_mut(&job) else {
+            return;
+        };
         facts.answered = now;
         let before = facts.told;
         let unfinished = facts.done.len() < facts.tasks as usize;
@@ -192,9 +212,17 @@
         }
         let over = matches!(before, Some(Told::Done | Told::Cancelled));
         // An answer on its way may be overtaken by a newer one.
-        let settled = self.jobs.get(&job).and_then(|j| j.cancelled_at).is_none_or(|at| at <= asked);
+        let settled = self
+            .jobs
+            .get(&job)
+            .and_then(|j| j.cancelled_at)
+            .is_none_or(|at| at <= asked);
         if over && before != Some(state) && settled {
-            self.violated(now, Rule::WentBack, format!("req-{job:06} was {before:?}, is {state:?}"));
+            self.violated(
+                now,
+                Rule::WentBack,
+                format!("req-{job:06} was {before:?}, is {state:?}"),
+            );
         }
     }
 
@@ -223,7 +251,11 @@
         for task in late {
             let machine = self.on[&task];
             self.ended(machine, task, "late");
-            self.violated(now, Rule::RanCancelled, format!("{} is still there", task_name(task)));
+            self.violated(
+                now,
+                Rule::RanCancelled,
+                format!("{} is still there", task_name(task)),
+            );
         }
         let excused = self.excused_until;
         let mut silent = Vec::new();
@@ -234,7 +266,11 @@
             }
         }
         for id in silent {
-            self.violated(now, Rule::Unanswered, format!("nothing was answered about req-{id:06} for 75 s"));
+            self.violated(
+                now,
+                Rule::Unanswered,
+                format!("nothing was answered about req-{id:06} for 75 s"),
+            );
         }
     }
 
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -43,7 +43,12 @@
     },
 }
 
-fn play(scenario: &Path, binary: &Path, out: &Path, slopes: Option<&Path>) -> Result<ExitCode, Box<dyn Error>> {
+fn play(
+    scenario: &Path,
+    binary: &Path,
+    out: &Path,
+    slopes: Option<&Path>,
+) -> Result<ExitCode, Box<dyn Error>> {
     let loaded = Scenario::load(scenario)?;
     let bar = ProgressBar::new_spinner();
     bar.set_style(ProgressStyle::with_template("{elapsed_precise} {msg}")?);
@@ -52,7 +57,9 @@
     for one in loaded.runs() {
         let name = one.name.clone();
         let progress = bar.clone();
-        let result = run(&one, binary, out, &move |text| progress.set_message(format!("{name}: {text}")))?;
+        let result = run(&one, binary, out, &move |text| {
+            progress.set_message(format!("{name}: {text}"))
+        })?;
         result.write(out)?;
         bar.suspend(|| println!("{}\n{}\n", result.name, result.table()));
         good &= result.broken.is_empty() && result.ended_by_themselves == 0;
@@ -60,7 +67,10 @@
     }
     bar.finish_and_clear();
     if !loaded.steps.is_empty() {
-        let fitted = Slopes::of(&format!("cometlead-emulator run {}", scenario.display()), &results);
+        let fitted = Slopes::of(
+            &format!("cometlead-emulator run {}", scenario.display()),
+            &results,
+        );
         for ((role, resource), slopes) in fitted.rows() {
             println!("{role}, {resource}: {}", slopes.join("; "));
         }
@@ -68,7 +78,11 @@
             std::fs::write(path, fitted.text()?)?;
         }
     }
-    Ok(if good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if good {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 fn capacity(data: &Path, page: Option<&Path>) -> Result<ExitCode, Box<dyn Error>> {
@@ -78,13 +92,24 @@
         None => println!("{}{}", capacity.tables(), capacity.lines()),
     }
     let beyond = capacity.beyond_budget();
-    beyond.iter().for_each(|line| eprintln!("beyond its budget: {line}"));
-    Ok(if beyond.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    beyond
+        .iter()
+        .for_each(|line| eprintln!("beyond its budget: {line}"));
+    Ok(if beyond.is_empty() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 fn main() -> ExitCode {
     let done = match Cli::parse().command {
-        Command::Run { scenario, binary, out, slopes } => play(&scenario, &binary, &out, slopes.as_deref()),
+        Command::Run {
+            scenario,
+            binary,
+            out,
+            slopes,
+        } => play(&scenario, &binary, &out, slopes.as_deref()),
         Command::Capacity { data, page } => capacity(&data, page.as_deref()),
     };
     done.unwrap_or_else(|problem| {
--- a/crates/emulator/src/measure.rs
+++ b/crates/emulator/src/measure.rs
@@ -28,7 +28,9 @@
 
 /// A size in MB from the text of a `status` file.
 fn megabytes(status: &str, field: &str) -> Option<f64> {
-    let line = status.lines().find_map(|l| l.strip_prefix(field)?.strip_prefix(':'))?;
+    let line = status
+        .lines()
+        .find_map(|l| l.strip_prefix(field)?.strip_prefix(':'))?;
     let kib: f64 = line.trim().strip_suffix("kB")?.trim().parse().ok()?;
     Some(kib * 1024.0 / 1e6)
 }
@@ -48,11 +50,15 @@
 /// Processor seconds that this process's threads have used, by their names.
 pub fn own_threads() -> BTreeMap<String, f64> {
     let mut used = BTreeMap::new();
-    let tasks = fs::read_dir("/proc/self/task").into_iter().flatten().flatten();
+    let tasks = fs::read_dir("/proc/self/task")
+        .into_iter()
+        .flatten()
+        .flatten();
     for task in tasks {
         let name = fs::read_to_string(task.path().join("comm")).unwrap_or_default();
         let stat = fs::read_to_string(task.path().join("stat")).unwrap_or_default();
-        *used.entry(name.trim().to_owned()).or_insert(0.0) += processor_seconds(&stat).unwrap_or(0.0);
+        *used.entry(name.trim().to_owned()).or_insert(0.0) +=
+            processor_seconds(&stat).unwrap_or(0.0);
     }
     used
 }
@@ -69,11 +75,18 @@
     pub fn now() -> MachineTime {
         let stat = fs::read_to_string("/proc/stat").unwrap_or_default();
         let line = stat.lines().next().unwrap_or_default();
-        let ticks: Vec<u64> = line.split_whitespace().skip(1).filter_map(|t| t.parse().ok()).collect();
+        let ticks: Vec<u64> = line
+            .split_whitespace()
+            .skip(1)
+            .filter_map(|t| t.parse().ok())
+            .collect();
         let all = ticks.iter().take(8).sum();
         // Idle, and idle while waiting for a disk.
         let idle: u64 = ticks.iter().skip(3).take(2).sum();
-        MachineTime { busy: all - idle, all }
+        MachineTime {
+            busy: all - idle,
+            all,
+        }
     }
 
     /// The busy part since an earlier reading, 0 to 1.
--- a/crates/emulator/src/region.rs
+++ b/crates/emulator/src/region.rs
@@ -122,7 +122,10 @@
             state: Mutex::new(State::new(state)),
             watches: Mutex::default(),
             next_request: AtomicU64::new(1),
-            cloud: Mutex::new(Cloud::new(vec![machine], (scenario.cloud.list_lag_s * 1e6) as u64)),
+            cloud: Mutex::new(Cloud::new(
+                vec![machine],
+                (scenario.cloud.list_lag_s * 1e6) as u64,
+            )),
             fleet: Mutex::default(),
             cut_zones: Mutex::default(),
             random: Mutex::new(StdRng::seed_from_u64(scenario.seed ^ (index as u64 + 1))),
@@ -138,7 +141,10 @@
 
     /// Whether a zone is cut off from the controllers.
     pub fn is_cut(&self, zone: &str, now: u64) -> bool {
-        self.cut_zones.lock().iter().any(|(z, until)| z == zone && now < *until)
+        self.cut_zones
+            .lock()
+            .iter()
+            .any(|(z, until)| z == zone && now < *until)
     }
 
     /// Starts its servers.
@@ -170,7 +176,10 @@
     fn answer_watches(&self) {
         let (due, violations) = {
             let mut state = self.state.lock();
-            (state.tick(self.world.now()), std::mem::take(&mut state.violations))
+            (
+                state.tick(self.world.now()),
+                std::mem::take(&mut state.violations),
+            )
         };
         for (id, status, body) in due {
             if let Some(sender) = self.watches.lock().remove(&id) {
@@ -179,7 +188,10 @@
             }
         }
         for violation in violations {
-            self.world.judge.lock().beyond_limits(self.world.now(), &violation);
+            self.world
+                .judge
+                .lock()
+                .beyond_limits(self.world.now(), &violation);
         }
     }
 
@@ -216,7 +228,13 @@
     /// Hands a request to the stand-in; a watch is answered later.
     fn ask_state(&self, id: u64, taken: &Taken) -> (Answer, Option<oneshot::Receiver<Answer>>) {
         let mut state = self.state.lock();
-        let answer = state.request(self.world.now(), id, &taken.method, &taken.path, &taken.body);
+        let answer = state.request(
+            self.world.now(),
+            id,
+            &taken.method,
+            &taken.path,
+            &taken.body,
+        );
         let malformed = Answer::new(400, &serde_json::json!({"error": "malformed"}));
         match answer {
             Some((status, body)) => (Answer::new(status, &body), None),
@@ -237,7 +255,8 @@
             let mut cloud = self.cloud.lock();
             let last = cloud.hosts.keys().next_back().copied().unwrap_or(0);
             let mut dice = || self.random();
-            let (status, body) = cloud.request(now, &taken.method, &taken.path, &taken.body, &mut dice);
+            let (status, body) =
+                cloud.request(now, &taken.method, &taken.path, &taken.body, &mut dice);
             let new: Vec<u64> = cloud.hosts.range(last + 1..).map(|(i, _)| *i).collect();
             (Answer::new(status, &body), new)
         };
@@ -255,7 +274,12 @@
         let released: Vec<Arc<HollowWorker>> = {
             let cloud = self.cloud.lock();
             let mut fleet = self.fleet.lock();
-            let is_gone = |i: &u64| cloud.hosts.get(i).is_some_and(|h| h.gone_at.is_some_and(|g| g <= now));
+            let is_gone = |i: &u64| {
+                cloud
+                    .hosts
+                    .get(i)
+                    .is_some_and(|h| h.gone_at.is_some_and(|g| g <= now))
+            };
             let gone: Vec<u64> = fleet.keys().copied().filter(is_gone).collect();
             gone.iter().filter_map(|i| fleet.remove(i)).collect()
         };
@@ -266,7 +290,9 @@
 
     /// Starts a machine's worker once it has booted.
     fn boot(self: &Arc<Self>, machine: u64) {
-        let Some(up_at) = self.cloud.lock().hosts.get(&machine).and_then(|h| h.up_at) else { return };
+        let Some(up_at) = self.cloud.lock().hosts.get(&machine).and_then(|h| h.up_at) else {
+            return;
+        };
         let region = Arc::clone(self);
         self.world.worker_threads.spawn(async move {
             let wait = up_at.saturating_sub(region.world.now());
@@ -276,16 +302,30 @@
     }
 
     async fn begin_worker(self: Arc<Self>, machine: u64) {
-        let Some(endpoint) = self.world.addresses.worker(self.index, machine) else { return };
-        let Ok(listener) = TcpListener::bind(endpoint).await else { return };
+        let Some(endpoint) = self.world.addresses.worker(self.index, machine) else {
+            return;
+        };
+        let Ok(listener) = TcpListener::bind(endpoint).await else {
+            return;
+        };
         let worker = {
             let cloud = self.cloud.lock();
-            let Some(host) = cloud.hosts.get(&machine).filter(|h| h.gone_at.is_none()) else { return };
+            let Some(host) = cloud.hosts.get(&machine).filter(|h| h.gone_at.is_none()) else {
+                return;
+            };
             let lease = (self.world.scenario.workers.lease_s * 1e6) as u64;
             let first = machine as usize % self.world.scenario.regions[self.index].controllers;
             let place = (host.yard.clone(), host.spot);
             let kind = cloud.type_of(machine);
-            Worker::new(machine, endpoint.to_string(), kind, place, lease, first, self.world.now())
+            Worker::new(
+                machine,
+                endpoint.to_string(),
+                kind,
+                place,
+                lease,
+                first,
+                self.world.now(),
+            )
         };
         let worker = HollowWorker::new(&self, worker);
         self.fleet.lock().insert(machine, Arc::clone(&worker));
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -181,35 +181,99 @@
     /// The result as a table.
     pub fn table(&self) -> String {
         let mut table = Table::new();
-        table.load_preset(comfy_table::presets::NOTHING).set_header(["what", "wanted", "measured"]);
+        table
+            .load_preset(comfy_table::presets::NOTHING)
+            .set_header(["what", "wanted", "measured"]);
         let mut row = |what: &str, wanted: String, measured: String| {
             table.add_row([what.to_owned(), wanted, measured]);
         };
-        row("workers", self.wanted_workers.to_string(), self.workers.to_string());
-        row("tasks running (mean)", format!("{:.0}", self.wanted_running), format!("{:.0}", self.running));
-        row("task starts a second", format!("{:.0}", self.wanted_starts_per_s), format!("{:.1}", self.starts_per_s));
-        row("most starts in a second", String::new(), self.most_starts_in_a_second.to_string());
-        let urgent = format!("{:.2} / {:.2} / {:.2}", self.urgent_s.p50, self.urgent_s.p99, self.urgent_s.max);
-        row("urgent to running, s (p50/p99/max)", "5.7".to_owned(), urgent);
-        row("urgent not started", "0".to_owned(), format!("{} of {}", self.urgent_not_started, self.urgent_s.count));
-        row("accepted in 300 ms", String::new(), format!("{:.3} of {}", self.accepted_in_300_ms, self.submitted));
+        row(
+            "workers",
+            self.wanted_workers.to_string(),
+            self.workers.to_string(),
+        );
+        row(
+            "tasks running (mean)",
+            format!("{:.0}", self.wanted_running),
+            format!("{:.0}", self.running),
+        );
+        row(
+            "task starts a second",
+            format!("{:.0}", self.wanted_starts_per_s),
+            format!("{:.1}", self.starts_per_s),
+        );
+        row(
+            "most starts in a second",
+            String::new(),
+            self.most_starts_in_a_second.to_string(),
+        );
+        let urgent = format!(
+            "{:.2} / {:.2} / {:.2}",
+            self.urgent_s.p50, self.urgent_s.p99, self.urgent_s.max
+        );
+        row(
+            "urgent to running, s (p50/p99/max)",
+            "5.7".to_owned(),
+            urgent,
+        );
+        row(
+            "urgent not started",
+            "0".to_owned(),
+            format!("{} of {}", self.urgent_not_started, self.urgent_s.count),
+        );
+        row(
+            "accepted in 300 ms",
+            String::new(),
+            format!("{:.3} of {}", self.accepted_in_300_ms, self.submitted),
+        );
         let of = self.worker_bytes_per_s;
         let bytes = format!("{:.0} / {:.0} / {:.0}", of.mean, of.p50, of.p99);
-        row("bytes a second and worker (mean/p50/p99)", "4096".to_owned(), bytes);
-        row("processor of a worker", "0.015".to_owned(), format!("{:.5}", self.worker_cores));
+        row(
+            "bytes a second and worker (mean/p50/p99)",
+            "4096".to_owned(),
+            bytes,
+        );
+        row(
+            "processor of a worker",
+            "0.015".to_owned(),
+            format!("{:.5}", self.worker_cores),
+        );
         for c in &self.controllers {
             let what = format!("controller r{}-n{}: cores, MB, files", c.region, c.node);
-            row(&what, String::new(), format!("{:.3}, {:.0}, {}", c.cores, c.memory_mb, c.files));
+            row(
+                &what,
+                String::new(),
+                format!("{:.3}, {:.0}, {}", c.cores, c.memory_mb, c.files),
+            );
         }
         for r in &self.regions {
-            let what = format!("state service r{}: requests, changes a second, KB/s out", r.region);
+            let what = format!(
+                "state service r{}: requests, changes a second, KB/s out",
+                r.region
+            );
             let out = r.state_bytes_out / 1e3;
-            row(&what, String::new(), format!("{:.0}, {:.0}, {out:.0}", r.state_requests, r.state_changes));
+            row(
+                &what,
+                String::new(),
+                format!("{:.0}, {:.0}, {out:.0}", r.state_requests, r.state_changes),
+            );
         }
-        row("machine busy", String::new(), format!("{:.2}", self.machine_busy));
-        row("hollow parties late by, s", String::new(), format!("{:.2}", self.hollow_delay_s));
+        row(
+            "machine busy",
+            String::new(),
+            format!("{:.2}", self.machine_busy),
+        );
+        row(
+            "hollow parties late by, s",
+            String::new(),
+            format!("{:.2}", self.hollow_delay_s),
+        );
         row("leases lost", String::new(), self.lost_leases.to_string());
-        row("rules broken", "none".to_owned(), format!("{:?}", self.broken));
+        row(
+            "rules broken",
+            "none".to_owned(),
+            format!("{:?}", self.broken),
+        );
         table.to_string()
     }
 
@@ -231,13 +295,33 @@
 
     fn plot(&self, path: &Path) -> Result<(), Box<dyn Error>> {
         let end = self.seconds.last().map_or(1.0, |s| s.at_s);
-        let most_running = self.seconds.iter().map(|s| s.running).max().unwrap_or(1).max(1) as f64;
-        let most_starts = self.seconds.iter().map(|s| s.starts).max().unwrap_or(1).max(1) as f64;
+        let most_running = self
+            .seconds
+            .iter()
+            .map(|s| s.running)
+            .max()
+            .unwrap_or(1)
+            .max(1) as f64;
+        let most_starts = self
+            .seconds
+            .iter()
+            .map(|s| s.starts)
+            .max()
+            .unwrap_or(1)
+            .max(1) as f64;
         let area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
         area.fill(&WHITE)?;
-        let mut chart = ChartBuilder::on(&area).margin(10).build_cartesian_2d(0.0..end, 0.0..1.0)?;
-        let running = self.seconds.iter().map(|s| (s.at_s, s.running as f64 / most_running));
-        let starts = self.seconds.iter().map(|s| (s.at_s, s.starts as f64 / most_starts));
+        let mut chart = ChartBuilder::on(&area)
+            .margin(10)
+            .build_cartesian_2d(0.0..end, 0.0..1.0)?;
+        let running = self
+            .seconds
+            .iter()
+            .map(|s| (s.at_s, s.running as f64 / most_running));
+        let starts = self
+            .seconds
+            .iter()
+            .map(|s| (s.at_s, s.starts as f64 / most_starts));
         let frame = [(0.0, 1.0), (0.0, 0.0), (end, 0.0)];
         chart.draw_series(LineSeries::new(frame, &BLACK))?;
         chart.draw_series(LineSeries::new(running, &BLUE))?;
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -77,7 +77,10 @@
 
 impl Drop for Threads {
     fn drop(&mut self) {
-        for runtime in [self.workers.take(), self.outside.take()].into_iter().flatten() {
+        for runtime in [self.workers.take(), self.outside.take()]
+            .into_iter()
+            .flatten()
+        {
             runtime.shutdown_background();
         }
     }
@@ -85,7 +88,12 @@
 
 fn threads(name: &str) -> Result<Runtime, RunError> {
     let mut builder = Builder::new_multi_thread();
-    builder.worker_threads(THREADS).thread_name(name).enable_all().build().map_err(system("threads"))
+    builder
+        .worker_threads(THREADS)
+        .thread_name(name)
+        .enable_all()
+        .build()
+        .map_err(system("threads"))
 }
 
 /// Each team's cores over all regions.
@@ -98,7 +106,10 @@
 /// A region's shares of the quotas: by its workers, rounded down to whole cores, so that they never add up to more.
 pub fn shares(scenario: &Scenario, region: usize) -> Vec<f64> {
     let part = scenario.regions[region].workers as f64 / scenario.all_workers() as f64;
-    quotas(scenario).into_iter().map(|quota| (quota * part).floor().max(1.0)).collect()
+    quotas(scenario)
+        .into_iter()
+        .map(|quota| (quota * part).floor().max(1.0))
+        .collect()
 }
 
 /// Everything that runs.
@@ -119,7 +130,12 @@
 /// # Errors
 ///
 /// What kept the run from being made. Broken rules are part of the result.
-pub fn run(scenario: &Scenario, binary: &Path, folder: &Path, progress: &Progress) -> Result<RunResult, RunError> {
+pub fn run(
+    scenario: &Scenario,
+    binary: &Path,
+    folder: &Path,
+    progress: &Progress,
+) -> Result<RunResult, RunError> {
     let folder: PathBuf = folder.join(&scenario.name);
     std::fs::create_dir_all(&folder).map_err(system("folder"))?;
     let (workers, outside) = (threads(WORKER_THREADS)?, threads(OUTSIDE_THREADS)?);
@@ -133,8 +149,13 @@
         worker_threads: workers.handle().clone(),
         outside_threads: outside.handle().clone(),
     });
-    let threads = Threads { workers: Some(workers), outside: Some(outside) };
-    let regions: Vec<Arc<Region>> = (0..scenario.regions.len()).map(|i| Region::new(&world, i)).collect();
+    let threads = Threads {
+        workers: Some(workers),
+        outside: Some(outside),
+    };
+    let regions: Vec<Arc<Region>> = (0..scenario.regions.len())
+        .map(|i| Region::new(&world, i))
+        .collect();
     let service = Arc::<Service>::default();
     let balancers = regions.iter().map(|r| Balancer::new(r, &service)).collect();
     let run = Arc::new(Run {
@@ -162,9 +183,17 @@
 }
 
 impl Run {
-    async fn play(self: &Arc<Self>, binary: &Path, folder: &Path, progress: &Progress) -> Result<RunResult, RunError> {
+    async fn play(
+        self: &Arc<Self>,
+        binary: &Path,
+        folder: &Path,
+        progress: &Progress,
+    ) -> Result<RunResult, RunError> {
         for region in &self.regions {
-            region.start().await.map_err(system("an address of the outside"))?;
+            region
+                .start()
+                .await
+                .map_err(system("an address of the outside"))?;
         }
         self.start_controllers(binary, folder)?;
         self.wait_until_healthy().await?;
@@ -173,10 +202,12 @@
         let ramped = self.ramp(progress).await?;
         let ramp_s = self.world.started.elapsed().as_secs_f64();
         self.start_streams();
-        self.wait("settling", self.world.scenario.settle_s, progress).await?;
+        self.wait("settling", self.world.scenario.settle_s, progress)
+            .await?;
         let before = Reading::take(self);
         tokio::spawn(Arc::clone(self).play_troubles());
-        self.wait("measuring", self.world.scenario.measure_s, progress).await?;
+        self.wait("measuring", self.world.scenario.measure_s, progress)
+            .await?;
         let after = Reading::take(self);
         Ok(self.result(&before, &after, ramped, ramp_s))
     }
@@ -186,7 +217,8 @@
         for (region, spec) in self.world.scenario.regions.iter().enumerate() {
             let shares = shares(&self.world.scenario, region);
             for node in 0..spec.controllers {
-                let started = Controller::start(&self.world, (region, node), &shares, binary, folder);
+                let started =
+                    Controller::start(&self.world, (region, node), &shares, binary, folder);
                 controllers.push(started.map_err(system("a controller"))?);
             }
         }
@@ -233,7 +265,12 @@
             judge.sweep(now);
             let starts = judge.starts() - before;
             before = judge.starts();
-            let second = Second { at_s: now as f64 / 1e6, workers, running: judge.running(), starts };
+            let second = Second {
+                at_s: now as f64 / 1e6,
+                workers,
+                running: judge.running(),
+                starts,
+            };
             drop(judge);
             self.seconds.lock().push(second);
         }
@@ -245,7 +282,12 @@
 
     fn submit(&self, region: usize, kind: Kind, tasks: u32) {
         let job = self.next_job.fetch_add(1, Ordering::Relaxed);
-        self.world.outside_threads.spawn(see_to(Arc::clone(&self.balancers[region]), job, kind, tasks));
+        self.world.outside_threads.spawn(see_to(
+            Arc::clone(&self.balancers[region]),
+            job,
+            kind,
+            tasks,
+        ));
     }
 
     /// Endless tasks of a region: what the stream of short ones leaves of the wanted.
@@ -272,7 +314,10 @@
             if running as f64 >= f64::from(wanted) * RAMPED {
                 return Ok(true);
             }
-            progress(&format!("ramping up: {running} of {wanted} tasks run on {} workers", self.workers()));
+            progress(&format!(
+                "ramping up: {running} of {wanted} tasks run on {} workers",
+                self.workers()
+            ));
             tokio::time::sleep(SECOND).await;
         }
         Ok(false)
@@ -298,7 +343,12 @@
             let part = spec.workers as f64 / workers;
             let short = load.starts_per_s * part / f64::from(load.tasks_per_job);
             tokio::spawn(Arc::clone(self).stream(region, Kind::Short, short, load.tasks_per_job));
-            tokio::spawn(Arc::clone(self).stream(region, Kind::Urgent, load.urgent_per_s * part, 1));
+            tokio::spawn(Arc::clone(self).stream(
+                region,
+                Kind::Urgent,
+                load.urgent_per_s * part,
+                1,
+            ));
         }
     }
 
@@ -332,8 +382,17 @@
 
     fn check_memory(&self) -> Result<(), RunError> {
         let own = measure::process(std::process::id()).map_or(0.0, |u| u.memory_mb);
-        let theirs: f64 = self.controllers.lock().iter().filter_map(|c| Some(c.usage()?.memory_mb)).sum();
-        if own + theirs > MOST_MEMORY_MB { Err(RunError::Memory(own + theirs)) } else { Ok(()) }
+        let theirs: f64 = self
+            .controllers
+            .lock()
+            .iter()
+            .filter_map(|c| Some(c.usage()?.memory_mb))
+            .sum();
+        if own + theirs > MOST_MEMORY_MB {
+            Err(RunError::Memory(own + theirs))
+        } else {
+            Ok(())
+        }
     }
 
     async fn play_troubles(self: Arc<Self>) {
@@ -356,11 +415,17 @@
             TroubleKind::ZoneGone { zone, for_s } => {
                 lasts = Duration::from_secs_f64(*for_s);
                 let until = now + lasts.as_micros() as u64;
-                self.regions[region].cut_zones.lock().push((World::zone(region, *zone), until));
+                self.regions[region]
+                    .cut_zones
+                    .lock()
+                    .push((World::zone(region, *zone), until));
             }
             TroubleKind::StateOut { for_s } => {
                 lasts = Duration::from_secs_f64(*for_s);
-                self.regions[region].state.lock().outage(now, lasts.as_micros() as u64);
+                self.regions[region]
+                    .state
+                    .lock()
+                    .outage(now, lasts.as_micros() as u64);
             }
         }
         let excused = now + (lasts + EXCUSE).as_micros() as u64;
@@ -370,7 +435,11 @@
     /// Ends one controller or all of a region, and starts them again after the scenario's pause.
     fn kill(self: &Arc<Self>, region: usize, node: Option<usize>) {
         let is_hit = move |c: &Controller| c.region == region && node.is_none_or(|n| n == c.node);
-        self.controllers.lock().iter_mut().filter(|c| is_hit(c)).for_each(Controller::end);
+        self.controllers
+            .lock()
+            .iter_mut()
+            .filter(|c| is_hit(c))
+            .for_each(Controller::end);
         let run = Arc::clone(self);
         let pause = Duration::from_secs_f64(self.world.scenario.controller.restart_s);
         tokio::spawn(async move {
--- a/crates/emulator/src/run/reading.rs
+++ b/crates/emulator/src/run/reading.rs
@@ -95,17 +95,30 @@
         let by_worker = |region: &Arc<Region>| {
             let index = region.index;
             let fleet = region.fleet.lock();
-            fleet.iter().map(|(m, w)| ((index, *m), WorkerCounters::of(w))).collect::<Vec<_>>()
+            fleet
+                .iter()
+                .map(|(m, w)| ((index, *m), WorkerCounters::of(w)))
+                .collect::<Vec<_>>()
         };
         Reading {
             at: Instant::now(),
             seconds: run.seconds.lock().len(),
             starts,
             completions,
-            controllers: run.controllers.lock().iter().map(Controller::usage).collect(),
+            controllers: run
+                .controllers
+                .lock()
+                .iter()
+                .map(Controller::usage)
+                .collect(),
             threads: measure::own_threads(),
             machine: MachineTime::now(),
-            regions: run.regions.iter().zip(&run.balancers).map(|(r, b)| RegionCounters::of(r, b)).collect(),
+            regions: run
+                .regions
+                .iter()
+                .zip(&run.balancers)
+                .map(|(r, b)| RegionCounters::of(r, b))
+                .collect(),
             workers: run.regions.iter().flat_map(by_worker).collect(),
             submitted: load(&service.submitted),
             accepted: load(&service.accepted),
@@ -118,17 +131,26 @@
 }
 
 impl Run {
-    pub(super) fn result(&self, before: &Reading, after: &Reading, ramped: bool, ramp_s: f64) -> RunResult {
+    pub(super) fn result(
+        &self,
+        before: &Reading,
+        after: &Reading,
+        ramped: bool,
+        ramp_s: f64,
+    ) -> RunResult {
         let scenario = &self.world.scenario;
         let span = (after.at - before.at).as_secs_f64();
         let seconds = self.seconds.lock().clone();
-        let measured = &seconds[before.seconds.min(seconds.len())..after.seconds.min(seconds.len())];
+        let measured =
+            &seconds[before.seconds.min(seconds.len())..after.seconds.min(seconds.len())];
         let count = measured.len().max(1) as f64;
         let (urgent_s, urgent_not_started) = self.urgent(before.now, after.now);
         let accepted = after.accepted - before.accepted;
         let worker_bytes = self.worker_spread(before, after, span);
         let of_workers = |value: fn(&WorkerCounters) -> u64| -> u64 {
-            let grown = |(k, now): (&Machine, &WorkerCounters)| value(now) - before.workers.get(k).map_or(0, value);
+            let grown = |(k, now): (&Machine, &WorkerCounters)| {
+                value(now) - before.workers.get(k).map_or(0, value)
+            };
             after.workers.iter().map(grown).sum()
         };
         let workers = after.workers.len();
@@ -137,7 +159,10 @@
             let used = |r: &Reading| r.threads.get(name).copied().unwrap_or(0.0);
             (used(after) - used(before)) / span
         };
-        let statuses = after.statuses.iter().map(|(s, n)| (*s, n - before.statuses.get(s).copied().unwrap_or(0)));
+        let statuses = after
+            .statuses
+            .iter()
+            .map(|(s, n)| (*s, n - before.statuses.get(s).copied().unwrap_or(0)));
         let accepted_s = Spread::of(&self.service.accept_times.lock(), 1e6);
         let (broken, violations) = {
             let judge = self.world.judge.lock();
@@ -184,13 +209,23 @@
     }
 
     fn lost_leases(&self) -> u64 {
-        let of = |region: &Arc<Region>| region.fleet.lock().values().map(|w| w.lost_leases()).sum::<u64>();
+        let of = |region: &Arc<Region>| {
+            region
+                .fleet
+                .lock()
+                .values()
+                .map(|w| w.lost_leases())
+                .sum::<u64>()
+        };
         self.regions.iter().map(of).sum()
     }
 
     fn ended_by_themselves(&self) -> usize {
         let mut controllers = self.controllers.lock();
-        controllers.iter_mut().filter_map(|c| c.has_ended().then_some(())).count()
+        controllers
+            .iter_mut()
+            .filter_map(|c| c.has_ended().then_some(()))
+            .count()
     }
 
     /// Urgent jobs that were submitted within the measurement: times to running, and how many did not start in it.
@@ -200,7 +235,13 @@
         let judge = self.world.judge.lock();
         // Those of the last seconds had no time to start.
         let enough = until.saturating_sub(6_000_000);
-        for (job, submitted) in self.service.urgent.lock().range(..).filter(|(_, t)| (from..enough).contains(*t)) {
+        for (job, submitted) in self
+            .service
+            .urgent
+            .lock()
+            .range(..)
+            .filter(|(_, t)| (from..enough).contains(*t))
+        {
             match judge.first_start(*job) {
                 // A histogram that grows by itself takes every value.
                 Some(at) => drop(times.record(at - submitted)),
@@ -221,9 +262,18 @@
         Spread::of(&bytes, 1.0)
     }
 
-    fn controller_results(&self, before: &Reading, after: &Reading, span: f64) -> Vec<ControllerResult> {
+    fn controller_results(
+        &self,
+        before: &Reading,
+        after: &Reading,
+        span: f64,
+    ) -> Vec<ControllerResult> {
         let controllers = self.controllers.lock();
-        let readings = before.controllers.iter().zip(&after.controllers).zip(controllers.iter());
+        let readings = before
+            .controllers
+            .iter()
+            .zip(&after.controllers)
+            .zip(controllers.iter());
         readings
             .map(|((before, after), controller)| {
                 let now = after.unwrap_or_default();
@@ -251,7 +301,8 @@
             .iter()
             .map(|region| {
                 let (then, now) = (&before.regions[region.index], &after.regions[region.index]);
-                let rate = |value: fn(&RegionCounters) -> u64| (value(now) - value(then)) as f64 / span;
+                let rate =
+                    |value: fn(&RegionCounters) -> u64| (value(now) - value(then)) as f64 / span;
                 let state = region.state.lock();
                 RegionResult {
                     region: region.index,
@@ -262,7 +313,10 @@
                     state_throttled: rate(|c| c.throttled),
                     state_bytes_in: rate(|c| c.bytes_in),
                     state_bytes_out: rate(|c| c.bytes_out),
-                    state_bytes_kept: state.values("").map(|(k, v)| (k.len() + v.to_string().len()) as u64).sum(),
+                    state_bytes_kept: state
+                        .values("")
+                        .map(|(k, v)| (k.len() + v.to_string().len()) as u64)
+                        .sum(),
                     cloud_requests: rate(|c| c.cloud_requests),
                     user_bytes: rate(|c| c.user_bytes),
                     user_requests: rate(|c| c.user_requests),
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -47,11 +47,18 @@
 impl Malformed {
     /// What a parser found wrong in a file's text.
     pub fn new(path: &str, text: &str, error: &toml::de::Error) -> Malformed {
-        let before = error.span().and_then(|span| text.get(..span.start)).unwrap_or_default();
+        let before = error
+            .span()
+            .and_then(|span| text.get(..span.start))
+            .unwrap_or_default();
         let line = before.matches('\n').count() + 1;
         // The message alone does not always name the field; its line does.
         let found = text.lines().nth(line - 1).unwrap_or_default().trim();
-        Malformed { path: path.to_owned(), line, problem: format!("{}: {found}", error.message().replace('\n', " ")) }
+        Malformed {
+            path: path.to_owned(),
+            line,
+            problem: format!("{}: {found}", error.message().replace('\n', " ")),
+        }
     }
 }
 
@@ -231,11 +238,19 @@
 }
 
 fn check(field: &'static str, ok: bool, range: &'static str) -> Result<(), ScenarioError> {
-    if ok { Ok(()) } else { Err(ScenarioError::Invalid { field, range }) }
+    if ok {
+        Ok(())
+    } else {
+        Err(ScenarioError::Invalid { field, range })
+    }
 }
 
 fn positive(field: &'static str, value: f64) -> Result<(), ScenarioError> {
-    check(field, value.is_finite() && value > 0.0 && value <= 1e7, "above 0 and at most 1e7")
+    check(
+        field,
+        value.is_finite() && value > 0.0 && value <= 1e7,
+        "above 0 and at most 1e7",
+    )
 }
 
 fn not_negative(field: &'static str, value: f64) -> Result<(), ScenarioError> {
@@ -254,8 +269,10 @@
     /// One line that names the file or the field.
     pub fn load(path: &Path) -> Result<Scenario, ScenarioError> {
         let name = path.display().to_string();
-        let text =
-            std::fs::read_to_string(path).map_err(|error| ScenarioError::Unreadable { path: name.clone(), error })?;
+        let text = std::fs::read_to_string(path).map_err(|error| ScenarioError::Unreadable {
+            path: name.clone(),
+            error,
+        })?;
         Scenario::parse(&name, &text)
     }
 
@@ -265,14 +282,19 @@
     ///
     /// One line that names the field.
     pub fn parse(path: &str, text: &str) -> Result<Scenario, ScenarioError> {
-        let scenario: Scenario = toml::from_str(text).map_err(|error| Malformed::new(path, text, &error))?;
+        let scenario: Scenario =
+            toml::from_str(text).map_err(|error| Malformed::new(path, text, &error))?;
         scenario.check()?;
         Ok(scenario)
     }
 
     fn check(&self) -> Result<(), ScenarioError> {
         let plain = |c: char| c.is_ascii_alphanumeric() || c == '-';
-        check("name", !self.name.is_empty() && self.name.chars().all(plain), "letters, digits and dashes")?;
+        check(
+            "name",
+            !self.name.is_empty() && self.name.chars().all(plain),
+            "letters, digits and dashes",
+        )?;
         positive("ramp_s", self.ramp_s)?;
         not_negative("settle_s", self.settle_s)?;
         positive("measure_s", self.measure_s)?;
@@ -284,7 +306,11 @@
         positive("state.rps", self.state.rps)?;
         positive("state.write_rps", self.state.write_rps)?;
         positive("state.value_kb", self.state.value_kb)?;
-        check("state.txn_ops", (4..=1_000).contains(&self.state.txn_ops), "4 to 1000")?;
+        check(
+            "state.txn_ops",
+            (4..=1_000).contains(&self.state.txn_ops),
+            "4 to 1000",
+        )?;
         not_negative("state.latency_ms", self.state.latency_ms)?;
         share("state.lost_answers", self.state.lost_answers)?;
         positive("cloud.rps", self.cloud.rps)?;
@@ -292,11 +318,19 @@
         positive("cloud.boot_s", self.cloud.boot_s)?;
         positive("controller.core_share", self.controller.core_share)?;
         positive("controller.ram_mb", self.controller.ram_mb)?;
-        check("controller.max_connections", self.controller.max_connections >= 32, "32 or more")?;
+        check(
+            "controller.max_connections",
+            self.controller.max_connections >= 32,
+            "32 or more",
+        )?;
         not_negative("controller.restart_s", self.controller.restart_s)?;
         self.check_troubles()?;
         for step in &self.steps {
-            check("steps.workers", (1..=20_000).contains(&step.workers), "1 to 20000")?;
+            check(
+                "steps.workers",
+                (1..=20_000).contains(&step.workers),
+                "1 to 20000",
+            )?;
             positive("steps.tasks_per_worker", step.tasks_per_worker)?;
             not_negative("steps.starts_per_s", step.starts_per_s)?;
         }
@@ -304,14 +338,34 @@
     }
 
     fn check_regions(&self) -> Result<(), ScenarioError> {
-        check("regions", (1..=MOST_REGIONS).contains(&self.regions.len()), "1 to 32 regions")?;
+        check(
+            "regions",
+            (1..=MOST_REGIONS).contains(&self.regions.len()),
+            "1 to 32 regions",
+        )?;
         for region in &self.regions {
-            check("regions.workers", (1..=20_000).contains(&region.workers), "1 to 20000")?;
-            check("regions.zones", (1..=100).contains(&region.zones), "1 to 100")?;
-            check("regions.controllers", (1..=100).contains(&region.controllers), "1 to 100")?;
+            check(
+                "regions.workers",
+                (1..=20_000).contains(&region.workers),
+                "1 to 20000",
+            )?;
+            check(
+                "regions.zones",
+                (1..=100).contains(&region.zones),
+                "1 to 100",
+            )?;
+            check(
+                "regions.controllers",
+                (1..=100).contains(&region.controllers),
+                "1 to 100",
+            )?;
         }
         let processes = self.regions.iter().map(|r| r.controllers).sum::<usize>() + 1;
-        check("regions.controllers", processes <= MOST_PROCESSES, "59 or fewer over all regions")
+        check(
+            "regions.controllers",
+            processes <= MOST_PROCESSES,
+            "59 or fewer over all regions",
+        )
     }
 
     fn check_load(&self) -> Result<(), ScenarioError> {
@@ -321,7 +375,11 @@
         positive("load.tasks_per_worker", load.tasks_per_worker)?;
         not_negative("load.starts_per_s", load.starts_per_s)?;
         positive("load.run_s", load.run_s)?;
-        check("load.tasks_per_job", (1..=100_000).contains(&load.tasks_per_job), "1 to 100000")?;
+        check(
+            "load.tasks_per_job",
+            (1..=100_000).contains(&load.tasks_per_job),
+            "1 to 100000",
+        )?;
         not_negative("load.urgent_per_s", load.urgent_per_s)?;
         share("load.cancelled", load.cancelled)
     }
@@ -334,11 +392,19 @@
             };
             match &trouble.what {
                 TroubleKind::KillController { node } => {
-                    check("troubles.node", *node < region.controllers, "the number of a controller of the region")?;
+                    check(
+                        "troubles.node",
+                        *node < region.controllers,
+                        "the number of a controller of the region",
+                    )?;
                 }
                 TroubleKind::KillRegion => {}
                 TroubleKind::ZoneGone { zone, for_s } => {
-                    check("troubles.zone", *zone < region.zones, "the number of a zone of the region")?;
+                    check(
+                        "troubles.zone",
+                        *zone < region.zones,
+                        "the number of a zone of the region",
+                    )?;
                     positive("troubles.for_s", *for_s)?;
                 }
                 TroubleKind::StateOut { for_s } => positive("troubles.for_s", *for_s)?,
@@ -368,7 +434,10 @@
     fn at_step(&self, step: &StepSpec) -> Scenario {
         let mut scenario = self.clone();
         scenario.steps.clear();
-        scenario.name = format!("{}-{}-{}-{}", self.name, step.workers, step.tasks_per_worker, step.starts_per_s);
+        scenario.name = format!(
+            "{}-{}-{}-{}",
+            self.name, step.workers, step.tasks_per_worker, step.starts_per_s
+        );
         scenario.regions[0].workers = step.workers;
         scenario.load.tasks_per_worker = step.tasks_per_worker;
         scenario.load.starts_per_s = step.starts_per_s;
--- a/crates/emulator/src/slopes.rs
+++ b/crates/emulator/src/slopes.rs
@@ -140,9 +140,15 @@
     let outputs: Vec<f64> = runs.iter().map(quantity.value).collect();
     let mut per: Vec<Per> = quantity.per.to_vec();
     loop {
-        let inputs: Vec<Vec<f64>> = runs.iter().map(|r| per.iter().map(|p| size(*p, r)).collect()).collect();
-        let Ok(fitted) = fit(&inputs, &outputs) else { return Vec::new() };
-        let lowest = (0..per.len()).min_by(|a, b| fitted.factors[*a].total_cmp(&fitted.factors[*b]));
+        let inputs: Vec<Vec<f64>> = runs
+            .iter()
+            .map(|r| per.iter().map(|p| size(*p, r)).collect())
+            .collect();
+        let Ok(fitted) = fit(&inputs, &outputs) else {
+            return Vec::new();
+        };
+        let lowest =
+            (0..per.len()).min_by(|a, b| fitted.factors[*a].total_cmp(&fitted.factors[*b]));
         if let Some(lowest) = lowest.filter(|i| fitted.factors[*i] < 0.0 && per.len() > 1) {
             per.remove(lowest);
             continue;
@@ -166,7 +172,10 @@
         let range = |value: fn(&RunResult) -> f64| {
             let values: Vec<f64> = runs.iter().map(value).collect();
             let least = values.iter().copied().fold(f64::INFINITY, f64::min);
-            (least.round(), values.iter().copied().fold(0.0, f64::max).round())
+            (
+                least.round(),
+                values.iter().copied().fold(0.0, f64::max).round(),
+            )
         };
         Slopes {
             command: command.to_owned(),
@@ -176,7 +185,10 @@
                 starts: range(|r| r.starts_per_s),
                 controllers: runs.first().map_or(0, |r| r.controllers.len()),
             }),
-            slope: QUANTITIES.iter().flat_map(|q| fit_quantity(q, runs)).collect(),
+            slope: QUANTITIES
+                .iter()
+                .flat_map(|q| fit_quantity(q, runs))
+                .collect(),
         }
     }
 
@@ -193,7 +205,9 @@
     pub fn rows(&self) -> BTreeMap<(String, String), Vec<String>> {
         let mut rows: BTreeMap<(String, String), Vec<String>> = BTreeMap::new();
         for slope in &self.slope {
-            rows.entry((slope.role.clone(), slope.resource.clone())).or_default().push(slope.text());
+            rows.entry((slope.role.clone(), slope.resource.clone()))
+                .or_default()
+                .push(slope.text());
         }
         rows
     }
--- a/crates/emulator/src/standins/cloud.rs
+++ b/crates/emulator/src/standins/cloud.rs
@@ -132,7 +132,8 @@
             ("POST", "/hosts") => self.hire(now, &body, dice),
             ("POST", "/hosts/release") => {
                 for h in body["hosts"].as_array().into_iter().flatten() {
-                    if let Some(host) = h.as_str().and_then(id).and_then(|i| self.hosts.get_mut(&i)) {
+                    if let Some(host) = h.as_str().and_then(id).and_then(|i| self.hosts.get_mut(&i))
+                    {
                         host.in_vain |= holds(&self.cut, &host.yard, now) && host.gone_at.is_none();
                         host.gone_at.get_or_insert(now);
                     }
@@ -142,7 +143,9 @@
             ("GET", "/hosts") => {
                 let as_of = now.saturating_sub((self.lag as f64 * 2.0 * dice()) as u64);
                 let after = query(path, "after").and_then(id).unwrap_or(0);
-                let most = query(path, "most").and_then(|m| m.parse().ok()).unwrap_or(LIST_LIMIT);
+                let most = query(path, "most")
+                    .and_then(|m| m.parse().ok())
+                    .unwrap_or(LIST_LIMIT);
                 self.list(as_of, after, most.min(LIST_LIMIT))
             }
             _ => (400, json!({})),
@@ -168,11 +171,17 @@
     }
 
     fn hire(&mut self, now: u64, body: &Value, dice: &mut dyn FnMut() -> f64) -> (u16, Value) {
-        let Some(request) = body["hire"].as_str() else { return (400, json!({})) };
+        let Some(request) = body["hire"].as_str() else {
+            return (400, json!({}));
+        };
         if let Some(answer) = self.hires.get(request) {
             return (200, answer.clone());
         }
-        let Some(build) = self.types.iter().position(|t| body["build"] == t.name.as_str()) else {
+        let Some(build) = self
+            .types
+            .iter()
+            .position(|t| body["build"] == t.name.as_str())
+        else {
             return (400, json!({}));
         };
         let spot = body["loaners"].as_bool().unwrap_or(false);
@@ -189,7 +198,10 @@
             .values()
             .filter(|h| h.gone_at.is_none() && h.build == build && h.spot == spot && h.yard == yard)
             .count() as u64;
-        let n = body["howMany"].as_u64().unwrap_or(0).min(u64::from(most).saturating_sub(taken));
+        let n = body["howMany"]
+            .as_u64()
+            .unwrap_or(0)
+            .min(u64::from(most).saturating_sub(taken));
         if n == 0 {
             return (503, json!({"error": "no capacity"}));
         }
@@ -202,7 +214,16 @@
             let up_at = (!stuck).then_some(now + (boot * 1e6) as u64);
             let hired_in_vain = holds(&self.cut, &yard, now);
             let yard = yard.clone();
-            let host = Host { build, yard, spot, rented: now, up_at, gone_at: None, in_vain: false, hired_in_vain };
+            let host = Host {
+                build,
+                yard,
+                spot,
+                rented: now,
+                up_at,
+                gone_at: None,
+                in_vain: false,
+                hired_in_vain,
+            };
             self.hosts.insert(i, host);
             names.push(name(i));
         }
--- a/crates/emulator/src/standins/mod.rs
+++ b/crates/emulator/src/standins/mod.rs
@@ -10,5 +10,7 @@
 /// The value of a query parameter, as it stands in the path.
 fn query<'a>(path: &'a str, key: &str) -> Option<&'a str> {
     let (_, parameters) = path.split_once('?')?;
-    parameters.split('&').find_map(|p| p.split_once('=').filter(|(k, _)| *k == key).map(|(_, v)| v))
+    parameters
+        .split('&')
+        .find_map(|p| p.split_once('=').filter(|(k, _)| *k == key).map(|(_, v)| v))
 }
--- a/crates/emulator/src/standins/state.rs
+++ b/crates/emulator/src/standins/state.rs
@@ -87,7 +87,11 @@
 
 impl Bucket {
     fn new(rate: f64) -> Bucket {
-        Bucket { rate, level: rate, at: 0 }
+        Bucket {
+            rate,
+            level: rate,
+            at: 0,
+        }
     }
 
     fn take(&mut self, now: u64, n: f64) -> bool {
@@ -130,12 +134,22 @@
     /// Puts a record there before anything runs.
     pub fn put(&mut self, key: &str, value: Value) {
         self.epoch += 1;
-        self.items.insert(key.to_owned(), Item { value, stamp: self.epoch, permit: None });
+        self.items.insert(
+            key.to_owned(),
+            Item {
+                value,
+                stamp: self.epoch,
+                permit: None,
+            },
+        );
     }
 
     /// The values of all keys with a prefix.
     pub fn values<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Value)> {
-        let found = self.items.iter().filter(move |(k, _)| k.starts_with(prefix));
+        let found = self
+            .items
+            .iter()
+            .filter(move |(k, _)| k.starts_with(prefix));
         found.map(|(k, i)| (k.as_str(), &i.value))
     }
 
@@ -147,7 +161,10 @@
 
     /// The largest value that is kept, with its size.
     pub fn largest(&self) -> (&str, usize) {
-        let sizes = self.items.iter().map(|(k, i)| (k.as_str(), i.value.to_string().len()));
+        let sizes = self
+            .items
+            .iter()
+            .map(|(k, i)| (k.as_str(), i.value.to_string().len()));
         sizes.max_by_key(|(_, n)| *n).unwrap_or_default()
     }
 
@@ -167,11 +184,20 @@
         if now < self.out_until {
             return Vec::new();
         }
-        let over: Vec<u64> = self.leases.iter().filter(|(_, (_, e))| *e <= now).map(|(l, _)| *l).collect();
+        let over: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, (_, e))| *e <= now)
+            .map(|(l, _)| *l)
+            .collect();
         for lease in over {
             self.leases.remove(&lease);
-            let keys: Vec<String> =
-                self.items.iter().filter(|(_, i)| i.permit == Some(lease)).map(|(k, _)| k.clone()).collect();
+            let keys: Vec<String> = self
+                .items
+                .iter()
+                .filter(|(_, i)| i.permit == Some(lease))
+                .map(|(k, _)| k.clone())
+                .collect();
             if !keys.is_empty() {
                 self.epoch += 1;
             }
@@ -184,7 +210,12 @@
             .filter(|i| {
                 let w = &self.watches[*i];
                 w.until <= now
-                    || self.log.iter().rev().take_while(|l| l.stamp > w.after).any(|l| l.key.starts_with(&w.prefix))
+                    || self
+                        .log
+                        .iter()
+                        .rev()
+                        .take_while(|l| l.stamp > w.after)
+                        .any(|l| l.key.starts_with(&w.prefix))
             })
             .collect();
         due.into_iter()
@@ -205,7 +236,11 @@
 
     /// Puts a change at the end of the log, and drops what it no longer keeps.
     fn note(&mut self, key: String, value: Option<Value>) {
-        self.log.push_back(LogEntry { stamp: self.epoch, key, value });
+        self.log.push_back(LogEntry {
+            stamp: self.epoch,
+            key,
+            value,
+        });
         while self.log.len() > LOG_LIMIT {
             self.dropped = self.log.pop_front().map_or(self.dropped, |l| l.stamp);
         }
@@ -229,7 +264,14 @@
     }
 
     /// Answers a request; a watch may be answered later.
-    pub fn request(&mut self, now: u64, id: u64, method: &str, path: &str, body: &[u8]) -> Option<(u16, Value)> {
+    pub fn request(
+        &mut self,
+        now: u64,
+        id: u64,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) -> Option<(u16, Value)> {
         if now < self.out_until {
             return Some((503, json!({"error": "trouble"})));
         }
@@ -246,7 +288,9 @@
             ("GET", "/kv") => {
                 let prefix = query(path, "prefix").unwrap_or_default();
                 let after = query(path, "after").unwrap_or_default();
-                let most: usize = query(path, "most").and_then(|m| m.parse().ok()).unwrap_or(1000);
+                let most: usize = query(path, "most")
+                    .and_then(|m| m.parse().ok())
+                    .unwrap_or(1000);
                 let found: Vec<_> = self
                     .items
                     .iter()
@@ -255,16 +299,27 @@
                     .collect();
                 let more = found.len() > most.min(self.page);
                 let shown = found.iter().take(most.min(self.page));
-                let items: Vec<Value> =
-                    shown.map(|(k, i)| json!({"key": k, "value": i.value, "stamp": i.stamp})).collect();
-                (200, json!({"items": items, "more": more, "epoch": self.epoch}))
+                let items: Vec<Value> = shown
+                    .map(|(k, i)| json!({"key": k, "value": i.value, "stamp": i.stamp}))
+                    .collect();
+                (
+                    200,
+                    json!({"items": items, "more": more, "epoch": self.epoch}),
+                )
             }
             ("GET", "/changes") => {
                 let prefix = query(path, "prefix").unwrap_or_default().to_owned();
                 let after: u64 = query(path, "after").and_then(|a| a.parse().ok())?;
-                let wait: u64 = query(path, "waitMs").and_then(|a| a.parse().ok()).unwrap_or(0);
+                let wait: u64 = query(path, "waitMs")
+                    .and_then(|a| a.parse().ok())
+                    .unwrap_or(0);
                 if wait > 0 {
-                    self.watches.push(Watch { id, prefix, after, until: now + wait * 1000 });
+                    self.watches.push(Watch {
+                        id,
+                        prefix,
+                        after,
+                        until: now + wait * 1000,
+                    });
                     return None;
                 }
                 self.changes(&prefix, after)
@@ -285,7 +340,11 @@
                 (200, json!({"permit": id}))
             }
             ("POST", _) => {
-                let id: u64 = route.strip_prefix("/leases/")?.strip_suffix("/touch")?.parse().ok()?;
+                let id: u64 = route
+                    .strip_prefix("/leases/")?
+                    .strip_suffix("/touch")?
+                    .parse()
+                    .ok()?;
                 match self.leases.get_mut(&id) {
                     Some((life, ends)) => {
                         *ends = now + *life;
@@ -306,7 +365,10 @@
         if when.len() > self.txn_ops * CONDITIONS_FOR_A_CHANGE {
             return Some("too many conditions");
         }
-        if then.iter().any(|t| t["value"].to_string().len() > self.value_bytes) {
+        if then
+            .iter()
+            .any(|t| t["value"].to_string().len() > self.value_bytes)
+        {
             return Some("too large a value");
         }
         (body.to_string().len() > TXN_BYTES).then_some(OVERSIZED)
@@ -346,7 +408,11 @@
             if let Some(k) = t["write"].as_str() {
                 let value = t["value"].clone();
                 self.note(k.to_owned(), Some(value.clone()));
-                let item = Item { value, stamp: self.epoch, permit: t["permit"].as_u64() };
+                let item = Item {
+                    value,
+                    stamp: self.epoch,
+                    permit: t["permit"].as_u64(),
+                };
                 self.items.insert(k.to_owned(), item);
             } else if let Some(k) = t["remove"].as_str()
                 && self.items.remove(k).is_some()
--- a/crates/emulator/src/standins/worker.rs
+++ b/crates/emulator/src/standins/worker.rs
@@ -223,7 +223,9 @@
                 Redirect::Stay
             }
             421 => {
-                let to = body["answerTo"].as_str().and_then(|n| n.strip_prefix('n')?.parse::<usize>().ok());
+                let to = body["answerTo"]
+                    .as_str()
+                    .and_then(|n| n.strip_prefix('n')?.parse::<usize>().ok());
                 match to.filter(|n| *n != self.node) {
                     Some(n) => {
                         self.node = n;
@@ -267,8 +269,13 @@
 
     /// Cores and memory that are free beside all that has not ended.
     pub fn free(&self, jobs: &BTreeMap<u64, JobInfo>) -> (f64, f64) {
-        let live = self.pieces.iter().filter(|(_, p)| !matches!(p.phase, Phase::Exited(_)));
-        live.fold((self.cores, self.mem), |(c, m), ((t, _), _)| (c - jobs[&t.0].cores, m - jobs[&t.0].mem))
+        let live = self
+            .pieces
+            .iter()
+            .filter(|(_, p)| !matches!(p.phase, Phase::Exited(_)));
+        live.fold((self.cores, self.mem), |(c, m), ((t, _), _)| {
+            (c - jobs[&t.0].cores, m - jobs[&t.0].mem)
+        })
     }
 
     fn on_machine(p: &Piece) -> bool {
@@ -324,9 +331,17 @@
     }
 
     /// Carries out a response or a direct command whose token is good.
-    pub fn execute(&mut self, now: u64, orders: &Value, jobs: &BTreeMap<u64, JobInfo>, deeds: &mut Vec<Deed>) {
+    pub fn execute(
+        &mut self,
+        now: u64,
+        orders: &Value,
+        jobs: &BTreeMap<u64, JobInfo>,
+        deeds: &mut Vec<Deed>,
+    ) {
         for o in orders.as_array().into_iter().flatten() {
-            let Some(task) = o["piece"].as_str().and_then(parse_task) else { continue };
+            let Some(task) = o["piece"].as_str().and_then(parse_task) else {
+                continue;
+            };
             let number = o["try"].as_u64().unwrap_or(0);
             match o["verb"].as_str() {
                 Some("launch") => self.launch(now, task, number, jobs),
@@ -338,7 +353,8 @@
                             p.phase = Phase::Flushing;
                             p.until = now + (job.stash * 1e6) as u64;
                             self.changed = true;
-                        } else if !matches!(p.phase, Phase::Exited(_)) && (p.phase != Phase::Flushing || leeway == 0.0)
+                        } else if !matches!(p.phase, Phase::Exited(_))
+                            && (p.phase != Phase::Flushing || leeway == 0.0)
                         {
                             if Self::on_machine(p) {
                                 deeds.push(Deed::Ended(task, "halted"));
@@ -349,7 +365,10 @@
                     }
                 }
                 Some("forget") => {
-                    let exited = self.pieces.get(&(task, number)).is_some_and(|p| matches!(p.phase, Phase::Exited(_)));
+                    let exited = self
+                        .pieces
+                        .get(&(task, number))
+                        .is_some_and(|p| matches!(p.phase, Phase::Exited(_)));
                     if exited {
                         self.pieces.remove(&(task, number));
                         self.changed = true;
@@ -366,7 +385,11 @@
         }
         self.changed = true;
         let live = |p: &&Piece| !matches!(p.phase, Phase::Exited(_));
-        let mut piece = Piece { number, phase: Phase::Exited("no_such"), until: now };
+        let mut piece = Piece {
+            number,
+            phase: Phase::Exited("no_such"),
+            until: now,
+        };
         if let Some(job) = jobs.get(&task.0).filter(|j| task.1 < j.pieces) {
             let (cores, mem) = self.free(jobs);
             let busy = self.pieces.iter().any(|((t, _), p)| *t == task && live(&p));
@@ -392,7 +415,11 @@
                     self.images.push(job.image.clone());
                 }
                 p.phase = Phase::Running;
-                p.until = if job.standing { u64::MAX } else { now + job.run };
+                p.until = if job.standing {
+                    u64::MAX
+                } else {
+                    now + job.run
+                };
                 if self.faulty || job.fails {
                     p.until = now + 500_000;
                 }
@@ -403,7 +430,11 @@
                 self.changed = true;
                 deeds.push(Deed::Ended(*t, "halted"));
             } else if p.phase == Phase::Running && p.until <= now {
-                let why = if self.faulty || job.fails { "error" } else { "done" };
+                let why = if self.faulty || job.fails {
+                    "error"
+                } else {
+                    "done"
+                };
                 p.phase = Phase::Exited(why);
                 self.changed = true;
                 deeds.push(Deed::Ended(*t, why));
@@ -413,14 +444,31 @@
 
     /// The next time at which something happens by itself.
     pub fn next_deadline(&self) -> u64 {
-        let tasks = self.pieces.values().filter(|p| !matches!(p.phase, Phase::Exited(_))).map(|p| p.until);
+        let tasks = self
+            .pieces
+            .values()
+            .filter(|p| !matches!(p.phase, Phase::Exited(_)))
+            .map(|p| p.until);
         let lease = self.renewed + self.lease + 1;
-        let report = if self.waiting.is_some() { u64::MAX } else { self.report_at() };
-        tasks.chain([report]).min().unwrap_or(report).max(self.hung_until).min(lease)
+        let report = if self.waiting.is_some() {
+            u64::MAX
+        } else {
+            self.report_at()
+        };
+        tasks
+            .chain([report])
+            .min()
+            .unwrap_or(report)
+            .max(self.hung_until)
+            .min(lease)
     }
 
     /// When the next report is due: sooner if something changed, but not within half a second.
     pub fn report_at(&self) -> u64 {
-        if self.changed { self.next_report.min(self.last_report + REPORT_SPACING) } else { self.next_report }
+        if self.changed {
+            self.next_report.min(self.last_report + REPORT_SPACING)
+        } else {
+            self.next_report
+        }
     }
 }
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -128,7 +128,11 @@
     /// Asks a controller for ever whether it is healthy.
     pub async fn probe(self: Arc<Self>, node: usize) {
         let traffic = Arc::default();
-        let address = self.region.world.addresses.controller(self.region.index, node);
+        let address = self
+            .region
+            .world
+            .addresses
+            .controller(self.region.index, node);
         loop {
             let asking = async {
                 let mut connection = Connection::open(address, &traffic).await?;
@@ -142,13 +146,23 @@
     }
 
     async fn connect(self: &Arc<Self>) -> Result<UserConnection, NoAnswer> {
-        let mut nodes: Vec<usize> = (0..self.open.len()).filter(|n| self.healthy[*n].load(Ordering::Relaxed)).collect();
+        let mut nodes: Vec<usize> = (0..self.open.len())
+            .filter(|n| self.healthy[*n].load(Ordering::Relaxed))
+            .collect();
         nodes.sort_by_key(|n| self.open[*n].load(Ordering::Relaxed));
         for node in nodes.into_iter().take(BALANCER_TRIES) {
-            let address = self.region.world.addresses.controller(self.region.index, node);
+            let address = self
+                .region
+                .world
+                .addresses
+                .controller(self.region.index, node);
             if let Ok(connection) = Connection::open(address, &self.traffic).await {
                 self.open[node].fetch_add(1, Ordering::Relaxed);
-                return Ok(UserConnection { connection, node, balancer: Arc::clone(self) });
+                return Ok(UserConnection {
+                    connection,
+                    node,
+                    balancer: Arc::clone(self),
+                });
             }
         }
         Err(NoAnswer)
@@ -167,7 +181,13 @@
         self.balancer.region.world.now()
     }
 
-    async fn ask(&mut self, method: &str, path: &str, body: Bytes, limit: Duration) -> Result<Answer, NoAnswer> {
+    async fn ask(
+        &mut self,
+        method: &str,
+        path: &str,
+        body: Bytes,
+        limit: Duration,
+    ) -> Result<Answer, NoAnswer> {
         let open = self.connection.take().filter(|c| c.connection.is_open());
         let balancer = Arc::clone(&self.balancer);
         let asking = async {
@@ -186,7 +206,13 @@
             _ => Err(NoAnswer),
         };
         let status = result.as_ref().map_or(0, |a| a.status);
-        *self.balancer.service.statuses.lock().entry(status).or_default() += 1;
+        *self
+            .balancer
+            .service
+            .statuses
+            .lock()
+            .entry(status)
+            .or_default() += 1;
         result
     }
 
@@ -224,7 +250,11 @@
                     _ => {}
                 }
             }
-            let pause = answer.ok().and_then(|a| a.retry_after).unwrap_or(0).clamp(LEAST_RETRY_S, MOST_RETRY_S);
+            let pause = answer
+                .ok()
+                .and_then(|a| a.retry_after)
+                .unwrap_or(0)
+                .clamp(LEAST_RETRY_S, MOST_RETRY_S);
             tokio::time::sleep(Duration::from_secs(pause)).await;
         }
         false
@@ -240,7 +270,9 @@
         }
         let took = self.now() - began;
         service.accepted.fetch_add(1, Ordering::Relaxed);
-        service.prompt.fetch_add(u64::from(took <= PROMPT), Ordering::Relaxed);
+        service
+            .prompt
+            .fetch_add(u64::from(took <= PROMPT), Ordering::Relaxed);
         // A histogram that grows by itself takes every value.
         let _ = service.accept_times.lock().record(took);
         true
@@ -286,7 +318,11 @@
     let world = Arc::clone(&balancer.region.world);
     let load = &world.scenario.load;
     let team = job as usize % load.teams;
-    let run_s = if kind == Kind::Endless { ENDLESS_S } else { load.run_s };
+    let run_s = if kind == Kind::Endless {
+        ENDLESS_S
+    } else {
+        load.run_s
+    };
     let (lane, urgency) = match kind {
         Kind::Endless => ("endless", "standard"),
         Kind::Short => ("short", "standard"),
@@ -328,13 +364,20 @@
         stash: 0.0,
     };
     world.jobs.write().insert(job, info);
-    world.judge.lock().submits(job, team, submission.cores, tasks);
+    world
+        .judge
+        .lock()
+        .submits(job, team, submission.cores, tasks);
     if kind == Kind::Urgent {
         balancer.service.urgent.lock().insert(job, world.now());
     }
     let cancel = kind == Kind::Short && balancer.region.random() < load.cancelled;
     let body = Bytes::from(submission.body().to_string());
-    let mut user = User { balancer, connection: None, job };
+    let mut user = User {
+        balancer,
+        connection: None,
+        job,
+    };
     if user.submit(body).await {
         user.follow(cancel).await;
     }
--- a/crates/emulator/tests/capacity.rs
+++ b/crates/emulator/tests/capacity.rs
@@ -5,7 +5,9 @@
 use std::path::{Path, PathBuf};
 
 fn docs(file: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs").join(file)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../../docs")
+        .join(file)
 }
 
 fn capacity() -> Capacity {
@@ -16,7 +18,10 @@
 fn the_page_has_the_tables_that_its_data_make() {
     let page = std::fs::read_to_string(docs("CAPACITY.md")).unwrap();
     let made = capacity().page(&page).unwrap();
-    assert!(page == made, "run: cometlead-emulator capacity docs/capacity.toml --page docs/CAPACITY.md");
+    assert!(
+        page == made,
+        "run: cometlead-emulator capacity docs/capacity.toml --page docs/CAPACITY.md"
+    );
 }
 
 #[test]
@@ -26,9 +31,14 @@
     let phase = capacity.phase.iter().find(|p| p.name == "peak").unwrap();
     let starts = phase.starts_per_s * region.share;
     let expected = (0.125 * region.workers + 0.4 * starts) / region.controllers;
-    let total = capacity.total("Controller", "reports taken a second", region, phase).unwrap();
+    let total = capacity
+        .total("Controller", "reports taken a second", region, phase)
+        .unwrap();
     assert!((total - expected).abs() < 1e-9, "{total}, {expected}");
-    assert_eq!(capacity.total("Controller", "patience", region, phase), None);
+    assert_eq!(
+        capacity.total("Controller", "patience", region, phase),
+        None
+    );
 }
 
 #[test]
@@ -36,8 +46,16 @@
     let capacity = capacity();
     let phase = |name: &str| capacity.phase.iter().find(|p| p.name == name).unwrap();
     for region in &capacity.region {
-        let at = |name| capacity.total("Controller", "reports taken a second", region, phase(name)).unwrap();
-        assert!(at("calm") < at("peak") && at("peak") < at("worst"), "{}", region.name);
+        let at = |name| {
+            capacity
+                .total("Controller", "reports taken a second", region, phase(name))
+                .unwrap()
+        };
+        assert!(
+            at("calm") < at("peak") && at("peak") < at("worst"),
+            "{}",
+            region.name
+        );
     }
 }
 
@@ -79,22 +97,42 @@
         "a zone a few times a year",
         "regions lose each other for an hour",
     ] {
-        let lines: Vec<_> = capacity.line.iter().filter(|l| l.figure.contains(figure)).collect();
+        let lines: Vec<_> = capacity
+            .line
+            .iter()
+            .filter(|l| l.figure.contains(figure))
+            .collect();
         assert_eq!(lines.len(), 1, "{figure}");
-        assert!(!lines[0].mechanism.is_empty() && !lines[0].margin.is_empty(), "{figure}");
+        assert!(
+            !lines[0].mechanism.is_empty() && !lines[0].margin.is_empty(),
+            "{figure}"
+        );
     }
     let missing = capacity.line.iter().filter(|l| l.status == Status::Missing);
     assert!(missing.clone().count() > 0);
     for line in missing {
-        assert!(line.margin.contains("order"), "{}: says when it comes", line.figure);
+        assert!(
+            line.margin.contains("order"),
+            "{}: says when it comes",
+            line.figure
+        );
     }
 }
 
 #[test]
 fn measured_slopes_name_their_command_and_their_range() {
     let slopes = capacity().measured;
-    assert!(slopes.command.contains("cometlead-emulator run"), "{}", slopes.command);
+    assert!(
+        slopes.command.contains("cometlead-emulator run"),
+        "{}",
+        slopes.command
+    );
     let range = slopes.range.unwrap();
     assert!(range.workers.0 < range.workers.1 && range.starts.0 < range.starts.1);
-    assert!(slopes.slope.iter().all(|s| s.basis.starts_with("fit error")));
+    assert!(
+        slopes
+            .slope
+            .iter()
+            .all(|s| s.basis.starts_with("fit error"))
+    );
 }
--- a/crates/emulator/tests/fit.rs
+++ b/crates/emulator/tests/fit.rs
@@ -4,9 +4,17 @@
 
 #[test]
 fn a_plane_is_found_again() {
-    let rows = [[1.0, 300.0, 20.0], [1.0, 900.0, 20.0], [1.0, 900.0, 200.0], [1.0, 5_400.0, 50.0]];
+    let rows = [
+        [1.0, 300.0, 20.0],
+        [1.0, 900.0, 20.0],
+        [1.0, 900.0, 200.0],
+        [1.0, 5_400.0, 50.0],
+    ];
     let inputs: Vec<Vec<f64>> = rows.iter().map(|r| r.to_vec()).collect();
-    let outputs: Vec<f64> = rows.iter().map(|r| 0.5 + 0.001 * r[1] + 0.02 * r[2]).collect();
+    let outputs: Vec<f64> = rows
+        .iter()
+        .map(|r| 0.5 + 0.001 * r[1] + 0.02 * r[2])
+        .collect();
     let found = fit(&inputs, &outputs).unwrap();
     for (factor, expected) in found.factors.iter().zip([0.5, 0.001, 0.02]) {
         assert!((factor - expected).abs() < 1e-6, "{found:?}");
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -29,7 +29,10 @@
     judge.told(30, 25, 1, Told::Done);
     judge.sweep(UNANSWERED_LIMIT * 3);
     assert!(judge.counts().is_empty(), "{:?}", judge.violations());
-    assert_eq!((judge.starts(), judge.completions(), judge.running()), (2, 2, 0));
+    assert_eq!(
+        (judge.starts(), judge.completions(), judge.running()),
+        (2, 2, 0)
+    );
 }
 
 #[test]
@@ -82,7 +85,10 @@
     let mut judge = judge();
     judge.submits(2, 1, 1.0, 1);
     judge.unknown(10, 2);
-    assert!(judge.counts().is_empty(), "nobody was told that it is accepted");
+    assert!(
+        judge.counts().is_empty(),
+        "nobody was told that it is accepted"
+    );
     judge.unknown(11, 1);
     assert_eq!(count(&judge, Rule::Forgotten), 1);
 }
@@ -111,7 +117,10 @@
     let mut judge = judge();
     judge.told(100, 90, 1, Told::Cancelled);
     judge.told(110, 95, 1, Told::Live);
-    assert!(judge.counts().is_empty(), "that answer was on its way already");
+    assert!(
+        judge.counts().is_empty(),
+        "that answer was on its way already"
+    );
     judge.told(120, 101, 1, Told::Live);
     assert_eq!(count(&judge, Rule::WentBack), 1);
 }
--- a/crates/emulator/tests/scenario.rs
+++ b/crates/emulator/tests/scenario.rs
@@ -4,7 +4,8 @@
 use std::path::Path;
 
 fn smoke() -> String {
-    std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios/smoke.toml")).unwrap()
+    std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios/smoke.toml"))
+        .unwrap()
 }
 
 #[test]
@@ -22,34 +23,77 @@
 fn what_is_wrong_is_named() {
     for (from, to, named) in [
         ("seed = 1", "seeds = 1", "seeds"),
-        ("workers = 60", "workers = 0", "regions.workers: must be 1 to 20000"),
+        (
+            "workers = 60",
+            "workers = 0",
+            "regions.workers: must be 1 to 20000",
+        ),
         ("workers = 60", "workers = \"many\"", "workers"),
-        ("controllers = 3", "controllers = 60", "regions.controllers: must be 59 or fewer over all regions"),
-        ("cancelled = 0.1", "cancelled = 1.1", "load.cancelled: must be 0 to 1"),
+        (
+            "controllers = 3",
+            "controllers = 60",
+            "regions.controllers: must be 59 or fewer over all regions",
+        ),
+        (
+            "cancelled = 0.1",
+            "cancelled = 1.1",
+            "load.cancelled: must be 0 to 1",
+        ),
         ("run_s = 3", "run_s = nan", "load.run_s: must be above 0"),
-        ("txn_ops = 12", "txn_ops = 3", "state.txn_ops: must be 4 to 1000"),
-        ("name = \"smoke\"", "name = \"../smoke\"", "name: must be letters, digits and dashes"),
+        (
+            "txn_ops = 12",
+            "txn_ops = 3",
+            "state.txn_ops: must be 4 to 1000",
+        ),
+        (
+            "name = \"smoke\"",
+            "name = \"../smoke\"",
+            "name: must be letters, digits and dashes",
+        ),
     ] {
         let text = smoke().replacen(from, to, 1);
         let error = Scenario::parse("file.toml", &text).unwrap_err().to_string();
-        assert!(error.contains(named) && error.lines().count() == 1, "{to}: {error}");
+        assert!(
+            error.contains(named) && error.lines().count() == 1,
+            "{to}: {error}"
+        );
     }
 }
 
 #[test]
 fn troubles_name_what_there_is() {
     for (trouble, named) in [
-        ("what = { kind = \"kill_controller\", node = 3 }", "troubles.node"),
-        ("what = { kind = \"zone_gone\", zone = 2, for_s = 5 }", "troubles.zone"),
-        ("what = { kind = \"state_out\", for_s = 0 }", "troubles.for_s"),
+        (
+            "what = { kind = \"kill_controller\", node = 3 }",
+            "troubles.node",
+        ),
+        (
+            "what = { kind = \"zone_gone\", zone = 2, for_s = 5 }",
+            "troubles.zone",
+        ),
+        (
+            "what = { kind = \"state_out\", for_s = 0 }",
+            "troubles.for_s",
+        ),
         ("what = { kind = \"meteor\" }", "meteor"),
     ] {
-        let text = format!("{}\n[[troubles]]\nat_s = 1\nregion = 0\n{trouble}\n", smoke());
+        let text = format!(
+            "{}\n[[troubles]]\nat_s = 1\nregion = 0\n{trouble}\n",
+            smoke()
+        );
         let error = Scenario::parse("file.toml", &text).unwrap_err().to_string();
         assert!(error.contains(named), "{trouble}: {error}");
     }
-    let text = format!("{}\n[[troubles]]\nat_s = 1\nregion = 1\nwhat = {{ kind = \"kill_region\" }}\n", smoke());
-    assert!(Scenario::parse("file.toml", &text).unwrap_err().to_string().contains("troubles.region"));
+    let text = format!(
+        "{}\n[[troubles]]\nat_s = 1\nregion = 1\nwhat = {{ kind = \"kill_region\" }}\n",
+        smoke()
+    );
+    assert!(
+        Scenario::parse("file.toml", &text)
+            .unwrap_err()
+            .to_string()
+            .contains("troubles.region")
+    );
 }
 
 #[test]
@@ -58,6 +102,9 @@
     let scenario = Scenario::parse("file.toml", &format!("{}{step}{step}", smoke())).unwrap();
     let runs = scenario.runs();
     assert_eq!(runs.len(), 2);
-    assert_eq!((runs[0].regions[0].workers, runs[0].wanted_running()), (300, 1_200.0));
+    assert_eq!(
+        (runs[0].regions[0].workers, runs[0].wanted_running()),
+        (300, 1_200.0)
+    );
     assert!(runs[0].steps.is_empty());
 }
--- a/crates/queues/src/estate.rs
+++ b/crates/queues/src/estate.rs
@@ -60,8 +60,9 @@
     pub fn cleared(&mut self, is_doubt: impl Fn(Holder, Key) -> bool) -> Vec<Key> {
         let mut cleared = Vec::new();
         for (holder, doubts) in &mut self.doubts {
-            let (left, gone): (BTreeSet<Key>, BTreeSet<Key>) =
-                std::mem::take(&mut doubts.keys).into_iter().partition(|key| is_doubt(*holder, *key));
+            let (left, gone): (BTreeSet<Key>, BTreeSet<Key>) = std::mem::take(&mut doubts.keys)
+                .into_iter()
+                .partition(|key| is_doubt(*holder, *key));
             doubts.keys = left;
             cleared.extend(gone);
         }
@@ -71,7 +72,10 @@
 
     /// Connections whose receipts are wanted now.
     pub fn wanted(&self, now: Micros) -> Vec<Holder> {
-        let due = self.doubts.iter().filter(|(h, d)| d.at <= now && !self.is_known(**h));
+        let due = self
+            .doubts
+            .iter()
+            .filter(|(h, d)| d.at <= now && !self.is_known(**h));
         due.map(|(h, _)| *h).collect()
     }
 
@@ -87,7 +91,16 @@
     pub fn add(&mut self, holder: Holder, left: BTreeSet<Key>, lost: bool, waits: u64) {
         // An answer to what was not asked tells nothing.
         if let Some(from) = self.asking.remove(&holder) {
-            self.known.insert(holder, Estate { left, from, waits: Some(waits), lost, closing: false });
+            self.known.insert(
+                holder,
+                Estate {
+                    left,
+                    from,
+                    waits: Some(waits),
+                    lost,
+                    closing: false,
+                },
+            );
         }
     }
 
@@ -105,7 +118,11 @@
 
     /// A receipt's mark was written, or is not there any more: whose receipts hold it?
     pub fn holders_of(&self, key: Key) -> Vec<Holder> {
-        self.known.iter().filter(|(_, e)| e.left.contains(&key)).map(|(h, _)| *h).collect()
+        self.known
+            .iter()
+            .filter(|(_, e)| e.left.contains(&key))
+            .map(|(h, _)| *h)
+            .collect()
     }
 
     pub fn settled(&mut self, holder: Holder, key: Key) {
@@ -116,7 +133,10 @@
 
     /// Connections of which the marks tell everything, how they stood before, and whether their receipts were lost; each once.
     pub fn told(&mut self) -> Vec<(Holder, LinkState, bool)> {
-        let told = self.known.iter_mut().filter(|(_, e)| e.left.is_empty() && e.waits.is_none() && !e.closing);
+        let told = self
+            .known
+            .iter_mut()
+            .filter(|(_, e)| e.left.is_empty() && e.waits.is_none() && !e.closing);
         told.map(|(h, e)| {
             e.closing = true;
             (*h, e.from, e.lost)
--- a/crates/queues/src/front.rs
+++ b/crates/queues/src/front.rs
@@ -275,7 +275,8 @@
             }
             Event::Opened(true) if self.link == Link::Opening => {
                 self.link = Link::Confirming;
-                self.ledger.link(self.me, Some(LinkState::Begun), Some(LinkState::Up));
+                self.ledger
+                    .link(self.me, Some(LinkState::Begun), Some(LinkState::Up));
             }
             Event::Opened(true) => {}
             Event::Opened(false) => self.out.push(Effect::Drop),
@@ -303,7 +304,8 @@
             if self.stopping {
                 self.pump_stop();
             }
-            self.out.extend(self.ledger.ask(self.now).map(Effect::State));
+            self.out
+                .extend(self.ledger.ask(self.now).map(Effect::State));
             // What turned out to be settled while a round was put together is not told by any answer.
             if !self.take_done() {
                 return std::mem::take(&mut self.out);
@@ -319,8 +321,15 @@
             return ledger;
         }
         let free = self.under_way.len() < self.limits.calls;
-        let schedule = if free { self.schedule.wake() } else { Micros::MAX };
-        ledger.min(schedule).min(self.estates.wake()).min(self.swept + Self::SWEEP)
+        let schedule = if free {
+            self.schedule.wake()
+        } else {
+            Micros::MAX
+        };
+        ledger
+            .min(schedule)
+            .min(self.estates.wake())
+            .min(self.swept + Self::SWEEP)
     }
 
     /// Everything that is not acknowledged comes again, and what was being committed is told by its receipt.
@@ -365,7 +374,12 @@
         }
         self.order += 1;
         let (wish, order) = (message.wish(), self.order);
-        let rule = self.limits.queues.get(&message.queue).cloned().unwrap_or_default();
+        let rule = self
+            .limits
+            .queues
+            .get(&message.queue)
+            .cloned()
+            .unwrap_or_default();
         let turn = Turn::Submit(rule.rank, order);
         // What is submitted is in the wish; the body itself is kept only where it may become a dead letter.
         if message.reply_to.is_some() || rule.dead_letter.is_none() {
@@ -407,7 +421,9 @@
 
     /// It is known how a message ended.
     fn over(&mut self, key: Key, outcome: Outcome) {
-        let Some(item) = self.items.get_mut(&key) else { return };
+        let Some(item) = self.items.get_mut(&key) else {
+            return;
+        };
         if let Outcome::Refused(why) = &outcome {
             self.counters.refused += 1;
             tracing::info!(job = item.job(), message = %key, why, "refused");
@@ -427,7 +443,9 @@
     fn look(&mut self, key: Key) {
         let me = self.me;
         let seal = Mark::Sealed(me, self.seconds());
-        let Some(item) = self.items.get_mut(&key) else { return };
+        let Some(item) = self.items.get_mut(&key) else {
+            return;
+        };
         match self.ledger.mark(key) {
             None => {
                 item.stage = Stage::Sealing;
@@ -461,7 +479,9 @@
 
     /// Nothing is left of it but its deliveries, and not even these once they are acknowledged.
     fn settle(&mut self, key: Key) {
-        let Some(item) = self.items.get_mut(&key) else { return };
+        let Some(item) = self.items.get_mut(&key) else {
+            return;
+        };
         item.stage = Stage::Settled;
         if item.tags.is_empty() {
             self.items.remove(&key);
@@ -472,9 +492,17 @@
 
     fn on_service(&mut self, call: Call, reply: Reply) {
         self.under_way.remove(&call);
-        let Some(key) = self.asked.remove(&call) else { return };
+        let Some(key) = self.asked.remove(&call) else {
+            return;
+        };
         let (now, poll) = (self.now, self.limits.poll);
-        let Some(item) = self.items.get_mut(&key).filter(|i| i.stage == Stage::Asked(call)) else { return };
+        let Some(item) = self
+            .items
+            .get_mut(&key)
+            .filter(|i| i.stage == Stage::Asked(call))
+        else {
+            return;
+        };
         item.stage = Stage::Due;
         let submit = Turn::Submit(item.rule.rank, item.order);
         let first = item.accepted.is_none();
@@ -519,7 +547,8 @@
                     Turn::Poll(since)
                 } else {
                     self.schedule.submits.slower(now);
-                    self.notices.extend(item.notice(key, Progress::Delayed(after)));
+                    self.notices
+                        .extend(item.notice(key, Progress::Delayed(after)));
                     submit
                 };
                 self.again(key, turn, after.max(Self::AGAIN));
@@ -534,7 +563,9 @@
 
     /// It is asked again, later each time.
     fn again(&mut self, key: Key, turn: Turn, least: Micros) {
-        let Some(item) = self.items.get_mut(&key) else { return };
+        let Some(item) = self.items.get_mut(&key) else {
+            return;
+        };
         item.tries += 1;
         let wait = (least << (item.tries - 1).min(6)).min(Self::MOST_WAIT.max(least));
         tracing::debug!(job = item.job(), message = %key, wait, tries = item.tries, "asked again later");
@@ -554,7 +585,10 @@
         }
         let ledger = &self.ledger;
         let doubtful = |holder, key| {
-            let up = matches!(ledger.links().get(&holder), Some(LinkState::Begun | LinkState::Up));
+            let up = matches!(
+                ledger.links().get(&holder),
+                Some(LinkState::Begun | LinkState::Up)
+            );
             up && matches!(ledger.mark(key), Some((Mark::Sealed(by, _), _)) if by == holder)
         };
         let cleared = self.estates.cleared(doubtful);
@@ -564,7 +598,11 @@
     /// Looks anew at messages whose doubt is over.
     fn look_again(&mut self, keys: impl IntoIterator<Item = Key>) {
         for key in keys {
-            if self.items.get(&key).is_some_and(|i| i.stage == Stage::Doubt) {
+            if self
+                .items
+                .get(&key)
+                .is_some_and(|i| i.stage == Stage::Doubt)
+            {
                 self.look(key);
             }
         }
@@ -600,7 +638,8 @@
     fn tell(&mut self, holder: Holder, key: Key) {
         match self.ledger.mark(key) {
             Some((Mark::Sealed(by, _), version)) if by == holder => {
-                self.ledger.write(key, version, Mark::Answered(self.seconds()));
+                self.ledger
+                    .write(key, version, Mark::Answered(self.seconds()));
             }
             _ => self.estates.settled(holder, key),
         }
@@ -609,7 +648,8 @@
     /// Writes it down that this connection has answered a message, until that is known to stand.
     fn note(&mut self, key: Key) {
         if let Some((Mark::Sealed(..), version)) = self.ledger.mark(key) {
-            self.ledger.write(key, version, Mark::Answered(self.seconds()));
+            self.ledger
+                .write(key, version, Mark::Answered(self.seconds()));
         } else {
             self.forget.push(key);
             self.settle(key);
@@ -630,7 +670,9 @@
             Link::Begun | Link::Confirming => self.out.push(Effect::Drop),
             Link::Leaving => match self.ledger.links().get(&self.me) {
                 Some(LinkState::Told) => self.out.push(Effect::ClearReceipts(self.me, true)),
-                _ if !std::mem::replace(&mut self.finished, true) => self.out.push(Effect::Finished),
+                _ if !std::mem::replace(&mut self.finished, true) => {
+                    self.out.push(Effect::Finished)
+                }
                 _ => {}
             },
             Link::Down | Link::Opening | Link::Up => {}
@@ -651,7 +693,9 @@
     fn on_committed(&mut self) {
         let now = self.now;
         for (key, acked) in self.committing.take().unwrap_or_default() {
-            let Some(item) = self.items.get_mut(&key) else { continue };
+            let Some(item) = self.items.get_mut(&key) else {
+                continue;
+            };
             item.tags.retain(|t| !acked.contains(t));
             match item.stage {
                 Stage::Committing => {
@@ -698,7 +742,9 @@
         for key in self.schedule.take(self.now, free) {
             self.calls += 1;
             let call = self.calls;
-            let Some(item) = self.items.get_mut(&key).filter(|i| i.stage == Stage::Due) else { continue };
+            let Some(item) = self.items.get_mut(&key).filter(|i| i.stage == Stage::Due) else {
+                continue;
+            };
             let effect = match &item.wish {
                 Wish::Submit { job, .. } if item.accepted.is_some() => {
                     self.counters.polls += 1;
@@ -739,7 +785,11 @@
                 continue;
             }
             // What has not begun has lost nothing.
-            let to = if lost && from == LinkState::Up { LinkState::Lost } else { LinkState::Told };
+            let to = if lost && from == LinkState::Up {
+                LinkState::Lost
+            } else {
+                LinkState::Told
+            };
             tracing::info!(link = %holder, ?to, "a connection is gone");
             self.ledger.link(holder, state, Some(to));
         }
@@ -747,8 +797,9 @@
 
     fn sweep(&mut self) {
         let links = self.ledger.links().iter().map(|(h, s)| (*h, *s));
-        let mut others: Vec<(Holder, LinkState)> =
-            links.filter(|(h, _)| *h != self.me && !self.estates.is_known(*h)).collect();
+        let mut others: Vec<(Holder, LinkState)> = links
+            .filter(|(h, _)| *h != self.me && !self.estates.is_known(*h))
+            .collect();
         while others.len() > Self::ESTATES {
             let one = self.rng.random_range(0..others.len());
             others.swap_remove(one);
@@ -774,15 +825,25 @@
         let mut commit = Commit::default();
         let mut batch = Vec::new();
         while commit.posts.len() < Self::BATCH {
-            let Some(key) = self.sealed.pop_front() else { break };
-            let Some(item) = self.items.get_mut(&key).filter(|i| i.stage == Stage::Sealed) else { continue };
+            let Some(key) = self.sealed.pop_front() else {
+                break;
+            };
+            let Some(item) = self
+                .items
+                .get_mut(&key)
+                .filter(|i| i.stage == Stage::Sealed)
+            else {
+                continue;
+            };
             item.stage = Stage::Committing;
             commit.posts.extend(item.post(key));
             commit.acks.extend(&item.tags);
             batch.push((key, item.tags.clone()));
         }
         for key in std::mem::take(&mut self.acks) {
-            let Some(item) = self.items.get(&key).filter(|i| !i.tags.is_empty()) else { continue };
+            let Some(item) = self.items.get(&key).filter(|i| !i.tags.is_empty()) else {
+                continue;
+            };
             if matches!(item.stage, Stage::Settled | Stage::Answered) {
                 commit.acks.extend(&item.tags);
                 batch.push((key, item.tags.clone()));
@@ -800,7 +861,14 @@
     /// Once everything that is certain is answered, the connection is taken off the record, and its queue removed.
     fn pump_stop(&mut self) {
         let certain = |s: &Stage| {
-            matches!(s, Stage::Asked(_) | Stage::Sealing | Stage::Sealed | Stage::Committing | Stage::Answered)
+            matches!(
+                s,
+                Stage::Asked(_)
+                    | Stage::Sealing
+                    | Stage::Sealed
+                    | Stage::Committing
+                    | Stage::Answered
+            )
         };
         let busy = self.committing.is_some()
             || !self.forget.is_empty()
@@ -810,7 +878,8 @@
         match self.link {
             Link::Up if !busy => {
                 self.link = Link::Leaving;
-                self.ledger.link(self.me, Some(LinkState::Up), Some(LinkState::Told));
+                self.ledger
+                    .link(self.me, Some(LinkState::Up), Some(LinkState::Told));
             }
             Link::Up | Link::Leaving => {}
             _ if !std::mem::replace(&mut self.finished, true) => self.out.push(Effect::Finished),
--- a/crates/queues/src/item.rs
+++ b/crates/queues/src/item.rs
@@ -69,11 +69,25 @@
         if let Some(to) = self.message.reply_to.clone() {
             let correlation = self.message.correlation.clone();
             let job = self.job().map(str::to_owned);
-            return Some(Post::Answer(Answer { to, correlation, of, job, outcome, repeated: self.repeated }));
+            return Some(Post::Answer(Answer {
+                to,
+                correlation,
+                of,
+                job,
+                outcome,
+                repeated: self.repeated,
+            }));
         }
-        let Outcome::Refused(reason) = outcome else { return None };
+        let Outcome::Refused(reason) = outcome else {
+            return None;
+        };
         let to = self.rule.dead_letter.clone()?;
-        Some(Post::Dead(DeadLetter { to, of, reason, body: self.message.body.clone() }))
+        Some(Post::Dead(DeadLetter {
+            to,
+            of,
+            reason,
+            body: self.message.body.clone(),
+        }))
     }
 
     /// An interim answer, each kind once.
@@ -87,6 +101,12 @@
         }
         let to = self.message.reply_to.clone()?;
         let correlation = self.message.correlation.clone();
-        Some(Notice { to, correlation, of, job: self.job().map(str::to_owned), progress })
+        Some(Notice {
+            to,
+            correlation,
+            of,
+            job: self.job().map(str::to_owned),
+            progress,
+        })
     }
 }
--- a/crates/queues/src/ledger.rs
+++ b/crates/queues/src/ledger.rs
@@ -193,7 +193,9 @@
 
     /// Whether any mark says that this connection has sealed a message. Looks at all of them.
     pub fn has_seals_of(&self, holder: Holder) -> bool {
-        self.marks.values().any(|k| holder_of(k.mark) == Some(holder))
+        self.marks
+            .values()
+            .any(|k| holder_of(k.mark) == Some(holder))
     }
 
     /// Marks that are kept.
@@ -257,7 +259,9 @@
         }
         match self.phase {
             Phase::Ready if self.fresh < self.wanted => self.rest,
-            Phase::Ready if self.waiting.is_empty() => self.rest.max(self.rate.at()).max(self.swept + Self::SWEEP),
+            Phase::Ready if self.waiting.is_empty() => {
+                self.rest.max(self.rate.at()).max(self.swept + Self::SWEEP)
+            }
             Phase::Ready => self.rest.max(self.rate.at()),
             _ => self.rest,
         }
@@ -318,7 +322,11 @@
     fn behind(&mut self) {
         if let Some((writes, ..)) = self.sent.take() {
             let orphaned = std::mem::take(&mut self.orphaned);
-            for write in writes.into_iter().rev().filter(|w| !orphaned || Self::outlives(w)) {
+            for write in writes
+                .into_iter()
+                .rev()
+                .filter(|w| !orphaned || Self::outlives(w))
+            {
                 self.waiting.push_front(write);
             }
         }
@@ -347,8 +355,15 @@
     }
 
     fn take_entry(&mut self, entry: Entry, seq: u64) {
-        let known = Known { version: entry.version, mark: entry.mark, seq };
-        let newer = self.marks.get(&entry.key).is_none_or(|k| k.version <= entry.version);
+        let known = Known {
+            version: entry.version,
+            mark: entry.mark,
+            seq,
+        };
+        let newer = self
+            .marks
+            .get(&entry.key)
+            .is_none_or(|k| k.version <= entry.version);
         if newer {
             self.marks.insert(entry.key, known);
         }
@@ -358,7 +373,9 @@
     }
 
     fn take_closed(&mut self, now: Micros, records: Vec<(u64, String)>, more: bool) {
-        let Phase::Catching(mut next) = self.phase else { return };
+        let Phase::Catching(mut next) = self.phase else {
+            return;
+        };
         let Some((open, stamp)) = self.read.take() else {
             self.phase = Phase::Behind;
             return;
@@ -370,9 +387,17 @@
             }
             match Record::decode(&text) {
                 Ok(record) => {
-                    let newest = record.entries.iter().map(|e| e.mark.at()).max().unwrap_or_default();
+                    let newest = record
+                        .entries
+                        .iter()
+                        .map(|e| e.mark.at())
+                        .max()
+                        .unwrap_or_default();
                     self.newest.insert(seq, newest);
-                    record.entries.into_iter().for_each(|e| self.take_entry(e, seq));
+                    record
+                        .entries
+                        .into_iter()
+                        .for_each(|e| self.take_entry(e, seq));
                 }
                 Err(error) => {
                     self.unreadable(now, "closed", &error);
@@ -402,10 +427,18 @@
     }
 
     /// Looks at a change: whether it still stands, or is settled already.
-    fn judge(&mut self, write: Write, links: &BTreeMap<Holder, LinkState>, marked: &HashMap<Key, (u16, Mark)>) -> bool {
+    fn judge(
+        &mut self,
+        write: Write,
+        links: &BTreeMap<Holder, LinkState>,
+        marked: &HashMap<Key, (u16, Mark)>,
+    ) -> bool {
         match write {
             Write::Mark(key, version, mark) => {
-                let now = marked.get(&key).copied().or_else(|| self.mark(key).map(|(m, v)| (v, m)));
+                let now = marked
+                    .get(&key)
+                    .copied()
+                    .or_else(|| self.mark(key).map(|(m, v)| (v, m)));
                 match now {
                     Some((v, m)) if v == version.saturating_add(1) && same(m, mark) => {
                         self.done.push(Done::Mark(key, Some(v)));
@@ -450,7 +483,10 @@
             (writes, full) = self.gather(&BTreeSet::new(), 0);
         }
         if full && writes.is_empty() {
-            tracing::error!(links = self.links.len(), "too many connections on record for one value");
+            tracing::error!(
+                links = self.links.len(),
+                "too many connections on record for one value"
+            );
             self.rest = now + Self::MOST_WAIT;
         }
         if writes.is_empty() && remove.is_none() {
@@ -466,7 +502,11 @@
             match *write {
                 Write::Mark(key, version, mark) => {
                     record.entries.retain(|e| e.key != key);
-                    record.entries.push(Entry { key, version: version.saturating_add(1), mark });
+                    record.entries.push(Entry {
+                        key,
+                        version: version.saturating_add(1),
+                        mark,
+                    });
                 }
                 Write::Link(holder, _, Some(state)) => {
                     record.links.insert(holder, state);
@@ -476,7 +516,10 @@
                 }
             }
         }
-        let closed = Record { entries, ..Record::default() };
+        let closed = Record {
+            entries,
+            ..Record::default()
+        };
         let request = Request::Round {
             stamp: self.stamp,
             open: record.encode(true),
@@ -489,7 +532,11 @@
     }
 
     fn entry(&self, key: Key) -> Option<Entry> {
-        self.marks.get(&key).map(|k| Entry { key, version: k.version, mark: k.mark })
+        self.marks.get(&key).map(|k| Entry {
+            key,
+            version: k.version,
+            mark: k.mark,
+        })
     }
 
     /// Takes what stands of what waits until a record with so much in it is full; and whether it is.
@@ -551,7 +598,12 @@
             return;
         };
         if close {
-            let newest = self.open.iter().filter_map(|k| self.marks.get(k)).map(|k| k.mark.at()).max();
+            let newest = self
+                .open
+                .iter()
+                .filter_map(|k| self.marks.get(k))
+                .map(|k| k.mark.at())
+                .max();
             self.newest.insert(self.seq, newest.unwrap_or_default());
             self.open.clear();
             self.seq += 1;
@@ -562,7 +614,14 @@
             match write {
                 Write::Mark(key, version, mark) => {
                     let version = version.saturating_add(1);
-                    self.marks.insert(key, Known { version, mark, seq: self.seq });
+                    self.marks.insert(
+                        key,
+                        Known {
+                            version,
+                            mark,
+                            seq: self.seq,
+                        },
+                    );
                     self.open.insert(key);
                     self.done.push(Done::Mark(key, Some(version)));
                 }
--- a/crates/queues/src/ledger/wire.rs
+++ b/crates/queues/src/ledger/wire.rs
@@ -79,10 +79,13 @@
             let who = match entry.mark {
                 Mark::Answered(_) => ANSWERED,
                 Mark::Sealed(holder, _) => {
-                    let place = holders.iter().position(|h| *h == holder).unwrap_or_else(|| {
-                        holders.push(holder);
-                        holders.len() - 1
-                    });
+                    let place = holders
+                        .iter()
+                        .position(|h| *h == holder)
+                        .unwrap_or_else(|| {
+                            holders.push(holder);
+                            holders.len() - 1
+                        });
                     // The ledger puts no more holders into one record than there are places.
                     u8::try_from(place).unwrap_or(ANSWERED - 1)
                 }
@@ -90,12 +93,21 @@
             bytes.extend(entry.key.0.to_be_bytes());
             bytes.extend(entry.version.to_be_bytes());
             bytes.push(who);
-            bytes.extend(u32::try_from(entry.mark.at()).unwrap_or(u32::MAX).to_be_bytes());
+            bytes.extend(
+                u32::try_from(entry.mark.at())
+                    .unwrap_or(u32::MAX)
+                    .to_be_bytes(),
+            );
         }
         let wire = Wire {
             v: FORM,
             span: open.then_some((self.first, self.seq)),
-            links: open.then(|| self.links.iter().map(|(h, state)| (h.to_string(), *state)).collect()),
+            links: open.then(|| {
+                self.links
+                    .iter()
+                    .map(|(h, state)| (h.to_string(), *state))
+                    .collect()
+            }),
             h: holders.iter().map(Holder::to_string).collect(),
             e: STANDARD_NO_PAD.encode(bytes),
         };
@@ -115,21 +127,41 @@
         }
         let wire: Wire = serde_json::from_str(text).map_err(malformed)?;
         let holder = |_: BadHolder| BadRecord::Entries;
-        let holders: Vec<Holder> = wire.h.iter().map(|h| h.parse()).collect::<Result<_, _>>().map_err(holder)?;
-        let bytes = STANDARD_NO_PAD.decode(&wire.e).map_err(|_| BadRecord::Entries)?;
+        let holders: Vec<Holder> = wire
+            .h
+            .iter()
+            .map(|h| h.parse())
+            .collect::<Result<_, _>>()
+            .map_err(holder)?;
+        let bytes = STANDARD_NO_PAD
+            .decode(&wire.e)
+            .map_err(|_| BadRecord::Entries)?;
         if bytes.len() % ENTRY != 0 {
             return Err(BadRecord::Entries);
         }
         let entries = bytes.chunks_exact(ENTRY).map(|e| {
-            let number = |at: std::ops::Range<usize>| e[at].iter().fold(0u128, |n, b| n << 8 | u128::from(*b));
+            let number = |at: std::ops::Range<usize>| {
+                e[at].iter().fold(0u128, |n, b| n << 8 | u128::from(*b))
+            };
             let at = number(19..23) as u64;
             let mark = match e[18] {
                 ANSWERED => Mark::Answered(at),
-                place => Mark::Sealed(*holders.get(usize::from(place)).ok_or(BadRecord::Entries)?, at),
+                place => Mark::Sealed(
+                    *holders.get(usize::from(place)).ok_or(BadRecord::Entries)?,
+                    at,
+                ),
             };
-            Ok(Entry { key: Key(number(0..16)), version: number(16..18) as u16, mark })
+            Ok(Entry {
+                key: Key(number(0..16)),
+                version: number(16..18) as u16,
+                mark,
+            })
         });
-        let links = wire.links.unwrap_or_default().into_iter().map(|(h, state)| Ok((h.parse()?, state)));
+        let links = wire
+            .links
+            .unwrap_or_default()
+            .into_iter()
+            .map(|(h, state)| Ok((h.parse()?, state)));
         let (first, seq) = wire.span.unwrap_or_default();
         Ok(Record {
             first,
--- a/crates/queues/src/mark.rs
+++ b/crates/queues/src/mark.rs
@@ -31,7 +31,10 @@
     fn from_str(text: &str) -> Result<Holder, BadHolder> {
         let (run, link) = text.split_once('-').ok_or(BadHolder)?;
         let run = u64::from_str_radix(run, 16).map_err(|_| BadHolder)?;
-        Ok(Holder { run, link: link.parse().map_err(|_| BadHolder)? })
+        Ok(Holder {
+            run,
+            link: link.parse().map_err(|_| BadHolder)?,
+        })
     }
 }
 
--- a/crates/queues/src/message.rs
+++ b/crates/queues/src/message.rs
@@ -129,18 +129,33 @@
             set("dueS", json!(due));
         }
         if let Some(awaits) = &self.awaits {
-            let ids: Vec<&str> = awaits.split(',').map(str::trim).filter(|id| !id.is_empty()).collect();
+            let ids: Vec<&str> = awaits
+                .split(',')
+                .map(str::trim)
+                .filter(|id| !id.is_empty())
+                .collect();
             set("awaits", json!(ids));
         }
-        let guess = fields.get("guessS").and_then(Value::as_f64).unwrap_or_default().clamp(0.0, MOST_GUESS_S);
+        let guess = fields
+            .get("guessS")
+            .and_then(Value::as_f64)
+            .unwrap_or_default()
+            .clamp(0.0, MOST_GUESS_S);
         let body = Value::Object(fields).to_string().into_bytes();
-        Wish::Submit { job, body, guess: (guess * 1e6) as Micros }
+        Wish::Submit {
+            job,
+            body,
+            guess: (guess * 1e6) as Micros,
+        }
     }
 
     /// A name of the users' form that follows from the message: eighteen digits, the first of which is not 0.
     fn job(&self) -> String {
         const LEAST: u64 = 100_000_000_000_000_000;
-        format!("req-{}", LEAST + xxh3_64(&self.key().0.to_be_bytes()) % (9 * LEAST))
+        format!(
+            "req-{}",
+            LEAST + xxh3_64(&self.key().0.to_be_bytes()) % (9 * LEAST)
+        )
     }
 }
 
--- a/crates/queues/src/schedule.rs
+++ b/crates/queues/src/schedule.rs
@@ -27,7 +27,12 @@
     /// So many a second, at least 1 and at most a million.
     pub fn new(per_s: u32) -> Bucket {
         let step = SECOND / Micros::from(per_s.clamp(1, 1_000_000));
-        Bucket { step, least: step, free: 0, slowed: 0 }
+        Bucket {
+            step,
+            least: step,
+            free: 0,
+            slowed: 0,
+        }
     }
 
     /// Whether one may pass now.
@@ -104,7 +109,9 @@
 
     /// Takes what is to be asked now, at most so much.
     pub fn take(&mut self, now: Micros, most: usize) -> Vec<Key> {
-        while let Some((at, turn, key)) = self.resting.first().copied().filter(|(at, ..)| *at <= now) {
+        while let Some((at, turn, key)) =
+            self.resting.first().copied().filter(|(at, ..)| *at <= now)
+        {
             self.resting.remove(&(at, turn, key));
             self.ready.insert((turn, key));
         }
@@ -117,15 +124,22 @@
             let first_poll = (Turn::Poll(0), Key(0));
             // They take turns where both may go: neither waits for the other's end.
             let next = match (submit, poll) {
-                (true, true) if taken.len() % 2 == 0 => {
-                    self.ready.first().or_else(|| self.ready.range(first_poll..).next())
-                }
-                (true, true) => self.ready.range(first_poll..).next().or_else(|| self.ready.first()),
+                (true, true) if taken.len() % 2 == 0 => self
+                    .ready
+                    .first()
+                    .or_else(|| self.ready.range(first_poll..).next()),
+                (true, true) => self
+                    .ready
+                    .range(first_poll..)
+                    .next()
+                    .or_else(|| self.ready.first()),
                 (true, false) => self.ready.range(..first_poll).next(),
                 (false, true) => self.ready.range(first_poll..).next(),
                 (false, false) => None,
             };
-            let Some((turn, key)) = next.copied() else { break };
+            let Some((turn, key)) = next.copied() else {
+                break;
+            };
             self.ready.remove(&(turn, key));
             match turn {
                 Turn::Submit(..) => self.submits.pass(now),
@@ -140,8 +154,16 @@
     pub fn wake(&self) -> Micros {
         let resting = self.resting.first().map_or(Micros::MAX, |(at, ..)| *at);
         let first_poll = (Turn::Poll(0), Key(0));
-        let submits = self.ready.range(..first_poll).next().map_or(Micros::MAX, |_| self.submits.at());
-        let polls = self.ready.range(first_poll..).next().map_or(Micros::MAX, |_| self.polls.at());
+        let submits = self
+            .ready
+            .range(..first_poll)
+            .next()
+            .map_or(Micros::MAX, |_| self.submits.at());
+        let polls = self
+            .ready
+            .range(first_poll..)
+            .next()
+            .map_or(Micros::MAX, |_| self.polls.at());
         resting.min(submits).min(polls)
     }
 }
