--- a/src/coordination/connections.rs
+++ b/src/coordination/connections.rs
@@ -82,7 +82,11 @@
         let calls = sockets / 4;
         let kept_calls = sockets / 8;
         let others = calls + kept_calls + Self::OWN + peers * Self::EACH_PEER;
-        SocketPlan { calls, kept_calls, served: sockets.saturating_sub(others).max(sockets / 2) }
+        SocketPlan {
+            calls,
+            kept_calls,
+            served: sockets.saturating_sub(others).max(sockets / 2),
+        }
     }
 }
 
@@ -173,7 +177,9 @@
 
     /// The most connections that a class may keep.
     fn ceiling(&self) -> usize {
-        self.served.saturating_sub(self.floor() + self.reserve()).max(1)
+        self.served
+            .saturating_sub(self.floor() + self.reserve())
+            .max(1)
     }
 
     /// Connections given back are so many that it need not be begun again at once.
@@ -192,7 +198,8 @@
 
     /// Begins and ends giving back connections, with hysteresis.
     fn look(&mut self) {
-        let (ceiling, enough, full, floor) = (self.ceiling(), self.enough(), self.is_full(), self.floor());
+        let (ceiling, enough, full, floor) =
+            (self.ceiling(), self.enough(), self.is_full(), self.floor());
         let is_short = |was: bool, kept: usize| {
             let limit = if was { enough } else { ceiling };
             kept > limit || full && kept > floor
@@ -203,14 +210,22 @@
 
     /// A connection was accepted.
     pub fn opened(&mut self, now: Micros, id: ConnectionId) {
-        let connection = Connection { class: None, opened: now, answered: None, idle: Micros::ZERO, busy: false };
+        let connection = Connection {
+            class: None,
+            opened: now,
+            answered: None,
+            idle: Micros::ZERO,
+            busy: false,
+        };
         self.open.insert(id, connection);
         self.look();
     }
 
     /// A connection is gone.
     pub fn closed(&mut self, id: ConnectionId) {
-        let Some(connection) = self.open.remove(&id) else { return };
+        let Some(connection) = self.open.remove(&id) else {
+            return;
+        };
         *self.kept_of(connection.class) -= usize::from(connection.class.is_some());
         if connection.busy && connection.class == Some(Class::User) {
             self.asking -= 1;
@@ -229,10 +244,14 @@
     /// The head of a request is there.
     pub fn requested(&mut self, now: Micros, id: ConnectionId, request: Request) -> Verdict {
         let class = request.class();
-        let Some(connection) = self.open.get_mut(&id) else { return Verdict::Serve };
+        let Some(connection) = self.open.get_mut(&id) else {
+            return Verdict::Serve;
+        };
         let before = connection.class.replace(class);
         // Of a new connection it is not known yet; its client had none until now.
-        connection.idle = connection.answered.map_or(Micros::FOREVER, |answered| now.since(answered));
+        connection.idle = connection
+            .answered
+            .map_or(Micros::FOREVER, |answered| now.since(answered));
         connection.busy = true;
         if before != Some(class) {
             if before.is_some() {
@@ -268,7 +287,9 @@
     /// A request's answer is about to leave; whether the connection is to be closed with it.
     pub fn answered(&mut self, now: Micros, id: ConnectionId) -> bool {
         let full = self.is_full();
-        let Some(connection) = self.open.get_mut(&id) else { return false };
+        let Some(connection) = self.open.get_mut(&id) else {
+            return false;
+        };
         connection.answered = Some(now);
         connection.busy = false;
         let brisk = connection.idle < Self::BRISK;
@@ -292,9 +313,18 @@
 
     /// Connections that are to be ended since no whole request came in time.
     pub fn too_slow(&mut self, now: Micros) -> Vec<ConnectionId> {
-        let limit = if self.is_full() { Self::FIRST_REQUEST_IF_SHORT } else { Self::FIRST_REQUEST };
+        let limit = if self.is_full() {
+            Self::FIRST_REQUEST_IF_SHORT
+        } else {
+            Self::FIRST_REQUEST
+        };
         let slow = |c: &Connection| c.class.is_none() && now.since(c.opened) > limit;
-        let ended: Vec<ConnectionId> = self.open.iter().filter(|(_, c)| slow(c)).map(|(id, _)| *id).collect();
+        let ended: Vec<ConnectionId> = self
+            .open
+            .iter()
+            .filter(|(_, c)| slow(c))
+            .map(|(id, _)| *id)
+            .collect();
         self.counts.slow_closed += ended.len() as u64;
         ended
     }
--- a/src/coordination/draft.rs
+++ b/src/coordination/draft.rs
@@ -163,7 +163,11 @@
 
     /// Changes so far. A job that ends takes two: its record goes, its end is kept.
     fn ops(&self) -> usize {
-        let jobs: usize = self.jobs.values().map(|j| j.chunks.len() + 1 + usize::from(j.ended.is_some())).sum();
+        let jobs: usize = self
+            .jobs
+            .values()
+            .map(|j| j.chunks.len() + 1 + usize::from(j.ended.is_some()))
+            .sum();
         let records = self.groups.len() + self.usage.len() + self.removed_chunks.len();
         records + jobs + usize::from(self.raise.is_some())
     }
@@ -194,8 +198,12 @@
     /// Makes sure that the records can be edited within the limits; changes nothing otherwise.
     fn reserve(&mut self, needs: Needs<'_>) -> bool {
         let mut ops = self.ops();
-        let new_groups: Vec<(Slice, Part)> =
-            needs.groups.iter().copied().filter(|g| !self.groups.contains_key(g)).collect();
+        let new_groups: Vec<(Slice, Part)> = needs
+            .groups
+            .iter()
+            .copied()
+            .filter(|g| !self.groups.contains_key(g))
+            .collect();
         let new_usage = needs.usage.filter(|k| !self.usage.contains_key(k));
         ops += new_groups.len() + usize::from(new_usage.is_some());
         let mut job_bytes = 0;
@@ -207,14 +215,19 @@
                 ops += 1;
                 // The bitmaps, which may be full already, are two hexadecimal digits a byte.
                 let bitmap = job.spec().pieces.min(CHUNK) as usize / 4 + 16;
-                job_bytes = size_of(&job.record) + 512 + bitmap * (1 + job.spec().extra_chunks().min(1) as usize);
+                job_bytes = size_of(&job.record)
+                    + 512
+                    + bitmap * (1 + job.spec().extra_chunks().min(1) as usize);
             }
         }
         // While machines of a slice are being copied from a group that is too large, its term changes with
         // every step: whoever plans on a copy of before then fails.
         let owners = needs.groups.iter().map(|(k, _)| Key::Own(*k));
         let wanted: Vec<Key> = needs.conditions.iter().cloned().chain(owners).collect();
-        let new_conditions = wanted.iter().filter(|c| !self.conditions.contains(c)).count();
+        let new_conditions = wanted
+            .iter()
+            .filter(|c| !self.conditions.contains(c))
+            .count();
         // Everything written is a condition as well.
         let all = ops + self.conditions.len() + new_conditions;
         if ops > self.limits.ops || all > self.limits.conditions {
@@ -223,10 +236,24 @@
         let groups: Vec<((Slice, Part), GroupEdit)> = new_groups
             .into_iter()
             .map(|(k, n)| {
-                let record = self.view.groups[k].get(&n).map(|g| g.value.clone()).unwrap_or_default();
-                let record = GroupRecord { terse: self.terse, ..record };
+                let record = self.view.groups[k]
+                    .get(&n)
+                    .map(|g| g.value.clone())
+                    .unwrap_or_default();
+                let record = GroupRecord {
+                    terse: self.terse,
+                    ..record
+                };
                 let bytes = size_of(&record);
-                ((k, n), GroupEdit { record, bytes, most: self.limits.most(bytes), pruned: false })
+                (
+                    (k, n),
+                    GroupEdit {
+                        record,
+                        bytes,
+                        most: self.limits.most(bytes),
+                        pruned: false,
+                    },
+                )
             })
             .collect();
         let usage = new_usage.map(|k| {
@@ -237,11 +264,19 @@
                 record.teams.clear();
             }
             let bytes = size_of(&record);
-            (k, UsageEdit { record, bytes: bytes + SPARE_BYTES })
+            (
+                k,
+                UsageEdit {
+                    record,
+                    bytes: bytes + SPARE_BYTES,
+                },
+            )
         });
         let too_large = |bytes: usize| bytes > self.limits.taken_bytes;
         if groups.iter().any(|(_, g)| too_large(g.bytes))
-            || usage.as_ref().is_some_and(|(_, u)| too_large(u.bytes - SPARE_BYTES))
+            || usage
+                .as_ref()
+                .is_some_and(|(_, u)| too_large(u.bytes - SPARE_BYTES))
         {
             return false;
         }
@@ -253,7 +288,10 @@
         self.bytes += more;
         self.groups.extend(groups);
         self.usage.extend(usage);
-        if let Some(id) = needs.job.map(|(id, _)| id).filter(|id| !self.jobs.contains_key(id))
+        if let Some(id) = needs
+            .job
+            .map(|(id, _)| id)
+            .filter(|id| !self.jobs.contains_key(id))
             && let Some(job) = self.view.jobs.get(&id)
         {
             let mut record = job.record.clone();
@@ -265,7 +303,14 @@
                     record.finished.merge(&ends);
                 }
             }
-            self.jobs.insert(id, JobEdit { record, chunks: BTreeMap::new(), ended: None });
+            self.jobs.insert(
+                id,
+                JobEdit {
+                    record,
+                    chunks: BTreeMap::new(),
+                    ended: None,
+                },
+            );
         }
         self.conditions.extend(wanted);
         true
@@ -274,7 +319,10 @@
     /// Whether ends that are kept beside their job's record still say something: not those of a job that has ended
     /// itself, and not those that its record has.
     fn is_needed(&self, id: &JobId, ends: &Finished) -> bool {
-        self.view.jobs.get(id).is_some_and(|j| !j.record.finished.covers(ends))
+        self.view
+            .jobs
+            .get(id)
+            .is_some_and(|j| !j.record.finished.covers(ends))
     }
 
     /// Makes sure that a group may grow by some bytes, and still leaves `spare`.
@@ -290,7 +338,10 @@
         if g.bytes + by + spare > g.most && self.terse && !g.pruned {
             // Better to fetch an image again than to leave a machine without work.
             g.pruned = true;
-            g.record.machines.values_mut().for_each(|r| r.forget_images(FEW_IMAGES));
+            g.record
+                .machines
+                .values_mut()
+                .for_each(|r| r.forget_images(FEW_IMAGES));
             g.bytes = size_of(&g.record);
         }
         if g.bytes + by + spare > g.most || self.bytes + by > TXN_BYTES {
@@ -321,8 +372,12 @@
 
     /// All machines of the copy as this draft would leave them, with the groups that hold them.
     pub fn machines(&self) -> impl Iterator<Item = ((Slice, Part), MachineId, &MachineRecord)> {
-        let parts =
-            self.view.groups.iter().enumerate().flat_map(|(k, parts)| parts.iter().map(move |(n, g)| ((k, *n), g)));
+        let parts = self
+            .view
+            .groups
+            .iter()
+            .enumerate()
+            .flat_map(|(k, parts)| parts.iter().map(move |(n, g)| ((k, *n), g)));
         parts
             .map(|(at, g)| (at, self.groups.get(&at).map_or(&g.value, |e| &e.record)))
             .flat_map(|(at, g)| g.machines.iter().map(move |(m, r)| (at, *m, r)))
@@ -331,15 +386,29 @@
     /// What a team of a slice would have booked.
     pub fn used(&self, k: Slice, team: &str) -> (u64, u64) {
         if !self.fenced {
-            return self.usage.get(&k).map_or(&self.view.usage[k].value, |u| &u.record).of(team);
+            return self
+                .usage
+                .get(&k)
+                .map_or(&self.view.usage[k].value, |u| &u.record)
+                .of(team);
         }
-        let (booked, [more, less]) = (self.view.used(k, team), self.moved.get(team).copied().unwrap_or_default());
-        ((booked.0 + more.0).saturating_sub(less.0), (booked.1 + more.1).saturating_sub(less.1))
+        let (booked, [more, less]) = (
+            self.view.used(k, team),
+            self.moved.get(team).copied().unwrap_or_default(),
+        );
+        (
+            (booked.0 + more.0).saturating_sub(less.0),
+            (booked.1 + more.1).saturating_sub(less.1),
+        )
     }
 
     /// The transaction: every record that it writes is a condition.
     pub fn commit(self) -> Commit {
-        let mut commit = Commit { txn: Txn::default(), changes: Vec::new(), ended: Vec::new() };
+        let mut commit = Commit {
+            txn: Txn::default(),
+            changes: Vec::new(),
+            ended: Vec::new(),
+        };
         let mut conditions = self.conditions;
         let mut put = |key: Key, content: Option<Content>| {
             let value = match &content {
@@ -351,8 +420,16 @@
                 _ => None,
             };
             conditions.insert(key.clone());
-            commit.txn.then.push(Put { key: key.clone(), value, permit: None });
-            commit.changes.push(Change { key, content, stamp: 0 });
+            commit.txn.then.push(Put {
+                key: key.clone(),
+                value,
+                permit: None,
+            });
+            commit.changes.push(Change {
+                key,
+                content,
+                stamp: 0,
+            });
         };
         for ((k, n), g) in self.groups {
             // A group without machines is closed, but for the first of a slice: see `add`.
@@ -391,11 +468,19 @@
             }
         }
         for (id, f) in finals {
-            commit.txn.then.push(Put { key: Key::Final(id), value: encode(&f), permit: None });
+            commit.txn.then.push(Put {
+                key: Key::Final(id),
+                value: encode(&f),
+                permit: None,
+            });
             conditions.insert(Key::Final(id));
             commit.ended.push((id, f));
         }
-        commit.txn.when = conditions.into_iter().map(|k| (self.view.stamp(&k), k)).map(|(s, k)| (k, s)).collect();
+        commit.txn.when = conditions
+            .into_iter()
+            .map(|k| (self.view.stamp(&k), k))
+            .map(|(s, k)| (k, s))
+            .collect();
         commit
     }
 }
--- a/src/coordination/draft/edits.rs
+++ b/src/coordination/draft/edits.rs
@@ -13,7 +13,13 @@
     /// Every addition writes the slice's first group, which is never removed. So an addition with
     /// unknown outcome cannot succeed beside a later one of the same machine to another group; one
     /// of an earlier owner fails for its term.
-    pub fn add(&mut self, k: Slice, m: MachineId, record: MachineRecord, full: &dyn Fn(&str) -> usize) -> bool {
+    pub fn add(
+        &mut self,
+        k: Slice,
+        m: MachineId,
+        record: MachineRecord,
+        full: &dyn Fn(&str) -> usize,
+    ) -> bool {
         let size = GroupRecord::machine_bytes(m, &record);
         let expected = full(&record.build).max(size);
         for n in 0.. {
@@ -23,18 +29,22 @@
                 None => self.view.groups[k].get(&n).map(|g| &g.value),
             };
             let exists = group.is_some();
-            let before = *self
-                .expected
-                .entry(at)
-                .or_insert_with(|| group.map_or(64, |g| g.machines.values().map(|r| full(&r.build)).sum()));
+            let before = *self.expected.entry(at).or_insert_with(|| {
+                group.map_or(64, |g| g.machines.values().map(|r| full(&r.build)).sum())
+            });
             // A group with a single machine may be larger than a group should be.
-            let fits = before + expected <= self.limits.part_bytes || group.is_none_or(|g| g.machines.is_empty());
+            let fits = before + expected <= self.limits.part_bytes
+                || group.is_none_or(|g| g.machines.is_empty());
             if !fits {
                 continue;
             }
             let both = [(k, 0), at];
             let groups = if n == 0 { &both[..1] } else { &both };
-            if !self.reserve(Needs { groups, conditions: &[Key::Own(k)], ..Needs::default() }) {
+            if !self.reserve(Needs {
+                groups,
+                conditions: &[Key::Own(k)],
+                ..Needs::default()
+            }) {
                 return false;
             }
             if !self.grow(at, size, SPARE_BYTES) {
@@ -59,14 +69,21 @@
             return true;
         };
         // A machine that may have been released is unusable for ever.
-        let fitness = if now.fitness == Fitness::Releasing { Fitness::Releasing } else { mark.fitness };
+        let fitness = if now.fitness == Fitness::Releasing {
+            Fitness::Releasing
+        } else {
+            mark.fitness
+        };
         let dead = now.dead.max(mark.dead);
         if (now.fitness, now.dead) == (fitness, dead) {
             return true;
         }
         let more = usize::from(dead > now.dead) * 6;
-        if !self.reserve(Needs { groups: &[at], conditions: &[Key::Own(by)], ..Needs::default() })
-            || !self.grow(at, more, 0)
+        if !self.reserve(Needs {
+            groups: &[at],
+            conditions: &[Key::Own(by)],
+            ..Needs::default()
+        }) || !self.grow(at, more, 0)
         {
             return false;
         }
@@ -88,8 +105,12 @@
         let k = view.job_slice(id, spec);
         let conditions = &[Key::Own(k), Key::Job(id), Key::Meta];
         let size = GroupRecord::booking_bytes(&a, &spec.bundle, spec.size);
-        if !self.reserve(Needs { groups: &[at], usage: Some(k), conditions, ..Needs::default() })
-            || !self.grow(at, size, SPARE_BYTES)
+        if !self.reserve(Needs {
+            groups: &[at],
+            usage: Some(k),
+            conditions,
+            ..Needs::default()
+        }) || !self.grow(at, size, SPARE_BYTES)
         {
             return false;
         }
@@ -100,7 +121,8 @@
         let cache = view.machine_type(&r.build).map_or(0, |t| t.cache);
         r.use_image(&spec.bundle, spec.size, cache);
         if let Some(u) = self.usage.get_mut(&k).filter(|_| !self.fenced) {
-            u.record.add(&spec.crew, spec.need.cores, spec.need.accelerators);
+            u.record
+                .add(&spec.crew, spec.need.cores, spec.need.accelerators);
         }
         let [more, _] = self.moved.entry(&spec.crew).or_default();
         *more = (more.0 + spec.need.cores, more.1 + spec.need.accelerators);
@@ -116,7 +138,9 @@
         if !tasks.iter().all(|a| trial.book(m, *a)) || !trial.grow(at, size, SPARE_BYTES) {
             return false;
         }
-        let Some(r) = trial.machine_mut(m) else { return false };
+        let Some(r) = trial.machine_mut(m) else {
+            return false;
+        };
         for v in victims {
             if !r.tasks.contains(v) || r.preempted.contains(v) {
                 return false;
@@ -146,7 +170,11 @@
             Some(_) => {}
         }
         let Some(at) = self.home(m) else { return true };
-        if !self.reserve(Needs { groups: &[at], conditions: &[Key::Own(0)], ..Needs::default() }) {
+        if !self.reserve(Needs {
+            groups: &[at],
+            conditions: &[Key::Own(0)],
+            ..Needs::default()
+        }) {
             return false;
         }
         if let Some(g) = self.groups.get_mut(&at) {
--- a/src/coordination/draft/ends.rs
+++ b/src/coordination/draft/ends.rs
@@ -30,10 +30,19 @@
         let keeper = if self.fenced { by } else { k };
         let kept = outcome == Outcome::Done && counts && self.is_kept(job, a, keeper);
         let own = counts && !kept;
-        let more = if outcome == Outcome::Done { self.more_changes(job, a) } else { 0 };
+        let more = if outcome == Outcome::Done {
+            self.more_changes(job, a)
+        } else {
+            0
+        };
         let (groups, conditions) = (&[at], &[Key::Own(by)]);
         let usage = (kept || !self.fenced).then_some(keeper);
-        let needs = |more| Needs { groups, usage, job: own.then_some((id, more)), conditions };
+        let needs = |more| Needs {
+            groups,
+            usage,
+            job: own.then_some((id, more)),
+            conditions,
+        };
         // Where the end of the job has no room in the same transaction, it goes out later: see `end_done`.
         let whole = self.reserve(needs(more));
         if !whole && (more < 2 || !self.terse || !self.reserve(needs(more - 1))) {
@@ -71,7 +80,8 @@
     /// A team has less booked.
     fn take(&mut self, k: Slice, spec: &'a JobSpec) {
         if let Some(u) = self.usage.get_mut(&k).filter(|_| !self.fenced) {
-            u.record.take(&spec.crew, spec.need.cores, spec.need.accelerators);
+            u.record
+                .take(&spec.crew, spec.need.cores, spec.need.accelerators);
         }
         let [_, less] = self.moved.entry(&spec.crew).or_default();
         *less = (less.0 + spec.need.cores, less.1 + spec.need.accelerators);
@@ -88,15 +98,22 @@
         let known = ends.has(a.task.index) || job.record.finished.has(a.task.index);
         let done = job.record.finished.count_with(&ends) + u32::from(!known);
         let edit = self.usage.get(&keeper);
-        let bytes = edit.map_or_else(|| size_of(&self.view.usage[keeper].value) + SPARE_BYTES, |u| u.bytes);
+        let bytes = edit.map_or_else(
+            || size_of(&self.view.usage[keeper].value) + SPARE_BYTES,
+            |u| u.bytes,
+        );
         let most = self.limits.part_bytes.min(self.limits.value_bytes);
-        done < job.spec().pieces && bytes + ENTRY_BYTES + (SMALL_JOB / 4) as usize + SPARE_BYTES <= most
+        done < job.spec().pieces
+            && bytes + ENTRY_BYTES + (SMALL_JOB / 4) as usize + SPARE_BYTES <= most
     }
 
     /// What usage records would keep of a job's ends.
     fn ends_of(&self, id: JobId, job: &Job) -> Finished {
         let mut ends = job.ends.clone();
-        self.usage.values().filter_map(|u| u.record.ends.get(&id)).for_each(|more| ends.merge(more));
+        self.usage
+            .values()
+            .filter_map(|u| u.record.ends.get(&id))
+            .for_each(|more| ends.merge(more));
         ends
     }
 
@@ -107,7 +124,12 @@
         let n = a.task.index / CHUNK;
         let chunk = n > 0 && edit.is_none_or(|e| !e.chunks.contains_key(&n));
         let done = edit.map_or_else(
-            || job.record.finished.count_with(&self.ends_of(a.task.job, job)) + job.record.more,
+            || {
+                job.record
+                    .finished
+                    .count_with(&self.ends_of(a.task.job, job))
+                    + job.record.more
+            },
             |e| e.record.done(),
         );
         usize::from(chunk) + usize::from(done + 1 >= job.spec().pieces)
@@ -125,8 +147,12 @@
         if n == 0 {
             edit.record.finished.insert(index);
         } else if edit.record.full >> n & 1 == 0 {
-            let chunk =
-                edit.chunks.entry(n).or_insert_with(|| job.chunks.get(&n).map(|c| c.value.clone()).unwrap_or_default());
+            let chunk = edit.chunks.entry(n).or_insert_with(|| {
+                job.chunks
+                    .get(&n)
+                    .map(|c| c.value.clone())
+                    .unwrap_or_default()
+            });
             if chunk.insert(index % CHUNK) {
                 edit.record.more += 1;
                 let size = CHUNK.min(edit.record.spec.pieces - n * CHUNK);
@@ -137,14 +163,28 @@
             }
         }
         if ends && edit.record.done() >= edit.record.spec.pieces {
-            edit.ended = Some(FinalRecord { cancelled: false, done: edit.record.done(), at: self.view.today });
+            edit.ended = Some(FinalRecord {
+                cancelled: false,
+                done: edit.record.done(),
+                at: self.view.today,
+            });
         }
     }
 
     /// Ends a job whose tasks are all done.
     pub fn end_done(&mut self, id: JobId) -> bool {
-        let Some(job) = self.view.jobs.get(&id) else { return true };
-        self.end(id, job, FinalRecord { cancelled: false, done: job.spec().pieces, at: self.view.today })
+        let Some(job) = self.view.jobs.get(&id) else {
+            return true;
+        };
+        self.end(
+            id,
+            job,
+            FinalRecord {
+                cancelled: false,
+                done: job.spec().pieces,
+                at: self.view.today,
+            },
+        )
     }
 
     fn end(&mut self, id: JobId, job: &Job, end: FinalRecord) -> bool {
@@ -152,7 +192,12 @@
         // What the usage record keeps of it goes along, if that can be written.
         let kept = (!self.fenced && self.view.usage[k].value.ends.contains_key(&id)).then_some(k);
         let conditions = &[Key::Own(k)];
-        let needs = |usage| Needs { usage, job: Some((id, 1)), conditions, ..Needs::default() };
+        let needs = |usage| Needs {
+            usage,
+            job: Some((id, 1)),
+            conditions,
+            ..Needs::default()
+        };
         if !self.reserve(needs(kept)) && !self.reserve(needs(None)) {
             return false;
         }
@@ -174,14 +219,29 @@
             self.removed_chunks.insert((id, *n));
             return true;
         }
-        self.end(id, job, FinalRecord { cancelled: true, done: job.done(), at: self.view.today })
+        self.end(
+            id,
+            job,
+            FinalRecord {
+                cancelled: true,
+                done: job.done(),
+                at: self.view.today,
+            },
+        )
     }
 
     /// Moves what the usage record keeps of a job's ends into the job's own record.
     pub fn settle(&mut self, id: JobId) -> bool {
-        let Some(job) = self.view.jobs.get(&id) else { return true };
+        let Some(job) = self.view.jobs.get(&id) else {
+            return true;
+        };
         let k = self.view.job_slice(id, job.spec());
         let usage = (!self.fenced).then_some(k);
-        self.reserve(Needs { usage, job: Some((id, 0)), conditions: &[Key::Own(k)], ..Needs::default() })
+        self.reserve(Needs {
+            usage,
+            job: Some((id, 0)),
+            conditions: &[Key::Own(k)],
+            ..Needs::default()
+        })
     }
 }
--- a/src/coordination/draft/model.rs
+++ b/src/coordination/draft/model.rs
@@ -5,7 +5,9 @@
 use crate::bookkeeping::finished::Finished;
 use crate::bookkeeping::ids::{Attempt, JobId, MachineId, Slice, TaskId};
 use crate::bookkeeping::job::JobRecord;
-use crate::bookkeeping::records::{FENCED, GroupRecord, Incarnation, Key, MetaRecord, OwnRecord, TERSE};
+use crate::bookkeeping::records::{
+    FENCED, GroupRecord, Incarnation, Key, MetaRecord, OwnRecord, TERSE,
+};
 use crate::bookkeeping::view::{Change, Content, Touched, View};
 use crate::coordination::sessions::Outcome;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -52,66 +54,133 @@
 }
 
 fn limits() -> Limits {
-    Limits { ops: 12, conditions: 48, value_bytes: 4_096, taken_bytes: 4_096, large_grow: false, part_bytes: 2_048 }
+    Limits {
+        ops: 12,
+        conditions: 48,
+        value_bytes: 4_096,
+        taken_bytes: 4_096,
+        large_grow: false,
+        part_bytes: 2_048,
+    }
 }
 
 fn own(k: Slice, run: u64) -> Change {
-    let record = OwnRecord { node: format!("n{k}"), run: Incarnation(run) };
-    Change { key: Key::Own(k), content: Some(Content::Own(record)), stamp: 0 }
+    let record = OwnRecord {
+        node: format!("n{k}"),
+        run: Incarnation(run),
+    };
+    Change {
+        key: Key::Own(k),
+        content: Some(Content::Own(record)),
+        stamp: 0,
+    }
 }
 
 impl State {
     fn new(layout: u32) -> State {
-        let put = |key: Key, content: Content| Change { key, content: Some(content), stamp: 0 };
+        let put = |key: Key, content: Content| Change {
+            key,
+            content: Some(content),
+            stamp: 0,
+        };
         let text = r#"{"s":{"l":"lane","w":"red","u":"2","n":2,"r":{"c":1000},"i":"img","g":9000000},"t":1}"#;
         let job: JobRecord = serde_json::from_str(text).expect("a job");
         let teams = BTreeMap::from([("red".to_owned(), 0)]);
-        let mut first =
-            vec![put(Key::Meta, Content::Meta(MetaRecord { layout, slices: 2, teams })), own(0, 0), own(1, 1)];
+        let mut first = vec![
+            put(
+                Key::Meta,
+                Content::Meta(MetaRecord {
+                    layout,
+                    slices: 2,
+                    teams,
+                }),
+            ),
+            own(0, 0),
+            own(1, 1),
+        ];
         for (k, m) in MACHINES.into_iter().enumerate() {
             let mut group = GroupRecord::default();
             group.machines.insert(m, super::tests::machine());
             first.push(put(Key::Group(k, 0), Content::Group(group)));
         }
         first.push(put(Key::Job(JOB), Content::Job(Box::new(job))));
-        let process = |run| Process { run, seen: 1, ahead: Vec::new(), waits: false, must_read: false };
+        let process = |run| Process {
+            run,
+            seen: 1,
+            ahead: Vec::new(),
+            waits: false,
+            must_read: false,
+        };
         let processes = vec![process(0), process(1)];
         let log = vec![std::rc::Rc::new(first)];
         let (sent, done) = (Vec::new(), BTreeSet::new());
-        State { log, processes, sent, done, crashes: 0, losses: 0, failures: 0 }
+        State {
+            log,
+            processes,
+            sent,
+            done,
+            crashes: 0,
+            losses: 0,
+            failures: 0,
+        }
     }
 
     fn view(&self, p: &Process) -> View {
         let mut view = View::default();
         let apply = |view: &mut View, n: usize| {
             let stamp = n as u64 + 1;
-            view.apply(self.log[n].iter().map(|c| Change { stamp, ..c.clone() }), &mut Touched::default());
+            view.apply(
+                self.log[n].iter().map(|c| Change { stamp, ..c.clone() }),
+                &mut Touched::default(),
+            );
         };
         for n in 0..p.seen {
             apply(&mut view, n);
             view.advance(n as u64 + 1);
         }
-        p.ahead.iter().filter(|n| **n >= p.seen).for_each(|n| apply(&mut view, *n));
+        p.ahead
+            .iter()
+            .filter(|n| **n >= p.seen)
+            .for_each(|n| apply(&mut view, *n));
         view
     }
 
     fn store(&self) -> View {
         let run = 0;
-        self.view(&Process { run, seen: self.log.len(), ahead: Vec::new(), waits: false, must_read: false })
+        self.view(&Process {
+            run,
+            seen: self.log.len(),
+            ahead: Vec::new(),
+            waits: false,
+            must_read: false,
+        })
     }
 
     /// What tells states apart.
     fn digest(&self) -> String {
-        let sent: Vec<_> = self.sent.iter().map(|s| (&s.changes, s.by, &s.commit.txn.when)).collect();
+        let sent: Vec<_> = self
+            .sent
+            .iter()
+            .map(|s| (&s.changes, s.by, &s.commit.txn.when))
+            .collect();
         let counts = (self.crashes, self.losses, self.failures);
         format!("{:?}{:?}{sent:?}{counts:?}", self.log, self.processes)
     }
 
     fn send(&self, p: usize, commit: Commit, ends: Vec<u32>) -> State {
         let mut next = self.clone();
-        let changes = commit.txn.then.iter().map(|w| (w.key.clone(), w.value.as_ref().map(|v| v.get().to_owned())));
+        let changes = commit
+            .txn
+            .then
+            .iter()
+            .map(|w| (w.key.clone(), w.value.as_ref().map(|v| v.get().to_owned())));
         let changes = changes.collect();
-        next.sent.push(Sent { changes, commit: std::rc::Rc::new(commit), by: Some(p), ends });
+        next.sent.push(Sent {
+            changes,
+            commit: std::rc::Rc::new(commit),
+            by: Some(p),
+            ends,
+        });
         next.processes[p].waits = true;
         next
     }
@@ -147,12 +216,20 @@
         if self.crashes == 0 {
             let mut next = self.clone();
             next.crashes += 1;
-            next.sent.iter_mut().filter(|s| s.by == Some(0)).for_each(|s| s.by = None);
+            next.sent
+                .iter_mut()
+                .filter(|s| s.by == Some(0))
+                .for_each(|s| s.by = None);
             next.log.push(std::rc::Rc::new(vec![own(0, 2)]));
             // Its claim is in its copy at once, all else is as it read it before.
             let claimed = next.log.len() - 1;
-            next.processes[0] =
-                Process { run: 2, seen: self.log.len(), ahead: vec![claimed], waits: false, must_read: false };
+            next.processes[0] = Process {
+                run: 2,
+                seen: self.log.len(),
+                ahead: vec![claimed],
+                waits: false,
+                must_read: false,
+            };
             for seen in 1..self.log.len() {
                 let mut older = next.clone();
                 older.processes[0].seen = seen;
@@ -166,13 +243,26 @@
     fn plan(&self, p: usize, steps: &mut Vec<State>) {
         let process = &self.processes[p];
         let view = self.view(process);
-        let owns = |k: Slice| view.own[k].value.as_ref().is_some_and(|o| o.run.0 == process.run);
-        let Some(job) = view.jobs.get(&JOB) else { return };
+        let owns = |k: Slice| {
+            view.own[k]
+                .value
+                .as_ref()
+                .is_some_and(|o| o.run.0 == process.run)
+        };
+        let Some(job) = view.jobs.get(&JOB) else {
+            return;
+        };
         if owns(0) {
-            for (index, m) in view.pending(JOB, job).flat_map(|i| MACHINES.map(|m| (i, m))) {
+            for (index, m) in view
+                .pending(JOB, job)
+                .flat_map(|i| MACHINES.map(|m| (i, m)))
+            {
                 let mut draft = Draft::new(&view, limits());
                 let used = draft.used(0, "red").0;
-                let attempt = Attempt { task: TaskId { job: JOB, index }, number: view.latest };
+                let attempt = Attempt {
+                    task: TaskId { job: JOB, index },
+                    number: view.latest,
+                };
                 if used + 1_000 <= LIMIT && draft.book(m, attempt) {
                     steps.push(self.send(p, draft.commit(), Vec::new()));
                 }
@@ -204,7 +294,12 @@
         let mut next = self.clone();
         let sent = next.sent.remove(i);
         let store = self.store();
-        let holds = sent.commit.txn.when.iter().all(|(k, s)| store.stamp(k) == *s);
+        let holds = sent
+            .commit
+            .txn
+            .when
+            .iter()
+            .all(|(k, s)| store.stamp(k) == *s);
         if holds {
             next.done.extend(&sent.ends);
             next.log.push(std::rc::Rc::new(sent.commit.changes.clone()));
@@ -222,8 +317,10 @@
     /// What may never be seen in the store.
     fn judge(&self) -> Result<(), String> {
         let store = self.store();
-        let booked: Vec<u32> =
-            store.machines().flat_map(|(_, _, r)| r.tasks.iter().map(|b| b.attempt().task.index)).collect();
+        let booked: Vec<u32> = store
+            .machines()
+            .flat_map(|(_, _, r)| r.tasks.iter().map(|b| b.attempt().task.index))
+            .collect();
         let each: BTreeSet<u32> = booked.iter().copied().collect();
         if each.len() < booked.len() {
             return Err(format!("booked twice: {booked:?}"));
@@ -233,7 +330,14 @@
         }
         let Some(job) = store.jobs.get(&JOB) else {
             let all = self.done.len() == TASKS as usize && booked.is_empty();
-            return if all { Ok(()) } else { Err(format!("ended with {:?} done, {booked:?} booked", self.done)) };
+            return if all {
+                Ok(())
+            } else {
+                Err(format!(
+                    "ended with {:?} done, {booked:?} booked",
+                    self.done
+                ))
+            };
         };
         let kept: BTreeSet<u32> = (0..TASKS).filter(|i| job.finished(*i)).collect();
         if kept != self.done {
@@ -255,7 +359,11 @@
 /// can always still end. `FAILURES=1 cargo test --release model` plays a larger case in both ways of keeping usage.
 #[test]
 fn every_interleaving_keeps_the_rules() {
-    for layout in if most_failures() > 0 { vec![TERSE, FENCED] } else { vec![FENCED] } {
+    for layout in if most_failures() > 0 {
+        vec![TERSE, FENCED]
+    } else {
+        vec![FENCED]
+    } {
         let mut seen = HashSet::new();
         let mut left = vec![State::new(layout)];
         let mut ended = 0;
@@ -268,10 +376,17 @@
             }
             let steps = state.steps();
             ended += usize::from(state.store().jobs.is_empty());
-            assert!(!steps.is_empty() || state.store().jobs.is_empty(), "stuck: {state:#?}");
+            assert!(
+                !steps.is_empty() || state.store().jobs.is_empty(),
+                "stuck: {state:#?}"
+            );
             left.extend(steps);
         }
-        assert!(ended > 0 && seen.len() > 1_000, "{} states, {ended} ends", seen.len());
+        assert!(
+            ended > 0 && seen.len() > 1_000,
+            "{} states, {ended} ends",
+            seen.len()
+        );
     }
 }
 
@@ -292,5 +407,9 @@
     state.processes[0].seen = 2;
     let view = state.view(&state.processes[0]);
     assert_eq!(view.pending(JOB, &view.jobs[&JOB]).collect::<Vec<_>>(), [0]);
-    assert_eq!(view.used(0, "red"), (0, 0), "what is booked is told by the groups");
+    assert_eq!(
+        view.used(0, "red"),
+        (0, 0),
+        "what is booked is told by the groups"
+    );
 }
--- a/src/coordination/draft/shrink.rs
+++ b/src/coordination/draft/shrink.rs
@@ -10,7 +10,9 @@
 /// Whether the view has this record larger than `most` bytes.
 pub fn too_large(view: &View, key: &Key, most: usize) -> bool {
     match key {
-        Key::Group(k, n) => view.groups[*k].get(n).is_some_and(|g| size_of(&g.value) > most),
+        Key::Group(k, n) => view.groups[*k]
+            .get(n)
+            .is_some_and(|g| size_of(&g.value) > most),
         Key::Usage(k) => size_of(&view.usage[*k].value) > most,
         _ => false,
     }
@@ -30,9 +32,20 @@
     /// and the copies count, until what is left can be written: see [`View::is_stale`]. Every step of
     /// that raises the slice's term, on which whoever writes to its groups relies: so nothing that was
     /// planned on the group itself can still be applied, nor the same step twice.
-    fn shrink_group(&mut self, k: Slice, n: Part, me: &OwnRecord, full: &dyn Fn(&str) -> usize) -> bool {
-        let Some(group) = self.view.groups[k].get(&n) else { return false };
-        let mut rest = GroupRecord { terse: self.terse, ..group.value.clone() };
+    fn shrink_group(
+        &mut self,
+        k: Slice,
+        n: Part,
+        me: &OwnRecord,
+        full: &dyn Fn(&str) -> usize,
+    ) -> bool {
+        let Some(group) = self.view.groups[k].get(&n) else {
+            return false;
+        };
+        let mut rest = GroupRecord {
+            terse: self.terse,
+            ..group.value.clone()
+        };
         let size = size_of(&rest);
         let writable = size <= self.limits.taken_bytes;
         // The group itself, or the term, takes one change.
@@ -45,12 +58,22 @@
             if size_of(&rest) <= self.limits.value_bytes.min(self.limits.part_bytes) {
                 break;
             }
-            let Some(record) = rest.machines.get(&m).cloned() else { continue };
-            let mut alone = GroupRecord { terse: self.terse, ..GroupRecord::default() };
+            let Some(record) = rest.machines.get(&m).cloned() else {
+                continue;
+            };
+            let mut alone = GroupRecord {
+                terse: self.terse,
+                ..GroupRecord::default()
+            };
             alone.machines.insert(m, record);
             let takes = size_of(&alone);
             // Once full it may take more than now. One that has no room alone stays.
-            let expected = alone.machines.values().map(|r| full(&r.build)).sum::<usize>().max(takes);
+            let expected = alone
+                .machines
+                .values()
+                .map(|r| full(&r.build))
+                .sum::<usize>()
+                .max(takes);
             if takes + super::SPARE_BYTES / 2 > self.limits.value_bytes {
                 continue;
             }
@@ -58,7 +81,10 @@
                 if new.len() >= parts || bytes + takes > super::TXN_BYTES {
                     break;
                 }
-                new.push(GroupRecord { terse: self.terse, ..GroupRecord::default() });
+                new.push(GroupRecord {
+                    terse: self.terse,
+                    ..GroupRecord::default()
+                });
                 left = self.limits.part_bytes;
             }
             left = left.saturating_sub(expected);
@@ -73,15 +99,31 @@
             return false;
         }
         let writes = writable || fits;
-        let next = self.view.groups[k].keys().next_back().map_or(0, |last| last + 1);
+        let next = self.view.groups[k]
+            .keys()
+            .next_back()
+            .map_or(0, |last| last + 1);
         let most = self.limits.value_bytes;
         for (n, record) in (next..).zip(new) {
-            let edit = GroupEdit { bytes: size_of(&record), record, most, pruned: false };
+            let edit = GroupEdit {
+                bytes: size_of(&record),
+                record,
+                most,
+                pruned: false,
+            };
             self.groups.insert((k, n), edit);
         }
         self.conditions.extend([Key::Own(k), Key::Group(k, n)]);
         if writes {
-            self.groups.insert((k, n), GroupEdit { bytes: size_of(&rest), record: rest, most: size, pruned: false });
+            self.groups.insert(
+                (k, n),
+                GroupEdit {
+                    bytes: size_of(&rest),
+                    record: rest,
+                    most: size,
+                    pruned: false,
+                },
+            );
         } else {
             self.raise = Some((k, me.clone()));
         }
@@ -94,12 +136,25 @@
     fn shrink_usage(&mut self, k: Slice) -> bool {
         let usage = &self.view.usage[k];
         let conditions = &[Key::Own(k)];
-        let opened = self.reserve(Needs { usage: Some(k), conditions, ..Needs::default() });
-        if opened && self.usage.get(&k).is_some_and(|u| size_of(&u.record) <= self.limits.value_bytes) {
+        let opened = self.reserve(Needs {
+            usage: Some(k),
+            conditions,
+            ..Needs::default()
+        });
+        if opened
+            && self
+                .usage
+                .get(&k)
+                .is_some_and(|u| size_of(&u.record) <= self.limits.value_bytes)
+        {
             return true;
         }
-        let copied =
-            |id: &JobId, ends: &Finished| self.view.jobs.get(id).is_none_or(|j| j.record.finished.covers(ends));
+        let copied = |id: &JobId, ends: &Finished| {
+            self.view
+                .jobs
+                .get(id)
+                .is_none_or(|j| j.record.finished.covers(ends))
+        };
         let mut sets: Vec<(usize, JobId)> = usage
             .value
             .ends
@@ -111,7 +166,12 @@
         let mut moved = false;
         for (_, id) in sets {
             let conditions = &[Key::Own(k), Key::Usage(k)];
-            if !self.reserve(Needs { usage: opened.then_some(k), job: Some((id, 0)), conditions, ..Needs::default() }) {
+            if !self.reserve(Needs {
+                usage: opened.then_some(k),
+                job: Some((id, 0)),
+                conditions,
+                ..Needs::default()
+            }) {
                 break;
             }
             if let (Some(j), Some(ends)) = (self.jobs.get_mut(&id), usage.value.ends.get(&id)) {
@@ -141,17 +201,34 @@
 
     fn limits(taken_bytes: usize) -> Limits {
         let (ops, part_bytes) = (4, MOST - 128);
-        Limits { ops, conditions: 4 * ops, value_bytes: MOST, taken_bytes, large_grow: false, part_bytes }
+        Limits {
+            ops,
+            conditions: 4 * ops,
+            value_bytes: MOST,
+            taken_bytes,
+            large_grow: false,
+            part_bytes,
+        }
     }
 
     fn me() -> OwnRecord {
-        OwnRecord { node: "n0".to_owned(), run: Incarnation(1) }
+        OwnRecord {
+            node: "n0".to_owned(),
+            run: Incarnation(1),
+        }
     }
 
     fn job(pieces: u32) -> JobRecord {
         let text = r#"{"s":{"l":"lane","w":"free","u":"2","n":1,"r":[1000,0,1000],"i":"img","g":9000000},"t":1}"#;
         let record: JobRecord = serde_json::from_str(text).unwrap();
-        JobRecord { spec: JobSpec { pieces, urgency: Urgency::Low, ..record.spec }, ..record }
+        JobRecord {
+            spec: JobSpec {
+                pieces,
+                urgency: Urgency::Low,
+                ..record.spec
+            },
+            ..record
+        }
     }
 
     /// Many machines in one part, each with a task of a job of its own.
@@ -162,11 +239,22 @@
         for m in 1..=machines {
             let id = JobId(300_000 + m * 7_919);
             let mut r = machine();
-            r.tasks.push(Booking::of(Attempt { task: TaskId { job: id, index: 0 }, number: m * 70_000 }));
+            r.tasks.push(Booking::of(Attempt {
+                task: TaskId { job: id, index: 0 },
+                number: m * 70_000,
+            }));
             g.machines.insert(MachineId(m), r);
-            changes.push(Change { key: Key::Job(id), content: Some(Content::Job(Box::new(job(1)))), stamp: 2 });
+            changes.push(Change {
+                key: Key::Job(id),
+                content: Some(Content::Job(Box::new(job(1)))),
+                stamp: 2,
+            });
         }
-        changes.push(Change { key: Key::Group(0, 0), content: Some(Content::Group(g)), stamp: 2 });
+        changes.push(Change {
+            key: Key::Group(0, 0),
+            content: Some(Content::Group(g)),
+            stamp: 2,
+        });
         view.apply(changes, &mut Touched::default());
         view.advance(2);
         view
@@ -182,8 +270,15 @@
 
     fn store(view: &View, key: &Key, store: &mut Store, commit: &Commit, stamp: u64) {
         assert!(holds(view, commit));
-        assert!(commit.txn.then.len() <= 4 && commit.txn.when.len() <= 16, "{key}");
-        assert!(commit.txn.largest() <= MOST, "{key}: {} bytes", commit.txn.largest());
+        assert!(
+            commit.txn.then.len() <= 4 && commit.txn.when.len() <= 16,
+            "{key}"
+        );
+        assert!(
+            commit.txn.largest() <= MOST,
+            "{key}: {} bytes",
+            commit.txn.largest()
+        );
         for c in &commit.changes {
             match &c.content {
                 Some(content) => store.insert(c.key.to_string(), (content.clone(), stamp)),
@@ -193,7 +288,9 @@
     }
 
     fn machines(view: &View) -> BTreeSet<(MachineId, Vec<Booking>)> {
-        view.machines().map(|(_, m, r)| (m, r.tasks.clone())).collect()
+        view.machines()
+            .map(|(_, m, r)| (m, r.tasks.clone()))
+            .collect()
     }
 
     /// A group that is too large for the limits in force is copied in steps of which each is complete:
@@ -205,7 +302,10 @@
         let all = machines(&view);
         let before = view.groups[0][&0].clone();
         let mut kept = Store::new();
-        kept.insert("c/group/0/0".to_owned(), (Content::Group(before.value), before.stamp));
+        kept.insert(
+            "c/group/0/0".to_owned(),
+            (Content::Group(before.value), before.stamp),
+        );
         let key = Key::Group(0, 0);
         let mut stamp = 2;
         let mut copied = 0;
@@ -233,7 +333,11 @@
             });
             fresh.apply(listed, &mut Touched::default());
             assert_eq!(machines(&fresh), all, "a fresh copy after step {stamp}");
-            if let Some(stale) = view.machines().map(|(_, m, _)| m).find(|m| view.is_stale(*m)) {
+            if let Some(stale) = view
+                .machines()
+                .map(|(_, m, _)| m)
+                .find(|m| view.is_stale(*m))
+            {
                 copied += 1;
                 let mut draft = Draft::new(&view, limits(MOST));
                 let booking = view.machine(stale).unwrap().tasks[0].attempt();
@@ -255,7 +359,10 @@
         let mut stamp = 2;
         while too_large(&view, &key, MOST) {
             let commit = step(&view, &key, 16 * 1_024).expect("a step");
-            assert!(commit.txn.when.iter().any(|(k, _)| *k == Key::Own(0)), "not on the term");
+            assert!(
+                commit.txn.when.iter().any(|(k, _)| *k == Key::Own(0)),
+                "not on the term"
+            );
             stamp += 1;
             apply(&mut view, commit, stamp);
             assert_eq!(machines(&view), all, "after step {stamp}");
@@ -276,9 +383,17 @@
                 ends.insert(100);
                 usage.ends.insert(JobId(j.into()), ends);
                 let content = Some(Content::Job(Box::new(job(120))));
-                changes.push(Change { key: Key::Job(JobId(j.into())), content, stamp: 2 });
+                changes.push(Change {
+                    key: Key::Job(JobId(j.into())),
+                    content,
+                    stamp: 2,
+                });
             }
-            changes.push(Change { key: Key::Usage(0), content: Some(Content::Usage(usage)), stamp: 2 });
+            changes.push(Change {
+                key: Key::Usage(0),
+                content: Some(Content::Usage(usage)),
+                stamp: 2,
+            });
             view.apply(changes, &mut Touched::default());
             view.advance(2);
             assert!(encode(&view.usage[0].value).unwrap().get().len() > MOST);
@@ -291,7 +406,10 @@
                 apply(&mut view, commit, stamp);
                 for j in 1..=90 {
                     let job = &view.jobs[&JobId(j.into())];
-                    assert!(job.done() == 2 && job.finished(j) && job.finished(100), "job {j} after step {stamp}");
+                    assert!(
+                        job.done() == 2 && job.finished(j) && job.finished(100),
+                        "job {j} after step {stamp}"
+                    );
                 }
             }
         }
--- a/src/coordination/draft/tests.rs
+++ b/src/coordination/draft/tests.rs
@@ -27,8 +27,14 @@
 
 fn drafted(view: &View, work: impl FnOnce(&mut Draft<'_>)) -> Commit {
     // Groups have room for two machines.
-    let limits =
-        Limits { ops: 12, conditions: 48, value_bytes: 4_096, taken_bytes: 4_096, large_grow: false, part_bytes: 500 };
+    let limits = Limits {
+        ops: 12,
+        conditions: 48,
+        value_bytes: 4_096,
+        taken_bytes: 4_096,
+        large_grow: false,
+        part_bytes: 500,
+    };
     let mut draft = Draft::new(view, limits);
     work(&mut draft);
     draft.commit()
@@ -45,7 +51,10 @@
 
 pub(super) fn apply(view: &mut View, commit: Commit, stamp: u64) {
     assert!(holds(view, &commit));
-    view.apply(commit.changes.into_iter().map(|c| Change { stamp, ..c }), &mut Touched::default());
+    view.apply(
+        commit.changes.into_iter().map(|c| Change { stamp, ..c }),
+        &mut Touched::default(),
+    );
     view.advance(stamp);
 }
 
@@ -56,8 +65,16 @@
 /// A copy with nothing in it.
 pub(super) fn view_of(layout: u32) -> View {
     let mut view = View::default();
-    let meta = MetaRecord { layout, slices: 1, teams: BTreeMap::new() };
-    let change = Change { key: Key::Meta, content: Some(Content::Meta(meta)), stamp: 1 };
+    let meta = MetaRecord {
+        layout,
+        slices: 1,
+        teams: BTreeMap::new(),
+    };
+    let change = Change {
+        key: Key::Meta,
+        content: Some(Content::Meta(meta)),
+        stamp: 1,
+    };
     view.apply([change], &mut Touched::default());
     view.advance(1);
     view
@@ -87,7 +104,9 @@
     let commit = drafted(&view, |d| (1..=5).for_each(|m| add(d, m)));
     apply(&mut view, commit, 2);
     assert_eq!(view.groups[0].len(), 3);
-    let commit = drafted(&view, |d| (1..=5).for_each(|m| assert!(d.remove(MachineId(m)))));
+    let commit = drafted(&view, |d| {
+        (1..=5).for_each(|m| assert!(d.remove(MachineId(m))))
+    });
     apply(&mut view, commit, 3);
     assert_eq!(view.groups[0].keys().copied().collect::<Vec<_>>(), [0]);
 }
@@ -103,24 +122,50 @@
         record.finished.insert(i);
     });
     let id = JobId(7);
-    let last = Attempt { task: crate::bookkeeping::ids::TaskId { job: id, index: CHUNK }, number: 2 };
+    let last = Attempt {
+        task: crate::bookkeeping::ids::TaskId {
+            job: id,
+            index: CHUNK,
+        },
+        number: 2,
+    };
     let mut g = GroupRecord::default();
     let mut r = machine();
     r.tasks.push(Booking::of(last));
     g.machines.insert(MachineId(1), r);
-    let contents = [(Key::Job(id), Content::Job(Box::new(record))), (Key::Group(0, 0), Content::Group(g))];
+    let contents = [
+        (Key::Job(id), Content::Job(Box::new(record))),
+        (Key::Group(0, 0), Content::Group(g)),
+    ];
     view.apply(
-        contents.map(|(key, content)| Change { key, content: Some(content), stamp: 2 }),
+        contents.map(|(key, content)| Change {
+            key,
+            content: Some(content),
+            stamp: 2,
+        }),
         &mut Touched::default(),
     );
     view.advance(2);
-    let limits =
-        Limits { ops: 4, conditions: 16, value_bytes: 2_048, taken_bytes: 2_048, large_grow: false, part_bytes: 1_920 };
+    let limits = Limits {
+        ops: 4,
+        conditions: 16,
+        value_bytes: 2_048,
+        taken_bytes: 2_048,
+        large_grow: false,
+        part_bytes: 1_920,
+    };
     let mut draft = Draft::new(&view, limits);
-    assert!(draft.clear(MachineId(1), last, Outcome::Done, 0), "never cleared");
+    assert!(
+        draft.clear(MachineId(1), last, Outcome::Done, 0),
+        "never cleared"
+    );
     let commit = draft.commit();
     assert!(commit.txn.then.len() <= 4 && commit.ended.is_empty());
-    assert!(commit.txn.largest() <= 2_048, "{} bytes", commit.txn.largest());
+    assert!(
+        commit.txn.largest() <= 2_048,
+        "{} bytes",
+        commit.txn.largest()
+    );
     apply(&mut view, commit, 3);
     assert_eq!(view.jobs[&id].done(), CHUNK + 1);
     let mut draft = Draft::new(&view, limits);
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -95,10 +95,18 @@
             self.counts.pop_back();
         }
         self.counts.push_back((now, idle));
-        while self.counts.front().is_some_and(|(t, _)| now.since(*t) > window) {
+        while self
+            .counts
+            .front()
+            .is_some_and(|(t, _)| now.since(*t) > window)
+        {
             self.counts.pop_front();
         }
-        if now.since(since) < window { 0 } else { self.counts.front().map_or(0, |(_, n)| *n) }
+        if now.since(since) < window {
+            0
+        } else {
+            self.counts.front().map_or(0, |(_, n)| *n)
+        }
     }
 
     /// So many of them are returned.
@@ -134,7 +142,10 @@
 
     pub(super) fn end_fleet(&mut self) {
         let counter = self.fleet.counter;
-        self.fleet = Fleet { counter, ..Fleet::default() };
+        self.fleet = Fleet {
+            counter,
+            ..Fleet::default()
+        };
         self.rounds.drop_fleet();
     }
 
@@ -198,7 +209,9 @@
         for (id, j) in jobs {
             let spec = j.spec();
             let k = self.view.job_slice(*id, spec);
-            let used = used.entry(&spec.crew).or_insert_with(|| self.view.used(k, &spec.crew).0);
+            let used = used
+                .entry(&spec.crew)
+                .or_insert_with(|| self.view.used(k, &spec.crew).0);
             let mut count = count(id, j);
             if let Some(limit) = self.cfg.team(&spec.crew).and_then(|t| t.cores_limit) {
                 let left = limit.saturating_sub(*used).checked_div(spec.need.cores);
@@ -206,10 +219,19 @@
             }
             *used += count * spec.need.cores;
             if count > 0 {
-                let Ok(places) = self.places_for(*id, j) else { continue };
+                let Ok(places) = self.places_for(*id, j) else {
+                    continue;
+                };
                 let slack = self.latest_start(j).since(self.now.day);
                 let price_limit = self.price_limit(j);
-                demands.push(Demand { spec, count, slack, run: spec.guess, price_limit, places });
+                demands.push(Demand {
+                    spec,
+                    count,
+                    slack,
+                    run: spec.guess,
+                    price_limit,
+                    places,
+                });
             }
         }
         demands
@@ -218,7 +240,9 @@
     /// Whether a job's turn is near: of what it awaits all tasks that are left have started.
     fn nears(&self, job: &Job) -> bool {
         let started = |f: &JobId| match self.view.jobs.get(f) {
-            Some(j) => j.ready() && !self.rounds.is_suspect(*f) && self.view.pending_count(*f, j) == 0,
+            Some(j) => {
+                j.ready() && !self.rounds.is_suspect(*f) && self.view.pending_count(*f, j) == 0
+            }
             None => true,
         };
         !job.cancelled() && !job.stage.doubtful && job.spec().awaits.iter().all(started)
@@ -246,7 +270,10 @@
 
     /// The class of machines that could be hired, where rules ask for it.
     fn class_of_offer(&self, build: &str, yard: &str, spot: bool) -> Option<ClassId> {
-        self.rules.active().then(|| self.view.classes.of_offer(build, yard, spot)).flatten()
+        self.rules
+            .active()
+            .then(|| self.view.classes.of_offer(build, yard, spot))
+            .flatten()
     }
 
     /// Machines that are up or expected to come up.
@@ -262,7 +289,14 @@
                 .map(|j| u128::from(j.spec().need.cores) * u128::from(j.spec().guess.0 / 2));
             let class = ruled.then(|| self.view.classes.of(m)).flatten();
             let free = Some((self.view.free(r), Some(m)));
-            pools.add((&r.build, &r.yard, r.spot), catalog, class, 1, free, work.sum());
+            pools.add(
+                (&r.build, &r.yard, r.spot),
+                catalog,
+                class,
+                1,
+                free,
+                work.sum(),
+            );
         }
         for (_, k) in self.fleet.known.iter().filter(|(m, k)| self.boots(**m, k)) {
             let class = self.class_of_offer(&k.build, &k.yard, k.spot);
@@ -273,7 +307,14 @@
             let age = self.now.day.since(h.at);
             if age < self.cfg.list_lag * 2 + Micros::secs(8) {
                 let class = self.class_of_offer(&h.build, &h.yard, h.spot);
-                pools.add((&h.build, &h.yard, h.spot), catalog, class, h.count.into(), None, 0);
+                pools.add(
+                    (&h.build, &h.yard, h.spot),
+                    catalog,
+                    class,
+                    h.count.into(),
+                    None,
+                    0,
+                );
             }
         }
         pools
@@ -281,7 +322,9 @@
 
     fn hire_machines(&mut self) {
         let now = self.now.steady;
-        let Some(catalog) = &self.view.types.value else { return };
+        let Some(catalog) = &self.view.types.value else {
+            return;
+        };
         let demands = self.demands();
         if demands.is_empty() {
             return;
@@ -293,10 +336,17 @@
         }
         let catalog = &catalog;
         let none_left = &self.fleet.none_left;
-        let offered =
-            |o: &Offer| !self.zones.is_lost(&o.yard) && none_left.get(o).is_none_or(|(until, _)| *until <= now);
+        let offered = |o: &Offer| {
+            !self.zones.is_lost(&o.yard) && none_left.get(o).is_none_or(|(until, _)| *until <= now)
+        };
         let class_of = |o: &Offer| self.class_of_offer(&o.build, &o.yard, o.spot);
-        let hires = plan(catalog, &demands, &mut self.pools(catalog), &offered, &class_of);
+        let hires = plan(
+            catalog,
+            &demands,
+            &mut self.pools(catalog),
+            &offered,
+            &class_of,
+        );
         drop(demands);
         if hires.is_empty() {
             return;
@@ -312,7 +362,10 @@
                 self.fleet.counter += 1;
                 let hire = HireRecord {
                     // Never used again, not even by another process or after a restart.
-                    name: format!("{}-{:016x}-{}", self.cfg.node, self.run.0, self.fleet.counter),
+                    name: format!(
+                        "{}-{:016x}-{}",
+                        self.cfg.node, self.run.0, self.fleet.counter
+                    ),
                     build: offer.build.clone(),
                     yard: offer.yard.clone(),
                     spot: offer.spot,
@@ -346,22 +399,39 @@
     fn note_boots(&mut self) {
         let now = self.now.steady;
         let view = &self.view;
-        for (m, k) in self.fleet.known.iter_mut().filter(|(m, k)| k.booting && view.machine(**m).is_some()) {
+        for (m, k) in self
+            .fleet
+            .known
+            .iter_mut()
+            .filter(|(m, k)| k.booting && view.machine(**m).is_some())
+        {
             k.booting = false;
             let took = now.since(k.since);
             tracing::debug!(machine = %m, %took, "up");
             self.fleet.boots.ended(&k.build, now, took);
         }
         let mut ages: HashMap<&str, Vec<Micros>> = HashMap::new();
-        for (m, k) in self.fleet.known.iter().filter(|(_, k)| k.booting && k.status != HostStatus::Failed) {
+        for (m, k) in self
+            .fleet
+            .known
+            .iter()
+            .filter(|(_, k)| k.booting && k.status != HostStatus::Failed)
+        {
             if !self.fleet.released.contains(m) {
                 ages.entry(&k.build).or_default().push(now.since(k.since));
             }
         }
         for t in view.machine_types() {
             let waiting = ages.remove(t.name.as_str()).unwrap_or_default();
-            let expected = self.fleet.boots.expected(&t.name, t.boot, now, waiting.into_iter());
-            let known = self.fleet.expected.entry(t.name.clone()).or_insert((t.boot, t.boot));
+            let expected = self
+                .fleet
+                .boots
+                .expected(&t.name, t.boot, now, waiting.into_iter());
+            let known = self
+                .fleet
+                .expected
+                .entry(t.name.clone())
+                .or_insert((t.boot, t.boot));
             known.0 = expected;
             if expected > known.1 * 2 || known.1 > expected * 2 {
                 tracing::info!(build = t.name, %expected, nominal = %t.boot, "boots take another time than before");
@@ -371,12 +441,17 @@
     }
 
     fn nominal_boot(&self, build: &str) -> Micros {
-        self.view.machine_type(build).map_or(Micros::secs(60), |t| t.boot)
+        self.view
+            .machine_type(build)
+            .map_or(Micros::secs(60), |t| t.boot)
     }
 
     /// How long a machine of this type takes to come up at present.
     pub(super) fn expected_boot(&self, build: &str) -> Micros {
-        self.fleet.expected.get(build).map_or_else(|| self.nominal_boot(build), |(now, _)| *now)
+        self.fleet
+            .expected
+            .get(build)
+            .map_or_else(|| self.nominal_boot(build), |(now, _)| *now)
     }
 
     /// How long a machine of this type may take to come up before it no longer counts as coming: half
--- a/src/coordination/fleet/answers.rs
+++ b/src/coordination/fleet/answers.rs
@@ -22,23 +22,38 @@
         let mut record = self.view.fleet.value.clone();
         let old = self.cfg.list_lag * 4 + Micros::secs(60);
         record.hires.retain(|h| self.now.day.since(h.at) < old);
-        record.releasing.retain(|m| !self.fleet.confirmed.contains(m));
+        record
+            .releasing
+            .retain(|m| !self.fleet.confirmed.contains(m));
         record
     }
 
     pub(super) fn write_fleet(&mut self, record: FleetRecord, new: Vec<HireRecord>) {
         let value = encode(&record);
-        if value.as_ref().is_none_or(|v| v.get().len() > self.limits.taken_bytes()) {
+        if value
+            .as_ref()
+            .is_none_or(|v| v.get().len() > self.limits.taken_bytes())
+        {
             // Written under larger limits. Rentals are soon old enough to be left out, and releases answered.
             return;
         }
         let txn = Txn {
-            when: vec![(Key::Own(0), self.view.stamp(&Key::Own(0))), (Key::Fleet, self.view.fleet.stamp)],
-            then: vec![Put { key: Key::Fleet, value, permit: None }],
+            when: vec![
+                (Key::Own(0), self.view.stamp(&Key::Own(0))),
+                (Key::Fleet, self.view.fleet.stamp),
+            ],
+            then: vec![Put {
+                key: Key::Fleet,
+                value,
+                permit: None,
+            }],
         };
         self.fleet.writing = true;
         self.budget.force(self.now.steady, 1);
-        self.ask_state(Purpose::Fleet(Box::new((record, new))), StateRequest::Txn(txn));
+        self.ask_state(
+            Purpose::Fleet(Box::new((record, new))),
+            StateRequest::Txn(txn),
+        );
     }
 
     /// The plan is on record: what is new in it is rented now. That is known by what was written,
@@ -55,7 +70,11 @@
             self.reader.want_barrier();
             return;
         };
-        let change = Change { key: Key::Fleet, content: Some(Content::Fleet(record)), stamp };
+        let change = Change {
+            key: Key::Fleet,
+            content: Some(Content::Fleet(record)),
+            stamp,
+        };
         self.view.apply([change], &mut Touched::default());
         if !self.owns(0) {
             return;
@@ -67,7 +86,13 @@
             return;
         }
         for h in new {
-            tracing::info!(hire = h.name, build = h.build, spot = h.spot, count = h.count, "hiring");
+            tracing::info!(
+                hire = h.name,
+                build = h.build,
+                spot = h.spot,
+                count = h.count,
+                "hiring"
+            );
             self.fleet.hiring += 1;
             let request = CloudRequest::Hire {
                 name: h.name.clone(),
@@ -80,15 +105,26 @@
         }
     }
 
-    pub(in crate::coordination) fn on_cloud(&mut self, id: CallId, result: Result<CloudReply, CallError>) {
-        let Some(Call { purpose: Purpose::Cloud(purpose), .. }) = self.calls.remove(&id) else {
+    pub(in crate::coordination) fn on_cloud(
+        &mut self,
+        id: CallId,
+        result: Result<CloudReply, CallError>,
+    ) {
+        let Some(Call {
+            purpose: Purpose::Cloud(purpose),
+            ..
+        }) = self.calls.remove(&id)
+        else {
             return;
         };
         if !self.owns(0) {
             return;
         }
         let now = self.now.steady;
-        if matches!(result, Err(CallError::Unavailable | CallError::TooMany | CallError::Unknown)) {
+        if matches!(
+            result,
+            Err(CallError::Unavailable | CallError::TooMany | CallError::Unknown)
+        ) {
             self.fleet.trouble_until = now + Micros::millis(1_500);
         }
         match purpose {
@@ -125,17 +161,32 @@
             return;
         }
         let txn = Txn {
-            when: vec![(Key::Own(0), self.view.stamp(&Key::Own(0))), (Key::Types, self.view.types.stamp)],
-            then: vec![Put { key: Key::Types, value, permit: None }],
+            when: vec![
+                (Key::Own(0), self.view.stamp(&Key::Own(0))),
+                (Key::Types, self.view.types.stamp),
+            ],
+            then: vec![Put {
+                key: Key::Types,
+                value,
+                permit: None,
+            }],
         };
         self.budget.force(self.now.steady, 1);
         self.ask_state(Purpose::Types(new), StateRequest::Txn(txn));
     }
 
-    pub(in crate::coordination) fn on_types_written(&mut self, types: Catalog, result: Result<StateReply, CallError>) {
+    pub(in crate::coordination) fn on_types_written(
+        &mut self,
+        types: Catalog,
+        result: Result<StateReply, CallError>,
+    ) {
         match result {
             Ok(StateReply::Applied(stamp)) => {
-                let change = Change { key: Key::Types, content: Some(Content::Types(types)), stamp };
+                let change = Change {
+                    key: Key::Types,
+                    content: Some(Content::Types(types)),
+                    stamp,
+                };
                 let mut touched = Touched::default();
                 self.view.apply([change], &mut touched);
                 self.on_touched_view(&touched);
@@ -151,12 +202,23 @@
         let now = self.now.steady;
         self.fleet.hiring = self.fleet.hiring.saturating_sub(1);
         self.fleet.looking = true;
-        let offer = Offer { build: h.build.clone(), yard: h.yard.clone(), spot: h.spot };
+        let offer = Offer {
+            build: h.build.clone(),
+            yard: h.yard.clone(),
+            spot: h.spot,
+        };
         match result {
             Ok(CloudReply::Hired(machines)) => {
-                tracing::info!(hire = h.name, asked = h.count, got = machines.len(), "hired");
+                tracing::info!(
+                    hire = h.name,
+                    asked = h.count,
+                    got = machines.len(),
+                    "hired"
+                );
                 if (machines.len() as u32) < h.count {
-                    self.fleet.none_left.insert(offer, (now + Micros::secs(5), 1));
+                    self.fleet
+                        .none_left
+                        .insert(offer, (now + Micros::secs(5), 1));
                 } else {
                     self.fleet.none_left.remove(&offer);
                 }
--- a/src/coordination/fleet/returns.rs
+++ b/src/coordination/fleet/returns.rs
@@ -14,10 +14,15 @@
     /// only for a moment. Less than the shortest charge is never saved.
     fn idle_limit(&self, build: &str, spot: bool) -> Micros {
         let types = self.view.machine_types();
-        let cheapest = types.map(|t| core_price(t, true).min(core_price(t, false))).min().unwrap_or(0);
+        let cheapest = types
+            .map(|t| core_price(t, true).min(core_price(t, false)))
+            .min()
+            .unwrap_or(0);
         let derived = match self.view.machine_type(build) {
             Some(t) if core_price(t, spot) > cheapest * 3 / 2 => Micros::secs(5),
-            t => t.map_or(Micros::secs(30), |t| self.expected_boot(build).clamp(Micros::secs(2), t.boot * 2)),
+            t => t.map_or(Micros::secs(30), |t| {
+                self.expected_boot(build).clamp(Micros::secs(2), t.boot * 2)
+            }),
         };
         self.op.idle_s.map_or(derived, Micros::from_secs_f64)
     }
@@ -53,13 +58,21 @@
                         marks.push((m, "silent and not listed"));
                     } else if pressed {
                         marks.push((m, "silent, and its tasks can still be in time elsewhere"));
-                    } else if quiet > self.cfg.lease + if idle { Micros::secs(20) } else { Micros::ZERO } {
+                    } else if quiet
+                        > self.cfg.lease + if idle { Micros::secs(20) } else { Micros::ZERO }
+                    {
                         marks.push((m, "silent for long"));
                     }
                 }
-                Fitness::Up if idle && now.since(since) > self.idle_limit(&r.build, r.spot) => marks.push((m, "idle")),
+                Fitness::Up if idle && now.since(since) > self.idle_limit(&r.build, r.spot) => {
+                    marks.push((m, "idle"))
+                }
                 Fitness::Up if idle => {
-                    let offer = Offer { build: r.build.to_string(), yard: r.yard.to_string(), spot: r.spot };
+                    let offer = Offer {
+                        build: r.build.to_string(),
+                        yard: r.yard.to_string(),
+                        spot: r.spot,
+                    };
                     idle_of.entry(offer).or_default().push((since, m));
                 }
                 _ => {}
@@ -89,11 +102,11 @@
         for (m, k) in &self.fleet.known {
             let age = now.since(k.since);
             let unused = self.view.machine(*m).is_none() && k.status != HostStatus::Failed;
-            let late = self
-                .view
-                .machine_type(&k.build)
-                .is_none_or(|t| age > self.boot_patience(&k.build).max(t.boot * 3) + Micros::secs(5));
-            let released = self.fleet.released.contains(m) || self.view.fleet.value.releasing.contains(m);
+            let late = self.view.machine_type(&k.build).is_none_or(|t| {
+                age > self.boot_patience(&k.build).max(t.boot * 3) + Micros::secs(5)
+            });
+            let released =
+                self.fleet.released.contains(m) || self.view.fleet.value.releasing.contains(m);
             if unused && late && !released {
                 given_up.push((*m, age));
             }
@@ -138,7 +151,8 @@
         let old = self.cfg.list_lag * 2 + Micros::secs(2);
         self.fleet.lists > 0
             && self.fleet.known.get(&m).is_none_or(|k| {
-                k.listed.is_none_or(|t| t < self.fleet.last_list) && self.now.steady.since(k.since) > old
+                k.listed.is_none_or(|t| t < self.fleet.last_list)
+                    && self.now.steady.since(k.since) > old
             })
     }
 
--- a/src/coordination/limits.rs
+++ b/src/coordination/limits.rs
@@ -26,17 +26,30 @@
     /// The limits of the settings.
     pub fn new(settings: &Settings) -> InForce {
         let (now, next) = (settings.limits, settings.next_limits);
-        InForce { now, next, sizes_fell: false, rate_fell: false, refusals: VecDeque::new() }
+        InForce {
+            now,
+            next,
+            sizes_fell: false,
+            rate_fell: false,
+            refusals: VecDeque::new(),
+        }
     }
 
     /// The limits of the settings as they are now, for ever.
     pub fn unaware(settings: &Settings) -> InForce {
-        InForce { next: settings.limits, ..InForce::new(settings) }
+        InForce {
+            next: settings.limits,
+            ..InForce::new(settings)
+        }
     }
 
     /// Most changes of one transaction.
     pub fn txn_ops(&self) -> usize {
-        if self.sizes_fell { self.next.txn_ops } else { self.now.txn_ops }
+        if self.sizes_fell {
+            self.next.txn_ops
+        } else {
+            self.now.txn_ops
+        }
     }
 
     /// Bytes that a value may have that is written anew, whichever limits hold.
@@ -46,12 +59,20 @@
 
     /// Bytes of the largest value that the service takes.
     pub fn taken_bytes(&self) -> usize {
-        if self.sizes_fell { self.next.value_bytes } else { self.now.value_bytes }
+        if self.sizes_fell {
+            self.next.value_bytes
+        } else {
+            self.now.value_bytes
+        }
     }
 
     /// Changes a second that it takes from all controllers together.
     pub fn write_rps(&self) -> f64 {
-        if self.rate_fell || self.sizes_fell { self.next.write_rps } else { self.now.write_rps }
+        if self.rate_fell || self.sizes_fell {
+            self.next.write_rps
+        } else {
+            self.now.write_rps
+        }
     }
 
     /// A transaction of this many changes, the largest value of so many bytes, was refused as wrong.
@@ -70,7 +91,11 @@
             return false;
         }
         self.refusals.push_back(now);
-        while self.refusals.front().is_some_and(|t| now.since(*t) > Self::WINDOW) {
+        while self
+            .refusals
+            .front()
+            .is_some_and(|t| now.since(*t) > Self::WINDOW)
+        {
             self.refusals.pop_front();
         }
         self.rate_fell = self.refusals.len() >= Self::REFUSALS;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -268,7 +268,10 @@
 
     /// Takes an event and returns what is to be done about it.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Effect> {
-        self.now = Now { steady: now.steady.max(self.now.steady), day: now.day };
+        self.now = Now {
+            steady: now.steady.max(self.now.steady),
+            day: now.day,
+        };
         self.view.today = now.day;
         self.note_time();
         match event {
@@ -401,7 +404,9 @@
         if self.now.steady >= self.next_hint {
             self.next_hint = self.now.steady + Micros::secs(1);
             let contact = self.reader.ready().then(|| self.contact_age().as_millis());
-            let terms = (0..self.view.own.len()).map(|k| (self.view.own[k].stamp, self.owns(k))).collect();
+            let terms = (0..self.view.own.len())
+                .map(|k| (self.view.own[k].stamp, self.owns(k)))
+                .collect();
             self.out.push(Effect::Peers(PeerHint {
                 node: self.cfg.node.clone(),
                 run: self.run,
@@ -413,9 +418,14 @@
                 spends: (self.budget.spending(self.now.steady) * 1e3) as u64,
             }));
             let lately = |(heard, hint): &(Micros, PeerHint)| {
-                (self.now.steady.since(*heard) < Micros::secs(3)).then_some(hint.spends as f64 / 1e3)
+                (self.now.steady.since(*heard) < Micros::secs(3))
+                    .then_some(hint.spends as f64 / 1e3)
             };
-            let others = self.cfg.others.iter().map(|o| self.peers.get(&o.node).and_then(lately));
+            let others = self
+                .cfg
+                .others
+                .iter()
+                .map(|o| self.peers.get(&o.node).and_then(lately));
             self.budget.lend(self.now.steady, others);
         }
         self.wake_at(self.next_hint);
@@ -423,7 +433,11 @@
 
     fn on_hint(&mut self, hint: PeerHint) {
         // A word of an earlier run that arrives late: its copy had not come as far as the record of a later run.
-        let later = self.view.nodes.get(&hint.node).is_some_and(|n| n.value.run != hint.run && n.stamp > hint.epoch);
+        let later = self
+            .view
+            .nodes
+            .get(&hint.node)
+            .is_some_and(|n| n.value.run != hint.run && n.stamp > hint.epoch);
         if later {
             return;
         }
@@ -434,7 +448,8 @@
                 self.reader.want_barrier();
             }
         }
-        self.peers.insert(hint.node.clone(), (self.now.steady, hint));
+        self.peers
+            .insert(hint.node.clone(), (self.now.steady, hint));
     }
 
     fn wake_at(&mut self, at: Micros) {
@@ -445,7 +460,14 @@
         let id = CallId(self.next_call);
         self.next_call += 1;
         let sent = self.now.steady;
-        self.calls.insert(id, Call { purpose, sent, size: None });
+        self.calls.insert(
+            id,
+            Call {
+                purpose,
+                sent,
+                size: None,
+            },
+        );
         id
     }
 
@@ -512,8 +534,18 @@
 
     /// The state service's next limits hold from now on, for all that this process does.
     fn on_limits_fallen(&mut self, why: &'static str) {
-        let (ops, bytes, rate) = (self.limits.txn_ops(), self.limits.taken_bytes(), self.limits.write_rps());
-        tracing::info!(why, ops, bytes, rate, "the state service has lowered its limits");
+        let (ops, bytes, rate) = (
+            self.limits.txn_ops(),
+            self.limits.taken_bytes(),
+            self.limits.write_rps(),
+        );
+        tracing::info!(
+            why,
+            ops,
+            bytes,
+            rate,
+            "the state service has lowered its limits"
+        );
         self.budget.set_writes(rate / self.cfg.controllers() as f64);
         self.rounds.look();
     }
@@ -547,7 +579,11 @@
             self.note_rules_of(*j);
             self.on_job_changed(*j);
         }
-        if touched.usage || !touched.jobs.is_empty() || !touched.machines.is_empty() || !touched.own.is_empty() {
+        if touched.usage
+            || !touched.jobs.is_empty()
+            || !touched.machines.is_empty()
+            || !touched.own.is_empty()
+        {
             self.rounds.look();
             self.fleet.look();
         }
--- a/src/coordination/ownership.rs
+++ b/src/coordination/ownership.rs
@@ -85,7 +85,10 @@
     }
 
     pub(super) fn me(&self) -> OwnRecord {
-        OwnRecord { node: self.cfg.node.clone(), run: self.run }
+        OwnRecord {
+            node: self.cfg.node.clone(),
+            run: self.run,
+        }
     }
 
     pub(super) fn pump_ownership(&mut self) {
@@ -167,16 +170,32 @@
             return;
         }
         self.ownership.meta_at = now + Micros::millis(500);
-        let shares: Vec<&str> = self.cfg.teams.iter().filter(|t| t.has_share()).map(|t| t.name.as_str()).collect();
+        let shares: Vec<&str> = self
+            .cfg
+            .teams
+            .iter()
+            .filter(|t| t.has_share())
+            .map(|t| t.name.as_str())
+            .collect();
         // Each slice is one more record in many rounds, so there are no more than spread the work.
-        let slices = self.op.slices.unwrap_or(self.cfg.controllers().max(shares.len()).clamp(1, 64));
-        let teams: BTreeMap<String, Slice> =
-            shares.into_iter().enumerate().map(|(i, t)| (t.to_owned(), i % slices)).collect();
+        let slices = self
+            .op
+            .slices
+            .unwrap_or(self.cfg.controllers().max(shares.len()).clamp(1, 64));
+        let teams: BTreeMap<String, Slice> = shares
+            .into_iter()
+            .enumerate()
+            .map(|(i, t)| (t.to_owned(), i % slices))
+            .collect();
         let txn = Txn {
             when: vec![(Key::Meta, 0)],
             then: vec![Put {
                 key: Key::Meta,
-                value: encode(&MetaRecord { layout: FIRST_LAYOUT, slices, teams }),
+                value: encode(&MetaRecord {
+                    layout: FIRST_LAYOUT,
+                    slices,
+                    teams,
+                }),
                 permit: None,
             }],
         };
@@ -196,7 +215,9 @@
     /// Notes which layouts the live controllers understand.
     pub(super) fn note_versions(&mut self) {
         for (name, node) in &self.view.nodes {
-            self.ownership.understood.insert(name.clone(), node.value.layout.unwrap_or(FIRST_LAYOUT));
+            self.ownership
+                .understood
+                .insert(name.clone(), node.value.layout.unwrap_or(FIRST_LAYOUT));
         }
     }
 
@@ -204,13 +225,25 @@
     /// the new one. That is done once, by whoever is first, and never taken back.
     fn pump_layout(&mut self) {
         let now = self.now.steady;
-        let Some(meta) = &self.view.meta.value else { return };
+        let Some(meta) = &self.view.meta.value else {
+            return;
+        };
         let wanted = self.wanted_layout();
         if meta.layout >= wanted || now < self.ownership.meta_at {
             return;
         }
-        let all = self.cfg.others.iter().map(|o| &o.node).chain([&self.cfg.node]);
-        let old = |n: &&String| self.ownership.understood.get(*n).is_none_or(|l| *l < wanted);
+        let all = self
+            .cfg
+            .others
+            .iter()
+            .map(|o| &o.node)
+            .chain([&self.cfg.node]);
+        let old = |n: &&String| {
+            self.ownership
+                .understood
+                .get(*n)
+                .is_none_or(|l| *l < wanted)
+        };
         let waiting: Vec<String> = all.clone().filter(old).cloned().collect();
         // What all understand of the layouts between is raised meanwhile.
         let known = |n: &String| self.ownership.understood.get(n).copied().unwrap_or(0);
@@ -224,14 +257,28 @@
             return;
         }
         self.ownership.meta_at = now + Micros::millis(500);
-        tracing::info!(layout = raised, "all controllers have the new version: raising the layout of the records");
-        let record = MetaRecord { layout: raised, ..meta.clone() };
+        tracing::info!(
+            layout = raised,
+            "all controllers have the new version: raising the layout of the records"
+        );
+        let record = MetaRecord {
+            layout: raised,
+            ..meta.clone()
+        };
         // A controller that comes back in this moment would be missed: then this fails, and is tried again.
-        let nodes = self.view.nodes.iter().map(|(n, s)| (Key::Node(n.clone()), s.stamp));
+        let nodes = self
+            .view
+            .nodes
+            .iter()
+            .map(|(n, s)| (Key::Node(n.clone()), s.stamp));
         let when = [(Key::Meta, self.view.meta.stamp)].into_iter().chain(nodes);
         let txn = Txn {
             when: when.take(self.limits.txn_ops() * 4).collect(),
-            then: vec![Put { key: Key::Meta, value: encode(&record), permit: None }],
+            then: vec![Put {
+                key: Key::Meta,
+                value: encode(&record),
+                permit: None,
+            }],
         };
         self.budget.force(now, 1);
         self.ask_state(Purpose::Meta, StateRequest::Txn(txn));
@@ -240,7 +287,13 @@
     /// Whether a team of the deploy file has a guarantee or a limit, but no slice of its own yet: a later
     /// file added it. Its jobs are spread over all slices, so nobody could keep its limit.
     pub(super) fn unplaced(&self, team: &Team) -> bool {
-        team.has_share() && self.view.meta.value.as_ref().is_some_and(|m| !m.teams.contains_key(&team.name))
+        team.has_share()
+            && self
+                .view
+                .meta
+                .value
+                .as_ref()
+                .is_some_and(|m| !m.teams.contains_key(&team.name))
     }
 
     /// Gives such teams a slice, once nothing of theirs is booked or kept in any: nothing is booked for
@@ -248,7 +301,9 @@
     /// teams' slices.
     fn pump_teams(&mut self) {
         let now = self.now.steady;
-        let Some(meta) = &self.view.meta.value else { return };
+        let Some(meta) = &self.view.meta.value else {
+            return;
+        };
         if !self.cfg.teams.iter().any(|t| self.unplaced(t)) {
             return;
         }
@@ -270,13 +325,20 @@
         }
         self.ownership.meta_at = now + Micros::millis(500);
         let value = encode(&record);
-        if value.as_ref().is_none_or(|v| v.get().len() > self.limits.value_bytes()) {
+        if value
+            .as_ref()
+            .is_none_or(|v| v.get().len() > self.limits.value_bytes())
+        {
             return;
         }
         tracing::info!(teams = ?record.teams, "teams of a later deploy file get slices");
         let txn = Txn {
             when: vec![(Key::Meta, self.view.meta.stamp)],
-            then: vec![Put { key: Key::Meta, value, permit: None }],
+            then: vec![Put {
+                key: Key::Meta,
+                value,
+                permit: None,
+            }],
         };
         self.budget.force(now, 1);
         self.ask_state(Purpose::Meta, StateRequest::Txn(txn));
@@ -307,8 +369,17 @@
             None
         } else {
             let layout = self.wanted_layout();
-            let before = self.view.nodes.get(&self.cfg.node).map(|n| n.value.starts.clone()).unwrap_or_default();
-            let starts = self.ownership.starts.get_or_insert_with(|| before.and(self.now.day)).clone();
+            let before = self
+                .view
+                .nodes
+                .get(&self.cfg.node)
+                .map(|n| n.value.starts.clone())
+                .unwrap_or_default();
+            let starts = self
+                .ownership
+                .starts
+                .get_or_insert_with(|| before.and(self.now.day))
+                .clone();
             encode(&NodeRecord {
                 run: self.run,
                 layout: (layout > FIRST_LAYOUT).then_some(layout),
@@ -317,7 +388,10 @@
             })
         };
         let permit = (!gone).then_some(lease);
-        let txn = Txn { when: vec![(key.clone(), stamp)], then: vec![Put { key, value, permit }] };
+        let txn = Txn {
+            when: vec![(key.clone(), stamp)],
+            then: vec![Put { key, value, permit }],
+        };
         self.ownership.writing = true;
         self.budget.force(now, 1);
         self.ask_state(Purpose::Node, StateRequest::Txn(txn));
@@ -342,7 +416,10 @@
         // At the very first start the others are about to appear as well.
         let first_start = self.view.own.iter().all(|o| o.value.is_none());
         let ready = self.ownership.ready_since.unwrap_or(now);
-        if first_start && self.view.nodes.len() < self.cfg.controllers() && now.since(ready) < Micros::secs(2) {
+        if first_start
+            && self.view.nodes.len() < self.cfg.controllers()
+            && now.since(ready) < Micros::secs(2)
+        {
             self.ownership.next_claim = now + Micros::millis(100);
             return;
         }
@@ -352,10 +429,17 @@
             return;
         }
         let node = Key::Node(self.cfg.node.clone());
-        let mut txn = Txn { when: vec![(node.clone(), self.view.stamp(&node))], then: Vec::new() };
+        let mut txn = Txn {
+            when: vec![(node.clone(), self.view.stamp(&node))],
+            then: Vec::new(),
+        };
         for k in &wanted {
             txn.when.push((Key::Own(*k), self.view.own[*k].stamp));
-            txn.then.push(Put { key: Key::Own(*k), value: encode(&self.me()), permit: None });
+            txn.then.push(Put {
+                key: Key::Own(*k),
+                value: encode(&self.me()),
+                permit: None,
+            });
         }
         tracing::info!(slices = ?wanted, why, "claiming");
         self.ownership.claiming = true;
@@ -375,7 +459,13 @@
         }
         self.note_unsteady();
         let steady = |n: &&String| !self.ownership.unsteady.contains(*n);
-        let mut load: BTreeMap<&str, usize> = self.view.nodes.keys().filter(steady).map(|n| (n.as_str(), 0)).collect();
+        let mut load: BTreeMap<&str, usize> = self
+            .view
+            .nodes
+            .keys()
+            .filter(steady)
+            .map(|n| (n.as_str(), 0))
+            .collect();
         let mut orphans = Vec::new();
         let mut mine_again = Vec::new();
         for k in 0..slices {
@@ -402,18 +492,28 @@
         // When all have started at once, the others are about to claim as well: in the first moment
         // each takes its even share, so that none has to answer every worker and hand over again.
         let others = self.cfg.controllers();
-        let just_started = now.since(self.ownership.ready_since.unwrap_or(now)) < Micros::millis(400);
+        let just_started =
+            now.since(self.ownership.ready_since.unwrap_or(now)) < Micros::millis(400);
         if just_started && self.view.nodes.len() < others {
             if !load.contains_key(self.cfg.node.as_str()) {
                 return (wanted, "");
             }
-            let before_me = self.cfg.others.iter().filter(|o| o.node < self.cfg.node).count();
+            let before_me = self
+                .cfg
+                .others
+                .iter()
+                .filter(|o| o.node < self.cfg.node)
+                .count();
             orphans.retain(|k| k % others == before_me);
             self.ownership.next_claim = now + Micros::millis(100);
             return (orphans, "without a live owner, its share of them");
         }
         for k in orphans {
-            let Some(least) = load.iter().min_by_key(|(name, n)| (**n, **name)).map(|(name, _)| *name) else {
+            let Some(least) = load
+                .iter()
+                .min_by_key(|(name, n)| (**n, **name))
+                .map(|(name, _)| *name)
+            else {
                 break;
             };
             if least == self.cfg.node {
@@ -427,16 +527,22 @@
             return (wanted, "without a live owner");
         }
         let mine = load.get(self.cfg.node.as_str()).copied().unwrap_or(0);
-        let (Some((rich, most)), Some((poor, _))) =
-            (load.iter().max_by_key(|(name, n)| (**n, **name)), load.iter().min_by_key(|(name, n)| (**n, **name)))
-        else {
+        let (Some((rich, most)), Some((poor, _))) = (
+            load.iter().max_by_key(|(name, n)| (**n, **name)),
+            load.iter().min_by_key(|(name, n)| (**n, **name)),
+        ) else {
             return (wanted, "");
         };
         // One at a time, the one with the least first: several would claim the same slice, and who has
         // one already would take a second before another has any.
         if *poor == self.cfg.node && *most >= mine + 2 && now >= self.ownership.next_rebalance {
             let settled = now.since(self.ownership.ready_since.unwrap_or(now)) > Micros::secs(2);
-            let of_rich = |k: &Slice| self.view.own[*k].value.as_ref().is_some_and(|o| o.node == *rich);
+            let of_rich = |k: &Slice| {
+                self.view.own[*k]
+                    .value
+                    .as_ref()
+                    .is_some_and(|o| o.node == *rich)
+            };
             // The last first: the owner of slice 0 would lose what it knows of the cloud.
             if let Some(k) = (0..slices).rev().find(of_rich).filter(|_| settled) {
                 self.ownership.next_rebalance = now + Micros::millis(2_500);
@@ -450,13 +556,18 @@
     fn note_unsteady(&mut self) {
         let day = self.now.day;
         let all = &self.view.nodes;
-        let mut unsteady: BTreeSet<String> =
-            all.iter().filter(|(_, n)| !n.value.starts.is_steady(day)).map(|(name, _)| name.clone()).collect();
+        let mut unsteady: BTreeSet<String> = all
+            .iter()
+            .filter(|(_, n)| !n.value.starts.is_steady(day))
+            .map(|(name, _)| name.clone())
+            .collect();
         if (all.len() - unsteady.len()) * 3 < all.len() {
             unsteady.clear();
         }
         for name in unsteady.difference(&self.ownership.unsteady) {
-            let lives = all.get(name).map_or(Micros::ZERO, |n| n.value.starts.steady_from().since(day));
+            let lives = all
+                .get(name)
+                .map_or(Micros::ZERO, |n| n.value.starts.steady_from().since(day));
             tracing::info!(
                 controller = name,
                 "starts again and again: takes no slices before it has lived for {lives}"
@@ -487,7 +598,10 @@
         if mine && !held && stamp > self.ownership.lost[k] {
             tracing::info!(slice = k, term = stamp, "took over");
             self.counters.takeovers += 1;
-            self.ownership.tenures[k] = Some(Tenure { first: stamp, since: self.now.steady });
+            self.ownership.tenures[k] = Some(Tenure {
+                first: stamp,
+                since: self.now.steady,
+            });
             self.begin_sessions(k);
             self.rounds.look();
             self.find_large();
--- a/src/coordination/pipelines.rs
+++ b/src/coordination/pipelines.rs
@@ -21,7 +21,11 @@
 
     /// Whether jobs may await others: every controller understands them.
     pub(super) fn takes_pipelines(&self) -> bool {
-        self.view.meta.value.as_ref().is_some_and(|m| m.layout >= PIPED)
+        self.view
+            .meta
+            .value
+            .as_ref()
+            .is_some_and(|m| m.layout >= PIPED)
     }
 
     /// Looks up how jobs ended that others await. Until that is known these wait.
@@ -36,13 +40,22 @@
             return;
         }
         self.look_ups.asked.retain(|id, _| unknown.contains(id));
-        let known: Vec<(JobId, FinalRecord)> =
-            unknown.iter().filter_map(|id| Some((*id, self.users.end_of(*id)?))).collect();
-        let asked = |id: &JobId| self.look_ups.asked.get(id).is_some_and(|again| now < *again);
+        let known: Vec<(JobId, FinalRecord)> = unknown
+            .iter()
+            .filter_map(|id| Some((*id, self.users.end_of(*id)?)))
+            .collect();
+        let asked = |id: &JobId| {
+            self.look_ups
+                .asked
+                .get(id)
+                .is_some_and(|again| now < *again)
+        };
         let due: Vec<JobId> = unknown.iter().filter(|id| !asked(id)).copied().collect();
         if !known.is_empty() {
             let mut touched = Touched::default();
-            known.into_iter().for_each(|(id, end)| self.view.learn(id, end, &mut touched));
+            known
+                .into_iter()
+                .for_each(|(id, end)| self.view.learn(id, end, &mut touched));
             self.on_touched_view(&touched);
         }
         for id in due {
@@ -61,10 +74,14 @@
     pub(super) fn on_forerunner(&mut self, id: JobId, result: Result<StateReply, CallError>) {
         let Ok(StateReply::Value(Some(value))) = result else {
             // A record that is neither live nor final is not there yet: this copy is behind.
-            self.look_ups.asked.insert(id, self.now.steady + Micros::millis(400));
+            self.look_ups
+                .asked
+                .insert(id, self.now.steady + Micros::millis(400));
+            return;
+        };
+        let Ok(end) = serde_json::from_str::<FinalRecord>(value.get()) else {
             return;
         };
-        let Ok(end) = serde_json::from_str::<FinalRecord>(value.get()) else { return };
         tracing::debug!(job = %id, cancelled = end.cancelled, "how a job before others ended");
         self.users.remember(id, end);
         let mut touched = Touched::default();
--- a/src/coordination/reach.rs
+++ b/src/coordination/reach.rs
@@ -49,21 +49,30 @@
 
     /// Milliseconds since any worker was heard.
     pub(super) fn heard_ms(&self) -> Option<u64> {
-        self.reach.heard.map(|t| self.now.steady.since(t).as_millis())
+        self.reach
+            .heard
+            .map(|t| self.now.steady.since(t).as_millis())
     }
 
     /// Whether it is too quiet for the number of workers that report here.
     fn quiet(&self) -> bool {
         let now = self.now.steady;
-        let begun = (0..self.view.own.len()).filter_map(|k| Some(self.ownership.tenure(k)?.since)).min();
-        let (Some(begun), workers) = (begun, self.sessions.len() as u64) else { return false };
+        let begun = (0..self.view.own.len())
+            .filter_map(|k| Some(self.ownership.tenure(k)?.since))
+            .min();
+        let (Some(begun), workers) = (begun, self.sessions.len() as u64) else {
+            return false;
+        };
         let begun = begun.max(self.absence.back());
         if workers == 0 {
             return false;
         }
         // After a takeover workers may first have to give up on another node.
         let first = begun + Micros::millis(5_500);
-        let since = self.reach.heard.map_or(first, |t| if t < begun { first } else { t });
+        let since = self
+            .reach
+            .heard
+            .map_or(first, |t| if t < begun { first } else { t });
         now.since(since) > Micros::secs(1).max(Micros(self.cfg.report.0 * 6 / workers))
     }
 
@@ -76,7 +85,8 @@
     fn peers_hear(&self) -> bool {
         self.peers.values().any(|(told, hint)| {
             let age = self.now.steady.since(*told);
-            hint.heard_ms.is_some_and(|ms| Micros::millis(ms) + age < Micros::secs(3))
+            hint.heard_ms
+                .is_some_and(|ms| Micros::millis(ms) + age < Micros::secs(3))
         })
     }
 
@@ -87,7 +97,10 @@
             return;
         }
         if let Some(since) = self.reach.withdrawn {
-            let again = self.reach.heard.is_some_and(|t| t > since && now.since(t) < Micros::secs(2));
+            let again = self
+                .reach
+                .heard
+                .is_some_and(|t| t > since && now.since(t) < Micros::secs(2));
             // Somebody must own the slices, even if it hears nobody.
             let alone = self.view.nodes.is_empty() && now.since(since) > Micros::secs(1);
             if alone || again && self.reach.failed <= 1 && now.since(since) > self.reach.pause {
@@ -132,7 +145,12 @@
             let call = self.call(Purpose::Enquiry);
             let body = direct_body(0, 0, &[]);
             let endpoint = endpoints[at].to_string();
-            self.out.push(Effect::Direct { call, endpoint, body, limit: Self::ENQUIRY_LIMIT });
+            self.out.push(Effect::Direct {
+                call,
+                endpoint,
+                body,
+                limit: Self::ENQUIRY_LIMIT,
+            });
         }
         self.reach.turn = self.reach.turn.wrapping_add(1);
         self.reach.asking = count;
@@ -152,8 +170,15 @@
     fn withdraw(&mut self) {
         let now = self.now.steady;
         let (least, most) = Self::AWAY;
-        let lately = self.reach.back.is_some_and(|t| now.since(t) < Micros::secs(120));
-        self.reach.pause = if lately { Micros(self.reach.pause.0 * 2).min(most) } else { least };
+        let lately = self
+            .reach
+            .back
+            .is_some_and(|t| now.since(t) < Micros::secs(120));
+        self.reach.pause = if lately {
+            Micros(self.reach.pause.0 * 2).min(most)
+        } else {
+            least
+        };
         self.reach.withdrawn = Some(now);
         let (workers, pause) = (self.sessions.len(), self.reach.pause);
         tracing::info!(workers, %pause, "no worker is heard, but peers hear theirs: withdrawing");
--- a/src/coordination/reader.rs
+++ b/src/coordination/reader.rs
@@ -72,7 +72,8 @@
     /// since it was sent, or a read was answered just now.
     pub fn is_fresh(&self, now: Micros) -> bool {
         const JUST_NOW: Micros = Micros::millis(8);
-        self.watching.is_some_and(|t| now.since(t) >= JUST_NOW) || now.since(self.answered) < JUST_NOW
+        self.watching.is_some_and(|t| now.since(t) >= JUST_NOW)
+            || now.since(self.answered) < JUST_NOW
     }
 
     /// Whether a read that began after this call has completed.
@@ -105,7 +106,10 @@
                 self.users.forget_absent();
                 self.reader.phase = Phase::Listing;
                 self.budget.force(now, 0);
-                self.ask_state(Purpose::Page { first: None }, StateRequest::List { after: None });
+                self.ask_state(
+                    Purpose::Page { first: None },
+                    StateRequest::List { after: None },
+                );
             }
             Phase::Listing => {}
             Phase::Listed | Phase::Ready => {
@@ -129,7 +133,11 @@
             self.wake_at(at);
             return;
         }
-        let wait = if self.reader.ready() && !behind { Self::WATCH_WAIT } else { Micros::ZERO };
+        let wait = if self.reader.ready() && !behind {
+            Self::WATCH_WAIT
+        } else {
+            Micros::ZERO
+        };
         let after = self.view.epoch;
         self.reader.watching = Some(now);
         self.ask_state(Purpose::Watch, StateRequest::Changes { after, wait });
@@ -138,21 +146,39 @@
     fn pump_barrier(&mut self) {
         let now = self.now.steady;
         let urgent = self.reader.wanted;
-        if !urgent && !self.reader.wanted_soon || self.reader.barrier.is_some() || !self.reader.ready() {
+        if !urgent && !self.reader.wanted_soon
+            || self.reader.barrier.is_some()
+            || !self.reader.ready()
+        {
             return;
         }
-        if self.is_far_behind(now) && self.reader.watching.is_some_and(|sent| self.is_far_behind(sent)) {
+        if self.is_far_behind(now)
+            && self
+                .reader
+                .watching
+                .is_some_and(|sent| self.is_far_behind(sent))
+        {
             return;
         }
-        let at =
-            if urgent { self.reader.next_barrier } else { self.reader.next_poll_read.max(self.reader.next_barrier) };
+        let at = if urgent {
+            self.reader.next_barrier
+        } else {
+            self.reader.next_poll_read.max(self.reader.next_barrier)
+        };
         if now < at {
             self.wake_at(at);
             return;
         }
         // A poll that has waited for long is answered all the same.
-        let patient = !urgent && self.users.oldest_read(now).is_none_or(|t| t < Micros::millis(700));
-        if let Err(at) = self.budget.spend(now, 0, if patient { Self::POLLS } else { 0.0 }) {
+        let patient = !urgent
+            && self
+                .users
+                .oldest_read(now)
+                .is_none_or(|t| t < Micros::millis(700));
+        if let Err(at) = self
+            .budget
+            .spend(now, 0, if patient { Self::POLLS } else { 0.0 })
+        {
             self.wake_at(at);
             return;
         }
@@ -160,7 +186,10 @@
         self.reader.wanted_soon = false;
         self.reader.next_barrier = now + Self::BARRIER_SPACING;
         self.reader.next_poll_read = now + Self::POLL_SPACING;
-        let request = StateRequest::Changes { after: self.view.epoch, wait: Micros::ZERO };
+        let request = StateRequest::Changes {
+            after: self.view.epoch,
+            wait: Micros::ZERO,
+        };
         let id = self.ask_state(Purpose::Barrier, request);
         self.reader.barrier = Some(id);
     }
@@ -179,7 +208,10 @@
         let first = first.unwrap_or(epoch);
         if next.is_some() {
             self.budget.force(self.now.steady, 0);
-            self.ask_state(Purpose::Page { first: Some(first) }, StateRequest::List { after: next });
+            self.ask_state(
+                Purpose::Page { first: Some(first) },
+                StateRequest::List { after: next },
+            );
             return;
         }
         // Later pages may be newer than the first: only the changes since then make it one whole.
@@ -192,7 +224,11 @@
     /// Records of another layout would be misread: they are left alone, and the node stays out of
     /// service.
     fn refuse_layout(&mut self) {
-        if self.reader.refused.is_none_or(|at| self.now.steady.since(at) > Micros::secs(60)) {
+        if self
+            .reader
+            .refused
+            .is_none_or(|at| self.now.steady.since(at) > Micros::secs(60))
+        {
             self.reader.refused = Some(self.now.steady);
             let found = self.view.meta.value.as_ref().map_or(0, |m| m.layout);
             tracing::error!(
@@ -205,7 +241,13 @@
         self.reader.retry = self.now.steady + Micros::secs(5);
     }
 
-    pub(super) fn on_changes(&mut self, id: CallId, sent: Micros, watch: bool, result: Result<StateReply, CallError>) {
+    pub(super) fn on_changes(
+        &mut self,
+        id: CallId,
+        sent: Micros,
+        watch: bool,
+        result: Result<StateReply, CallError>,
+    ) {
         let now = self.now.steady;
         if watch {
             self.reader.watching = None;
@@ -217,7 +259,9 @@
             Ok(StateReply::Changes(changes, epoch)) => self.take_changes(id, sent, changes, epoch),
             Ok(StateReply::TooOld) => self.read_anew("the service has dropped the changes since"),
             // Asked for again it would only be larger: all changes come at once, however many there are.
-            Err(CallError::TooLarge) => self.read_anew("the changes since are more than is read at once"),
+            Err(CallError::TooLarge) => {
+                self.read_anew("the changes since are more than is read at once")
+            }
             other => {
                 if watch {
                     self.reader.next_watch = now + Micros::millis(250);
@@ -237,7 +281,11 @@
         if matches!(self.reader.phase, Phase::Empty | Phase::Listing) {
             return;
         }
-        tracing::info!(epoch = self.view.epoch, why, "the copy is too old, reading everything anew");
+        tracing::info!(
+            epoch = self.view.epoch,
+            why,
+            "the copy is too old, reading everything anew"
+        );
         self.lose_all_tenures();
         self.reader.phase = Phase::Empty;
     }
--- a/src/coordination/rounds.rs
+++ b/src/coordination/rounds.rs
@@ -125,7 +125,8 @@
 
     /// Whether more waits than rounds have had room for lately.
     pub fn pressed(&self, now: Micros) -> bool {
-        self.last_full.is_some_and(|t| now.since(t) < Micros::secs(3))
+        self.last_full
+            .is_some_and(|t| now.since(t) < Micros::secs(3))
     }
 
     /// How many bookings wait to be cleared.
@@ -142,8 +143,11 @@
             *weights.entry(view.home(*m)).or_default() += (now.since(*since) + HEAD_START).0;
         }
         let weight = |m: MachineId| weights.get(&view.home(m)).copied().unwrap_or(0);
-        let mut all: Vec<_> =
-            self.clears.iter().map(|((m, a), (o, since))| (Reverse(weight(*m)), *since, *m, *a, *o)).collect();
+        let mut all: Vec<_> = self
+            .clears
+            .iter()
+            .map(|((m, a), (o, since))| (Reverse(weight(*m)), *since, *m, *a, *o))
+            .collect();
         all.sort_unstable_by_key(|(weight, since, m, a, _)| (*weight, *since, *m, *a));
         all.into_iter().map(|(_, _, m, a, o)| (m, a, o)).collect()
     }
@@ -189,7 +193,11 @@
     pub fn suspect(&mut self, job: JobId, errors: u32, now: Micros) -> bool {
         match self.suspects.entry(job) {
             Entry::Vacant(e) => {
-                e.insert(Suspicion { errors, at: now, tries: 0 });
+                e.insert(Suspicion {
+                    errors,
+                    at: now,
+                    tries: 0,
+                });
                 true
             }
             Entry::Occupied(mut e) => {
@@ -197,7 +205,11 @@
                 if s.errors < errors {
                     // Tasks that were started together fail together: that is one try.
                     let again = now.since(s.at) > Self::pause(s.tries);
-                    *s = Suspicion { errors, at: now, tries: s.tries + u32::from(again) };
+                    *s = Suspicion {
+                        errors,
+                        at: now,
+                        tries: s.tries + u32::from(again),
+                    };
                 }
                 false
             }
@@ -256,7 +268,11 @@
 
     pub(super) fn pump_rounds(&mut self) {
         let now = self.now.steady;
-        if !self.rounds.looking || self.rounds.in_flight || self.rounds.held() || !self.reader.ready() {
+        if !self.rounds.looking
+            || self.rounds.in_flight
+            || self.rounds.held()
+            || !self.reader.ready()
+        {
             return;
         }
         if now < self.rounds.next {
@@ -275,7 +291,13 @@
         // A large round of what has time must not hold up what must start at once: that may overdraw.
         let lean_only = match self.budget.round(now) {
             Ok(()) => false,
-            Err(_) if !self.rounds.lean && self.budget.overdraw(now).is_ok() && self.urgent_waits() => true,
+            Err(_)
+                if !self.rounds.lean
+                    && self.budget.overdraw(now).is_ok()
+                    && self.urgent_waits() =>
+            {
+                true
+            }
             Err(at) => {
                 self.wake_at(at);
                 return;
@@ -294,7 +316,12 @@
             part_bytes: self.part_bytes(),
         };
         self.rounds.next = now + Micros::millis(self.op.round_ms);
-        let Some(Drafted { commit, booked, cleared }) = self.draft_round(limits, lean_only) else {
+        let Some(Drafted {
+            commit,
+            booked,
+            cleared,
+        }) = self.draft_round(limits, lean_only)
+        else {
             self.rounds.looking = lean_only;
             return;
         };
@@ -305,8 +332,16 @@
             self.rounds.last_full = Some(now);
         }
         self.rounds.in_flight = true;
-        let in_flight = InFlight { changes: commit.changes, ended: commit.ended, booked, cleared };
-        self.ask_state(Purpose::Round(Box::new(in_flight)), StateRequest::Txn(commit.txn));
+        let in_flight = InFlight {
+            changes: commit.changes,
+            ended: commit.ended,
+            booked,
+            cleared,
+        };
+        self.ask_state(
+            Purpose::Round(Box::new(in_flight)),
+            StateRequest::Txn(commit.txn),
+        );
     }
 
     /// Whether the copy is new enough for a round, or a read has made it so. The watch rests for a while after each
@@ -322,7 +357,8 @@
             self.rounds.reading = None;
             return true;
         }
-        if self.reader.is_fresh(now) || self.cfg.others.is_empty() || !self.budget.has_requests(now) {
+        if self.reader.is_fresh(now) || self.cfg.others.is_empty() || !self.budget.has_requests(now)
+        {
             return true;
         }
         self.rounds.reading = Some((self.next_call - 1, now));
@@ -337,13 +373,19 @@
         let now = self.now.steady;
         let fresh = |told: Micros| now.since(told) < Micros::secs(3);
         !self.rounds.pressed(now)
-            && self.peers.values().any(|(told, hint)| hint.pressed && fresh(*told))
+            && self
+                .peers
+                .values()
+                .any(|(told, hint)| hint.pressed && fresh(*told))
             && !self.urgent_waits()
     }
 
     /// Whether something waits that must start at once.
     fn urgent_waits(&self) -> bool {
-        self.view.jobs.iter().any(|(id, j)| self.urgent(*id, j) && self.view.pending_count(*id, j) > 0)
+        self.view
+            .jobs
+            .iter()
+            .any(|(id, j)| self.urgent(*id, j) && self.view.pending_count(*id, j) > 0)
     }
 
     /// Whether a job is this controller's, and must start at once.
@@ -375,7 +417,11 @@
                     } += 1;
                 }
                 for (c, number) in &round.booked {
-                    let k = self.view.jobs.get(&c.job).map(|j| self.view.job_slice(c.job, j.spec()));
+                    let k = self
+                        .view
+                        .jobs
+                        .get(&c.job)
+                        .map(|j| self.view.job_slice(c.job, j.spec()));
                     let term = k.map_or(0, |k| self.view.stamp(&Key::Own(k)));
                     tracing::info!(task = %TaskId { job: c.job, index: c.index }, attempt = number,
                         machine = %c.machine, term, "booked");
@@ -404,7 +450,9 @@
                 self.rounds.hold_epoch = epoch;
                 self.reader.want_barrier();
             }
-            Err(CallError::Unavailable | CallError::TooMany) => self.rounds.next = now + Micros::millis(250),
+            Err(CallError::Unavailable | CallError::TooMany) => {
+                self.rounds.next = now + Micros::millis(250)
+            }
             _ => {
                 self.counters.unknown += 1;
                 tracing::info!(claims = round.booked.len(), "the round had no answer");
--- a/src/coordination/rounds/asks.rs
+++ b/src/coordination/rounds/asks.rs
@@ -28,9 +28,18 @@
         let mut asks: Vec<Ask<'a>> = Vec::new();
         let mut wanted = 0;
         let mut left: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
-        let kinds: BTreeSet<(&str, &str, bool)> =
-            self.view.machines_up().map(|(_, r)| (&*r.build, &*r.yard, r.spot)).collect();
-        for Turn { id, job, most: in_turn, ahead } in turns {
+        let kinds: BTreeSet<(&str, &str, bool)> = self
+            .view
+            .machines_up()
+            .map(|(_, r)| (&*r.build, &*r.yard, r.spot))
+            .collect();
+        for Turn {
+            id,
+            job,
+            most: in_turn,
+            ahead,
+        } in turns
+        {
             if wanted >= Self::CLAIMS {
                 break;
             }
@@ -40,7 +49,10 @@
             let team = self.cfg.team(&spec.crew);
             let used = *left.entry(&spec.crew).or_insert_with(|| {
                 let (cores, accelerators) = draft.used(k, &spec.crew);
-                let more = claimed.and_then(|c| c.get(spec.crew.as_str())).copied().unwrap_or_default();
+                let more = claimed
+                    .and_then(|c| c.get(spec.crew.as_str()))
+                    .copied()
+                    .unwrap_or_default();
                 (cores + more.cores, accelerators + more.accelerators)
             });
             let limit = |most: Option<u64>, used: u64, need: u64| match most {
@@ -71,7 +83,11 @@
                 (_, true) => (Self::CLAIMS - wanted).max(spec.pieces as usize),
                 _ => Self::CLAIMS - wanted,
             };
-            let cap = if whole { cap } else { cap.min(usize::try_from(in_turn).unwrap_or(usize::MAX)) };
+            let cap = if whole {
+                cap
+            } else {
+                cap.min(usize::try_from(in_turn).unwrap_or(usize::MAX))
+            };
             let tasks: Vec<u32> = self.view.pending(id, job).take(cap).collect();
             if mine {
                 wanted += tasks.len();
@@ -89,9 +105,17 @@
                 spec,
                 urgency: job.urgency(),
                 tasks,
-                zones: if spec.one_zone || spec.apart { self.zones_of(id) } else { BTreeMap::new() },
+                zones: if spec.one_zone || spec.apart {
+                    self.zones_of(id)
+                } else {
+                    BTreeMap::new()
+                },
                 most,
-                price_limit: if suspect { self.fair_price(spec) } else { self.price_limit_among(id, job, &kinds) },
+                price_limit: if suspect {
+                    self.fair_price(spec)
+                } else {
+                    self.price_limit_among(id, job, &kinds)
+                },
                 owner: k,
                 mine,
                 // What goes ahead for its class waits for room; it takes none from what runs.
@@ -127,9 +151,16 @@
         let got_none = |id: JobId| claims.iter().all(|c| c.job != id);
         let turns = turns
             .filter(|(id, job)| {
-                self.owns(self.view.job_slice(*id, job.spec())) && self.has_waited(*id) && got_none(*id)
+                self.owns(self.view.job_slice(*id, job.spec()))
+                    && self.has_waited(*id)
+                    && got_none(*id)
+            })
+            .map(|(id, job)| Turn {
+                id: *id,
+                job,
+                most: 1,
+                ahead: false,
             })
-            .map(|(id, job)| Turn { id: *id, job, most: 1, ahead: false })
             .collect();
         let mut asks = self.asks(turns, Some(&claimed), draft, house);
         asks.iter_mut().for_each(|a| a.preempts = false);
@@ -149,7 +180,10 @@
         }
         let mut room: BTreeMap<_, u64> = BTreeMap::new();
         for (_, m, r) in self.view.machines() {
-            if r.fitness == Fitness::Up && spec.allows(&r.build, &r.yard, r.spot) && self.may_use(id, m) {
+            if r.fitness == Fitness::Up
+                && spec.allows(&r.build, &r.yard, r.spot)
+                && self.may_use(id, m)
+            {
                 *room.entry(self.view.home(m)).or_default() +=
                     spec.need.times_in(&self.view.free(r), spec.pieces.into());
             }
@@ -188,7 +222,12 @@
                     let used = self.view.used(k, &job.spec().crew);
                     used.0 > t.guarantee.0 + job.spec().need.cores
                 });
-                Some(Running { booking: *b, need: job.spec().need, urgency: job.urgency(), borrowed })
+                Some(Running {
+                    booking: *b,
+                    need: job.spec().need,
+                    urgency: job.urgency(),
+                    borrowed,
+                })
             })
             .collect();
         // The more urgent are never reached; of the rest the latest have the least to lose.
@@ -200,7 +239,8 @@
     fn preempts(&self, job: &Job) -> bool {
         let now = self.now.day;
         let latest = self.latest_start(job);
-        self.starts_at_once(job.spec()) || latest < now + Micros::secs(5) && now < latest + job.spec().guess
+        self.starts_at_once(job.spec())
+            || latest < now + Micros::secs(5) && now < latest + job.spec().guess
     }
 
     /// Whether one more task of the job is beyond its team's guarantee.
@@ -226,7 +266,9 @@
 
     /// Whether a job's team has no slice yet, see [`Controller::unplaced`].
     pub(in crate::coordination) fn unplaced_job(&self, job: &Job) -> bool {
-        self.cfg.team(&job.spec().crew).is_some_and(|t| self.unplaced(t))
+        self.cfg
+            .team(&job.spec().crew)
+            .is_some_and(|t| self.unplaced(t))
     }
 
     /// All jobs with tasks to place, the most pressing first, and who is left behind.
@@ -240,7 +282,13 @@
             let spec = job.spec();
             let borrows = self.borrows(job, self.view.job_slice(*id, spec));
             let suspect = self.rounds.is_suspect(*id);
-            let key: Precedence = (suspect, borrows, job.urgency(), self.latest_start(job), job.record.submitted);
+            let key: Precedence = (
+                suspect,
+                borrows,
+                job.urgency(),
+                self.latest_start(job),
+                job.record.submitted,
+            );
             jobs.push((key, *id, job));
         }
         jobs.sort_by(|a, b| (&a.0, a.1).cmp(&(&b.0, b.1)));
@@ -249,12 +297,25 @@
         let mut left = floors.clone();
         let (mut ahead, mut rest) = (Vec::new(), Vec::new());
         for (id, job) in jobs {
-            let most =
-                if self.rounds.is_suspect(id) { 0 } else { left.take(job, self.view.pending_count(id, job).into()) };
+            let most = if self.rounds.is_suspect(id) {
+                0
+            } else {
+                left.take(job, self.view.pending_count(id, job).into())
+            };
             if most > 0 {
-                ahead.push(Turn { id, job, most, ahead: true });
+                ahead.push(Turn {
+                    id,
+                    job,
+                    most,
+                    ahead: true,
+                });
             } else {
-                rest.push(Turn { id, job, most: u64::MAX, ahead: false });
+                rest.push(Turn {
+                    id,
+                    job,
+                    most: u64::MAX,
+                    ahead: false,
+                });
             }
         }
         ahead.extend(rest);
@@ -264,6 +325,9 @@
     /// A job that fails wherever it runs is tried ever more seldom, until its user ends it.
     fn backing_off(&self, id: JobId) -> bool {
         let now = self.now.steady;
-        self.rounds.suspects.get(&id).is_some_and(|s| now.since(s.at) < Rounds::pause(s.tries))
+        self.rounds
+            .suspects
+            .get(&id)
+            .is_some_and(|s| now.since(s.at) < Rounds::pause(s.tries))
     }
 }
--- a/src/coordination/rounds/drafting.rs
+++ b/src/coordination/rounds/drafting.rs
@@ -28,26 +28,39 @@
 
     /// Bytes that a machine's record takes when the machine is full of the smallest tasks there are.
     fn full_bytes(&self, build: &str) -> usize {
-        let room = self.view.machine_type(build).map(|t| t.room).unwrap_or_default();
-        let tasks = self.view.jobs.values().map(|j| j.spec().need.times_in(&room, 1_000)).max();
+        let room = self
+            .view
+            .machine_type(build)
+            .map(|t| t.room)
+            .unwrap_or_default();
+        let tasks = self
+            .view
+            .jobs
+            .values()
+            .map(|j| j.spec().need.times_in(&room, 1_000))
+            .max();
         GroupRecord::usual_bytes(tasks.unwrap_or(0).max(1), self.view.terse())
     }
 
     pub(super) fn draft_round(&mut self, limits: Limits, lean_only: bool) -> Option<Drafted> {
         // What the copy shows as carried out already is not wanted any more.
         let view = &self.view;
-        let has =
-            |m: MachineId, a: &Attempt| view.place(a.task).is_some_and(|p| p.machine == m && p.number == a.number);
+        let has = |m: MachineId, a: &Attempt| {
+            view.place(a.task)
+                .is_some_and(|p| p.machine == m && p.number == a.number)
+        };
         self.rounds.clears.retain(|(m, a), _| has(*m, a));
         self.rounds.marks.retain(|m, mark| {
-            view.machine(*m)
-                .is_some_and(|r| r.fitness != Fitness::Releasing && (r.fitness, r.dead) != (mark.fitness, mark.dead))
+            view.machine(*m).is_some_and(|r| {
+                r.fitness != Fitness::Releasing && (r.fitness, r.dead) != (mark.fitness, mark.dead)
+            })
         });
         self.rounds.adds.retain(|m| view.machine(*m).is_none());
         self.rounds.gone.retain(|m| view.machine(*m).is_some());
         self.rounds.releasing.retain(|m| {
-            view.machine(*m)
-                .is_some_and(|r| r.fitness == Fitness::Lost || r.fitness != Fitness::Releasing && r.tasks.is_empty())
+            view.machine(*m).is_some_and(|r| {
+                r.fitness == Fitness::Lost || r.fitness != Fitness::Releasing && r.tasks.is_empty()
+            })
         });
 
         // Every other round at most: what is urgent may never cease to come.
@@ -84,7 +97,11 @@
         // Where a transaction holds few changes, clearings would leave nothing to bookings for as long as tasks end,
         // and the other way round: they take turns.
         let books_first = std::mem::take(&mut self.rounds.books_first);
-        let mut booked = if books_first { self.book(&mut draft, false) } else { Vec::new() };
+        let mut booked = if books_first {
+            self.book(&mut draft, false)
+        } else {
+            Vec::new()
+        };
         for (m, a, outcome) in self.rounds.clears_in_order(view, self.now.steady) {
             if draft.clear(m, a, outcome, view.machine_slice(m)) {
                 cleared += 1;
@@ -104,7 +121,10 @@
             }
         }
         for m in &self.rounds.releasing {
-            let mark = Mark { fitness: Fitness::Releasing, dead: 0 };
+            let mark = Mark {
+                fitness: Fitness::Releasing,
+                dead: 0,
+            };
             draft.mark(*m, mark, 0);
         }
         let ended: Vec<JobId> = view
@@ -134,7 +154,11 @@
         if !books_first {
             booked = self.book(&mut draft, false);
         }
-        let drafted = (!draft.is_empty()).then(|| Drafted { commit: draft.commit(), booked, cleared });
+        let drafted = (!draft.is_empty()).then(|| Drafted {
+            commit: draft.commit(),
+            booked,
+            cleared,
+        });
         self.rounds.books_first = filled && drafted.as_ref().is_some_and(|d| d.booked.is_empty());
         drafted
     }
@@ -142,7 +166,9 @@
     /// Bytes that machines take when they are full, by type.
     fn full_sizes(&self) -> BTreeMap<String, usize> {
         let types = self.view.machine_types();
-        types.map(|t| (t.name.clone(), self.full_bytes(&t.name))).collect()
+        types
+            .map(|t| (t.name.clone(), self.full_bytes(&t.name)))
+            .collect()
     }
 
     /// Looks for own records that are larger than they will be allowed to be. Once all controllers have
@@ -157,7 +183,9 @@
                 continue;
             }
             let groups = self.view.groups[k].keys().map(|n| Key::Group(k, *n));
-            let large = groups.chain([Key::Usage(k)]).filter(|key| too_large(&self.view, key, most));
+            let large = groups
+                .chain([Key::Usage(k)])
+                .filter(|key| too_large(&self.view, key, most));
             self.rounds.large.extend(large);
         }
         if !self.rounds.large.is_empty() {
@@ -170,7 +198,9 @@
     fn shrink_round(&mut self, limits: Limits) -> Option<Drafted> {
         let view = &self.view;
         let owned = |key: &Key| matches!(key, Key::Group(k, _) | Key::Usage(k) if self.ownership.tenure(*k).is_some());
-        self.rounds.large.retain(|key| owned(key) && too_large(view, key, limits.value_bytes));
+        self.rounds
+            .large
+            .retain(|key| owned(key) && too_large(view, key, limits.value_bytes));
         if self.rounds.large.is_empty() {
             return None;
         }
@@ -181,7 +211,11 @@
             let mut draft = Draft::new(&self.view, limits);
             if draft.shrink(key, &me, &full) {
                 tracing::info!(record = %key, "bringing down to the size to come");
-                return Some(Drafted { commit: draft.commit(), booked: Vec::new(), cleared: 0 });
+                return Some(Drafted {
+                    commit: draft.commit(),
+                    booked: Vec::new(),
+                    cleared: 0,
+                });
             }
         }
         None
@@ -207,7 +241,11 @@
                 cleared += 1;
             }
         }
-        Some(Drafted { commit: draft.commit(), booked, cleared })
+        Some(Drafted {
+            commit: draft.commit(),
+            booked,
+            cleared,
+        })
     }
 
     /// How often those that have waited for long are planned in one round: where a team's limit has room for one task more, one
@@ -221,14 +259,22 @@
     /// jobs, if `at_once`, only those that must start at once.
     pub(super) fn book(&self, draft: &mut Draft<'_>, at_once: bool) -> Vec<(Claim, u64)> {
         let (turns, floors) = self.jobs_in_order();
-        if !turns.iter().any(|t| self.owns(self.view.job_slice(t.id, t.job.spec()))) {
+        if !turns
+            .iter()
+            .any(|t| self.owns(self.view.job_slice(t.id, t.job.spec())))
+        {
             return Vec::new();
         }
         let house = self.rules.active().then(|| self.house());
-        let waited: Vec<(JobId, &Job)> = turns.iter().map(|t| (t.id, t.job)).filter(|t| self.has_waited(t.0)).collect();
+        let waited: Vec<(JobId, &Job)> = turns
+            .iter()
+            .map(|t| (t.id, t.job))
+            .filter(|t| self.has_waited(t.0))
+            .collect();
         let mut asks = self.asks(turns, None, draft, house.as_ref());
         if at_once {
-            asks.iter_mut().for_each(|a| a.mine &= self.starts_at_once(a.spec));
+            asks.iter_mut()
+                .for_each(|a| a.mine &= self.starts_at_once(a.spec));
         }
         let owners = self.owner_numbers();
         let mut groups = Groups::default();
@@ -251,7 +297,9 @@
         let usages = slices.iter().filter(|k| !draft.writes_usage(**k)).count();
         // Teams of more slices may wait than a transaction has changes: some of these stay for groups, or nothing at all
         // would be booked. Who finds no change left then comes in the next round.
-        let least = (draft.ops_left() / Self::GROUPS_PART).max(1).min(draft.ops_left());
+        let least = (draft.ops_left() / Self::GROUPS_PART)
+            .max(1)
+            .min(draft.ops_left());
         groups.left = draft.ops_left().saturating_sub(usages).max(least);
         for a in &mut asks {
             a.owner = owners[a.owner];
@@ -269,7 +317,9 @@
                 }
                 let t = self.view.machine_type(&r.build)?;
                 let there = match house {
-                    Some(h) if h.beside => draft.machine(machine).map_or(Vec::new(), |r| jobs_there(&r.tasks)),
+                    Some(h) if h.beside => draft
+                        .machine(machine)
+                        .map_or(Vec::new(), |r| jobs_there(&r.tasks)),
                     _ => Vec::new(),
                 };
                 let slot = Slot {
@@ -286,7 +336,9 @@
                     images: &r.images,
                     fetches: None,
                     running: Vec::new(),
-                    class: house.and_then(|_| self.view.classes.of(machine)).unwrap_or_default(),
+                    class: house
+                        .and_then(|_| self.view.classes.of(machine))
+                        .unwrap_or_default(),
                     guarded: house.is_some_and(|h| there.iter().any(|j| h.guards(*j))),
                     there,
                 };
@@ -298,14 +350,29 @@
             })
             .collect();
         let mut claims = plan(&mut slots, &mut asks, &mut groups, Self::CLAIMS);
-        let sets = |asks: &[Ask<'_>]| asks.iter().filter(|a| a.whole).map(|a| a.job).collect::<Vec<_>>();
+        let sets = |asks: &[Ask<'_>]| {
+            asks.iter()
+                .filter(|a| a.whole)
+                .map(|a| a.job)
+                .collect::<Vec<_>>()
+        };
         let mut whole: BTreeSet<JobId> = sets(&asks).into_iter().collect();
         let number = self.view.latest;
-        let attempt = |c: &Claim| Attempt { task: TaskId { job: c.job, index: c.index }, number };
+        let attempt = |c: &Claim| Attempt {
+            task: TaskId {
+                job: c.job,
+                index: c.index,
+            },
+            number,
+        };
         let mut booked = Vec::new();
         let mut so_far = claims.clone();
         if asks.iter().any(|a| a.mine && a.preempts) {
-            let running = |m| self.view.machine(m).map_or(Vec::new(), |r| self.running(r, draft.machine(m), &floors));
+            let running = |m| {
+                self.view
+                    .machine(m)
+                    .map_or(Vec::new(), |r| self.running(r, draft.machine(m), &floors))
+            };
             for t in preempt(&mut slots, &asks, &claims, Self::TAKEOVERS, &running) {
                 so_far.extend(&t.claims);
                 let tasks: Vec<Attempt> = t.claims.iter().map(attempt).collect();
@@ -328,9 +395,18 @@
                     a.owner = owners[a.owner];
                 }
                 whole.extend(sets(&asks));
-                let new = plan(&mut slots, &mut asks, &mut groups, Self::CLAIMS - claims.len());
+                let new = plan(
+                    &mut slots,
+                    &mut asks,
+                    &mut groups,
+                    Self::CLAIMS - claims.len(),
+                );
                 // What of its team's limit was set aside for one that finds no room is for the others again.
-                vain.extend(asks.iter().map(|a| a.job).filter(|id| new.iter().all(|c| c.job != *id)));
+                vain.extend(
+                    asks.iter()
+                        .map(|a| a.job)
+                        .filter(|id| new.iter().all(|c| c.job != *id)),
+                );
                 if asks.is_empty() || claims.len() + new.len() >= Self::CLAIMS {
                     claims.extend(new);
                     break;
@@ -340,7 +416,8 @@
             }
         }
         for of_job in claims.chunk_by(|a, b| a.job == b.job) {
-            let set: Vec<(MachineId, Attempt)> = of_job.iter().map(|c| (c.machine, attempt(c))).collect();
+            let set: Vec<(MachineId, Attempt)> =
+                of_job.iter().map(|c| (c.machine, attempt(c))).collect();
             if whole.contains(&of_job[0].job) {
                 if draft.book_all(&set) {
                     booked.extend(of_job.iter().map(|c| (*c, number)));
@@ -360,7 +437,11 @@
     fn owner_numbers(&self) -> Vec<usize> {
         let owner = |k: Slice| self.view.own[k].value.as_ref().map(|o| &o.node);
         (0..self.view.own.len())
-            .map(|k| (0..k).find(|j| owner(*j).is_some() && owner(*j) == owner(k)).unwrap_or(k))
+            .map(|k| {
+                (0..k)
+                    .find(|j| owner(*j).is_some() && owner(*j) == owner(k))
+                    .unwrap_or(k)
+            })
             .collect()
     }
 }
--- a/src/coordination/rounds/floors.rs
+++ b/src/coordination/rounds/floors.rs
@@ -38,7 +38,12 @@
             return 0;
         }
         let each = job.spec().need.cores.max(1);
-        let most = Kin::of(job).iter().filter_map(|k| self.dues.get(k)).map(|d| d.ahead).max().unwrap_or(0);
+        let most = Kin::of(job)
+            .iter()
+            .filter_map(|k| self.dues.get(k))
+            .map(|d| d.ahead)
+            .max()
+            .unwrap_or(0);
         // One more than fits, or what is smaller than a task would never be made up.
         let n = tasks.min(most.div_ceil(each));
         for k in Kin::of(job) {
@@ -60,7 +65,11 @@
     pub(in crate::coordination) fn behind(&self) -> Vec<(String, u64)> {
         let (_, floors) = self.jobs_in_order();
         let behind = floors.dues.iter().filter(|(_, due)| due.ahead > 0);
-        behind.map(|(Kin::Class(name) | Kin::Team(name), due)| ((*name).to_owned(), due.ahead / 1_000)).collect()
+        behind
+            .map(|(Kin::Class(name) | Kin::Team(name), due)| {
+                ((*name).to_owned(), due.ahead / 1_000)
+            })
+            .collect()
     }
 
     /// Who is left behind now, by the jobs with tasks to place.
@@ -69,11 +78,20 @@
         // A job that should have started before this is so late that machines hired for it would be up: the shortage
         // lasts. What is late and all booked counts as well: were it stopped, it would be late and wait again.
         let types = self.view.machine_types();
-        let long_ago = self.now.day.since(types.map(|t| t.boot).max().unwrap_or(Micros::FOREVER));
-        let is_late =
-            |id: &JobId, j: &Job| j.ready() && self.latest_start(j) < long_ago && !self.rounds.is_suspect(*id);
-        let late: Vec<(JobId, &Job)> =
-            self.view.jobs.iter().filter(|(id, j)| is_late(id, j)).map(|(id, j)| (*id, j)).collect();
+        let long_ago = self
+            .now
+            .day
+            .since(types.map(|t| t.boot).max().unwrap_or(Micros::FOREVER));
+        let is_late = |id: &JobId, j: &Job| {
+            j.ready() && self.latest_start(j) < long_ago && !self.rounds.is_suspect(*id)
+        };
+        let late: Vec<(JobId, &Job)> = self
+            .view
+            .jobs
+            .iter()
+            .filter(|(id, j)| is_late(id, j))
+            .map(|(id, j)| (*id, j))
+            .collect();
         if late.is_empty() {
             return floors;
         }
@@ -84,7 +102,10 @@
                 parts.entry(k).or_default().booked += booked;
             }
         }
-        for (id, job) in waiting.iter().filter(|(id, _)| !self.rounds.is_suspect(*id)) {
+        for (id, job) in waiting
+            .iter()
+            .filter(|(id, _)| !self.rounds.is_suspect(*id))
+        {
             let wants = u64::from(self.view.pending_count(*id, job)) * job.spec().need.cores;
             for k in Kin::of(job) {
                 parts.entry(k).or_default().waiting += wants;
@@ -100,15 +121,33 @@
                 part.waiting = part.waiting.min(limit.saturating_sub(part.booked));
             }
         }
-        let room =
-            self.view.machines_up().filter_map(|(_, r)| self.view.machine_type(&r.build)).map(|t| t.room.cores).sum();
-        let (classes, teams): (Vec<_>, Vec<_>) = parts.into_iter().partition(|(k, _)| matches!(k, Kin::Class(_)));
+        let room = self
+            .view
+            .machines_up()
+            .filter_map(|(_, r)| self.view.machine_type(&r.build))
+            .map(|t| t.room.cores)
+            .sum();
+        let (classes, teams): (Vec<_>, Vec<_>) = parts
+            .into_iter()
+            .partition(|(k, _)| matches!(k, Kin::Class(_)));
         for kind in [classes, teams] {
             let (kin, parts): (Vec<Kin<'a>>, Vec<Part>) = kind.into_iter().unzip();
-            floors.dues.extend(kin.into_iter().zip(dues(room, &parts)).filter(|(_, due)| *due != Due::default()));
+            floors.dues.extend(
+                kin.into_iter()
+                    .zip(dues(room, &parts))
+                    .filter(|(_, due)| *due != Due::default()),
+            );
         }
-        let shields = |job: &Job| Kin::of(job).iter().any(|k| floors.dues.get(k).is_some_and(|d| d.shielded));
-        floors.shielded = late.into_iter().filter(|(_, job)| shields(job)).map(|(id, _)| id).collect();
+        let shields = |job: &Job| {
+            Kin::of(job)
+                .iter()
+                .any(|k| floors.dues.get(k).is_some_and(|d| d.shielded))
+        };
+        floors.shielded = late
+            .into_iter()
+            .filter(|(_, job)| shields(job))
+            .map(|(id, _)| id)
+            .collect();
         floors
     }
 }
--- a/src/coordination/rounds/order.rs
+++ b/src/coordination/rounds/order.rs
@@ -17,12 +17,20 @@
         let spec = job.spec();
         // Deadlines count from the submission, everything else from when the job could begin.
         let ready = job.record.submitted.max(job.stage.ready_at);
-        let due = spec.due.map_or_else(|| ready + self.finish_aim(spec), |d| job.record.submitted + d);
+        let due = spec.due.map_or_else(
+            || ready + self.finish_aim(spec),
+            |d| job.record.submitted + d,
+        );
         let due = job.stage.wanted_by.map_or(due, |by| by.min(due));
         let types = self.view.machine_types();
-        let fetch = types.filter(|t| spec.need.fits(&t.room)).map(|t| t.fetch_time(spec.size)).min();
+        let fetch = types
+            .filter(|t| spec.need.fits(&t.room))
+            .map(|t| t.fetch_time(spec.size))
+            .min();
         let start = due - (expected_run(spec) + fetch.unwrap_or_default());
-        let aim = self.start_aim(spec).filter(|aim| *aim >= self.shortest_boot());
+        let aim = self
+            .start_aim(spec)
+            .filter(|aim| *aim >= self.shortest_boot());
         aim.map_or(start, |aim| start.min(ready + aim))
     }
 
@@ -41,7 +49,12 @@
 
     /// The same for placing: where nothing but what is dear is up, waiting for better would leave
     /// it idle, and paid for.
-    pub(super) fn price_limit_among(&self, id: JobId, job: &Job, kinds: &BTreeSet<(&str, &str, bool)>) -> u64 {
+    pub(super) fn price_limit_among(
+        &self,
+        id: JobId,
+        job: &Job,
+        kinds: &BTreeSet<(&str, &str, bool)>,
+    ) -> u64 {
         let spec = job.spec();
         if self.has_waited(id) {
             return u64::MAX;
@@ -55,17 +68,26 @@
                     && self.may_hire(id, build, yard, *spot)
             })
         };
-        if limit < u64::MAX && !kinds.iter().any(cheap) { u64::MAX } else { limit }
+        if limit < u64::MAX && !kinds.iter().any(cheap) {
+            u64::MAX
+        } else {
+            limit
+        }
     }
 
     pub(super) fn fair_price(&self, spec: &JobSpec) -> u64 {
         let allows = |build: &str, yard: &str, spot: bool| spec.allows(build, yard, spot);
-        self.view.types.value.as_ref().map_or(u64::MAX, |catalog| price_limit(catalog, spec, &allows))
+        self.view
+            .types
+            .value
+            .as_ref()
+            .map_or(u64::MAX, |catalog| price_limit(catalog, spec, &allows))
     }
 
     /// Whether the objectives want tasks of this class started at once.
     pub(super) fn starts_at_once(&self, spec: &JobSpec) -> bool {
-        self.start_aim(spec).is_some_and(|aim| aim < self.shortest_boot())
+        self.start_aim(spec)
+            .is_some_and(|aim| aim < self.shortest_boot())
     }
 
     /// Within what time the objectives want tasks of this class started.
@@ -85,7 +107,11 @@
 
     fn objectives<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = ObjectiveKind> + 'a {
         let of_class = |class: &Option<String>| class.as_ref().is_none_or(|c| *c == spec.lane);
-        self.cfg.objectives.iter().filter(move |o| of_class(&o.class)).map(|o| o.kind)
+        self.cfg
+            .objectives
+            .iter()
+            .filter(move |o| of_class(&o.class))
+            .map(|o| o.kind)
     }
 
     /// Within what time a job without a deadline should be done: as the objectives want it, or
--- a/src/coordination/rounds/patience.rs
+++ b/src/coordination/rounds/patience.rs
@@ -38,7 +38,9 @@
 
     /// Whether a job has waited for long.
     pub fn is_out(&self, id: JobId, now: Micros) -> bool {
-        self.since.get(&id).is_some_and(|(since, _)| now.since(*since) > Self::LONG)
+        self.since
+            .get(&id)
+            .is_some_and(|(since, _)| now.since(*since) > Self::LONG)
     }
 }
 
@@ -47,10 +49,16 @@
     pub(in crate::coordination) fn sweep_patience(&mut self) {
         let view = &self.view;
         let waiting = view.jobs.iter().filter(|(_, j)| j.ready());
-        let waiting = waiting.map(|(id, j)| (*id, view.pending_count(*id, j))).filter(|(_, n)| *n > 0);
+        let waiting = waiting
+            .map(|(id, j)| (*id, view.pending_count(*id, j)))
+            .filter(|(_, n)| *n > 0);
         let now = self.now.steady;
         self.rounds.patience.note(now, waiting);
-        if view.jobs.keys().any(|id| self.rounds.patience.is_out(*id, now)) {
+        if view
+            .jobs
+            .keys()
+            .any(|id| self.rounds.patience.is_out(*id, now))
+        {
             self.rounds.look();
         }
     }
--- a/src/coordination/rules.rs
+++ b/src/coordination/rules.rs
@@ -5,7 +5,9 @@
 //! never leaves a moment in which the old rules hold here and the new ones there.
 
 use super::{Controller, Purpose};
-use crate::bookkeeping::admission::{Admission, ClassTraits, House, Insisted, Site, clash, has_hard, labelled, traits};
+use crate::bookkeeping::admission::{
+    Admission, ClassTraits, House, Insisted, Site, clash, has_hard, labelled, traits,
+};
 use crate::bookkeeping::classes::ClassId;
 use crate::bookkeeping::fleet::Places;
 use crate::bookkeeping::ids::{JobId, MachineId, TaskId};
@@ -54,15 +56,30 @@
     jobs
 }
 
-fn site<'a>(house: &House<'_>, class: ClassId, r: &'a MachineRecord, there: &'a [JobId]) -> Site<'a> {
+fn site<'a>(
+    house: &House<'_>,
+    class: ClassId,
+    r: &'a MachineRecord,
+    there: &'a [JobId],
+) -> Site<'a> {
     let guarded = there.iter().any(|j| house.guards(*j));
-    Site { class, images: &r.images, fetches: None, there, guarded }
+    Site {
+        class,
+        images: &r.images,
+        fetches: None,
+        there,
+        guarded,
+    }
 }
 
 impl Rules {
     /// Those that a controller is started with.
     pub fn of(own: Option<Arc<RuleSet>>) -> Rules {
-        Rules { stale: own.is_some(), own, ..Rules::default() }
+        Rules {
+            stale: own.is_some(),
+            own,
+            ..Rules::default()
+        }
     }
 
     /// Whether any rule has a say in anything.
@@ -91,7 +108,11 @@
     }
 
     fn house<'a>(&'a self, view: &'a View) -> House<'a> {
-        House { jobs: &view.jobs, admissions: &self.admissions, beside: self.beside }
+        House {
+            jobs: &view.jobs,
+            admissions: &self.admissions,
+            beside: self.beside,
+        }
     }
 
     /// Whether a task that was booked must not be launched: its rules have changed since, or what is on its
@@ -104,10 +125,17 @@
         if admission.is_none() && !self.beside {
             return false;
         }
-        let (Some(class), Some(job)) = (view.classes.of(m), view.jobs.get(&id)) else { return false };
+        let (Some(class), Some(job)) = (view.classes.of(m), view.jobs.get(&id)) else {
+            return false;
+        };
         let there = jobs_there(&r.tasks);
         let house = self.house(view);
-        !house.admits((id, job.spec()), admission, 0, site(&house, class, r, &there))
+        !house.admits(
+            (id, job.spec()),
+            admission,
+            0,
+            site(&house, class, r, &there),
+        )
     }
 
     /// Whether a task that has not begun must be stopped: its machine is not one that it may run on any more.
@@ -154,7 +182,11 @@
         let rules = &mut self.rules;
         if !rules.sets.is_empty()
             || rules.admissions.contains_key(&id)
-            || self.view.jobs.get(&id).is_some_and(|j| !j.spec().rules.is_empty())
+            || self
+                .view
+                .jobs
+                .get(&id)
+                .is_some_and(|j| !j.spec().rules.is_empty())
         {
             rules.changed.insert(id);
         }
@@ -167,26 +199,52 @@
         }
         let rules = &mut self.rules;
         if rules.stale {
-            let mut sets: Vec<(u64, Arc<RuleSet>)> =
-                self.view.rules.values().filter_map(|s| Some((s.stamp, Arc::clone(s.value.as_ref()?)))).collect();
+            let mut sets: Vec<(u64, Arc<RuleSet>)> = self
+                .view
+                .rules
+                .values()
+                .filter_map(|s| Some((s.stamp, Arc::clone(s.value.as_ref()?))))
+                .collect();
             sets.sort_by_key(|(stamp, _)| *stamp);
             rules.unreadable = self.view.rules.values().any(|s| s.value.is_none());
             rules.sets = sets.into_iter().map(|(_, s)| s).collect();
-            if let Some(own) = rules.own.as_ref().filter(|own| !self.view.rules.contains_key(&own.digest)) {
+            if let Some(own) = rules
+                .own
+                .as_ref()
+                .filter(|own| !self.view.rules.contains_key(&own.digest))
+            {
                 rules.sets.push(Arc::clone(own));
             }
             let labelled = labelled(&rules.sets);
             self.view.label(labelled);
         }
-        if !rules.stale && rules.sets.is_empty() && rules.admissions.is_empty() && rules.changed.is_empty() {
+        if !rules.stale
+            && rules.sets.is_empty()
+            && rules.admissions.is_empty()
+            && rules.changed.is_empty()
+        {
             return;
         }
         let judged = (self.view.types.stamp, self.view.classes.generation());
         if rules.stale || judged != rules.judged {
-            let Some(catalog) = &self.view.types.value else { return };
-            rules.traits = self.view.classes.all().iter().map(|c| traits(c, &rules.sets, catalog)).collect();
+            let Some(catalog) = &self.view.types.value else {
+                return;
+            };
+            rules.traits = self
+                .view
+                .classes
+                .all()
+                .iter()
+                .map(|c| traits(c, &rules.sets, catalog))
+                .collect();
             rules.judged = judged;
-            rules.changed.extend(self.view.jobs.keys().copied().chain(rules.admissions.keys().copied()));
+            rules.changed.extend(
+                self.view
+                    .jobs
+                    .keys()
+                    .copied()
+                    .chain(rules.admissions.keys().copied()),
+            );
         }
         rules.stale = false;
         if rules.changed.is_empty() {
@@ -215,8 +273,12 @@
         if !self.rules.active() {
             return;
         }
-        let barred: Vec<(JobId, bool)> =
-            self.rules.admissions.iter().map(|(id, a)| (*id, self.is_barred(*id, a))).collect();
+        let barred: Vec<(JobId, bool)> = self
+            .rules
+            .admissions
+            .iter()
+            .map(|(id, a)| (*id, self.is_barred(*id, a)))
+            .collect();
         for (id, barred) in barred {
             if let Some(a) = self.rules.admissions.get_mut(&id) {
                 a.barred = barred;
@@ -225,7 +287,14 @@
     }
 
     fn is_barred(&self, id: JobId, a: &Admission) -> bool {
-        let Some(job) = self.view.jobs.get(&id).filter(|j| self.view.pending_count(id, j) > 0) else { return false };
+        let Some(job) = self
+            .view
+            .jobs
+            .get(&id)
+            .filter(|j| self.view.pending_count(id, j) > 0)
+        else {
+            return false;
+        };
         let classes = &self.view.classes;
         let up = (0..classes.all().len()).filter(|c| classes.is_up(*c) && a.may(*c, 0));
         let spec = job.spec();
@@ -236,7 +305,9 @@
             Some(true) => !self.up().any(|(m, r)| {
                 let there = jobs_there(&r.tasks);
                 let house = self.house();
-                classes.of(m).is_some_and(|c| house.admits((id, spec), Some(a), 0, site(&house, c, r, &there)))
+                classes.of(m).is_some_and(|c| {
+                    house.admits((id, spec), Some(a), 0, site(&house, c, r, &there))
+                })
             }),
         }
     }
@@ -252,14 +323,19 @@
             let c = &classes.all()[*n];
             classes.possible(*n)
                 && spec.allows(&c.build, &c.yard, c.spot)
-                && self.view.machine_type(&c.build).is_some_and(|t| spec.need.fits(&t.room))
+                && self
+                    .view
+                    .machine_type(&c.build)
+                    .is_some_and(|t| spec.need.fits(&t.room))
         };
         (0..classes.all().len()).filter(fits).collect()
     }
 
     /// The preferences that a job still waits for: none past its latest start.
     pub(super) fn insisted(&self, id: JobId, job: &Job) -> Insisted {
-        let Some(a) = self.rules.admissions.get(&id).filter(|a| a.waits()) else { return 0 };
+        let Some(a) = self.rules.admissions.get(&id).filter(|a| a.waits()) else {
+            return 0;
+        };
         let now = self.now.day;
         if now >= self.latest_start(job) {
             return 0;
@@ -267,8 +343,14 @@
         let ready = job.record.submitted.max(job.stage.ready_at);
         let classes = &self.view.classes;
         // What could not be there within the whole wait is not waited for at all.
-        let in_time = |c: ClassId, wait| classes.is_up(c) || self.expected_boot(&classes.all()[c].build) <= wait;
-        a.insists(&self.possible_classes(job.spec()), &|wait| now < ready + wait, &in_time)
+        let in_time = |c: ClassId, wait| {
+            classes.is_up(c) || self.expected_boot(&classes.all()[c].build) <= wait
+        };
+        a.insists(
+            &self.possible_classes(job.spec()),
+            &|wait| now < ready + wait,
+            &in_time,
+        )
     }
 
     /// The rules that have a say in where tasks of a job are placed.
@@ -281,15 +363,21 @@
         let house = house?;
         let admission = self.rules.admissions.get(&id);
         let insisted = self.insisted(id, job);
-        (admission.is_some() || house.beside).then_some(placement::Rules { house, admission, insisted })
+        (admission.is_some() || house.beside).then_some(placement::Rules {
+            house,
+            admission,
+            insisted,
+        })
     }
 
     /// Whether rules let a job on machines of a type, zone and kind.
     pub(super) fn may_hire(&self, id: JobId, build: &str, yard: &str, spot: bool) -> bool {
-        self.rules
-            .admissions
-            .get(&id)
-            .is_none_or(|a| self.view.classes.of_offer(build, yard, spot).is_some_and(|c| a.may(c, 0)))
+        self.rules.admissions.get(&id).is_none_or(|a| {
+            self.view
+                .classes
+                .of_offer(build, yard, spot)
+                .is_some_and(|c| a.may(c, 0))
+        })
     }
 
     /// Whether a machine meets the weightiest of a job's preferences, as far as its class tells; `None` if the
@@ -302,15 +390,28 @@
 
     /// Whether rules let a job on a machine, as far as its class tells.
     pub(super) fn may_use(&self, id: JobId, m: MachineId) -> bool {
-        self.rules.admissions.get(&id).is_none_or(|a| self.view.classes.of(m).is_some_and(|c| a.may(c, 0)))
+        self.rules
+            .admissions
+            .get(&id)
+            .is_none_or(|a| self.view.classes.of(m).is_some_and(|c| a.may(c, 0)))
     }
 
     /// What rules make of machines that are hired for a job; `Err` if none that could be hired would do, or
     /// would do yet.
-    pub(super) fn places_for<'a>(&'a self, id: JobId, job: &'a Job) -> Result<Option<Box<dyn Places + 'a>>, ()> {
+    pub(super) fn places_for<'a>(
+        &'a self,
+        id: JobId,
+        job: &'a Job,
+    ) -> Result<Option<Box<dyn Places + 'a>>, ()> {
         let Some(admission) = self.rules.admissions.get(&id) else {
             return if self.rules.beside {
-                Ok(Some(Box::new(JobPlaces { controller: self, id, spec: job.spec(), admission: None, insisted: 0 })))
+                Ok(Some(Box::new(JobPlaces {
+                    controller: self,
+                    id,
+                    spec: job.spec(),
+                    admission: None,
+                    insisted: 0,
+                })))
             } else {
                 Ok(None)
             };
@@ -321,15 +422,26 @@
         // A preference that no machine could meet in time is not hired for; and what does not meet it is of no
         // use before the wait is over.
         let mut insisted = self.insisted(id, job);
-        let left = |wait: Micros| (job.record.submitted.max(job.stage.ready_at) + wait).since(self.now.day);
-        let least = admission.soft.iter().enumerate().filter(|(i, _)| insisted >> i & 1 == 1);
+        let left = |wait: Micros| {
+            (job.record.submitted.max(job.stage.ready_at) + wait).since(self.now.day)
+        };
+        let least = admission
+            .soft
+            .iter()
+            .enumerate()
+            .filter(|(i, _)| insisted >> i & 1 == 1);
         if let Some(least) = least.map(|(_, s)| left(s.wait)).min() {
             let in_time = |c: &ClassId| {
-                admission.may_fresh(*c, insisted) && self.expected_boot(&classes.all()[*c].build) <= least
+                admission.may_fresh(*c, insisted)
+                    && self.expected_boot(&classes.all()[*c].build) <= least
             };
             if !possible.iter().any(in_time) {
                 let boots = possible.iter().filter(|c| admission.may_fresh(**c, 0));
-                if boots.map(|c| self.expected_boot(&classes.all()[*c].build)).min() < Some(least) {
+                if boots
+                    .map(|c| self.expected_boot(&classes.all()[*c].build))
+                    .min()
+                    < Some(least)
+                {
                     return Err(());
                 }
                 insisted = 0;
@@ -338,7 +450,13 @@
         if !possible.iter().any(|c| admission.may_fresh(*c, insisted)) {
             return Err(());
         }
-        Ok(Some(Box::new(JobPlaces { controller: self, id, spec, admission: Some(admission), insisted })))
+        Ok(Some(Box::new(JobPlaces {
+            controller: self,
+            id,
+            spec,
+            admission: Some(admission),
+            insisted,
+        })))
     }
 
     /// Whether rules keep a submission from being taken. What they say is only known once the machine types are.
@@ -347,7 +465,9 @@
         if !self.keeps_rules() && (!spec.rules.is_empty() || has_hard(spec, sets)) {
             if self.rules.own.is_none() {
                 return (!spec.rules.is_empty()).then(|| {
-                    NotTaken::Never("rules: none are taken here, operators have not turned them on".to_owned())
+                    NotTaken::Never(
+                        "rules: none are taken here, operators have not turned them on".to_owned(),
+                    )
                 });
             }
             return Some(NotTaken::Later);
@@ -364,7 +484,10 @@
         let catalog = self.view.types.value.as_ref()?;
         let admission = Admission::of(spec, sets, &self.rules.traits)?;
         let clash = clash(spec, &admission, sets, &self.view.classes, catalog)?;
-        Some(NotTaken::Never(format!("rules: no machine that could be had meets all of: {}", clash.join(", "))))
+        Some(NotTaken::Never(format!(
+            "rules: no machine that could be had meets all of: {}",
+            clash.join(", ")
+        )))
     }
 
     /// Looks why jobs wait, and says so when that changes.
@@ -378,10 +501,16 @@
         if !self.rules.active() {
             return;
         }
-        let reasons: Vec<(JobId, Option<String>)> =
-            self.rules.admissions.iter().map(|(id, a)| (*id, self.why_it_waits(*id, a))).collect();
+        let reasons: Vec<(JobId, Option<String>)> = self
+            .rules
+            .admissions
+            .iter()
+            .map(|(id, a)| (*id, self.why_it_waits(*id, a)))
+            .collect();
         for (id, reason) in reasons {
-            let Some(a) = self.rules.admissions.get_mut(&id) else { continue };
+            let Some(a) = self.rules.admissions.get_mut(&id) else {
+                continue;
+            };
             if a.reason.as_deref() == reason.as_deref() {
                 continue;
             }
@@ -406,7 +535,10 @@
         let spec = job.spec();
         let catalog = self.view.types.value.as_ref()?;
         if let Some(clash) = clash(spec, a, &self.rules.sets, &self.view.classes, catalog) {
-            return Some(format!("no machine that could be had meets all of: {}", clash.join(", ")));
+            return Some(format!(
+                "no machine that could be had meets all of: {}",
+                clash.join(", ")
+            ));
         }
         let classes = &self.view.classes;
         let house = self.house();
@@ -418,9 +550,13 @@
                 .collect();
             let sites = sites.iter().map(|(c, r, there)| site(&house, *c, r, there));
             return match house.kept_from((id, spec), a, sites) {
-                Some(clash) if !clash.is_empty() => Some(format!("no machine that is up meets: {}", clash.join(", "))),
+                Some(clash) if !clash.is_empty() => {
+                    Some(format!("no machine that is up meets: {}", clash.join(", ")))
+                }
                 Some(_) => Some("no machine that is up fits".to_owned()),
-                None => Some("rules of the jobs on the machines that are up keep it away".to_owned()),
+                None => {
+                    Some("rules of the jobs on the machines that are up keep it away".to_owned())
+                }
             };
         }
         let insisted = self.insisted(id, job);
@@ -433,7 +569,10 @@
                 .filter(|(i, _)| insisted >> i & 1 == 1)
                 .map(|(_, s)| s.name.as_str())
                 .collect();
-            format!("for a while, a machine is waited for that meets: {}", names.join(", "))
+            format!(
+                "for a while, a machine is waited for that meets: {}",
+                names.join(", ")
+            )
         })
     }
 
@@ -447,16 +586,36 @@
     /// Keeps the records of rules: this controller's own is there, and one that no controller has any more goes.
     pub(super) fn pump_rules(&mut self) {
         let now = self.now.steady;
-        if !self.reader.ready() || !self.keeps_rules() || self.rules.writing || now < self.rules.next_write {
+        if !self.reader.ready()
+            || !self.keeps_rules()
+            || self.rules.writing
+            || now < self.rules.next_write
+        {
             return;
         }
-        let missing = self.rules.own.as_ref().filter(|own| !self.view.rules.contains_key(&own.digest));
+        let missing = self
+            .rules
+            .own
+            .as_ref()
+            .filter(|own| !self.view.rules.contains_key(&own.digest));
         let txn = if let Some(own) = missing {
-            tracing::info!(rules = format!("{:016x}", own.digest), "rules are to hold at every controller");
+            tracing::info!(
+                rules = format!("{:016x}", own.digest),
+                "rules are to hold at every controller"
+            );
             let key = Key::Rules(own.digest);
-            Txn { when: vec![(key.clone(), 0)], then: vec![Put { key, value: encode(&**own), permit: None }] }
+            Txn {
+                when: vec![(key.clone(), 0)],
+                then: vec![Put {
+                    key,
+                    value: encode(&**own),
+                    permit: None,
+                }],
+            }
         } else {
-            let Some(txn) = self.withdrawn_rules() else { return };
+            let Some(txn) = self.withdrawn_rules() else {
+                return;
+            };
             txn
         };
         self.rules.writing = true;
@@ -470,15 +629,46 @@
         if !self.owns(0) {
             return None;
         }
-        let all = || self.cfg.others.iter().map(|o| &o.node).chain([&self.cfg.node]);
-        let unused = |d: &u64| all().all(|n| self.rules.declared.get(n).is_some_and(|has| has.as_ref() != Some(d)));
+        let all = || {
+            self.cfg
+                .others
+                .iter()
+                .map(|o| &o.node)
+                .chain([&self.cfg.node])
+        };
+        let unused = |d: &u64| {
+            all().all(|n| {
+                self.rules
+                    .declared
+                    .get(n)
+                    .is_some_and(|has| has.as_ref() != Some(d))
+            })
+        };
         let (digest, set) = self.view.rules.iter().find(|(d, _)| unused(d))?;
-        tracing::info!(rules = format!("{digest:016x}"), "rules that no controller has any more hold no longer");
+        tracing::info!(
+            rules = format!("{digest:016x}"),
+            "rules that no controller has any more hold no longer"
+        );
         // A controller that comes back with them in this moment would be missed: then this fails.
-        let nodes = self.view.nodes.iter().map(|(n, s)| (Key::Node(n.clone()), s.stamp));
+        let nodes = self
+            .view
+            .nodes
+            .iter()
+            .map(|(n, s)| (Key::Node(n.clone()), s.stamp));
         let key = Key::Rules(*digest);
-        let when = [(key.clone(), set.stamp)].into_iter().chain(nodes).take(self.limits.txn_ops() * 4).collect();
-        Some(Txn { when, then: vec![Put { key, value: None, permit: None }] })
+        let when = [(key.clone(), set.stamp)]
+            .into_iter()
+            .chain(nodes)
+            .take(self.limits.txn_ops() * 4)
+            .collect();
+        Some(Txn {
+            when,
+            then: vec![Put {
+                key,
+                value: None,
+                permit: None,
+            }],
+        })
     }
 
     /// Sets of rules came or went, or prices changed: what waits to be launched is looked at again.
@@ -511,18 +701,30 @@
 
     fn machine(&self, class: ClassId, machine: Option<MachineId>) -> bool {
         let Some(m) = machine else {
-            return self.admission.is_none_or(|a| a.may_fresh(class, self.insisted));
+            return self
+                .admission
+                .is_none_or(|a| a.may_fresh(class, self.insisted));
+        };
+        let Some(r) = self.controller.view.machine(m) else {
+            return false;
         };
-        let Some(r) = self.controller.view.machine(m) else { return false };
         let there = jobs_there(&r.tasks);
         let house = self.controller.house();
-        house.admits((self.id, self.spec), self.admission, self.insisted, site(&house, class, r, &there))
+        house.admits(
+            (self.id, self.spec),
+            self.admission,
+            self.insisted,
+            site(&house, class, r, &there),
+        )
     }
 
     fn offer(&self, build: &str, yard: &str, spot: bool) -> Option<u32> {
-        let Some(a) = self.admission else { return Some(0) };
+        let Some(a) = self.admission else {
+            return Some(0);
+        };
         let class = self.controller.view.classes.of_offer(build, yard, spot)?;
-        a.may_fresh(class, self.insisted).then(|| a.fresh_worth(class))
+        a.may_fresh(class, self.insisted)
+            .then(|| a.fresh_worth(class))
     }
 }
 
--- a/src/coordination/served.rs
+++ b/src/coordination/served.rs
@@ -49,11 +49,30 @@
                 count.waiting += waiting;
             }
         }
-        for ((kind, name), Count { done, running, waiting }) in counts {
-            tracing::info!(kind, name, jobs_done = done, tasks_booked = running, tasks_waiting = waiting, "served");
+        for (
+            (kind, name),
+            Count {
+                done,
+                running,
+                waiting,
+            },
+        ) in counts
+        {
+            tracing::info!(
+                kind,
+                name,
+                jobs_done = done,
+                tasks_booked = running,
+                tasks_waiting = waiting,
+                "served"
+            );
         }
         for (name, cores) in self.behind() {
-            tracing::info!(name, cores, "left behind while others have more than half of their part: goes ahead");
+            tracing::info!(
+                name,
+                cores,
+                "left behind while others have more than half of their part: goes ahead"
+            );
         }
     }
 }
--- a/src/coordination/sessions.rs
+++ b/src/coordination/sessions.rs
@@ -110,7 +110,9 @@
     /// that it stays: without an answer it would have gone to another controller with its next report.
     fn reported(&mut self, now: Micros, report: &Report, first_term: u64, alone: bool) {
         self.last_report = Some(now);
-        let stayed = !alone && self.told == Some(self.order) && report.order == (self.order.0, self.order.1 + 1);
+        let stayed = !alone
+            && self.told == Some(self.order)
+            && report.order == (self.order.0, self.order.1 + 1);
         let first = self.order == (0, 0);
         if stayed || report.baton >= first_term && (first || alone || report.baton > self.baton) {
             self.heeds(now);
@@ -130,7 +132,9 @@
     /// in a tenure in which it has not reported, for a lease. It may be looking for its owner; beyond that its session ends by
     /// itself, whatever it is told.
     fn is_mute(&self, now: Micros, since: Micros, usual: Micros, lease: Micros) -> bool {
-        let (from, most) = self.last_report.map_or((since, lease), |t| (t.max(since), usual));
+        let (from, most) = self
+            .last_report
+            .map_or((since, lease), |t| (t.max(since), usual));
         now.since(from) > most && self.word.is_some_and(|word| word > from)
     }
 
@@ -142,7 +146,8 @@
 
     /// Whether no launch of the attempt can still be on its way by a direct command.
     fn settled(&self, a: &Attempt) -> bool {
-        !self.unsettled.iter().any(|(u, _, _)| u == a) && self.direct.as_ref().is_none_or(|d| !d.launches.contains(a))
+        !self.unsettled.iter().any(|(u, _, _)| u == a)
+            && self.direct.as_ref().is_none_or(|d| !d.launches.contains(a))
     }
 
     fn sees(&self, a: &Attempt) -> Option<TaskState> {
@@ -152,14 +157,23 @@
     /// Whether the worker has room for a launch: only in question while others are being stopped
     /// for it.
     fn has_room(&self, view: &View, record: Option<&MachineRecord>, a: &Attempt) -> bool {
-        let Some(record) = record.filter(|r| !r.preempted.is_empty()) else { return true };
-        let mut room = view.machine_type(&record.build).map(|t| t.room).unwrap_or_default();
+        let Some(record) = record.filter(|r| !r.preempted.is_empty()) else {
+            return true;
+        };
+        let mut room = view
+            .machine_type(&record.build)
+            .map(|t| t.room)
+            .unwrap_or_default();
         for (t, state) in &self.seen {
             if t != a && !matches!(state, TaskState::Exited(_)) {
                 room -= view.need(t.task.job);
             }
         }
-        for t in self.launched.iter().filter(|t| *t != a && self.sees(t).is_none()) {
+        for t in self
+            .launched
+            .iter()
+            .filter(|t| *t != a && self.sees(t).is_none())
+        {
             room -= view.need(t.task.job);
         }
         view.need(a.task.job).fits(&room)
@@ -289,7 +303,9 @@
         };
         match self.view.machine(m) {
             Some(r) => {
-                if !r.preempted.is_empty() || r.tasks.iter().any(|b| !s.launched.contains(&b.attempt())) {
+                if !r.preempted.is_empty()
+                    || r.tasks.iter().any(|b| !s.launched.contains(&b.attempt()))
+                {
                     self.to_command.insert(m);
                 }
                 s.launched.retain(|a| r.tasks.contains(&Booking::of(*a)));
@@ -329,8 +345,12 @@
                 }
             }
         }
-        let machines: Vec<MachineId> =
-            self.view.booked(job).into_iter().flat_map(|tasks| tasks.values().map(|p| p.machine)).collect();
+        let machines: Vec<MachineId> = self
+            .view
+            .booked(job)
+            .into_iter()
+            .flat_map(|tasks| tasks.values().map(|p| p.machine))
+            .collect();
         for m in machines {
             self.to_command.insert(m);
         }
@@ -352,7 +372,10 @@
             self.rounds.look();
         }
         let silence = self.cfg.lease.with_drift() + Self::SILENCE_MARGIN;
-        let (due, longest) = (Self::report_due(self.cfg.report), Self::longest_quiet(self.cfg.report));
+        let (due, longest) = (
+            Self::report_due(self.cfg.report),
+            Self::longest_quiet(self.cfg.report),
+        );
         // What nobody's worker can be heard by says nothing about the workers.
         let deaf = self.deaf();
         let back = self.absence.back();
@@ -368,7 +391,13 @@
             }
             if s.is_mute(now, tenure.since.max(back), longest, self.cfg.lease)
                 && let Some(r) = self.view.machine(*m).filter(|r| r.fitness < Fitness::Lost)
-                && self.rounds.mark(*m, Mark { fitness: Fitness::Lost, dead: r.dead })
+                && self.rounds.mark(
+                    *m,
+                    Mark {
+                        fitness: Fitness::Lost,
+                        dead: r.dead,
+                    },
+                )
             {
                 tracing::info!(machine = %m, "mute: it answers commands, but no report arrives; takes no more work");
             }
@@ -389,7 +418,13 @@
                 }
                 if dead < s.refused {
                     let fitness = fitness.max(Fitness::Lost);
-                    self.rounds.mark(*m, Mark { fitness, dead: s.refused });
+                    self.rounds.mark(
+                        *m,
+                        Mark {
+                            fitness,
+                            dead: s.refused,
+                        },
+                    );
                 }
                 for b in &record.tasks {
                     self.rounds.clear(*m, b.attempt(), Outcome::Again, now);
@@ -400,7 +435,13 @@
                 // its tasks would be waited for without end.
                 if !s.unreachable && !s.endpoint.is_empty() {
                     probes.push(*m);
-                } else if self.rounds.mark(*m, Mark { fitness: Fitness::Lost, dead }) {
+                } else if self.rounds.mark(
+                    *m,
+                    Mark {
+                        fitness: Fitness::Lost,
+                        dead,
+                    },
+                ) {
                     tracing::info!(machine = %m, quiet = %wordless, "silent, takes no more work");
                 }
             }
--- a/src/coordination/sessions/commands.rs
+++ b/src/coordination/sessions/commands.rs
@@ -13,19 +13,25 @@
 /// The time that a task of this job is given to save when it is stopped.
 fn leeway(job: Option<&Job>) -> Micros {
     let spec = job.map(Job::spec);
-    spec.filter(|s| s.bookmark > Micros::ZERO).map_or(Micros::ZERO, |s| s.stash.with_drift())
+    spec.filter(|s| s.bookmark > Micros::ZERO)
+        .map_or(Micros::ZERO, |s| s.stash.with_drift())
 }
 
 /// Whether more is booked for a job's team than it may have. Nobody books that who knows the limit, so it was booked
 /// before a later deploy file brought it: what has not begun of it is not launched any more, but given back.
 fn beyond_limit(view: &View, cfg: &Settings, job: JobId) -> bool {
-    let Some(spec) = view.jobs.get(&job).map(Job::spec) else { return false };
-    let Some(team) = cfg.team(&spec.crew) else { return false };
+    let Some(spec) = view.jobs.get(&job).map(Job::spec) else {
+        return false;
+    };
+    let Some(team) = cfg.team(&spec.crew) else {
+        return false;
+    };
     if team.cores_limit.is_none() && team.accelerators_limit.is_none() {
         return false;
     }
     let used = view.used(view.job_slice(job, spec), &spec.crew);
-    team.cores_limit.is_some_and(|most| used.0 > most) || team.accelerators_limit.is_some_and(|most| used.1 > most)
+    team.cores_limit.is_some_and(|most| used.0 > most)
+        || team.accelerators_limit.is_some_and(|most| used.1 > most)
 }
 
 impl Controller {
@@ -79,11 +85,14 @@
                         orders.push(Order::Stop(*a, Micros::ZERO));
                     } else if preempted.contains(&Booking::of(*a)) {
                         orders.push(Order::Stop(*a, leeway(job)));
-                    } else if *state == TaskState::Fetching && self.rules.forbid_start(&self.view, machine, a.task.job)
+                    } else if *state == TaskState::Fetching
+                        && self.rules.forbid_start(&self.view, machine, a.task.job)
                     {
                         log_forbidden(a.task, machine);
                         orders.push(Order::Stop(*a, Micros::ZERO));
-                    } else if let (Some(at), Some(job), TaskState::Running) = (s.recall_at, job, state) {
+                    } else if let (Some(at), Some(job), TaskState::Running) =
+                        (s.recall_at, job, state)
+                    {
                         let spec = job.spec();
                         let left = at.since(now);
                         let ran = s.started.get(a).map_or(Micros::ZERO, |t| now.since(*t));
@@ -115,7 +124,8 @@
                 continue;
             }
             let job = self.view.jobs.get(&a.task.job);
-            let forbidden = record.is_some_and(|r| self.rules.forbid_launch(&self.view, machine, r, a.task.job));
+            let forbidden = record
+                .is_some_and(|r| self.rules.forbid_launch(&self.view, machine, r, a.task.job));
             let beyond = beyond_limit(&self.view, &self.cfg, a.task.job);
             let unwanted = job.is_none_or(Job::cancelled)
                 || fitness != Fitness::Up
@@ -183,8 +193,13 @@
                 let cancelled = job.is_none_or(Job::cancelled);
                 let seen = s.sees(&a);
                 let preempted = record.preempted.contains(b);
-                if (cancelled || preempted) && seen.is_some_and(|t| !matches!(t, TaskState::Exited(_))) {
-                    orders.push(Order::Stop(a, if cancelled { Micros::ZERO } else { leeway(job) }));
+                if (cancelled || preempted)
+                    && seen.is_some_and(|t| !matches!(t, TaskState::Exited(_)))
+                {
+                    orders.push(Order::Stop(
+                        a,
+                        if cancelled { Micros::ZERO } else { leeway(job) },
+                    ));
                 } else if heard
                     && !cancelled
                     && !preempted
@@ -251,18 +266,37 @@
     }
 
     /// Sends a direct command, which may have no orders: then its answer only tells how the worker is.
-    pub(in crate::coordination) fn command(&mut self, m: MachineId, orders: Vec<Order>, launches: Vec<Attempt>) {
+    pub(in crate::coordination) fn command(
+        &mut self,
+        m: MachineId,
+        orders: Vec<Order>,
+        launches: Vec<Attempt>,
+    ) {
         let k = self.view.machine_slice(m);
         let baton = self.view.own[k].stamp;
-        let Some(s) = self.sessions.get(&m).filter(|s| s.direct.is_none() && !s.endpoint.is_empty()) else {
+        let Some(s) = self
+            .sessions
+            .get(&m)
+            .filter(|s| s.direct.is_none() && !s.endpoint.is_empty())
+        else {
             return;
         };
         let (endpoint, session) = (s.endpoint.clone(), s.order.0);
         let body = direct_body(baton, session, &orders);
         let call = self.call(Purpose::Direct(m));
         if let Some(s) = self.sessions.get_mut(&m) {
-            s.direct = Some(Direct { call, baton, session, launches });
+            s.direct = Some(Direct {
+                call,
+                baton,
+                session,
+                launches,
+            });
         }
-        self.out.push(Effect::Direct { call, endpoint, body, limit: Self::DIRECT_LIMIT });
+        self.out.push(Effect::Direct {
+            call,
+            endpoint,
+            body,
+            limit: Self::DIRECT_LIMIT,
+        });
     }
 }
--- a/src/coordination/sessions/reports.rs
+++ b/src/coordination/sessions/reports.rs
@@ -14,7 +14,12 @@
         let k = self.view.machine_slice(report.machine);
         if !self.owns(k) {
             let owner = self.view.own[k].value.as_ref().filter(|o| {
-                o.node != self.cfg.node && self.view.nodes.get(&o.node).is_some_and(|n| n.value.run == o.run)
+                o.node != self.cfg.node
+                    && self
+                        .view
+                        .nodes
+                        .get(&o.node)
+                        .is_some_and(|n| n.value.run == o.run)
             });
             return match owner {
                 Some(o) => ReportAnswer::Elsewhere(Some(o.node.clone())),
@@ -31,7 +36,9 @@
             return ReportAnswer::Unavailable;
         }
         // One that was given up while it booted is never used: its release is under way.
-        if self.removed.contains(&report.machine) || self.view.fleet.value.releasing.contains(&report.machine) {
+        if self.removed.contains(&report.machine)
+            || self.view.fleet.value.releasing.contains(&report.machine)
+        {
             return ReportAnswer::Unavailable;
         }
         let dead = self.view.machine(report.machine).map_or(0, |r| r.dead);
@@ -69,7 +76,9 @@
 
     /// Whether a launch may still reach a machine whose job was cancelled so long ago that its lease must end.
     pub(super) fn overdue(&self, m: MachineId) -> bool {
-        let Some(s) = self.sessions.get(&m) else { return false };
+        let Some(s) = self.sessions.get(&m) else {
+            return false;
+        };
         let overdue = self.is_overdue(self.cancelled.earliest(s.under_way()));
         if overdue {
             tracing::info!(machine = %m, "not answered: a launch of a cancelled job may still be on its way to it");
@@ -79,7 +88,10 @@
 
     /// A machine that reports and may be deaf is asked: it gets no work until it answers, or is seen to hear.
     pub(super) fn ask_whether_it_hears(&mut self, m: MachineId) {
-        let lost = self.view.machine(m).is_some_and(|r| r.fitness == Fitness::Lost);
+        let lost = self
+            .view
+            .machine(m)
+            .is_some_and(|r| r.fitness == Fitness::Lost);
         let asks = |s: &Session| s.may_be_asked() && s.unheeding >= if lost { 1 } else { 2 };
         if self.sessions.get(&m).is_some_and(asks) {
             self.command(m, Vec::new(), Vec::new());
@@ -97,14 +109,16 @@
         };
         s.takes(now, report, tenure.first);
         s.seen.clone_from(&report.tasks);
-        s.unsettled.retain(|(_, baton, session)| report.baton <= *baton && report.session() <= *session);
+        s.unsettled
+            .retain(|(_, baton, session)| report.baton <= *baton && report.session() <= *session);
         for (a, state) in &report.tasks {
             if *state == TaskState::Running {
                 s.started.entry(*a).or_insert(now);
             }
         }
         if s.started.len() > report.tasks.len() {
-            s.started.retain(|a, _| report.tasks.iter().any(|(t, _)| t == a));
+            s.started
+                .retain(|a, _| report.tasks.iter().any(|(t, _)| t == a));
         }
         let recall_at = report.recall.map(|r| now + r);
         if recall_at.is_some() && s.recall_at.is_none() {
@@ -115,7 +129,12 @@
         // remembers those.
         let copies = self.cfg.lease * 3;
         let since = tenure.since.max(self.absence.back());
-        let mute = s.is_mute(now, since, Self::longest_quiet(self.cfg.report), self.cfg.lease);
+        let mute = s.is_mute(
+            now,
+            since,
+            Self::longest_quiet(self.cfg.report),
+            self.cfg.lease,
+        );
         match self.view.machine(report.machine) {
             None if !s.heard && now.since(tenure.since) < copies => {}
             None => self.rounds.add(report.machine),
@@ -133,7 +152,13 @@
                     Fitness::Up
                 };
                 if wanted != r.fitness {
-                    self.rounds.mark(report.machine, Mark { fitness: wanted, dead: r.dead });
+                    self.rounds.mark(
+                        report.machine,
+                        Mark {
+                            fitness: wanted,
+                            dead: r.dead,
+                        },
+                    );
                 }
             }
         }
--- a/src/coordination/sessions/tests.rs
+++ b/src/coordination/sessions/tests.rs
@@ -13,7 +13,8 @@
 }
 
 fn silent_for(s: &Session, now: u64) -> Option<u64> {
-    s.unrenewed(Micros::secs(now)).map(|t| t.as_millis() / 1_000)
+    s.unrenewed(Micros::secs(now))
+        .map(|t| t.as_millis() / 1_000)
 }
 
 /// A copy of an old report is answered, and then a direct command tells of a session that began after it: its lease runs from
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -129,7 +129,10 @@
 
     /// How long the oldest read has waited.
     pub fn oldest_read(&self, now: Micros) -> Option<Micros> {
-        self.reads.iter().map(|request| now.since(request.since)).max()
+        self.reads
+            .iter()
+            .map(|request| now.since(request.since))
+            .max()
     }
 
     fn waiting(&self) -> usize {
@@ -140,7 +143,11 @@
 fn final_answer(id: JobId, f: FinalRecord) -> JobAnswer {
     JobAnswer {
         id,
-        status: if f.cancelled { JobStatus::Cancelled } else { JobStatus::Done },
+        status: if f.cancelled {
+            JobStatus::Cancelled
+        } else {
+            JobStatus::Done
+        },
         done: f.done,
         running: 0,
         reason: None,
@@ -187,7 +194,13 @@
             (false, 0) => JobStatus::Queued,
             _ => JobStatus::Running,
         };
-        Some(JobAnswer { id, status, done: job.done(), running, reason: self.rules.reason(id) })
+        Some(JobAnswer {
+            id,
+            status,
+            done: job.done(),
+            running,
+            reason: self.rules.reason(id),
+        })
     }
 
     /// Why a job could never run; `None` also while that is not known.
@@ -199,7 +212,11 @@
             return Some("a task fits no allowed machine type");
         }
         let team = self.cfg.team(&spec.crew)?;
-        let tasks = if spec.together() { u64::from(spec.pieces) } else { 1 };
+        let tasks = if spec.together() {
+            u64::from(spec.pieces)
+        } else {
+            1
+        };
         let need = spec.need.times(tasks);
         (!team.allows(need.cores, need.accelerators)).then_some("more than the team's limit")
     }
@@ -232,7 +249,10 @@
             let answer = final_answer(id, *f);
             return self.answer(&request, UserAnswer::Is(answer));
         }
-        if !self.reader.ready() || self.contact_age() > Self::BLIND || self.users.waiting() >= Users::WAITING {
+        if !self.reader.ready()
+            || self.contact_age() > Self::BLIND
+            || self.users.waiting() >= Users::WAITING
+        {
             return self.answer(&request, Self::LATER);
         }
         let live = self.view.jobs.get(&id);
@@ -246,7 +266,9 @@
                     request.kind = RequestKind::Refuse(UserAnswer::Never(why.into()));
                 } else if let Some(why) = self.not_taken(spec) {
                     match why {
-                        NotTaken::Never(why) => request.kind = RequestKind::Refuse(UserAnswer::Never(why.into())),
+                        NotTaken::Never(why) => {
+                            request.kind = RequestKind::Refuse(UserAnswer::Never(why.into()))
+                        }
                         NotTaken::Later => return self.answer(&request, Self::LATER),
                     }
                 } else if spec.awaits.is_empty() {
@@ -280,7 +302,11 @@
     pub(super) fn pump_users(&mut self) {
         let now = self.now.steady;
         let paused = self.users.paused_until;
-        let sent = if now < paused { Err(paused) } else { self.pump_changes().and_then(|()| self.pump_look_ups()) };
+        let sent = if now < paused {
+            Err(paused)
+        } else {
+            self.pump_changes().and_then(|()| self.pump_look_ups())
+        };
         if let Err(at) = sent {
             self.wake_at(at);
         }
@@ -325,12 +351,19 @@
     fn pump_look_ups(&mut self) -> Result<(), Micros> {
         let now = self.now.steady;
         while let Some((request, of)) = self.users.finals.pop_front() {
-            let reserve = if request.only_asks() { Self::POLLS } else { 0.0 };
+            let reserve = if request.only_asks() {
+                Self::POLLS
+            } else {
+                0.0
+            };
             if let Err(at) = self.budget.spend(now, 0, reserve) {
                 self.users.finals.push_front((request, of));
                 return Err(at);
             }
-            self.ask_state(Purpose::Final(request, of), StateRequest::Get(Key::Final(of)));
+            self.ask_state(
+                Purpose::Final(request, of),
+                StateRequest::Get(Key::Final(of)),
+            );
         }
         Ok(())
     }
@@ -347,7 +380,11 @@
         for queue in [&mut users.submits, &mut users.aborts, &mut users.reads] {
             late.extend(queue.extract_if(.., |request| now.since(request.since) > limit(request)));
         }
-        while users.finals.front().is_some_and(|(request, _)| now.since(request.since) > limit(request)) {
+        while users
+            .finals
+            .front()
+            .is_some_and(|(request, _)| now.since(request.since) > limit(request))
+        {
             late.extend(users.finals.pop_front().map(|(request, _)| request));
         }
         for request in late {
--- a/src/coordination/users/changes.rs
+++ b/src/coordination/users/changes.rs
@@ -60,7 +60,11 @@
             bytes += size;
             txn.when.push((Key::Job(request.id), 0));
             txn.when.push((Key::Final(request.id), 0));
-            txn.then.push(Put { key: Key::Job(request.id), value, permit: None });
+            txn.then.push(Put {
+                key: Key::Job(request.id),
+                value,
+                permit: None,
+            });
             sent.push(request);
         }
         if !sent.is_empty() {
@@ -84,7 +88,9 @@
                         };
                         Some(Change {
                             key: Key::Job(request.id),
-                            content: Some(Content::Job(Box::new(self.new_record(spec, request.day)))),
+                            content: Some(Content::Job(Box::new(
+                                self.new_record(spec, request.day),
+                            ))),
                             stamp: epoch,
                         })
                     })
@@ -98,8 +104,18 @@
                     // job that awaits others it may not be known yet whether one of these is cancelled.
                     match self.view.jobs.get(&request.id) {
                         Some(j) if !j.record.cancelled && !j.stage.doubtful => {
-                            let status = if j.cancelled() { JobStatus::Cancelled } else { JobStatus::Queued };
-                            let answer = JobAnswer { id: request.id, status, done: 0, running: 0, reason: None };
+                            let status = if j.cancelled() {
+                                JobStatus::Cancelled
+                            } else {
+                                JobStatus::Queued
+                            };
+                            let answer = JobAnswer {
+                                id: request.id,
+                                status,
+                                done: 0,
+                                running: 0,
+                                reason: None,
+                            };
                             self.answer(&request, UserAnswer::Accepted(answer));
                         }
                         _ => self.await_read(request),
@@ -118,7 +134,9 @@
                     }
                 }
             }
-            Err(CallError::TooMany) => batch.into_iter().for_each(|request| self.send_again(request)),
+            Err(CallError::TooMany) => batch
+                .into_iter()
+                .for_each(|request| self.send_again(request)),
             Err(_) => {
                 for request in batch {
                     self.answer(&request, Self::LATER);
@@ -144,10 +162,17 @@
         let Some(job) = self.view.jobs.get(&request.id) else {
             return self.await_read(request);
         };
-        let record = JobRecord { cancelled: true, ..job.record.clone().terse(self.view.terse()) };
+        let record = JobRecord {
+            cancelled: true,
+            ..job.record.clone().terse(self.view.terse())
+        };
         let txn = Txn {
             when: vec![(Key::Job(request.id), job.stamp)],
-            then: vec![Put { key: Key::Job(request.id), value: encode(&record), permit: None }],
+            then: vec![Put {
+                key: Key::Job(request.id),
+                value: encode(&record),
+                permit: None,
+            }],
         };
         self.ask_state(Purpose::Abort(request), StateRequest::Txn(txn));
     }
@@ -160,10 +185,18 @@
         match result {
             Ok(StateReply::Applied(epoch)) => {
                 tracing::info!(job = %request.id, "cancelled by its user");
-                let mut answer =
-                    JobAnswer { id: request.id, status: JobStatus::Cancelled, done: 0, running: 0, reason: None };
+                let mut answer = JobAnswer {
+                    id: request.id,
+                    status: JobStatus::Cancelled,
+                    done: 0,
+                    running: 0,
+                    reason: None,
+                };
                 if let Some(job) = self.view.jobs.get(&request.id) {
-                    let record = JobRecord { cancelled: true, ..job.record.clone() };
+                    let record = JobRecord {
+                        cancelled: true,
+                        ..job.record.clone()
+                    };
                     answer.done = job.done();
                     let change = Change {
                         key: Key::Job(request.id),
