--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -23,9 +23,20 @@
 /// Where `cancel_s` leaves no room beside the lease no worker can be answered: known at the start, and no underflow.
 #[test]
 fn contact_may_be_as_old_as_cancellations_allow() {
-    for (lease, cancel, most) in [(10.0, 35.0, 23_500), (15.25, 40.25, 23_500), (10.0, 11.0, 0), (10.0, 5.0, 0)] {
-        let limit = settings(json!(null), lease, cancel).unwrap().contact_limit().as_millis();
-        assert!(limit <= most && limit + 20 >= most, "{lease} {cancel}: {limit}");
+    for (lease, cancel, most) in [
+        (10.0, 35.0, 23_500),
+        (15.25, 40.25, 23_500),
+        (10.0, 11.0, 0),
+        (10.0, 5.0, 0),
+    ] {
+        let limit = settings(json!(null), lease, cancel)
+            .unwrap()
+            .contact_limit()
+            .as_millis();
+        assert!(
+            limit <= most && limit + 20 >= most,
+            "{lease} {cancel}: {limit}"
+        );
     }
 }
 
@@ -36,9 +47,15 @@
         assert_eq!(now, next);
     }
     let (now, next) = parse(json!({"txn_ops": 4, "later": 1})).unwrap();
-    assert_eq!((next.txn_ops, next.value_bytes, next.write_rps), (4, now.value_bytes, now.write_rps));
+    assert_eq!(
+        (next.txn_ops, next.value_bytes, next.write_rps),
+        (4, now.value_bytes, now.write_rps)
+    );
     let (_, next) = parse(json!({"write_rps": 80.0, "value_kb": 32.0, "txn_ops": 12})).unwrap();
-    assert_eq!((next.txn_ops, next.value_bytes, next.write_rps), (12, 32 * 1024, 80.0));
+    assert_eq!(
+        (next.txn_ops, next.value_bytes, next.write_rps),
+        (12, 32 * 1024, 80.0)
+    );
 }
 
 #[test]
@@ -52,6 +69,9 @@
         (json!(7), "deploy.json"),
     ] {
         let error = parse(next.clone()).unwrap_err();
-        assert!(error.starts_with(field) && !error.contains('\n'), "{next}: {error}");
+        assert!(
+            error.starts_with(field) && !error.contains('\n'),
+            "{next}: {error}"
+        );
     }
 }
--- a/tests/smoke.rs
+++ b/tests/smoke.rs
@@ -14,11 +14,26 @@
     assert!(result.broken.is_empty(), "{:?}", result.violations);
     assert_eq!(result.ended_by_themselves, 0);
     assert!(result.workers >= 30, "{} workers", result.workers);
-    assert!(result.most_running >= 100, "{} tasks ran at once", result.most_running);
-    assert!(result.submitted > 0 && result.completions_per_s > 0.0, "{}", result.table());
-    assert!(result.worker_bytes_per_s.p50 > 0.0 && result.regions[0].state_changes > 0.0, "{}", result.table());
+    assert!(
+        result.most_running >= 100,
+        "{} tasks ran at once",
+        result.most_running
+    );
+    assert!(
+        result.submitted > 0 && result.completions_per_s > 0.0,
+        "{}",
+        result.table()
+    );
+    assert!(
+        result.worker_bytes_per_s.p50 > 0.0 && result.regions[0].state_changes > 0.0,
+        "{}",
+        result.table()
+    );
     result.write(folder).unwrap();
     for extension in ["json", "csv", "svg"] {
-        assert!(folder.join("smoke").with_extension(extension).exists(), "{extension}");
+        assert!(
+            folder.join("smoke").with_extension(extension).exists(),
+            "{extension}"
+        );
     }
 }
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -9,7 +9,15 @@
 
 /// Fields that every submission has.
 const TEXTS: [&str; 5] = ["lane", "crew", "shape", "urgency", "bundle"];
-const AMOUNTS: [&str; 7] = ["cores", "accelerators", "memGb", "sizeGb", "guessS", "bookmarkS", "stashS"];
+const AMOUNTS: [&str; 7] = [
+    "cores",
+    "accelerators",
+    "memGb",
+    "sizeGb",
+    "guessS",
+    "bookmarkS",
+    "stashS",
+];
 const FLAGS: [&str; 3] = ["oneZone", "apart", "loaners"];
 /// Fields that may be null.
 const OPTIONS: [&str; 5] = ["builds", "yard", "dueS", "awaits", "rules"];
@@ -56,9 +64,25 @@
     if FLAGS.contains(&field) {
         all.extend([json!(0), json!(1), json!("true"), json!("")]);
     } else if AMOUNTS.contains(&field) || field == "dueS" {
-        all.extend([json!(-0.001), json!(-1), json!(1.1e9), json!(1e300), json!("1"), json!(true), json!([])]);
+        all.extend([
+            json!(-0.001),
+            json!(-1),
+            json!(1.1e9),
+            json!(1e300),
+            json!("1"),
+            json!(true),
+            json!([]),
+        ]);
     } else if field == "pieces" {
-        all.extend([json!(0), json!(-1), json!(1.5), json!(PIECES_LIMIT + 1), json!(u64::MAX), json!("3"), json!([])]);
+        all.extend([
+            json!(0),
+            json!(-1),
+            json!(1.5),
+            json!(PIECES_LIMIT + 1),
+            json!(u64::MAX),
+            json!("3"),
+            json!([]),
+        ]);
     } else if field == "builds" || field == "awaits" || field == "rules" {
         all.extend([json!("a"), json!(1), json!(true), json!([1]), json!([null])]);
     } else {
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -48,7 +48,11 @@
     stream.write_all(request.as_bytes()).await.unwrap();
     let mut answer = [0; 64];
     let n = stream.read(&mut answer).await.unwrap();
-    String::from_utf8_lossy(&answer[..n]).lines().next().unwrap_or_default().to_owned()
+    String::from_utf8_lossy(&answer[..n])
+        .lines()
+        .next()
+        .unwrap_or_default()
+        .to_owned()
 }
 
 fn post(path: &str, body: &str) -> String {
@@ -63,7 +67,10 @@
     // Nobody listens where the state service should be.
     let (bind, back) = (free_address().await, free_address().await);
     let s = settings("n0", bind, back, free_address().await, free_address().await);
-    let node = Node::new(Controller::new(Arc::clone(&s), OperatorSettings::default(), 1), &s);
+    let node = Node::new(
+        Controller::new(Arc::clone(&s), OperatorSettings::default(), 1),
+        &s,
+    );
     tokio::spawn(server::serve(Arc::clone(&node), bind, 16));
     tokio::spawn(Arc::clone(&node).run());
     let get = |path: &str| format!("GET {path} HTTP/1.1\r\nhost: x\r\n\r\n");
@@ -81,7 +88,10 @@
         (post("/v1/report", "{}"), "400"),
         (post("/v1/report", report), "503"),
         // Refused by what it declares: the body never comes.
-        ("POST /work HTTP/1.1\r\nhost: x\r\ncontent-length: 70000\r\n\r\n".to_owned(), "413"),
+        (
+            "POST /work HTTP/1.1\r\nhost: x\r\ncontent-length: 70000\r\n\r\n".to_owned(),
+            "413",
+        ),
     ] {
         let line = status(bind, &request).await;
         assert!(line.contains(expected), "{request}: {line}");
@@ -92,7 +102,10 @@
 async fn serve(connections: usize) -> SocketAddrV4 {
     let (bind, back) = (free_address().await, free_address().await);
     let s = settings("n0", bind, back, free_address().await, free_address().await);
-    let node = Node::new(Controller::new(Arc::clone(&s), OperatorSettings::default(), 1), &s);
+    let node = Node::new(
+        Controller::new(Arc::clone(&s), OperatorSettings::default(), 1),
+        &s,
+    );
     tokio::spawn(server::serve(Arc::clone(&node), bind, connections));
     tokio::spawn(Arc::clone(&node).run());
     bind
@@ -110,10 +123,15 @@
 /// Sends a worker's report; whether the connection is closed with the answer.
 async fn report(stream: &mut TcpStream) -> bool {
     let body = r#"{"host":"i-000001","endpoint":"127.0.0.1:1","build":"b","yard":"a","shift":1,"tally":1,"baton":0}"#;
-    stream.write_all(post("/v1/report", body).as_bytes()).await.unwrap();
+    stream
+        .write_all(post("/v1/report", body).as_bytes())
+        .await
+        .unwrap();
     let mut answer = [0; 512];
     let n = stream.read(&mut answer).await.unwrap();
-    String::from_utf8_lossy(&answer[..n]).to_lowercase().contains("connection: close")
+    String::from_utf8_lossy(&answer[..n])
+        .to_lowercase()
+        .contains("connection: close")
 }
 
 /// Workers beyond all sockets: those that are not kept are closed with their answers, health checks get in, and a
@@ -132,7 +150,11 @@
             kept.push(stream);
         }
     }
-    assert!(kept.len() >= SERVED / 4 && closed > SERVED, "{} kept, {closed} closed", kept.len());
+    assert!(
+        kept.len() >= SERVED / 4 && closed > SERVED,
+        "{} kept, {closed} closed",
+        kept.len()
+    );
     let health = status(at, "GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n").await;
     assert!(health.contains("503"), "{health}");
     drop(kept);
@@ -147,7 +169,9 @@
     let at = serve(16).await;
     let mut silent = connect(at).await;
     let mut half = connect(at).await;
-    half.write_all(b"POST /v1/report HTTP/1.1\r\nhost: x\r\nconte").await.unwrap();
+    half.write_all(b"POST /v1/report HTTP/1.1\r\nhost: x\r\nconte")
+        .await
+        .unwrap();
     for stream in [&mut silent, &mut half] {
         // Ended with or without a reset.
         assert_eq!(stream.read(&mut [0; 8]).await.unwrap_or(0), 0);
@@ -165,9 +189,14 @@
     // The one socket that it may use is taken: a further call fails at once.
     let second = async {
         tokio::task::yield_now().await;
-        client.call(&at, "GET", "/", Vec::new(), Micros::secs(3_600)).await
+        client
+            .call(&at, "GET", "/", Vec::new(), Micros::secs(3_600))
+            .await
     };
-    assert_eq!(tokio::join!(first, second), (Err(NoAnswer::None), Err(NoAnswer::None)));
+    assert_eq!(
+        tokio::join!(first, second),
+        (Err(NoAnswer::None), Err(NoAnswer::None))
+    );
     silent.abort();
 }
 
@@ -177,11 +206,16 @@
     let body = "x".repeat(450);
     let told = format!("content-length: 900\r\n\r\n{body}{body}");
     // Without a length beforehand it is found out on the way.
-    let untold = format!("transfer-encoding: chunked\r\n\r\n1c2\r\n{body}\r\n1c2\r\n{body}\r\n0\r\n\r\n");
+    let untold =
+        format!("transfer-encoding: chunked\r\n\r\n1c2\r\n{body}\r\n1c2\r\n{body}\r\n0\r\n\r\n");
     for (rest, limit, expected) in [
         (&told, 900, Ok((200, format!("{body}{body}").into_bytes()))),
         (&told, 899, Err(NoAnswer::TooLarge)),
-        (&untold, 900, Ok((200, format!("{body}{body}").into_bytes()))),
+        (
+            &untold,
+            900,
+            Ok((200, format!("{body}{body}").into_bytes())),
+        ),
         (&untold, 899, Err(NoAnswer::TooLarge)),
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -193,7 +227,9 @@
             let _ = stream.write_all(answer.as_bytes()).await;
             stream
         });
-        let got = HttpClient::new(1, 1, limit).call(&at, "GET", "/", Vec::new(), Micros::secs(60)).await;
+        let got = HttpClient::new(1, 1, limit)
+            .call(&at, "GET", "/", Vec::new(), Micros::secs(60))
+            .await;
         assert_eq!(got, expected, "{limit}");
         server.abort();
     }
@@ -205,23 +241,40 @@
 async fn a_connection_that_the_peer_has_given_up_is_made_anew() {
     let (back0, nowhere) = (free_address().await, free_address().await);
     let peer = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let SocketAddr::V4(at) = peer.local_addr().unwrap() else { panic!("IPv4") };
+    let SocketAddr::V4(at) = peer.local_addr().unwrap() else {
+        panic!("IPv4")
+    };
     let s0 = settings("n0", nowhere, back0, at, nowhere);
-    let n0 = Node::new(Controller::new(Arc::clone(&s0), OperatorSettings::default(), 7), &s0);
+    let n0 = Node::new(
+        Controller::new(Arc::clone(&s0), OperatorSettings::default(), 7),
+        &s0,
+    );
     tokio::spawn(peers::tell(Arc::clone(&n0), at));
     tokio::spawn(Arc::clone(&n0).run());
     let (mut first, _) = peer.accept().await.unwrap();
     first.shutdown().await.unwrap();
     let (mut second, _) = peer.accept().await.unwrap();
-    assert!(second.read(&mut [0; 8]).await.unwrap() > 0, "no hint on the new connection");
+    assert!(
+        second.read(&mut [0; 8]).await.unwrap() > 0,
+        "no hint on the new connection"
+    );
 }
 
 #[tokio::test]
 async fn peers_hear_of_each_other() {
-    let (back0, back1, nowhere) = (free_address().await, free_address().await, free_address().await);
+    let (back0, back1, nowhere) = (
+        free_address().await,
+        free_address().await,
+        free_address().await,
+    );
     let s0 = settings("n0", nowhere, back0, back1, nowhere);
     let s1 = settings("n1", nowhere, back1, back0, nowhere);
-    let start = |s: &Arc<Settings>| Node::new(Controller::new(Arc::clone(s), OperatorSettings::default(), 7), s);
+    let start = |s: &Arc<Settings>| {
+        Node::new(
+            Controller::new(Arc::clone(s), OperatorSettings::default(), 7),
+            s,
+        )
+    };
     let (n0, n1) = (start(&s0), start(&s1));
     tokio::spawn(peers::listen(Arc::clone(&n1), back1, 1));
     tokio::spawn(peers::tell(Arc::clone(&n0), back1));
