--- a/src/bookkeeping/catalog.rs
+++ b/src/bookkeeping/catalog.rs
@@ -8,20 +8,28 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Its name.
+    #[serde(rename = "name")]
     pub name: String,
     /// What one machine offers.
+    #[serde(rename = "room")]
     pub room: Amount,
     /// The image cache, in thousandths of a GB.
+    #[serde(rename = "cache")]
     pub cache: u64,
     /// Thousandths of a GB fetched per second.
+    #[serde(rename = "fetch")]
     pub fetch: u64,
     /// Price of an ordinary machine.
+    #[serde(rename = "price")]
     pub price: u64,
     /// Present price of a spot machine.
+    #[serde(rename = "spot_price")]
     pub spot_price: u64,
     /// Nominal boot time.
+    #[serde(rename = "boot")]
     pub boot: Micros,
     /// Zones that offer it.
+    #[serde(rename = "zones")]
     pub zones: Vec<String>,
 }
 
@@ -41,6 +49,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Catalog {
     /// In the cloud's order.
+    #[serde(rename = "types")]
     pub types: Vec<MachineType>,
 }
 
--- a/src/bookkeeping/group.rs
+++ b/src/bookkeeping/group.rs
@@ -164,17 +164,20 @@
 #[derive(Serialize, Deserialize)]
 struct Wire<'a> {
     /// Kinds of machines.
+    #[serde(rename = "k")]
     k: Vec<Kind>,
     /// Images with their sizes.
-    #[serde(borrow)]
+    #[serde(rename = "i", borrow)]
     i: Vec<(std::borrow::Cow<'a, str>, u64)>,
     /// Attempts: job and number.
+    #[serde(rename = "a")]
     a: Vec<(u64, u64)>,
     /// Machines: number (less the one before), kind, fitness, sessions that are over, how many
     /// images, the images, then attempt and task number of each booking.
+    #[serde(rename = "m")]
     m: Vec<Vec<u64>>,
     /// Preempted bookings: machine, attempt, task number.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
+    #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     p: Vec<(u64, u64, u64)>,
 }
 
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -124,11 +124,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MetaRecord {
     /// Layout of the live records, [`FIRST_LAYOUT`] to [`LAYOUT`]. The very first one had no number.
-    #[serde(default)]
+    #[serde(rename = "layout", default)]
     pub layout: u32,
     /// Number of slices.
+    #[serde(rename = "slices")]
     pub slices: usize,
     /// Slices of the teams with a guarantee or a limit.
+    #[serde(rename = "teams")]
     pub teams: BTreeMap<String, Slice>,
 }
 
@@ -141,6 +143,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
     /// The process that lives.
+    #[serde(rename = "run")]
     pub run: Incarnation,
     /// The latest layout that it understands. Versions before the third did not say.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
@@ -157,8 +160,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnRecord {
     /// The controller.
+    #[serde(rename = "node")]
     pub node: String,
     /// Its process: a restarted one owns nothing before it claims anew.
+    #[serde(rename = "run")]
     pub run: Incarnation,
 }
 
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -17,18 +17,22 @@
 
 /// A job that has tasks on a machine, as far as rules tell jobs apart.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(rename_all = "camelCase", deny_unknown_fields)]
+#[serde(deny_unknown_fields)]
 pub struct Resident {
     /// Its name.
-    #[serde(default)]
+    #[serde(rename = "nameId", default)]
     pub name_id: String,
     /// Its class.
+    #[serde(rename = "lane")]
     pub lane: String,
     /// Its team.
+    #[serde(rename = "crew")]
     pub crew: String,
     /// Its image.
+    #[serde(rename = "bundle")]
     pub bundle: String,
     /// Its urgency.
+    #[serde(rename = "urgency")]
     pub urgency: String,
 }
 
@@ -37,19 +41,22 @@
 #[serde(deny_unknown_fields)]
 pub struct Machine {
     /// Its name.
+    #[serde(rename = "host")]
     pub host: String,
     /// Type.
+    #[serde(rename = "build")]
     pub build: String,
     /// Zone.
+    #[serde(rename = "yard")]
     pub yard: String,
     /// Spot.
-    #[serde(default)]
+    #[serde(rename = "loaners", default)]
     pub loaners: bool,
     /// Images that it has or is fetching.
-    #[serde(default)]
+    #[serde(rename = "images", default)]
     pub images: Vec<String>,
     /// Jobs that have tasks there.
-    #[serde(default)]
+    #[serde(rename = "jobs", default)]
     pub jobs: Vec<Resident>,
 }
 
@@ -57,7 +64,9 @@
 #[serde(deny_unknown_fields)]
 struct MachinesFile {
     /// What the cloud answers to `GET /catalog`.
+    #[serde(rename = "catalog")]
     catalog: serde_json::Value,
+    #[serde(rename = "machines")]
     machines: Vec<Machine>,
 }
 
@@ -65,12 +74,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Judgement {
     /// Its name.
+    #[serde(rename = "host")]
     pub host: String,
     /// Whether it may run the job now.
+    #[serde(rename = "allowed")]
     pub allowed: bool,
     /// What of the submission itself keeps the job away, and rules of jobs that are there.
+    #[serde(rename = "against")]
     pub against: Vec<String>,
     /// Rule by rule.
+    #[serde(rename = "verdict")]
     pub verdict: Verdict,
 }
 
@@ -78,10 +91,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Report {
     /// Whether some machine that the catalogue offers, or that is listed, could run the job.
+    #[serde(rename = "possible")]
     pub possible: bool,
     /// The smallest set of rules that clash, if it is not possible.
+    #[serde(rename = "clash")]
     pub clash: Vec<String>,
     /// Machine by machine.
+    #[serde(rename = "machines")]
     pub machines: Vec<Judgement>,
 }
 
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -113,58 +113,67 @@
 
 #[derive(Deserialize)]
 struct CatalogWire {
+    #[serde(rename = "builds")]
     builds: Vec<BuildWire>,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 struct BuildWire {
+    #[serde(rename = "name")]
     name: String,
+    #[serde(rename = "cores")]
     cores: f64,
-    #[serde(default)]
+    #[serde(rename = "accelerators", default)]
     accelerators: f64,
+    #[serde(rename = "memGb")]
     mem_gb: f64,
-    #[serde(default)]
+    #[serde(rename = "localGb", default)]
     local_gb: f64,
     #[serde(rename = "fetchGbPerS", default)]
     fetch: f64,
+    #[serde(rename = "rate")]
     rate: f64,
-    #[serde(default)]
+    #[serde(rename = "spotPrice", default)]
     spot_price: Option<f64>,
-    #[serde(default)]
+    #[serde(rename = "startupS", default)]
     startup_s: f64,
-    #[serde(default)]
+    #[serde(rename = "yards", default)]
     yards: Vec<String>,
 }
 
 #[derive(Deserialize)]
 struct HiredWire {
+    #[serde(rename = "hosts")]
     hosts: Vec<String>,
 }
 
 #[derive(Deserialize)]
 struct HostsWire {
+    #[serde(rename = "hosts")]
     hosts: Vec<HostWire>,
-    #[serde(default)]
+    #[serde(rename = "more", default)]
     more: bool,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 struct HostWire {
+    #[serde(rename = "nameId")]
     name_id: String,
+    #[serde(rename = "build")]
     build: String,
+    #[serde(rename = "yard")]
     yard: String,
-    #[serde(default)]
+    #[serde(rename = "loaners", default)]
     loaners: bool,
+    #[serde(rename = "status")]
     status: String,
-    #[serde(default)]
+    #[serde(rename = "ageS", default)]
     age_s: f64,
 }
 
 #[derive(Deserialize)]
 struct ErrorWire {
-    #[serde(default)]
+    #[serde(rename = "error", default)]
     error: String,
 }
 
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -11,20 +11,25 @@
     /// Later starts take the number that the state service keeps. Absent: one for each controller,
     /// or for each team with a guarantee or a limit if these are more.
     #[schemars(range(min = 1, max = 64))]
+    #[serde(rename = "slices")]
     pub slices: Option<usize>,
     /// Shortest time between two rounds of one controller, in milliseconds.
     #[schemars(range(min = 10, max = 10_000))]
+    #[serde(rename = "round_ms")]
     pub round_ms: u64,
     /// Life of a controller's lease at the state service, in milliseconds.
     #[schemars(range(min = 1_000, max = 60_000))]
+    #[serde(rename = "node_lease_ms")]
     pub node_lease_ms: u64,
     /// How long a machine may be without work before it is returned, in seconds. Absent: derived
     /// from what its next boot would cost.
     #[schemars(range(min = 1.0, max = 86_400.0))]
+    #[serde(rename = "idle_s")]
     pub idle_s: Option<f64>,
     /// A file with rules for where jobs run (see `cometlead rules schema`), beside the settings file unless
     /// its path is absolute. Absent: no rules, and jobs may bring none.
     #[schemars(length(min = 1))]
+    #[serde(rename = "rules")]
     pub rules: Option<String>,
 }
 
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -37,96 +37,130 @@
 
 #[derive(Deserialize)]
 struct File {
+    #[serde(rename = "node")]
     node: String,
+    #[serde(rename = "zone")]
     zone: String,
+    #[serde(rename = "bind")]
     bind: String,
+    #[serde(rename = "back")]
     back: String,
+    #[serde(rename = "others")]
     others: Vec<OtherFile>,
+    #[serde(rename = "outside")]
     outside: OutsideFile,
+    #[serde(rename = "params")]
     params: ParamsFile,
 }
 
 #[derive(Deserialize)]
 struct OtherFile {
+    #[serde(rename = "node")]
     node: String,
+    #[serde(rename = "peer_addr")]
     peer_addr: String,
 }
 
 #[derive(Deserialize)]
 struct OutsideFile {
+    #[serde(rename = "cloud")]
     cloud: String,
+    #[serde(rename = "state")]
     state: String,
 }
 
 #[derive(Deserialize)]
 struct ParamsFile {
-    #[serde(default)]
+    #[serde(rename = "teams", default)]
     teams: Vec<TeamFile>,
-    #[serde(default)]
+    #[serde(rename = "objectives", default)]
     objectives: Vec<serde_json::Value>,
+    #[serde(rename = "workers")]
     workers: WorkersFile,
+    #[serde(rename = "state")]
     state: StateFile,
+    #[serde(rename = "cloud")]
     cloud: CloudFile,
+    #[serde(rename = "quota")]
     quota: QuotaFile,
+    #[serde(rename = "clock_error_ms")]
     clock_error_ms: f64,
 }
 
 #[derive(Deserialize)]
 struct TeamFile {
+    #[serde(rename = "name")]
     name: String,
-    #[serde(default)]
+    #[serde(rename = "cpus", default)]
     cpus: f64,
-    #[serde(default)]
+    #[serde(rename = "cpus_max", default)]
     cpus_max: f64,
-    #[serde(default)]
+    #[serde(rename = "gpus", default)]
     gpus: f64,
-    #[serde(default)]
+    #[serde(rename = "gpus_max", default)]
     gpus_max: f64,
 }
 
 #[derive(Deserialize)]
 struct ObjectiveFile {
+    #[serde(rename = "kind")]
     kind: String,
-    #[serde(default)]
+    #[serde(rename = "class", default)]
     class: Option<String>,
-    #[serde(default)]
+    #[serde(rename = "within_s", default)]
     within_s: Option<f64>,
 }
 
 #[derive(Deserialize)]
 struct WorkersFile {
+    #[serde(rename = "report_s")]
     report_s: f64,
+    #[serde(rename = "lease_s")]
     lease_s: f64,
+    #[serde(rename = "cancel_s")]
     cancel_s: f64,
 }
 
 #[derive(Deserialize)]
 struct StateFile {
+    #[serde(rename = "rps")]
     rps: f64,
+    #[serde(rename = "write_rps")]
     write_rps: f64,
+    #[serde(rename = "value_kb")]
     value_kb: f64,
+    #[serde(rename = "txn_ops")]
     txn_ops: u64,
+    #[serde(rename = "next")]
     next: Option<NextFile>,
 }
 
 /// Limits that the state service will have from some later moment. What is absent stays as it is.
 #[derive(Default, Deserialize)]
 struct NextFile {
+    #[serde(rename = "write_rps")]
     write_rps: Option<f64>,
+    #[serde(rename = "value_kb")]
     value_kb: Option<f64>,
+    #[serde(rename = "txn_ops")]
     txn_ops: Option<u64>,
 }
 
 #[derive(Deserialize)]
 struct CloudFile {
+    #[serde(rename = "rps")]
     rps: f64,
+    #[serde(rename = "list_lag_s")]
     list_lag_s: f64,
 }
 
 #[derive(Deserialize)]
 struct QuotaFile {
+    #[serde(rename = "core_share")]
     core_share: f64,
+    #[serde(rename = "ram_mb")]
     ram_mb: f64,
+    #[serde(rename = "max_connections")]
     max_connections: u64,
 }
 
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -105,26 +105,29 @@
 
 #[derive(Serialize)]
 struct TxnWire<'a> {
+    #[serde(rename = "when")]
     when: Vec<WhenWire>,
-    #[serde(skip_serializing_if = "Vec::is_empty")]
+    #[serde(rename = "then", skip_serializing_if = "Vec::is_empty")]
     then: Vec<ThenWire<'a>>,
 }
 
 #[derive(Serialize)]
 struct WhenWire {
+    #[serde(rename = "key")]
     key: String,
+    #[serde(rename = "stamp")]
     stamp: u64,
 }
 
 #[derive(Serialize)]
 struct ThenWire<'a> {
-    #[serde(skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "write", skip_serializing_if = "Option::is_none")]
     write: Option<String>,
-    #[serde(skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "remove", skip_serializing_if = "Option::is_none")]
     remove: Option<String>,
-    #[serde(skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "value", skip_serializing_if = "Option::is_none")]
     value: Option<&'a RawValue>,
-    #[serde(skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
     permit: Option<u64>,
 }
 
@@ -214,66 +217,73 @@
 
 #[derive(Deserialize)]
 struct ItemWire<'a> {
-    #[serde(borrow)]
+    #[serde(rename = "key", borrow)]
     key: std::borrow::Cow<'a, str>,
-    #[serde(borrow)]
+    #[serde(rename = "value", borrow)]
     value: &'a RawValue,
+    #[serde(rename = "stamp")]
     stamp: u64,
 }
 
 #[derive(Deserialize)]
 struct PageWire<'a> {
-    #[serde(borrow)]
+    #[serde(rename = "items", borrow)]
     items: Vec<ItemWire<'a>>,
-    #[serde(default)]
+    #[serde(rename = "more", default)]
     more: bool,
+    #[serde(rename = "epoch")]
     epoch: u64,
 }
 
 #[derive(Deserialize)]
 struct LogWire<'a> {
-    #[serde(borrow, default)]
+    #[serde(rename = "write", borrow, default)]
     write: Option<std::borrow::Cow<'a, str>>,
-    #[serde(borrow, default)]
+    #[serde(rename = "remove", borrow, default)]
     remove: Option<std::borrow::Cow<'a, str>>,
-    #[serde(borrow, default)]
+    #[serde(rename = "value", borrow, default)]
     value: Option<&'a RawValue>,
+    #[serde(rename = "stamp")]
     stamp: u64,
 }
 
 #[derive(Deserialize)]
 struct ChangesWire<'a> {
+    #[serde(rename = "epoch")]
     epoch: u64,
-    #[serde(borrow)]
+    #[serde(rename = "log", borrow)]
     log: Vec<LogWire<'a>>,
 }
 
 #[derive(Deserialize)]
 struct ValueWire<'a> {
-    #[serde(borrow)]
+    #[serde(rename = "value", borrow)]
     value: &'a RawValue,
 }
 
 #[derive(Deserialize)]
 struct EpochWire {
+    #[serde(rename = "epoch")]
     epoch: u64,
 }
 
 #[derive(Deserialize)]
 struct ClashWire {
-    #[serde(default)]
+    #[serde(rename = "failed", default)]
     failed: Vec<String>,
+    #[serde(rename = "epoch")]
     epoch: u64,
 }
 
 #[derive(Default, Deserialize)]
 struct ErrorWire {
-    #[serde(default)]
+    #[serde(rename = "error", default)]
     error: String,
 }
 
 #[derive(Deserialize)]
 struct LeaseWire {
+    #[serde(rename = "permit")]
     permit: u64,
 }
 
--- a/src/protocol/user.rs
+++ b/src/protocol/user.rs
@@ -33,29 +33,50 @@
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 struct Submission {
+    #[serde(rename = "nameId")]
     name_id: String,
+    #[serde(rename = "lane")]
     lane: String,
+    #[serde(rename = "crew")]
     crew: String,
+    #[serde(rename = "shape")]
     shape: String,
+    #[serde(rename = "urgency")]
     urgency: String,
+    #[serde(rename = "pieces")]
     pieces: u64,
+    #[serde(rename = "cores")]
     cores: f64,
+    #[serde(rename = "accelerators")]
     accelerators: f64,
+    #[serde(rename = "memGb")]
     mem_gb: f64,
+    #[serde(rename = "builds")]
     builds: Option<Vec<String>>,
+    #[serde(rename = "yard")]
     yard: Option<String>,
+    #[serde(rename = "oneZone")]
     one_zone: bool,
+    #[serde(rename = "apart")]
     apart: bool,
+    #[serde(rename = "loaners")]
     loaners: bool,
+    #[serde(rename = "bundle")]
     bundle: String,
+    #[serde(rename = "sizeGb")]
     size_gb: f64,
+    #[serde(rename = "guessS")]
     guess_s: f64,
+    #[serde(rename = "bookmarkS")]
     bookmark_s: f64,
+    #[serde(rename = "stashS")]
     stash_s: f64,
+    #[serde(rename = "dueS")]
     due_s: Option<f64>,
+    #[serde(rename = "awaits")]
     awaits: Option<Vec<String>>,
+    #[serde(rename = "rules")]
     rules: Option<Vec<RuleText>>,
 }
 
@@ -142,15 +163,18 @@
 
 /// A job's state as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "lowercase")]
 pub enum JobStatus {
     /// No task runs.
+    #[serde(rename = "queued")]
     Queued,
     /// Some task runs.
+    #[serde(rename = "running")]
     Running,
     /// All tasks are done.
+    #[serde(rename = "done")]
     Done,
     /// Its user cancelled it.
+    #[serde(rename = "cancelled")]
     Cancelled,
 }
 
@@ -170,13 +194,16 @@
 }
 
 #[derive(Serialize)]
-#[serde(rename_all = "camelCase")]
 struct Answer {
+    #[serde(rename = "nameId")]
     name_id: String,
+    #[serde(rename = "status")]
     status: JobStatus,
+    #[serde(rename = "done")]
     done: u32,
+    #[serde(rename = "running")]
     running: u32,
-    #[serde(skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "reason", skip_serializing_if = "Option::is_none")]
     reason: Option<String>,
 }
 
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -5,31 +5,38 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 struct ReportWire {
+    #[serde(rename = "host")]
     host: String,
+    #[serde(rename = "endpoint")]
     endpoint: String,
+    #[serde(rename = "build")]
     build: String,
+    #[serde(rename = "yard")]
     yard: String,
-    #[serde(default)]
+    #[serde(rename = "loaners", default)]
     loaners: bool,
+    #[serde(rename = "shift")]
     shift: u64,
+    #[serde(rename = "tally")]
     tally: u64,
-    #[serde(default)]
+    #[serde(rename = "baton", default)]
     baton: u64,
-    #[serde(default)]
+    #[serde(rename = "recallS", default)]
     recall_s: Option<f64>,
-    #[serde(default)]
+    #[serde(rename = "pieces", default)]
     pieces: Vec<PieceWire>,
 }
 
 #[derive(Deserialize)]
 struct PieceWire {
+    #[serde(rename = "piece")]
     piece: String,
     #[serde(rename = "try")]
     number: u64,
+    #[serde(rename = "status")]
     status: String,
-    #[serde(default)]
+    #[serde(rename = "cause", default)]
     cause: Option<String>,
 }
 
@@ -153,7 +160,9 @@
 
 #[derive(Serialize)]
 struct OrderWire {
+    #[serde(rename = "verb")]
     verb: &'static str,
+    #[serde(rename = "piece")]
     piece: String,
     #[serde(rename = "try")]
     number: u64,
@@ -197,9 +206,11 @@
 
 #[derive(Serialize)]
 struct OrdersWire {
+    #[serde(rename = "baton")]
     baton: u64,
-    #[serde(skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "shift", skip_serializing_if = "Option::is_none")]
     shift: Option<u64>,
+    #[serde(rename = "orders")]
     orders: Vec<OrderWire>,
 }
 
