--- /dev/null
+++ b/tests/golden.rs
@@ -0,0 +1,405 @@
+//! Golden bytes: what is stored and sent, held in place by files. A change of any of these is a change of the wire.
+//!
+//! Where a file differs, what was written instead is left in `target/tmp`.
+
+use cometlead::bookkeeping::ids::JobId;
+use cometlead::bookkeeping::job::FinalRecord;
+use cometlead::bookkeeping::records::Key;
+use cometlead::bookkeeping::time::Micros;
+use cometlead::bookkeeping::view::Content;
+use cometlead::protocol::cloud::{self, CloudReply, CloudRequest};
+use cometlead::protocol::operator::OperatorSettings;
+use cometlead::protocol::peer::PeerHint;
+use cometlead::protocol::settings::Settings;
+use cometlead::protocol::state::{self, Put, StateReply, StateRequest, Txn};
+use cometlead::protocol::user::parse_submission;
+use cometlead::protocol::worker::{Order, Report, direct_body, elsewhere_body, orders_body};
+use cometlead_constraints::RuleSet;
+use serde_json::value::RawValue;
+use std::fmt::Write;
+use std::process::Command;
+
+const RECORDS: &str = include_str!("golden/records.txt");
+const RULES: &[u8] = include_bytes!("../deploy/rules.example.json");
+
+/// Compares with a file of `tests/golden`.
+fn golden(name: &str, got: &str) {
+    let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
+    let held = std::fs::read_to_string(&path).unwrap_or_default();
+    if held != got {
+        let other = format!("{}/{name}", env!("CARGO_TARGET_TMPDIR"));
+        std::fs::write(&other, got).unwrap();
+        let line = held.lines().zip(got.lines()).find(|(a, b)| a != b);
+        panic!("{name} differs from {other}, first at {line:?}");
+    }
+}
+
+fn raw(text: &str) -> Box<RawValue> {
+    RawValue::from_string(text.to_owned()).unwrap_or_else(|e| panic!("{text}: {e}"))
+}
+
+fn content(c: &Content) -> String {
+    let text = match c {
+        Content::Meta(r) => state::encode(r),
+        Content::Types(r) => state::encode(r),
+        Content::Fleet(r) => state::encode(r),
+        Content::Node(r) => state::encode(r),
+        Content::Own(r) => state::encode(r),
+        Content::Group(r) => state::encode(r),
+        Content::Usage(r) => state::encode(r),
+        Content::Job(r) => state::encode(&**r),
+        Content::Chunk(r) => state::encode(r),
+        Content::Rules(r) => state::encode(&**r.as_ref().unwrap()),
+    };
+    text.unwrap().get().to_owned()
+}
+
+/// A record, read and written again.
+fn again(key: &Key, text: &str) -> String {
+    if matches!(key, Key::Final(_)) {
+        let end: FinalRecord = serde_json::from_str(text).unwrap();
+        return state::encode(&end).unwrap().get().to_owned();
+    }
+    content(&state::decode(key, &raw(text)).unwrap_or_else(|| panic!("{key} {text}")))
+}
+
+#[test]
+fn records_are_written_as_they_were_read() {
+    let mut kinds = std::collections::HashSet::new();
+    for line in RECORDS.lines() {
+        let (name, text) = line.split_once(' ').unwrap();
+        let key = Key::parse(name).unwrap_or_else(|| panic!("{name}"));
+        assert_eq!(key.to_string(), name);
+        assert_eq!(again(&key, text), text, "{name}");
+        kinds.insert(std::mem::discriminant(&key));
+    }
+    assert_eq!(kinds.len(), 10, "kinds of records");
+}
+
+#[test]
+fn groups_in_both_forms() {
+    let mut got = String::new();
+    for line in RECORDS.lines().filter(|l| l.starts_with("c/group/")) {
+        let (name, text) = line.split_once(' ').unwrap();
+        let key = Key::parse(name).unwrap();
+        let Some(Content::Group(mut group)) = state::decode(&key, &raw(text)) else {
+            panic!("{name}")
+        };
+        group.terse = !group.terse;
+        let other = state::encode(&group).unwrap();
+        assert_eq!(again(&key, other.get()), other.get());
+        writeln!(got, "{name} {other}").unwrap();
+    }
+    golden("groups.txt", &got);
+}
+
+#[test]
+fn records_with_fields_absent() {
+    let mut got = String::new();
+    for line in include_str!("golden/absent.txt").lines() {
+        let (name, text) = line.split_once(' ').unwrap();
+        writeln!(got, "{name} {}", again(&Key::parse(name).unwrap(), text)).unwrap();
+    }
+    golden("absent.out.txt", &got);
+}
+
+#[test]
+fn rules_and_their_schema() {
+    let set = RuleSet::parse(RULES).unwrap();
+    let text = state::encode(&set).unwrap();
+    assert_eq!(again(&Key::Rules(1), text.get()), text.get());
+    golden("rules.txt", &format!("{text}\n"));
+}
+
+#[test]
+fn submissions() {
+    let mut got = String::new();
+    for line in include_str!("golden/submissions.txt").lines() {
+        match parse_submission(line.as_bytes()) {
+            Ok((id, spec)) => writeln!(got, "{id} {}", state::encode(&spec).unwrap()).unwrap(),
+            Err(e) => writeln!(got, "{e}").unwrap(),
+        }
+    }
+    golden("submissions.out.txt", &got);
+}
+
+#[test]
+fn what_workers_send_and_get() {
+    let mut got = String::new();
+    for line in include_str!("golden/reports.txt").lines() {
+        let Some(r) = Report::parse(line.as_bytes()) else {
+            got += "malformed\n";
+            continue;
+        };
+        write!(
+            got,
+            "{} {} {} {} {}",
+            r.machine, r.endpoint, r.build, r.yard, r.spot
+        )
+        .unwrap();
+        write!(
+            got,
+            " {:?} {} {:?}",
+            r.order,
+            r.baton,
+            r.recall.map(|t| t.0)
+        )
+        .unwrap();
+        for (a, s) in &r.tasks {
+            write!(got, " {}/{}={s:?}", a.task, a.number).unwrap();
+        }
+        got.push('\n');
+        let orders: Vec<Order> = r
+            .tasks
+            .iter()
+            .flat_map(|(a, _)| {
+                [
+                    Order::Launch(*a),
+                    Order::Stop(*a, Micros::millis(2_500)),
+                    Order::Forget(*a),
+                ]
+            })
+            .collect();
+        for body in [
+            orders_body(r.baton, &orders),
+            direct_body(r.baton, r.order.0, &orders),
+        ] {
+            got += &String::from_utf8(body).unwrap();
+            got.push('\n');
+        }
+    }
+    for body in [elsewhere_body(None), elsewhere_body(Some("n1"))] {
+        got += &String::from_utf8(body).unwrap();
+        got.push('\n');
+    }
+    golden("workers.out.txt", &got);
+}
+
+fn sent(got: &mut String, (method, path, body): (&str, String, Vec<u8>)) {
+    writeln!(got, "{method} {path} {}", String::from_utf8(body).unwrap()).unwrap();
+}
+
+#[test]
+fn what_the_cloud_gets_and_sends() {
+    let machine = "i-000231".parse().unwrap();
+    let hire = |spot| CloudRequest::Hire {
+        name: "n0-1".into(),
+        build: "small".into(),
+        yard: "a".into(),
+        spot,
+        count: 3,
+    };
+    let requests = [
+        CloudRequest::Catalog,
+        hire(true),
+        hire(false),
+        CloudRequest::Release(vec![machine]),
+        CloudRequest::List(None),
+        CloudRequest::List(Some(machine)),
+    ];
+    let mut got = String::new();
+    for request in &requests {
+        sent(&mut got, cloud::http(request));
+        for line in include_str!("golden/cloud.txt").lines() {
+            let (status, body) = line.split_once(' ').unwrap();
+            let read = match cloud::parse(request, status.parse().unwrap(), body.as_bytes()) {
+                Ok(CloudReply::Catalog(c)) => state::encode(&c).unwrap().get().to_owned(),
+                Ok(CloudReply::Hired(m)) => m.iter().map(|m| format!("{m},")).collect(),
+                Ok(CloudReply::Hosts(hosts, more)) => {
+                    hosts.iter().fold(more.to_string(), |t, h| {
+                        t + &format!(
+                            " {} {} {} {} {:?} {};",
+                            h.id, h.build, h.yard, h.spot, h.status, h.age.0
+                        )
+                    })
+                }
+                Ok(CloudReply::NoCapacity) => "no capacity".into(),
+                Ok(CloudReply::Released) => "released".into(),
+                Err(e) => e.to_string(),
+            };
+            writeln!(got, "  {status} {body}\n    {read}").unwrap();
+        }
+    }
+    golden("cloud.out.txt", &got);
+}
+
+#[test]
+fn what_the_state_service_gets_and_sends() {
+    let key = Key::parse("c/own/1").unwrap();
+    let put = |value: Option<&str>, permit| Put {
+        key: key.clone(),
+        value: value.map(raw),
+        permit,
+    };
+    let own = Some(r#"{"node":"n0","run":7}"#);
+    let txn = |then| {
+        StateRequest::Txn(Txn {
+            when: vec![(key.clone(), 0), (Key::Meta, 9)],
+            then,
+        })
+    };
+    let requests = [
+        StateRequest::Get(Key::Final(JobId(7))),
+        StateRequest::List { after: None },
+        StateRequest::List {
+            after: Some("c/job/7".into()),
+        },
+        txn(vec![]),
+        txn(vec![put(own, None), put(None, None)]),
+        txn(vec![put(own, Some(5))]),
+        StateRequest::Grant(Micros::millis(3_500)),
+        StateRequest::Touch(5),
+        StateRequest::Changes {
+            after: 9,
+            wait: Micros::millis(700),
+        },
+    ];
+    let mut got = String::new();
+    for request in &requests {
+        sent(&mut got, state::http(request));
+        for line in include_str!("golden/state.txt").lines() {
+            let (status, body) = line.split_once(' ').unwrap();
+            let changes = |all: &[cometlead::bookkeeping::view::Change]| -> String {
+                all.iter()
+                    .map(|c| {
+                        format!(
+                            " {} {} {:?};",
+                            c.key,
+                            c.stamp,
+                            c.content.as_ref().map(content)
+                        )
+                    })
+                    .collect()
+            };
+            let read = match state::parse(request, status.parse().unwrap(), body.as_bytes()) {
+                Ok(StateReply::Value(v)) => format!("value {:?}", v.map(|v| v.to_string())),
+                Ok(StateReply::Page { items, next, epoch }) => {
+                    format!("page {next:?} {epoch}{}", changes(&items))
+                }
+                Ok(StateReply::Applied(n)) => format!("applied {n}"),
+                Ok(StateReply::Clash(keys, n)) => keys
+                    .iter()
+                    .fold(format!("clash {n}"), |t, k| format!("{t} {k}")),
+                Ok(StateReply::Lease(n)) => format!("lease {n}"),
+                Ok(StateReply::Touched) => "touched".into(),
+                Ok(StateReply::NoLease) => "no lease".into(),
+                Ok(StateReply::Changes(all, n)) => format!("changes {n}{}", changes(&all)),
+                Ok(StateReply::TooOld) => "too old".into(),
+                Err(e) => e.to_string(),
+            };
+            writeln!(got, "  {status} {body}\n    {read}").unwrap();
+        }
+    }
+    golden("state.out.txt", &got);
+}
+
+#[test]
+fn hints_of_peers() {
+    let mut got = String::new();
+    for line in include_str!("golden/hints.txt").lines() {
+        let hint: PeerHint = serde_json::from_str(line).unwrap();
+        let bytes = rmp_serde::to_vec(&hint).unwrap();
+        assert_eq!(rmp_serde::from_slice::<PeerHint>(&bytes).unwrap(), hint);
+        let hex: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
+        writeln!(got, "{hex} {}", serde_json::to_string(&hint).unwrap()).unwrap();
+    }
+    golden("hints.out.txt", &got);
+}
+
+/// Each field of the deploy file is read by its name: without it the file is refused, or the field has no effect.
+#[test]
+fn fields_of_the_deploy_file() {
+    let whole: serde_json::Value =
+        serde_json::from_str(include_str!("golden/deploy.json")).unwrap();
+    let read =
+        |v: &serde_json::Value| match Settings::parse("deploy.json", v.to_string().as_bytes()) {
+            Ok(s) => {
+                let teams: Vec<_> = s
+                    .teams
+                    .iter()
+                    .map(|t| (&t.name, t.guarantee, t.cores_limit, t.accelerators_limit))
+                    .collect();
+                let aims: Vec<_> = s.objectives.iter().map(|o| (&o.class, o.kind)).collect();
+                let (now, next) = (s.limits, s.next_limits);
+                format!(
+                    "read: {teams:?} {aims:?} {} {} {} {} {} {}",
+                    now.write_rps,
+                    now.value_bytes,
+                    now.txn_ops,
+                    next.write_rps,
+                    next.value_bytes,
+                    next.txn_ops
+                )
+            }
+            Err(e) => e.to_string().split(" at line").next().unwrap().to_owned(),
+        };
+    fn paths(v: &serde_json::Value, at: &str, all: &mut Vec<String>) {
+        let each: Vec<(String, &serde_json::Value)> = match v {
+            serde_json::Value::Object(o) => {
+                o.iter().map(|(k, v)| (format!("{at}/{k}"), v)).collect()
+            }
+            serde_json::Value::Array(a) => a
+                .iter()
+                .enumerate()
+                .map(|(i, v)| (format!("{at}/{i}"), v))
+                .collect(),
+            _ => return,
+        };
+        for (path, v) in each {
+            paths(v, &path, all);
+            all.push(path);
+        }
+    }
+    let mut all = Vec::new();
+    paths(&whole, "", &mut all);
+    let mut got = format!("{}\n", read(&whole));
+    for path in &all {
+        let mut less = whole.clone();
+        let (parent, field) = path.rsplit_once('/').unwrap();
+        match less.pointer_mut(parent).unwrap() {
+            serde_json::Value::Object(o) => drop(o.remove(field)),
+            serde_json::Value::Array(a) => drop(a.remove(field.parse().unwrap())),
+            _ => unreachable!(),
+        }
+        writeln!(got, "without {path}: {}", read(&less)).unwrap();
+    }
+    golden("deploy.out.txt", &got);
+}
+
+#[test]
+fn operators_settings() {
+    let mut got = String::new();
+    for line in include_str!("golden/operator.txt").lines() {
+        match OperatorSettings::parse(line.as_bytes()) {
+            Ok(s) => writeln!(
+                got,
+                "{:?} {} {} {:?} {:?}",
+                s.slices, s.round_ms, s.node_lease_ms, s.idle_s, s.rules
+            ),
+            Err(e) => writeln!(got, "{e}"),
+        }
+        .unwrap();
+    }
+    golden("operator.out.txt", &got);
+}
+
+#[test]
+fn command_line() {
+    let mut got = String::new();
+    for line in include_str!("golden/commands.txt").lines() {
+        let out = Command::new(env!("CARGO_BIN_EXE_cometlead"))
+            .current_dir(env!("CARGO_MANIFEST_DIR"))
+            .args(line.split_whitespace())
+            .output()
+            .unwrap();
+        writeln!(
+            got,
+            "$ cometlead {line}\n{}{}= {:?}",
+            String::from_utf8(out.stdout).unwrap(),
+            String::from_utf8(out.stderr).unwrap(),
+            out.status.code()
+        )
+        .unwrap();
+    }
+    golden("commands.out.txt", &got);
+}
