--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -201,6 +201,8 @@
     to_command: BTreeSet<MachineId>,
     /// Machines that were removed lately: those of the highest numbers.
     removed: BTreeSet<MachineId>,
+    /// Most machines that this controller has answered at a time, as far as some were removed since.
+    largest_fleet: usize,
     reach: reach::Reach,
     rounds: rounds::Rounds,
     users: users::Users,
@@ -238,6 +240,7 @@
             cancelled: cancelled::Cancelled::default(),
             to_command: BTreeSet::new(),
             removed: BTreeSet::new(),
+            largest_fleet: 0,
             reach: reach::Reach::default(),
             rounds: rounds::Rounds::default(),
             users: users::Users::default(),
--- a/src/coordination/sessions.rs
+++ b/src/coordination/sessions.rs
@@ -259,8 +259,16 @@
     /// Added to the lease before silence counts as proof, beside the drift.
     const SILENCE_MARGIN: Micros = Micros::millis(400);
     const DIRECT_LIMIT: Micros = Micros::millis(2_500);
-    /// Removed machines that are remembered.
-    const REMOVED: usize = 4_096;
+    /// Removed machines that are remembered at least, however small the fleet is.
+    const LEAST_REMOVED: usize = 4_096;
+    /// Removed machines that are remembered for each machine of the fleet at its largest: all of it may be
+    /// replaced, and what replaced it be returned as well, while reports are still under way.
+    const REMOVED_EACH: usize = 2;
+
+    /// How many removed machines are remembered.
+    fn most_removed(&self) -> usize {
+        Self::LEAST_REMOVED.max(self.largest_fleet * Self::REMOVED_EACH)
+    }
 
     /// A report is due by then, and a little late.
     fn report_due(report: Micros) -> Micros {
@@ -312,9 +320,10 @@
             }
             // A late report of a machine that was removed must not bring it back.
             None => {
+                self.largest_fleet = self.largest_fleet.max(self.sessions.len());
                 self.sessions.remove(&m);
                 self.removed.insert(m);
-                if self.removed.len() > Self::REMOVED {
+                if self.removed.len() > self.most_removed() {
                     self.removed.pop_first();
                 }
             }
