--- /dev/null
+++ b/tests/runner/effects.rs
@@ -0,0 +1,127 @@
+//! A digest over everything that the controllers of a run decide, as bytes on the wire.
+
+use cometlead::coordination::Effect;
+use cometlead::protocol::user::UserAnswer;
+use cometlead::protocol::worker::{ReportAnswer, elsewhere_body, orders_body};
+use cometlead::protocol::{cloud, state};
+
+/// FNV-1a with 64 bits: the same on every machine and in every version of Rust.
+#[derive(Clone, Copy, Debug)]
+pub struct Fnv(u64);
+
+impl Default for Fnv {
+    fn default() -> Fnv {
+        Fnv(0xcbf2_9ce4_8422_2325)
+    }
+}
+
+impl Fnv {
+    /// Adds a number.
+    pub fn number(&mut self, number: u64) {
+        self.raw(&number.to_le_bytes());
+    }
+
+    /// Adds bytes after their length, so that neighbours can't run into each other.
+    pub fn bytes(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        self.raw(bytes);
+    }
+
+    /// The digest of all that was added.
+    pub fn value(&self) -> u64 {
+        self.0
+    }
+
+    fn raw(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+}
+
+/// The effects of all controllers of a run, in order.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Decisions {
+    digest: Fnv,
+    count: u64,
+}
+
+impl Decisions {
+    /// Adds an effect of a controller at a simulated time.
+    pub fn add(&mut self, now: u64, node: usize, effect: &Effect) {
+        self.count += 1;
+        self.digest.number(now);
+        self.digest.number(node as u64);
+        match effect {
+            Effect::State(call, request, limit) => {
+                self.request(1, call.0, limit.0, state::http(request));
+            }
+            Effect::Cloud(call, request, limit) => {
+                self.request(2, call.0, limit.0, cloud::http(request));
+            }
+            Effect::Direct {
+                call,
+                endpoint,
+                body,
+                limit,
+            } => {
+                let path = format!("{endpoint}/commands");
+                self.request(3, call.0, limit.0, ("POST", path, body.clone()));
+            }
+            Effect::User(call, answer) => self.answer(4, call.0, user(answer)),
+            Effect::Report(call, answer) => self.answer(5, call.0, report(answer)),
+            Effect::Peers(hint) => {
+                self.digest.number(6);
+                self.digest.bytes(&rmp_serde::to_vec(hint).expect("a hint"));
+            }
+        }
+    }
+
+    /// The digest of all effects.
+    pub fn digest(&self) -> u64 {
+        self.digest.value()
+    }
+
+    /// How many effects there were.
+    pub fn count(&self) -> u64 {
+        self.count
+    }
+
+    fn request(&mut self, kind: u64, call: u64, limit: u64, http: (&str, String, Vec<u8>)) {
+        [kind, call, limit]
+            .into_iter()
+            .for_each(|number| self.digest.number(number));
+        let (method, path, body) = http;
+        self.digest.bytes(method.as_bytes());
+        self.digest.bytes(path.as_bytes());
+        self.digest.bytes(&body);
+    }
+
+    fn answer(&mut self, kind: u64, call: u64, (status, body): (u64, Vec<u8>)) {
+        [kind, call, status]
+            .into_iter()
+            .for_each(|number| self.digest.number(number));
+        self.digest.bytes(&body);
+    }
+}
+
+/// Status, and the body or what it is made of.
+fn user(answer: &UserAnswer) -> (u64, Vec<u8>) {
+    match answer {
+        UserAnswer::Accepted(a) => (201, a.body()),
+        UserAnswer::Is(a) => (200, a.body()),
+        UserAnswer::Unknown => (404, Vec::new()),
+        UserAnswer::Never(why) => (422, why.as_bytes().to_vec()),
+        UserAnswer::Bad(why) => (400, why.as_bytes().to_vec()),
+        UserAnswer::Later(seconds) => (503, seconds.to_string().into_bytes()),
+    }
+}
+
+fn report(answer: &ReportAnswer) -> (u64, Vec<u8>) {
+    match answer {
+        ReportAnswer::Orders { baton, orders } => (200, orders_body(*baton, orders)),
+        ReportAnswer::Elsewhere(owner) => (421, elsewhere_body(owner.as_deref())),
+        ReportAnswer::Unavailable => (503, Vec::new()),
+        ReportAnswer::Malformed => (400, Vec::new()),
+    }
+}
--- a/tests/runner/mod.rs
+++ b/tests/runner/mod.rs
@@ -4,6 +4,9 @@
 //! crash and be cut off. The checker judges what the stand-in workers do and what users are told.
 
 pub mod check;
+/// Only `tests/decisions.rs` reads the digest.
+#[allow(dead_code)]
+pub mod effects;
 pub mod laws;
 mod looks;
 mod machines;
@@ -204,6 +207,8 @@
     known: BTreeSet<u64>,
     ghosts: u64,
     pub check: Checker,
+    /// All that the controllers decided.
+    pub decisions: effects::Decisions,
     counters: Counters,
     takeovers: u64,
     lost_leases: u64,
@@ -293,6 +298,7 @@
             known: BTreeSet::new(),
             ghosts: 0,
             check,
+            decisions: effects::Decisions::default(),
             counters: Counters::default(),
             takeovers: 0,
             lost_leases: 0,
@@ -488,6 +494,9 @@
         let node = self.nodes[n].as_mut()?;
         let before = node.controller.counters().takeovers;
         let effects = node.controller.handle(now, event);
+        for effect in &effects {
+            self.decisions.add(self.now, n, effect);
+        }
         let took_over = node.controller.counters().takeovers > before;
         let life = node.life;
         let wake = node.controller.wake().0;
