--- a/src/coordination/rounds/drafting.rs
+++ b/src/coordination/rounds/drafting.rs
@@ -127,7 +127,7 @@
             };
             draft.mark(*m, mark, 0);
         }
-        let ended: Vec<JobId> = view
+        let mut ended: Vec<JobId> = view
             .jobs
             .iter()
             .filter(|(id, j)| {
@@ -136,6 +136,8 @@
             })
             .map(|(id, _)| *id)
             .collect();
+        // The order of a hash map differs from process to process.
+        ended.sort_unstable();
         for id in ended {
             if view.jobs.get(&id).is_some_and(Job::cancelled) {
                 draft.end_cancelled(id);
@@ -143,13 +145,16 @@
                 draft.end_done(id);
             }
         }
-        for (id, _) in view
+        let mut unsettled: Vec<JobId> = view
             .jobs
             .iter()
             .filter(|(_, j)| !j.record.finished.covers(&j.ends) && self.unplaced_job(j))
             .filter(|(id, j)| self.owns(view.job_slice(**id, j.spec())))
-        {
-            draft.settle(*id);
+            .map(|(id, _)| *id)
+            .collect();
+        unsettled.sort_unstable();
+        for id in unsettled {
+            draft.settle(id);
         }
         if !books_first {
             booked = self.book(&mut draft, false);
