--- a/benches/rules.rs
+++ b/benches/rules.rs
@@ -41,7 +41,7 @@
 }
 
 fn job(i: u64, beside: bool) -> Job {
-    let (lane, crew) = match i % 10 {
+    let (job_class, team) = match i % 10 {
         0 => ("ruled", "team"),
         1 if beside => ("ruled", "shy"),
         1 => ("ruled", "team"),
@@ -49,7 +49,7 @@
         _ => ("plain", "team"),
     };
     let text = format!(
-        r#"{{"l":"{lane}","w":"{crew}","u":"2","n":{},"r":{{"c":{}000,"m":1000}},"i":"img-{}","s":true,"g":9000000}}"#,
+        r#"{{"l":"{job_class}","w":"{team}","u":"2","n":{},"r":{{"c":{}000,"m":1000}},"i":"img-{}","s":true,"g":9000000}}"#,
         1 + i % 7,
         1 + i % 4,
         i % 40
@@ -62,7 +62,7 @@
     let stage = Stage::alone(&spec);
     Job {
         record,
-        stamp: 1,
+        mod_revision: 1,
         chunks: BTreeMap::new(),
         ends: Finished::default(),
         stage,
@@ -75,11 +75,11 @@
         let mut classes = Classes::default();
         classes.offer(&catalog);
         for m in 0..MACHINES {
-            let build = if m % 5 == 0 { "large" } else { "small" };
-            let yard = if m % 2 == 0 { "a" } else { "b" };
+            let machine_type = if m % 5 == 0 { "large" } else { "small" };
+            let zone = if m % 2 == 0 { "a" } else { "b" };
             let class = Class {
-                build: build.into(),
-                yard: yard.into(),
+                machine_type: machine_type.into(),
+                zone: zone.into(),
                 spot: m % 3 > 0,
                 machine: None,
             };
@@ -116,7 +116,7 @@
             .map(|m| {
                 let class = self.classes.of(MachineId(m)).expect("a class");
                 let c = &self.classes.all()[class];
-                let t = self.catalog.get(&c.build).expect("a type");
+                let t = self.catalog.get(&c.machine_type).expect("a type");
                 // Half of the machines are full.
                 let left = if m % 2 == 0 {
                     0
@@ -127,8 +127,8 @@
                     machine: MachineId(m),
                     group: (m / 50) as usize,
                     owner: (m % 3) as usize,
-                    build: &c.build,
-                    yard: &c.yard,
+                    machine_type: &c.machine_type,
+                    zone: &c.zone,
                     spot: c.spot,
                     price: t.price_of(c.spot),
                     all: t.room,
@@ -164,8 +164,8 @@
             Ask {
                 job: *id,
                 spec,
-                urgency: spec.urgency,
-                tasks: (0..spec.pieces).collect(),
+                priority: spec.priority,
+                tasks: (0..spec.task_count).collect(),
                 zones: BTreeMap::new(),
                 most: u64::MAX,
                 price_limit: u64::MAX,
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -25,11 +25,11 @@
 const SLICES: u64 = 5;
 const TASKS: u64 = 4;
 /// Tasks of a job.
-const PIECES: u64 = 40;
+const TASK_COUNT: u64 = 40;
 
 fn job(i: u64) -> JobRecord {
     let text = format!(
-        r#"{{"s":{{"l":"lane","w":"team","u":"2","n":{PIECES},"r":{{"c":{}000,"m":1000}},"i":"img-{}","s":true,"g":9000000}},"t":{i}}}"#,
+        r#"{{"s":{{"l":"lane","w":"team","u":"2","n":{TASK_COUNT},"r":{{"c":{}000,"m":1000}},"i":"img-{}","s":true,"g":9000000}},"t":{i}}}"#,
         1 + i % 4,
         i % 40
     );
@@ -40,8 +40,8 @@
     let tasks = (0..TASKS).map(|t| {
         let n = m * TASKS + t;
         let task = TaskId {
-            job: JobId(1_000_000 + n / PIECES),
-            index: (n % PIECES) as u32,
+            job: JobId(1_000_000 + n / TASK_COUNT),
+            index: (n % TASK_COUNT) as u32,
         };
         Booking::of(Attempt {
             task,
@@ -49,13 +49,13 @@
         })
     });
     MachineRecord {
-        build: if m.is_multiple_of(5) {
+        machine_type: if m.is_multiple_of(5) {
             "large"
         } else {
             "small"
         }
         .into(),
-        yard: if m.is_multiple_of(2) { "a" } else { "b" }.into(),
+        zone: if m.is_multiple_of(2) { "a" } else { "b" }.into(),
         spot: !m.is_multiple_of(3),
         endpoint: format!("10.0.{}.{}:9000", m / 250, m % 250).parse().ok(),
         fitness: Fitness::Up,
@@ -91,7 +91,7 @@
         (Key::Group(k as usize, n as u32), Content::Group(g))
     });
     all.extend(groups);
-    let running = (machines * TASKS).div_ceil(PIECES);
+    let running = (machines * TASKS).div_ceil(TASK_COUNT);
     let jobs = (0..running)
         .map(|i| 1_000_000 + i)
         .chain(2_000_000..2_000_000 + waiting);
@@ -104,7 +104,7 @@
     let changes = records.iter().map(|(k, c)| Change {
         key: k.clone(),
         content: Some(c.clone()),
-        stamp: 1,
+        mod_revision: 1,
     });
     view.apply(changes, &mut Touched::default());
     view.advance(1);
@@ -134,13 +134,13 @@
         let slots = || -> Vec<Slot<'_>> {
             let slot = |(k, m, r): (usize, MachineId, &'_ MachineRecord)| {
                 let r = view.machine(m).unwrap_or_else(|| panic!("{r:?}"));
-                let t = view.machine_type(&r.build).expect("a type");
+                let t = view.machine_type(&r.machine_type).expect("a type");
                 Slot {
                     machine: m,
                     group: (m.0 / GROUP) as usize,
                     owner: k,
-                    build: &r.build,
-                    yard: &r.yard,
+                    machine_type: &r.machine_type,
+                    zone: &r.zone,
                     spot: r.spot,
                     price: t.price_of(r.spot),
                     all: t.room,
@@ -167,8 +167,8 @@
                 Ask {
                     job: id,
                     spec,
-                    urgency: spec.urgency,
-                    tasks: (0..spec.pieces).collect(),
+                    priority: spec.priority,
+                    tasks: (0..spec.task_count).collect(),
                     zones: BTreeMap::new(),
                     most: u64::MAX,
                     price_limit: u64::MAX,
@@ -209,13 +209,13 @@
     for machines in SIZES {
         let records = records(machines, 100);
         let mut view = view(&records);
-        let mut stamp = 1;
+        let mut mod_revision = 1;
         group.bench_function(
             BenchmarkId::from_parameter(format!("{machines} machines")),
             |b| {
                 b.iter_batched(
                     || {
-                        stamp += 1;
+                        mod_revision += 1;
                         let groups = records
                             .iter()
                             .filter(|(k, _)| matches!(k, Key::Group(..)))
@@ -225,12 +225,13 @@
                             if let Content::Group(g) = &mut content
                                 && let Some(r) = g.machines.values_mut().next()
                             {
-                                r.tasks.truncate(TASKS as usize - (stamp % 2) as usize);
+                                r.tasks
+                                    .truncate(TASKS as usize - (mod_revision % 2) as usize);
                             }
                             Change {
                                 key: key.clone(),
                                 content: Some(content),
-                                stamp,
+                                mod_revision,
                             }
                         };
                         groups.map(change).collect::<Vec<_>>()
@@ -286,16 +287,16 @@
             .find(|(k, _)| matches!(k, Key::Group(..)))
             .expect("a group")
             .clone();
-        let mut stamp = 1;
+        let mut mod_revision = 1;
         group.bench_function(
             BenchmarkId::from_parameter(format!("{machines} machines")),
             |b| {
                 b.iter(|| {
-                    stamp += 1;
+                    mod_revision += 1;
                     let change = Change {
                         key: changed.0.clone(),
                         content: Some(changed.1.clone()),
-                        stamp,
+                        mod_revision,
                     };
                     view.apply([change], &mut Touched::default());
                     black_box(view.used(0, "team"))
--- a/crates/constraints/src/expr.rs
+++ b/crates/constraints/src/expr.rs
@@ -84,13 +84,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Field {
     /// The class of jobs.
-    Lane,
+    JobClass,
     /// The team.
-    Crew,
+    Team,
     /// The image.
     Image,
     /// The urgency.
-    Urgency,
+    Priority,
     /// The job's name.
     Job,
 }
@@ -98,10 +98,10 @@
 impl Field {
     /// Every field with how it is written.
     pub const ALL: [(Field, &'static str); 5] = [
-        (Field::Lane, "lane"),
-        (Field::Crew, "crew"),
+        (Field::JobClass, "lane"),
+        (Field::Team, "crew"),
         (Field::Image, "image"),
-        (Field::Urgency, "urgency"),
+        (Field::Priority, "urgency"),
         (Field::Job, "job"),
     ];
 }
--- a/crates/constraints/src/rules.rs
+++ b/crates/constraints/src/rules.rs
@@ -92,22 +92,22 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Scope {
     /// Classes of jobs.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub lanes: Option<BTreeSet<String>>,
+    #[serde(rename = "lanes", skip_serializing_if = "Option::is_none")]
+    pub job_classes: Option<BTreeSet<String>>,
     /// Teams.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub crews: Option<BTreeSet<String>>,
+    #[serde(rename = "crews", skip_serializing_if = "Option::is_none")]
+    pub teams: Option<BTreeSet<String>>,
     /// Images.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub images: Option<BTreeSet<String>>,
     /// Urgencies: critical, high, standard, low.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub urgencies: Option<BTreeSet<String>>,
+    #[serde(rename = "urgencies", skip_serializing_if = "Option::is_none")]
+    pub priorities: Option<BTreeSet<String>>,
 }
 
 /// A rule as it is written: with `require` it is hard, with `prefer` it is a preference.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields, rename_all = "camelCase")]
+#[serde(deny_unknown_fields)]
 pub struct RuleText {
     /// Its name, by which answers and logs tell it: lower-case letters, digits, `-`, `_` and `.`.
     #[schemars(length(min = 1, max = 64))]
@@ -127,7 +127,7 @@
     pub weight: Option<u32>,
     /// How long a preference is worth waiting for, in seconds from when the job could begin; not at all
     /// if it is not given, and never past its latest start.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "waitS", default, skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 0.0, max = 86_400.0))]
     pub wait_s: Option<f64>,
 }
@@ -192,7 +192,7 @@
             return Err(BadRules::Rule(name, what.to_owned()));
         }
         let known = |u: &String| URGENCIES.contains(&u.as_str());
-        if !self.scope.urgencies.iter().flatten().all(known) {
+        if !self.scope.priorities.iter().flatten().all(known) {
             return bad("for.urgencies: must be critical, high, standard or low");
         }
         let (text, kind) = match (&self.require, &self.prefer) {
@@ -267,13 +267,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Subject<'a> {
     /// Its class.
-    pub lane: &'a str,
+    pub job_class: &'a str,
     /// Its team.
-    pub crew: &'a str,
+    pub team: &'a str,
     /// Its image.
     pub image: &'a str,
     /// Its urgency, as it was submitted.
-    pub urgency: &'a str,
+    pub priority: &'a str,
 }
 
 impl Rule {
@@ -287,10 +287,10 @@
         let names = |list: &Option<BTreeSet<String>>, one: &str| {
             list.as_ref().is_none_or(|l| l.contains(one))
         };
-        names(&self.scope.lanes, job.lane)
-            && names(&self.scope.crews, job.crew)
+        names(&self.scope.job_classes, job.job_class)
+            && names(&self.scope.teams, job.team)
             && names(&self.scope.images, job.image)
-            && names(&self.scope.urgencies, job.urgency)
+            && names(&self.scope.priorities, job.priority)
     }
 
     /// Checks that every trait is known and asked what it can answer.
@@ -483,10 +483,20 @@
     }
 
     /// Adds the labels of a machine of this type and zone to its traits. `machine`: its name, if it has one.
-    pub fn label(&self, traits: &mut Traits, build: &str, zone: &str, machine: Option<&str>) {
+    pub fn label(
+        &self,
+        traits: &mut Traits,
+        machine_type: &str,
+        zone: &str,
+        machine: Option<&str>,
+    ) {
         let labels = &self.file.labels;
         let of_machine = machine.and_then(|m| labels.machines.get(m));
-        let tables = [of_machine, labels.types.get(build), labels.zones.get(zone)];
+        let tables = [
+            of_machine,
+            labels.types.get(machine_type),
+            labels.zones.get(zone),
+        ];
         for (name, value) in tables.into_iter().flatten().flatten() {
             let Ok(value) = value.value() else { continue };
             match (traits.get_mut(name), value) {
--- a/src/bookkeeping/admission.rs
+++ b/src/bookkeeping/admission.rs
@@ -23,12 +23,12 @@
 pub type ClassTraits = Option<Vec<Traits>>;
 
 /// The traits that a machine has by its type, zone and kind.
-fn built_in(catalog: &Catalog, build: &str, yard: &str, spot: bool) -> Option<Traits> {
-    let t = catalog.get(build)?;
+fn built_in(catalog: &Catalog, machine_type: &str, zone: &str, spot: bool) -> Option<Traits> {
+    let t = catalog.get(machine_type)?;
     let number = |n: u64, d: Dimension| Value::Number(Quantity::thousandths(n, d));
     let traits = [
-        ("type", Value::Word(build.to_owned())),
-        ("zone", Value::Word(yard.to_owned())),
+        ("type", Value::Word(machine_type.to_owned())),
+        ("zone", Value::Word(zone.to_owned())),
         ("spot", Value::Flag(spot)),
         ("cores", number(t.room.cores, Dimension::Plain)),
         (
@@ -46,11 +46,16 @@
 
 /// Traits of machines of a class, under each set of rules in force, or under none.
 pub fn traits(class: &Class, sets: &[Arc<RuleSet>], catalog: &Catalog) -> ClassTraits {
-    let plain = built_in(catalog, &class.build, &class.yard, class.spot)?;
+    let plain = built_in(catalog, &class.machine_type, &class.zone, class.spot)?;
     let machine = class.machine.map(|m| m.to_string());
     let under = |set: &Arc<RuleSet>| {
         let mut traits = plain.clone();
-        set.label(&mut traits, &class.build, &class.yard, machine.as_deref());
+        set.label(
+            &mut traits,
+            &class.machine_type,
+            &class.zone,
+            machine.as_deref(),
+        );
         traits
     };
     Some(if sets.is_empty() {
@@ -71,10 +76,10 @@
 /// A job, as rules tell jobs apart.
 pub fn subject(spec: &JobSpec) -> Subject<'_> {
     Subject {
-        lane: &spec.lane,
-        crew: &spec.crew,
-        image: &spec.bundle,
-        urgency: spec.urgency.name(),
+        job_class: &spec.job_class,
+        team: &spec.team,
+        image: &spec.image,
+        priority: spec.priority.name(),
     }
 }
 
@@ -334,13 +339,13 @@
 /// What of a submission itself rules out a class.
 fn fields_failing(spec: &JobSpec, class: &Class, catalog: &Catalog) -> RuleMask {
     let fails = [
-        spec.builds
+        spec.machine_types
             .as_ref()
-            .is_some_and(|b| !b.iter().any(|n| **n == *class.build)),
-        spec.yard.as_ref().is_some_and(|y| **y != *class.yard),
-        class.spot && !spec.loaners,
+            .is_some_and(|b| !b.iter().any(|n| **n == *class.machine_type)),
+        spec.zone.as_ref().is_some_and(|y| **y != *class.zone),
+        class.spot && !spec.spot_allowed,
         catalog
-            .get(&class.build)
+            .get(&class.machine_type)
             .is_none_or(|t| !spec.need.fits(&t.room)),
     ];
     mask(fails.into_iter(), 0)
@@ -459,10 +464,10 @@
 
 fn is_of(spec: &JobSpec, id: JobId, field: Field, words: &Words) -> bool {
     match field {
-        Field::Lane => words.contains(&spec.lane),
-        Field::Crew => words.contains(&spec.crew),
-        Field::Image => words.contains(&spec.bundle),
-        Field::Urgency => words.contains(spec.urgency.name()),
+        Field::JobClass => words.contains(&spec.job_class),
+        Field::Team => words.contains(&spec.team),
+        Field::Image => words.contains(&spec.image),
+        Field::Priority => words.contains(spec.priority.name()),
         Field::Job => words.contains(&id.to_string()),
     }
 }
@@ -513,7 +518,7 @@
             house: self,
             site,
             job,
-            image: &spec.bundle,
+            image: &spec.image,
             comes: None,
         };
         admission.is_none_or(|a| a.holds(site.class, insisted, &found))
@@ -529,7 +534,7 @@
         let Some(admission) = self.admissions.get(&there) else {
             return true;
         };
-        let image = self.jobs.get(&there).map_or("", |j| &j.spec().bundle);
+        let image = self.jobs.get(&there).map_or("", |j| &j.spec().image);
         let found = Found {
             house: self,
             site,
@@ -557,7 +562,7 @@
             house: self,
             site,
             job,
-            image: &spec.bundle,
+            image: &spec.image,
             comes: None,
         };
         admission.map_or(0, |a| a.worth(site.class, &found))
@@ -574,7 +579,7 @@
             house: self,
             site,
             job,
-            image: &spec.bundle,
+            image: &spec.image,
             comes: None,
         };
         mask(
--- a/src/bookkeeping/boots.rs
+++ b/src/bookkeeping/boots.rs
@@ -22,8 +22,8 @@
     const MEMORY: Micros = Micros::secs(90);
 
     /// A machine has come up.
-    pub fn ended(&mut self, build: &str, at: Micros, took: Micros) {
-        let ended = self.ended.entry(build.to_owned()).or_default();
+    pub fn ended(&mut self, machine_type: &str, at: Micros, took: Micros) {
+        let ended = self.ended.entry(machine_type.to_owned()).or_default();
         ended.push_back(Boot { at, took });
         if ended.len() > Self::MOST {
             ended.pop_front();
@@ -37,12 +37,12 @@
     /// decides nothing.
     pub fn expected(
         &self,
-        build: &str,
+        machine_type: &str,
         nominal: Micros,
         now: Micros,
         waiting: impl Iterator<Item = Micros>,
     ) -> Micros {
-        let ended = self.ended.get(build).into_iter().flatten();
+        let ended = self.ended.get(machine_type).into_iter().flatten();
         let lately = ended
             .clone()
             .filter(|b| now.since(b.at) < Self::MEMORY)
--- a/src/bookkeeping/classes.rs
+++ b/src/bookkeeping/classes.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Class {
     /// Type.
-    pub build: Arc<str>,
+    pub machine_type: Arc<str>,
     /// Zone.
-    pub yard: Arc<str>,
+    pub zone: Arc<str>,
     /// Spot.
     pub spot: bool,
     /// The machine, if operators gave it labels of its own.
@@ -57,8 +57,8 @@
         self.come(
             m,
             Class {
-                build: Arc::clone(&r.build),
-                yard: Arc::clone(&r.yard),
+                machine_type: Arc::clone(&r.machine_type),
+                zone: Arc::clone(&r.zone),
                 spot: r.spot,
                 machine,
             },
@@ -87,10 +87,10 @@
         for t in &catalog.types {
             for zone in &t.zones {
                 for spot in [true, false] {
-                    let (build, yard) = (t.name.as_str().into(), zone.as_str().into());
+                    let (machine_type, zone) = (t.name.as_str().into(), zone.as_str().into());
                     let n = self.number(Class {
-                        build,
-                        yard,
+                        machine_type,
+                        zone,
                         spot,
                         machine: None,
                     });
@@ -120,10 +120,13 @@
     }
 
     /// The class of a machine that could be hired.
-    pub fn of_offer(&self, build: &str, yard: &str, spot: bool) -> Option<ClassId> {
+    pub fn of_offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<ClassId> {
         (0..self.all.len()).find(|n| {
             let c = &self.all[*n];
-            self.offered[*n] && c.spot == spot && *c.build == *build && *c.yard == *yard
+            self.offered[*n]
+                && c.spot == spot
+                && *c.machine_type == *machine_type
+                && *c.zone == *zone
         })
     }
 
--- a/src/bookkeeping/fleet.rs
+++ b/src/bookkeeping/fleet.rs
@@ -15,7 +15,7 @@
     /// Whether a machine may run it as it is now; one that is still to come up is nobody yet.
     fn machine(&self, class: ClassId, machine: Option<MachineId>) -> bool;
     /// What preferences make of a machine that is hired for it; `None` if it may not run it.
-    fn offer(&self, build: &str, yard: &str, spot: bool) -> Option<u32>;
+    fn offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u32>;
 }
 
 /// Tasks of one job that have no place.
@@ -37,7 +37,7 @@
 impl Demand<'_> {
     /// Whether the machines of a pool may run it.
     fn takes(&self, p: &Pool<'_>) -> bool {
-        self.spec.allows(p.build, p.yard, p.spot)
+        self.spec.allows(p.machine_type, p.zone, p.spot)
             && self
                 .places
                 .as_ref()
@@ -45,13 +45,13 @@
     }
 
     /// What a machine hired for it would be worth to its preferences; `None` if it may not run it.
-    fn worth(&self, build: &str, yard: &str, spot: bool) -> Option<u32> {
-        if !self.spec.allows(build, yard, spot) {
+    fn worth(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u32> {
+        if !self.spec.allows(machine_type, zone, spot) {
             return None;
         }
         self.places
             .as_ref()
-            .map_or(Some(0), |r| r.offer(build, yard, spot))
+            .map_or(Some(0), |r| r.offer(machine_type, zone, spot))
     }
 }
 
@@ -59,9 +59,9 @@
 #[derive(Clone, Debug)]
 pub struct Pool<'a> {
     /// Type.
-    pub build: &'a str,
+    pub machine_type: &'a str,
     /// Zone.
-    pub yard: &'a str,
+    pub zone: &'a str,
     /// Spot.
     pub spot: bool,
     /// All of one machine's room.
@@ -86,23 +86,24 @@
     /// Adds machines with this much room left and this much work booked on each.
     pub fn add(
         &mut self,
-        (build, yard, spot): (&'a str, &'a str, bool),
+        (machine_type, zone, spot): (&'a str, &'a str, bool),
         catalog: &Catalog,
         class: Option<ClassId>,
         count: u64,
         free: Option<(Amount, Option<MachineId>)>,
         work: u128,
     ) {
-        let same =
-            |p: &Pool<'_>| p.spot == spot && p.build == build && p.yard == yard && p.class == class;
+        let same = |p: &Pool<'_>| {
+            p.spot == spot && p.machine_type == machine_type && p.zone == zone && p.class == class
+        };
         let at = self.0.iter().position(same);
         let at = at.unwrap_or_else(|| {
-            let kind = catalog.get(build);
+            let kind = catalog.get(machine_type);
             let all = kind.map_or(Amount::default(), |t| t.room);
             let price = kind.map_or(0, |t| core_price(t, spot));
             self.0.push(Pool {
-                build,
-                yard,
+                machine_type,
+                zone,
                 spot,
                 all,
                 price,
@@ -150,9 +151,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Offer {
     /// Type.
-    pub build: String,
+    pub machine_type: String,
     /// Zone.
-    pub yard: String,
+    pub zone: String,
     /// Spot.
     pub spot: bool,
 }
@@ -191,8 +192,8 @@
 ) -> Vec<(Offer, u32)> {
     /// Most machines asked for at once.
     const MOST: u32 = 400;
-    let mut hires: Vec<(Offer, u32)> = Vec::new();
-    let mut hired = 0;
+    let mut provision_requests: Vec<(Offer, u32)> = Vec::new();
+    let mut provisioned = 0;
     let mut waiting: u128 = 0;
     for d in demands {
         let need = &d.spec.need;
@@ -209,7 +210,7 @@
             left
         };
         left = take(pools, left, false);
-        while left > 0 && hired < MOST {
+        while left > 0 && provisioned < MOST {
             // How long until the machines that could run these tasks have run off what is ahead.
             let (mut cores, mut ahead) = (0, waiting + task_work * u128::from(left));
             for p in &pools.0 {
@@ -234,7 +235,7 @@
             let zone = t
                 .zones
                 .iter()
-                .find(|z| **z == offer.yard)
+                .find(|z| **z == offer.zone)
                 .map_or("", |z| z.as_str());
             let n = need.times_in(&t.room, left);
             let free = t.room - need.times(n);
@@ -249,14 +250,14 @@
                 task_work * u128::from(n),
             );
             left -= n;
-            hired += 1;
-            match hires.iter_mut().find(|(o, _)| *o == offer) {
+            provisioned += 1;
+            match provision_requests.iter_mut().find(|(o, _)| *o == offer) {
                 Some((_, n)) => *n += 1,
-                None => hires.push((offer, 1)),
+                None => provision_requests.push((offer, 1)),
             }
         }
     }
-    hires
+    provision_requests
 }
 
 /// What is ahead of the machines that could run a demand.
@@ -292,8 +293,8 @@
     backlog: Backlog,
     offered: &dyn Fn(&Offer) -> bool,
 ) -> Option<(&'a MachineType, Offer)> {
-    let dear = price_limit(catalog, d.spec, &|build, yard, spot| {
-        d.worth(build, yard, spot).is_some()
+    let dear = price_limit(catalog, d.spec, &|machine_type, zone, spot| {
+        d.worth(machine_type, zone, spot).is_some()
     });
     let mut best: Option<(Cost, &MachineType, Offer)> = None;
     for t in &catalog.types {
@@ -305,8 +306,8 @@
         for zone in &t.zones {
             for spot in [true, false] {
                 let offer = Offer {
-                    build: t.name.clone(),
-                    yard: zone.clone(),
+                    machine_type: t.name.clone(),
+                    zone: zone.clone(),
                     spot,
                 };
                 // There must still be something for it to do when it comes up.
--- a/src/bookkeeping/group.rs
+++ b/src/bookkeeping/group.rs
@@ -64,9 +64,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MachineRecord {
     /// Type.
-    pub build: Arc<str>,
+    pub machine_type: Arc<str>,
     /// Zone.
-    pub yard: Arc<str>,
+    pub zone: Arc<str>,
     /// Spot.
     pub spot: bool,
     /// The worker's address, if it is a plain one.
@@ -141,7 +141,7 @@
 
     /// Most bytes that an empty machine can add.
     pub fn machine_bytes(id: MachineId, r: &MachineRecord) -> usize {
-        let kind = r.build.len() + r.yard.len() + 10 + 2 + 6 + 21;
+        let kind = r.machine_type.len() + r.zone.len() + 10 + 2 + 6 + 21;
         kind + digits(id.0) + 6 + digits(r.dead) + 8
     }
 
@@ -227,10 +227,10 @@
         let mut last = 0;
         for (id, r) in &self.machines {
             let address = r.address(*id);
-            let kind = kinds.number((&*r.build, &*r.yard, r.spot, address), || {
+            let kind = kinds.number((&*r.machine_type, &*r.zone, r.spot, address), || {
                 (
-                    r.build.to_string(),
-                    r.yard.to_string(),
+                    r.machine_type.to_string(),
+                    r.zone.to_string(),
                     r.spot.into(),
                     address,
                 )
@@ -368,7 +368,7 @@
                 _ => return None,
             };
             last = last.checked_add(*id)?;
-            let (build, yard, spot, address) = kinds.get(usize::try_from(*kind).ok()?)?;
+            let (machine_type, zone, spot, address) = kinds.get(usize::try_from(*kind).ok()?)?;
             let endpoint = match address {
                 Some((port, offset)) => {
                     let ip = offset.checked_add(i64::try_from(last).ok()?)?;
@@ -381,8 +381,8 @@
                 .iter()
                 .map(|i| images.get(usize::try_from(*i).ok()?).cloned());
             let record = MachineRecord {
-                build: Arc::clone(build),
-                yard: Arc::clone(yard),
+                machine_type: Arc::clone(machine_type),
+                zone: Arc::clone(zone),
                 spot: *spot,
                 endpoint,
                 fitness: *Fitness::ALL.get(usize::try_from(fitness).ok()?)?,
@@ -458,8 +458,8 @@
 
     fn machine(endpoint: &str) -> MachineRecord {
         MachineRecord {
-            build: "small".into(),
-            yard: "a".into(),
+            machine_type: "small".into(),
+            zone: "a".into(),
             spot: true,
             endpoint: endpoint.parse().ok(),
             fitness: Fitness::Up,
--- a/src/bookkeeping/job.rs
+++ b/src/bookkeeping/job.rs
@@ -10,7 +10,7 @@
 
 /// How urgent a job is, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Urgency {
+pub enum Priority {
     /// Before everything else.
     #[serde(rename = "0")]
     Critical,
@@ -25,14 +25,14 @@
     Low,
 }
 
-impl Urgency {
+impl Priority {
     /// How it is written in submissions and rules.
     pub fn name(self) -> &'static str {
         match self {
-            Urgency::Critical => "critical",
-            Urgency::High => "high",
-            Urgency::Standard => "standard",
-            Urgency::Low => "low",
+            Priority::Critical => "critical",
+            Priority::High => "high",
+            Priority::Standard => "standard",
+            Priority::Low => "low",
         }
     }
 }
@@ -42,61 +42,61 @@
 pub struct JobSpec {
     /// Class of jobs.
     #[serde(rename = "l")]
-    pub lane: String,
+    pub job_class: String,
     /// Team.
     #[serde(rename = "w")]
-    pub crew: String,
+    pub team: String,
     /// True for replicas that run until cancelled.
     #[serde(rename = "v", default, skip_serializing_if = "is_false")]
-    pub standing: bool,
+    pub service: bool,
     /// True for a gang: its tasks wait for each other, so they are placed together or not at all.
     #[serde(rename = "q", default, skip_serializing_if = "is_false")]
     pub gang: bool,
     /// Urgency.
     #[serde(rename = "u")]
-    pub urgency: Urgency,
+    pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "n")]
-    pub pieces: u32,
+    pub task_count: u32,
     /// What each task takes.
     #[serde(rename = "r")]
     pub need: Amount,
     /// Allowed machine types.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
-    pub builds: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// The only allowed zone.
     #[serde(rename = "y", default, skip_serializing_if = "Option::is_none")]
-    pub yard: Option<String>,
+    pub zone: Option<String>,
     /// All tasks in one zone.
     #[serde(rename = "o", default, skip_serializing_if = "is_false")]
-    pub one_zone: bool,
+    pub single_zone: bool,
     /// At most half of the tasks in one zone.
     #[serde(rename = "a", default, skip_serializing_if = "is_false")]
-    pub apart: bool,
+    pub anti_affinity: bool,
     /// May run on spot machines.
     #[serde(rename = "s", default, skip_serializing_if = "is_false")]
-    pub loaners: bool,
+    pub spot_allowed: bool,
     /// Image.
     #[serde(rename = "i")]
-    pub bundle: String,
+    pub image: String,
     /// Image size, in thousandths of a GB.
     #[serde(rename = "z", default, skip_serializing_if = "is_zero")]
     pub size: u64,
     /// The owner's estimate of a task's run time.
     #[serde(rename = "g")]
-    pub guess: Micros,
+    pub estimated_runtime: Micros,
     /// Checkpoint interval, zero for none.
     #[serde(rename = "k", default, skip_serializing_if = "is_no_time")]
-    pub bookmark: Micros,
+    pub checkpoint_interval: Micros,
     /// Time to save when stopped.
     #[serde(rename = "h", default, skip_serializing_if = "is_no_time")]
-    pub stash: Micros,
+    pub checkpoint_duration: Micros,
     /// Deadline from submission.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
-    pub due: Option<Micros>,
+    pub deadline: Option<Micros>,
     /// Jobs that must be done before any of its tasks starts, in order and each once.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
-    pub awaits: Vec<JobId>,
+    pub dependencies: Vec<JobId>,
     /// Rules of its own for where it runs. Only written once every controller understands
     /// [`super::records::RULED`].
     #[serde(rename = "j", default, skip_serializing_if = "Vec::is_empty")]
@@ -113,13 +113,13 @@
 
 impl JobSpec {
     /// Whether machines of this type, zone and kind may run its tasks.
-    pub fn allows(&self, build: &str, zone: &str, spot: bool) -> bool {
-        (self.loaners || !spot)
-            && self.yard.as_deref().is_none_or(|y| y == zone)
+    pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
+        (self.spot_allowed || !spot)
+            && self.zone.as_deref().is_none_or(|y| y == zone)
             && self
-                .builds
+                .machine_types
                 .as_ref()
-                .is_none_or(|b| b.iter().any(|n| n == build))
+                .is_none_or(|b| b.iter().any(|n| n == machine_type))
     }
 
     /// Whether some machine of this type could run one of its tasks.
@@ -129,21 +129,21 @@
 
     /// Whether all of its tasks must have room at once.
     pub fn together(&self) -> bool {
-        self.standing || self.gang
+        self.service || self.gang
     }
 
     /// Most tasks that may be in one zone.
     pub fn zone_limit(&self) -> u32 {
-        if self.apart {
-            self.pieces.div_ceil(2)
+        if self.anti_affinity {
+            self.task_count.div_ceil(2)
         } else {
-            self.pieces
+            self.task_count
         }
     }
 
     /// How many chunks its finished set takes beyond the one in the job's own record.
     pub fn extra_chunks(&self) -> u32 {
-        self.pieces.saturating_sub(1) / CHUNK
+        self.task_count.saturating_sub(1) / CHUNK
     }
 }
 
--- a/src/bookkeeping/live.rs
+++ b/src/bookkeeping/live.rs
@@ -1,17 +1,17 @@
 //! Live jobs, as the copy has them.
 
 use super::finished::{CHUNK, Finished};
-use super::job::{JobRecord, JobSpec, Urgency};
+use super::job::{JobRecord, JobSpec, Priority};
 use super::pipeline::Stage;
 use std::collections::BTreeMap;
 
 /// A value with the revision of its last change, 0 if it does not exist.
 #[derive(Clone, Debug, Default)]
-pub struct Stamped<T> {
+pub struct Versioned<T> {
     /// The value.
     pub value: T,
     /// Its revision.
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 /// A live job in the copy.
@@ -20,9 +20,9 @@
     /// Its record.
     pub record: JobRecord,
     /// The record's revision.
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// Further chunks of the finished set.
-    pub chunks: BTreeMap<u32, Stamped<Finished>>,
+    pub chunks: BTreeMap<u32, Versioned<Finished>>,
     /// Finished tasks that usage records have, and the job's own may not have yet.
     pub ends: Finished,
     /// Where it stands in its pipeline.
@@ -41,8 +41,8 @@
     }
 
     /// How urgent it is, for itself or for what needs it.
-    pub fn urgency(&self) -> Urgency {
-        self.stage.urgency
+    pub fn priority(&self) -> Priority {
+        self.stage.priority
     }
 
     /// How many tasks are finished.
@@ -66,7 +66,7 @@
     /// of it was completed, or far less than failed. A replica that goes on running completes nothing.
     pub fn suspect(&self) -> bool {
         let done = self.done();
-        let failures = if done == 0 && !self.spec().standing {
+        let failures = if done == 0 && !self.spec().service {
             2
         } else {
             done.saturating_add(4)
--- a/src/bookkeeping/pipeline.rs
+++ b/src/bookkeeping/pipeline.rs
@@ -4,7 +4,7 @@
 //! and which jobs another one names. So every controller derives the same, whoever ends next.
 
 use super::ids::JobId;
-use super::job::{FinalRecord, JobSpec, Urgency};
+use super::job::{FinalRecord, JobSpec, Priority};
 use super::live::Job;
 use super::time::Micros;
 use std::collections::{BTreeSet, HashMap};
@@ -21,7 +21,7 @@
     /// When the last job that it awaits was done, by the time of day; zero if it awaits none.
     pub ready_at: Micros,
     /// The most urgent of its own urgency and that of all that need it.
-    pub urgency: Urgency,
+    pub priority: Priority,
     /// When it must be done, by the time of day, for what needs it to be in time.
     pub wanted_by: Option<Micros>,
 }
@@ -30,13 +30,13 @@
     /// The stage of a job that awaits nothing and that nothing awaits.
     pub fn alone(spec: &JobSpec) -> Stage {
         let none = Micros::ZERO;
-        let urgency = spec.urgency;
+        let priority = spec.priority;
         Stage {
             waits: false,
             cancelled: false,
             doubtful: false,
             ready_at: none,
-            urgency,
+            priority,
             wanted_by: None,
         }
     }
@@ -45,12 +45,12 @@
 /// How long the tasks of a job are expected to run: an estimate is often wrong, and of many tasks some
 /// run longer.
 pub fn expected_run(spec: &JobSpec) -> Micros {
-    spec.guess + Micros(spec.guess.0 / 4)
+    spec.estimated_runtime + Micros(spec.estimated_runtime.0 / 4)
 }
 
 /// When a job must begin for itself and for what needs it to be in time.
 fn must_begin(job: &Job) -> Option<Micros> {
-    let own = job.spec().due.map(|d| job.record.submitted + d);
+    let own = job.spec().deadline.map(|d| job.record.submitted + d);
     let by = own.into_iter().chain(job.stage.wanted_by).min()?;
     Some(by - expected_run(job.spec()))
 }
@@ -81,26 +81,26 @@
     ) {
         self.unknown.remove(&id);
         let Some(job) = jobs.get(&id) else { return };
-        for f in &job.spec().awaits {
+        for f in &job.spec().dependencies {
             self.followers.entry(*f).or_default().insert(id);
             if !jobs.contains_key(f) && !self.ends.contains_key(f) {
                 self.unknown.insert(*f);
             }
         }
-        let (awaits, needed) = (
-            !job.spec().awaits.is_empty(),
+        let (dependencies, needed) = (
+            !job.spec().dependencies.is_empty(),
             self.followers.contains_key(&id),
         );
         if needed {
             self.want(id, jobs, changed);
         }
-        if awaits || needed {
+        if dependencies || needed {
             self.settle(vec![id], jobs, changed);
             if needed {
                 self.settle(self.followers_of(id), jobs, changed);
             }
         }
-        if awaits {
+        if dependencies {
             self.pull(id, jobs, changed);
         }
     }
@@ -128,7 +128,7 @@
         let done = if cancelled {
             job.done()
         } else {
-            job.spec().pieces
+            job.spec().task_count
         };
         let known = cancelled || !job.stage.waits;
         let end = known.then_some(FinalRecord {
@@ -136,7 +136,7 @@
             done,
             at: today,
         });
-        for f in &job.spec().awaits {
+        for f in &job.spec().dependencies {
             let Some(of) = self.followers.get_mut(f) else {
                 continue;
             };
@@ -147,7 +147,7 @@
                 self.unknown.remove(f);
             }
         }
-        for f in &job.spec().awaits {
+        for f in &job.spec().dependencies {
             // What needed it may have been what made it urgent.
             self.want(*f, jobs, changed);
         }
@@ -204,7 +204,7 @@
                 doubtful: false,
                 ..job.stage
             };
-            for f in &job.spec().awaits {
+            for f in &job.spec().dependencies {
                 match (jobs.get(f), self.ends.get(f)) {
                     (Some(before), _) => {
                         new.waits = true;
@@ -243,15 +243,15 @@
         let mut todo = vec![id];
         while let Some(id) = todo.pop() {
             let Some(job) = jobs.get(&id) else { continue };
-            let (urgency, by) = (job.stage.urgency, must_begin(job));
-            for f in job.spec().awaits.clone() {
+            let (priority, by) = (job.stage.priority, must_begin(job));
+            for f in job.spec().dependencies.clone() {
                 let Some(before) = jobs.get_mut(&f) else {
                     continue;
                 };
                 let wanted_by = before.stage.wanted_by.into_iter().chain(by).min();
-                let urgency = before.stage.urgency.min(urgency);
-                if (urgency, wanted_by) != (before.stage.urgency, before.stage.wanted_by) {
-                    before.stage.urgency = urgency;
+                let priority = before.stage.priority.min(priority);
+                if (priority, wanted_by) != (before.stage.priority, before.stage.wanted_by) {
+                    before.stage.priority = priority;
                     before.stage.wanted_by = wanted_by;
                     changed.push(f);
                     todo.push(f);
@@ -273,19 +273,19 @@
                 .flatten()
                 .filter_map(|f| jobs.get(f))
                 .collect();
-            let urgency = needed
+            let priority = needed
                 .iter()
-                .map(|j| j.stage.urgency)
-                .chain([job.spec().urgency])
+                .map(|j| j.stage.priority)
+                .chain([job.spec().priority])
                 .min();
-            let urgency = urgency.unwrap_or(job.spec().urgency);
+            let priority = priority.unwrap_or(job.spec().priority);
             let wanted_by = needed.iter().filter_map(|j| must_begin(j)).min();
-            if (urgency, wanted_by) == (job.stage.urgency, job.stage.wanted_by) {
+            if (priority, wanted_by) == (job.stage.priority, job.stage.wanted_by) {
                 continue;
             }
-            let before = job.spec().awaits.clone();
+            let before = job.spec().dependencies.clone();
             if let Some(job) = jobs.get_mut(&id) {
-                job.stage.urgency = urgency;
+                job.stage.priority = priority;
                 job.stage.wanted_by = wanted_by;
             }
             changed.push(id);
--- a/src/bookkeeping/placement.rs
+++ b/src/bookkeeping/placement.rs
@@ -4,7 +4,7 @@
 use super::amount::Amount;
 use super::classes::ClassId;
 use super::ids::{JobId, MachineId};
-use super::job::{JobSpec, Urgency};
+use super::job::{JobSpec, Priority};
 use super::records::Booking;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -20,9 +20,9 @@
     /// Who answers its worker, by some number that jobs use as well.
     pub owner: usize,
     /// Type.
-    pub build: &'a str,
+    pub machine_type: &'a str,
     /// Zone.
-    pub yard: &'a str,
+    pub zone: &'a str,
     /// Spot.
     pub spot: bool,
     /// Price per core.
@@ -97,7 +97,7 @@
     /// What it takes.
     pub need: Amount,
     /// How urgent it is.
-    pub urgency: Urgency,
+    pub priority: Priority,
     /// Its team has booked more than its guarantee.
     pub borrowed: bool,
 }
@@ -110,7 +110,7 @@
     /// What was asked for.
     pub spec: &'a JobSpec,
     /// How urgent it is, for itself or for what needs it.
-    pub urgency: Urgency,
+    pub priority: Priority,
     /// Tasks, in order.
     pub tasks: Vec<u32>,
     /// Tasks of the job by zone that are booked already.
@@ -156,7 +156,7 @@
 
     /// Whether the machine is one that it asks for.
     fn suits(&self, s: &Slot<'_>) -> bool {
-        s.price <= self.price_limit && self.spec.allows(s.build, s.yard, s.spot)
+        s.price <= self.price_limit && self.spec.allows(s.machine_type, s.zone, s.spot)
     }
 
     /// Whether rules let it on the machine.
@@ -224,10 +224,9 @@
 ) -> Vec<Takeover> {
     let mut takeovers: Vec<Takeover> = Vec::new();
     let mut looked = false;
-    for ask in asks
-        .iter()
-        .filter(|a| a.mine && a.preempts && !a.whole && !a.spec.one_zone && !a.spec.apart)
-    {
+    for ask in asks.iter().filter(|a| {
+        a.mine && a.preempts && !a.whole && !a.spec.single_zone && !a.spec.anti_affinity
+    }) {
         let placed = claims.iter().filter(|c| c.job == ask.job).count() as u64;
         let mut left = (ask.tasks.len() as u64)
             .min(ask.most)
@@ -251,7 +250,7 @@
                         .sum();
                     // Stopping much for little is not worth what is lost.
                     let gained = n * ask.spec.need.cores;
-                    let no_image = !s.has_image(&ask.spec.bundle);
+                    let no_image = !s.has_image(&ask.spec.image);
                     (lost <= gained * 4).then_some((
                         (no_image, lost * 16 / gained.max(1), s.machine),
                         i,
@@ -298,7 +297,7 @@
     let mut best = None;
     let mut fit = 0;
     for (i, r) in slot.running.iter().rev().enumerate() {
-        let may = r.urgency > ask.urgency || (r.borrowed && ask.guaranteed);
+        let may = r.priority > ask.priority || (r.borrowed && ask.guaranteed);
         if !may || fit >= most {
             break;
         }
@@ -373,8 +372,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Shape<'a> {
     need: Amount,
-    builds: Option<&'a [String]>,
-    yard: Option<&'a str>,
+    machine_types: Option<&'a [String]>,
+    zone: Option<&'a str>,
     spot: bool,
     price_limit: u64,
     mine: bool,
@@ -386,13 +385,13 @@
         let spec = ask.spec;
         let shape = Shape {
             need: spec.need,
-            builds: spec.builds.as_deref(),
-            yard: spec.yard.as_deref(),
-            spot: spec.loaners,
+            machine_types: spec.machine_types.as_deref(),
+            zone: spec.zone.as_deref(),
+            spot: spec.spot_allowed,
             price_limit: ask.price_limit,
             mine: ask.mine,
         };
-        (ask.rules.is_none() && !spec.one_zone).then_some(shape)
+        (ask.rules.is_none() && !spec.single_zone).then_some(shape)
     }
 }
 
@@ -410,14 +409,14 @@
         .keys()
         .next()
         .copied()
-        .filter(|_| ask.spec.one_zone);
-    if ask.spec.one_zone && zone.is_none() {
+        .filter(|_| ask.spec.single_zone);
+    if ask.spec.single_zone && zone.is_none() {
         zone = roomiest_zone(slots, ask);
     }
     let fits = |s: &Slot<'_>| {
         ask.spec.need.fits(&s.free)
             && ask.suits(s)
-            && zone.is_none_or(|z| z == s.yard)
+            && zone.is_none_or(|z| z == s.zone)
             && (!ask.mine || groups.may(s.group))
             && ask.class_admitted(s)
     };
@@ -431,7 +430,7 @@
         (
             avoided,
             Reverse(worth),
-            !s.has_image(&ask.spec.bundle),
+            !s.has_image(&ask.spec.image),
             far,
             s.free.cores,
             s.free.memory,
@@ -463,14 +462,14 @@
             continue;
         }
         let before = claims.len();
-        let in_zone = ask.zones.entry(slot.yard).or_default();
+        let in_zone = ask.zones.entry(slot.zone).or_default();
         let limit = ask.spec.zone_limit();
         while ask.spec.need.fits(&slot.free) && *in_zone < limit && claims.len() < most {
             let Some(index) = tasks.next() else {
                 break;
             };
             slot.free -= ask.spec.need;
-            slot.fetches = Some(&ask.spec.bundle);
+            slot.fetches = Some(&ask.spec.image);
             *in_zone += 1;
             claims.push(Claim {
                 job: ask.job,
@@ -516,9 +515,9 @@
     let mut room: BTreeMap<&str, u64> = BTreeMap::new();
     for s in slots
         .iter()
-        .filter(|s| spec.allows(s.build, s.yard, s.spot) && ask.admitted(s))
+        .filter(|s| spec.allows(s.machine_type, s.zone, s.spot) && ask.admitted(s))
     {
-        *room.entry(s.yard).or_default() += spec.need.times_in(&s.free, spec.pieces.into());
+        *room.entry(s.zone).or_default() += spec.need.times_in(&s.free, spec.task_count.into());
     }
     room.into_iter().max_by_key(|(_, n)| *n).map(|(z, _)| z)
 }
@@ -553,8 +552,8 @@
                     machine: MachineId(i as u64),
                     group: i / 3,
                     owner: i % 2,
-                    build: "small",
-                    yard: if i % 2 == 0 { "a" } else { "b" },
+                    machine_type: "small",
+                    zone: if i % 2 == 0 { "a" } else { "b" },
                     spot: false,
                     price: 1,
                     all: Amount {
@@ -582,8 +581,8 @@
                     .map(|(i, spec)| Ask {
                         job: JobId(i as u64),
                         spec,
-                        urgency: spec.urgency,
-                        tasks: (0..spec.pieces).collect(),
+                        priority: spec.priority,
+                        tasks: (0..spec.task_count).collect(),
                         zones: BTreeMap::new(),
                         most: u64::MAX,
                         price_limit: u64::MAX - if differ { i as u64 } else { 0 },
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -212,16 +212,16 @@
 
 /// A rental that was asked for and may not be listed yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HireRecord {
+pub struct ProvisionRecord {
     /// The request's name, never used again.
     #[serde(rename = "n")]
     pub name: String,
     /// Type.
     #[serde(rename = "b")]
-    pub build: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "y")]
-    pub yard: String,
+    pub zone: String,
     /// Spot.
     #[serde(rename = "s", default, skip_serializing_if = "super::job::is_false")]
     pub spot: bool,
@@ -238,7 +238,7 @@
 pub struct FleetRecord {
     /// Rentals whose machines have not all been heard of.
     #[serde(rename = "h", default)]
-    pub hires: Vec<HireRecord>,
+    pub provision_requests: Vec<ProvisionRecord>,
     /// Machines outside any group for which a release may have been sent.
     #[serde(rename = "r", default)]
     pub releasing: Vec<MachineId>,
--- a/src/bookkeeping/view.rs
+++ b/src/bookkeeping/view.rs
@@ -11,7 +11,7 @@
 use super::finished::Finished;
 use super::ids::{JobId, MachineId, Part, Slice, TaskId};
 use super::job::{FinalRecord, JobRecord, JobSpec};
-pub use super::live::{Job, Stamped};
+pub use super::live::{Job, Versioned};
 use super::pipeline::{Graph, Stage};
 use super::records::{
     Booking, FENCED, FIRST_LAYOUT, Fitness, FleetRecord, GroupRecord, Key, MachineRecord,
@@ -56,7 +56,7 @@
     /// Its new content.
     pub content: Option<Content>,
     /// Revision of the change.
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 /// Where a task is booked.
@@ -76,9 +76,9 @@
     /// How it ended, where that is known.
     pub how: Option<FinalRecord>,
     /// Its class.
-    pub lane: String,
+    pub job_class: String,
     /// Its team.
-    pub crew: String,
+    pub team: String,
 }
 
 /// What applying changes did, for those who must act on it.
@@ -129,29 +129,29 @@
     /// The time of day, as its controller last told it.
     pub today: Micros,
     /// All changes up to this revision are in.
-    pub epoch: u64,
+    pub revision: u64,
     /// The latest revision of which anything is in.
     pub latest: u64,
     /// Slices and teams.
-    pub meta: Stamped<Option<MetaRecord>>,
+    pub meta: Versioned<Option<MetaRecord>>,
     /// Machine types.
-    pub types: Stamped<Option<Catalog>>,
+    pub types: Versioned<Option<Catalog>>,
     /// The fleet's plan.
-    pub fleet: Stamped<FleetRecord>,
+    pub fleet: Versioned<FleetRecord>,
     /// Live controllers.
-    pub nodes: BTreeMap<String, Stamped<NodeRecord>>,
+    pub nodes: BTreeMap<String, Versioned<NodeRecord>>,
     /// Owners, by slice.
-    pub own: Vec<Stamped<Option<OwnRecord>>>,
+    pub own: Vec<Versioned<Option<OwnRecord>>>,
     /// Groups, by slice and part.
-    pub groups: Vec<BTreeMap<Part, Stamped<GroupRecord>>>,
+    pub groups: Vec<BTreeMap<Part, Versioned<GroupRecord>>>,
     /// Usage, by slice.
-    pub usage: Vec<Stamped<UsageRecord>>,
+    pub usage: Vec<Versioned<UsageRecord>>,
     /// Live jobs.
     pub jobs: HashMap<JobId, Job>,
     /// Which of them await which.
     pub pipelines: Graph,
     /// Sets of rules, by digest.
-    pub rules: BTreeMap<u64, Stamped<Option<Arc<RuleSet>>>>,
+    pub rules: BTreeMap<u64, Versioned<Option<Arc<RuleSet>>>>,
     /// Classes of equal machines.
     pub classes: Classes,
     parts: HashMap<MachineId, Part>,
@@ -188,7 +188,7 @@
         let Some(meta) = &self.meta.value else {
             return 0;
         };
-        match meta.teams.get(&spec.crew) {
+        match meta.teams.get(&spec.team) {
             Some(&k) if k < meta.slices => k,
             // The job ids come in no order; a multiplicative hash spreads runs of them too.
             _ => {
@@ -279,10 +279,10 @@
             };
             let (spec, n) = (job.spec(), tasks.len() as u64);
             let more = (n * spec.need.cores, n * spec.need.accelerators);
-            match used.get_mut(&spec.crew) {
+            match used.get_mut(&spec.team) {
                 Some(u) => *u = (u.0 + more.0, u.1 + more.1),
                 None => {
-                    used.insert(spec.crew.clone(), more);
+                    used.insert(spec.team.clone(), more);
                 }
             }
         }
@@ -336,7 +336,7 @@
     /// Room left on a machine beside its bookings; that of preempted ones is given already.
     pub fn free(&self, record: &MachineRecord) -> Amount {
         let mut room = self
-            .machine_type(&record.build)
+            .machine_type(&record.machine_type)
             .map(|t| t.room)
             .unwrap_or_default();
         for b in record
@@ -352,7 +352,7 @@
     /// Tasks of a job that are neither finished nor booked, in order.
     pub fn pending<'a>(&'a self, id: JobId, job: &'a Job) -> impl Iterator<Item = u32> + 'a {
         let booked = self.booked.get(&id);
-        (0..job.record.spec.pieces)
+        (0..job.record.spec.task_count)
             .filter(move |i| !job.finished(*i) && booked.is_none_or(|b| !b.contains_key(i)))
     }
 
@@ -360,31 +360,31 @@
     pub fn pending_count(&self, id: JobId, job: &Job) -> u32 {
         job.record
             .spec
-            .pieces
+            .task_count
             .saturating_sub(job.done() + self.booked_count(id))
     }
 
     /// The revision of a key as the copy knows it.
-    pub fn stamp(&self, key: &Key) -> u64 {
+    pub fn mod_revision(&self, key: &Key) -> u64 {
         match key {
-            Key::Meta => self.meta.stamp,
-            Key::Types => self.types.stamp,
-            Key::Fleet => self.fleet.stamp,
-            Key::Node(n) => self.nodes.get(n).map_or(0, |s| s.stamp),
-            Key::Own(k) => self.own.get(*k).map_or(0, |s| s.stamp),
+            Key::Meta => self.meta.mod_revision,
+            Key::Types => self.types.mod_revision,
+            Key::Fleet => self.fleet.mod_revision,
+            Key::Node(n) => self.nodes.get(n).map_or(0, |s| s.mod_revision),
+            Key::Own(k) => self.own.get(*k).map_or(0, |s| s.mod_revision),
             Key::Group(k, n) => self
                 .groups
                 .get(*k)
                 .and_then(|g| g.get(n))
-                .map_or(0, |s| s.stamp),
-            Key::Usage(k) => self.usage.get(*k).map_or(0, |s| s.stamp),
-            Key::Job(j) => self.jobs.get(j).map_or(0, |s| s.stamp),
+                .map_or(0, |s| s.mod_revision),
+            Key::Usage(k) => self.usage.get(*k).map_or(0, |s| s.mod_revision),
+            Key::Job(j) => self.jobs.get(j).map_or(0, |s| s.mod_revision),
             Key::Chunk(j, n) => self
                 .jobs
                 .get(j)
                 .and_then(|s| s.chunks.get(n))
-                .map_or(0, |c| c.stamp),
-            Key::Rules(d) => self.rules.get(d).map_or(0, |s| s.stamp),
+                .map_or(0, |c| c.mod_revision),
+            Key::Rules(d) => self.rules.get(d).map_or(0, |s| s.mod_revision),
             Key::Final(_) => 0,
         }
     }
@@ -394,61 +394,84 @@
     /// and what followed, and must not bring back a job that has ended since.
     pub fn apply(&mut self, changes: impl IntoIterator<Item = Change>, touched: &mut Touched) {
         for c in changes {
-            let known = self.epoch.max(self.stamp(&c.key));
-            if c.stamp <= known || self.gone.get(&c.key).is_some_and(|s| c.stamp <= *s) {
+            let known = self.revision.max(self.mod_revision(&c.key));
+            if c.mod_revision <= known
+                || self.gone.get(&c.key).is_some_and(|s| c.mod_revision <= *s)
+            {
                 continue;
             }
-            self.latest = self.latest.max(c.stamp);
+            self.latest = self.latest.max(c.mod_revision);
             self.apply_one(c, touched);
         }
     }
 
-    /// Marks all changes up to `epoch` as applied.
-    pub fn advance(&mut self, epoch: u64) {
-        if epoch > self.epoch {
-            self.epoch = epoch;
-            self.latest = self.latest.max(epoch);
-            self.gone.retain(|_, s| *s > epoch);
+    /// Marks all changes up to `revision` as applied.
+    pub fn advance(&mut self, revision: u64) {
+        if revision > self.revision {
+            self.revision = revision;
+            self.latest = self.latest.max(revision);
+            self.gone.retain(|_, s| *s > revision);
         }
     }
 
     fn apply_one(&mut self, c: Change, touched: &mut Touched) {
-        let stamp = if c.content.is_some() { c.stamp } else { 0 };
+        let mod_revision = if c.content.is_some() {
+            c.mod_revision
+        } else {
+            0
+        };
         if matches!(c.key, Key::Group(..) | Key::Job(_)) {
             self.used.take();
         }
         if c.content.is_none() {
-            self.gone.insert(c.key.clone(), c.stamp);
+            self.gone.insert(c.key.clone(), c.mod_revision);
         }
         match (c.key, c.content) {
             (Key::Meta, Some(Content::Meta(value))) => {
                 let last = value.slices.saturating_sub(1);
-                self.meta = Stamped {
+                self.meta = Versioned {
                     value: Some(value),
-                    stamp,
+                    mod_revision,
                 };
                 self.size_for(last);
             }
             (Key::Types, Some(Content::Types(value))) => {
                 self.classes.offer(&value);
-                self.types = Stamped {
+                self.types = Versioned {
                     value: Some(value),
-                    stamp,
+                    mod_revision,
                 };
                 touched.usage = true;
                 touched.rules = true;
             }
             (Key::Rules(digest), Some(Content::Rules(value))) => {
-                self.rules.insert(digest, Stamped { value, stamp });
+                self.rules.insert(
+                    digest,
+                    Versioned {
+                        value,
+                        mod_revision,
+                    },
+                );
                 touched.rules = true;
             }
             (Key::Rules(digest), None) => {
                 self.rules.remove(&digest);
                 touched.rules = true;
             }
-            (Key::Fleet, Some(Content::Fleet(value))) => self.fleet = Stamped { value, stamp },
+            (Key::Fleet, Some(Content::Fleet(value))) => {
+                self.fleet = Versioned {
+                    value,
+                    mod_revision,
+                }
+            }
             (Key::Node(name), Some(Content::Node(value))) => {
-                self.nodes.insert(name, Stamped { value, stamp });
+                self.nodes.insert(
+                    name,
+                    Versioned {
+                        value,
+                        mod_revision,
+                    },
+                );
                 touched.nodes = true;
             }
             (Key::Node(name), None) => {
@@ -461,13 +484,19 @@
                     Some(Content::Own(o)) => Some(o),
                     _ => None,
                 };
-                self.own[k] = Stamped { value, stamp };
+                self.own[k] = Versioned {
+                    value,
+                    mod_revision,
+                };
                 touched.own.push(k);
             }
             (Key::Group(k, n), content) => {
                 self.size_for(k);
                 let value = match content {
-                    Some(Content::Group(g)) => Some(Stamped { value: g, stamp }),
+                    Some(Content::Group(g)) => Some(Versioned {
+                        value: g,
+                        mod_revision,
+                    }),
                     _ => None,
                 };
                 self.put_group(k, n, value, touched);
@@ -478,7 +507,13 @@
                     Some(Content::Usage(u)) => u,
                     _ => UsageRecord::default(),
                 };
-                let old = std::mem::replace(&mut self.usage[k], Stamped { value, stamp });
+                let old = std::mem::replace(
+                    &mut self.usage[k],
+                    Versioned {
+                        value,
+                        mod_revision,
+                    },
+                );
                 self.gather_ends(k, &old.value.ends, touched);
                 touched.usage = true;
             }
@@ -488,7 +523,7 @@
                     Some(job) => {
                         let cancels = record.cancelled && !job.record.cancelled;
                         job.record = record;
-                        job.stamp = stamp;
+                        job.mod_revision = mod_revision;
                         if cancels {
                             self.pipelines
                                 .cancelled(id, &mut self.jobs, &mut touched.jobs);
@@ -502,7 +537,7 @@
                             id,
                             Job {
                                 record,
-                                stamp,
+                                mod_revision,
                                 chunks,
                                 ends,
                                 stage,
@@ -523,19 +558,27 @@
                         &mut self.jobs,
                         &mut touched.jobs,
                     );
-                    let JobSpec { lane, crew, .. } = job.record.spec;
+                    let JobSpec {
+                        job_class, team, ..
+                    } = job.record.spec;
                     touched.ended.push(Ended {
                         job: id,
                         how: end,
-                        lane,
-                        crew,
+                        job_class,
+                        team,
                     });
                 }
                 touched.jobs.push(id);
             }
             (Key::Chunk(id, n), Some(Content::Chunk(value))) => {
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.chunks.insert(n, Stamped { value, stamp });
+                    job.chunks.insert(
+                        n,
+                        Versioned {
+                            value,
+                            mod_revision,
+                        },
+                    );
                 }
             }
             (Key::Chunk(id, n), None) => {
@@ -591,7 +634,7 @@
         &mut self,
         k: Slice,
         n: Part,
-        mut new: Option<Stamped<GroupRecord>>,
+        mut new: Option<Versioned<GroupRecord>>,
         touched: &mut Touched,
     ) {
         if !self.stale.is_empty() {
--- a/src/coordination/draft.rs
+++ b/src/coordination/draft.rs
@@ -214,7 +214,7 @@
             if !self.jobs.contains_key(&id) {
                 ops += 1;
                 // The bitmaps, which may be full already, are two hexadecimal digits a byte.
-                let bitmap = job.spec().pieces.min(CHUNK) as usize / 4 + 16;
+                let bitmap = job.spec().task_count.min(CHUNK) as usize / 4 + 16;
                 job_bytes = size_of(&job.record)
                     + 512
                     + bitmap * (1 + job.spec().extra_chunks().min(1) as usize);
@@ -423,12 +423,12 @@
             commit.txn.then.push(Put {
                 key: key.clone(),
                 value,
-                permit: None,
+                lease_id: None,
             });
             commit.changes.push(Change {
                 key,
                 content,
-                stamp: 0,
+                mod_revision: 0,
             });
         };
         for ((k, n), g) in self.groups {
@@ -451,7 +451,7 @@
             edit.record.finished.terse(self.terse);
             for (n, mut chunk) in edit.chunks {
                 chunk.terse(self.terse);
-                let known = self.view.stamp(&Key::Chunk(id, n)) > 0;
+                let known = self.view.mod_revision(&Key::Chunk(id, n)) > 0;
                 let full = edit.record.full >> n & 1 == 1;
                 if !full {
                     put(Key::Chunk(id, n), Some(Content::Chunk(chunk)));
@@ -471,14 +471,14 @@
             commit.txn.then.push(Put {
                 key: Key::Final(id),
                 value: encode(&f),
-                permit: None,
+                lease_id: None,
             });
             conditions.insert(Key::Final(id));
             commit.ended.push((id, f));
         }
         commit.txn.when = conditions
             .into_iter()
-            .map(|k| (self.view.stamp(&k), k))
+            .map(|k| (self.view.mod_revision(&k), k))
             .map(|(s, k)| (k, s))
             .collect();
         commit
--- a/src/coordination/draft/edits.rs
+++ b/src/coordination/draft/edits.rs
@@ -21,7 +21,7 @@
         full: &dyn Fn(&str) -> usize,
     ) -> bool {
         let size = GroupRecord::machine_bytes(m, &record);
-        let expected = full(&record.build).max(size);
+        let expected = full(&record.machine_type).max(size);
         for n in 0.. {
             let at = (k, n);
             let group = match self.groups.get(&at) {
@@ -30,7 +30,9 @@
             };
             let exists = group.is_some();
             let before = *self.expected.entry(at).or_insert_with(|| {
-                group.map_or(64, |g| g.machines.values().map(|r| full(&r.build)).sum())
+                group.map_or(64, |g| {
+                    g.machines.values().map(|r| full(&r.machine_type)).sum()
+                })
             });
             // A group with a single machine may be larger than a group should be.
             let fits = before + expected <= self.limits.part_bytes
@@ -104,7 +106,7 @@
         let spec = job.spec();
         let k = view.job_slice(id, spec);
         let conditions = &[Key::Own(k), Key::Job(id), Key::Meta];
-        let size = GroupRecord::booking_bytes(&a, &spec.bundle, spec.size);
+        let size = GroupRecord::booking_bytes(&a, &spec.image, spec.size);
         if !self.reserve(Needs {
             groups: &[at],
             usage: Some(k),
@@ -118,13 +120,13 @@
             return false;
         };
         r.tasks.push(Booking::of(a));
-        let cache = view.machine_type(&r.build).map_or(0, |t| t.cache);
-        r.use_image(&spec.bundle, spec.size, cache);
+        let cache = view.machine_type(&r.machine_type).map_or(0, |t| t.cache);
+        r.use_image(&spec.image, spec.size, cache);
         if let Some(u) = self.usage.get_mut(&k).filter(|_| !self.fenced) {
             u.record
-                .add(&spec.crew, spec.need.cores, spec.need.accelerators);
+                .add(&spec.team, spec.need.cores, spec.need.accelerators);
         }
-        let [more, _] = self.moved.entry(&spec.crew).or_default();
+        let [more, _] = self.moved.entry(&spec.team).or_default();
         *more = (more.0 + spec.need.cores, more.1 + spec.need.accelerators);
         true
     }
--- a/src/coordination/draft/ends.rs
+++ b/src/coordination/draft/ends.rs
@@ -81,9 +81,9 @@
     fn take(&mut self, k: Slice, spec: &'a JobSpec) {
         if let Some(u) = self.usage.get_mut(&k).filter(|_| !self.fenced) {
             u.record
-                .take(&spec.crew, spec.need.cores, spec.need.accelerators);
+                .take(&spec.team, spec.need.cores, spec.need.accelerators);
         }
-        let [_, less] = self.moved.entry(&spec.crew).or_default();
+        let [_, less] = self.moved.entry(&spec.team).or_default();
         *less = (less.0 + spec.need.cores, less.1 + spec.need.accelerators);
     }
 
@@ -91,7 +91,7 @@
     /// written for another reason, and there is room.
     fn is_kept(&self, job: &Job, a: Attempt, keeper: Slice) -> bool {
         let id = a.task.job;
-        if job.spec().pieces > SMALL_JOB || self.jobs.contains_key(&id) {
+        if job.spec().task_count > SMALL_JOB || self.jobs.contains_key(&id) {
             return false;
         }
         let ends = self.ends_of(id, job);
@@ -103,7 +103,7 @@
             |u| u.bytes,
         );
         let most = self.limits.part_bytes.min(self.limits.value_bytes);
-        done < job.spec().pieces
+        done < job.spec().task_count
             && bytes + ENTRY_BYTES + (SMALL_JOB / 4) as usize + SPARE_BYTES <= most
     }
 
@@ -132,7 +132,7 @@
             },
             |e| e.record.done(),
         );
-        usize::from(chunk) + usize::from(done + 1 >= job.spec().pieces)
+        usize::from(chunk) + usize::from(done + 1 >= job.spec().task_count)
     }
 
     /// Notes that a task is completed. `ends`: there is room for the end of the job as well.
@@ -155,14 +155,14 @@
             });
             if chunk.insert(index % CHUNK) {
                 edit.record.more += 1;
-                let size = CHUNK.min(edit.record.spec.pieces - n * CHUNK);
+                let size = CHUNK.min(edit.record.spec.task_count - n * CHUNK);
                 if chunk.count() == size {
                     // A complete chunk needs no record, so the end of a large job is a small change.
                     edit.record.full |= 1 << n;
                 }
             }
         }
-        if ends && edit.record.done() >= edit.record.spec.pieces {
+        if ends && edit.record.done() >= edit.record.spec.task_count {
             edit.ended = Some(FinalRecord {
                 cancelled: false,
                 done: edit.record.done(),
@@ -181,7 +181,7 @@
             job,
             FinalRecord {
                 cancelled: false,
-                done: job.spec().pieces,
+                done: job.spec().task_count,
                 at: self.view.today,
             },
         )
--- a/src/coordination/draft/model.rs
+++ b/src/coordination/draft/model.rs
@@ -72,7 +72,7 @@
     Change {
         key: Key::Own(k),
         content: Some(Content::Own(record)),
-        stamp: 0,
+        mod_revision: 0,
     }
 }
 
@@ -81,7 +81,7 @@
         let put = |key: Key, content: Content| Change {
             key,
             content: Some(content),
-            stamp: 0,
+            mod_revision: 0,
         };
         let text = r#"{"s":{"l":"lane","w":"red","u":"2","n":2,"r":{"c":1000},"i":"img","g":9000000},"t":1}"#;
         let job: JobRecord = serde_json::from_str(text).expect("a job");
@@ -128,9 +128,12 @@
     fn view(&self, p: &Process) -> View {
         let mut view = View::default();
         let apply = |view: &mut View, n: usize| {
-            let stamp = n as u64 + 1;
+            let mod_revision = n as u64 + 1;
             view.apply(
-                self.log[n].iter().map(|c| Change { stamp, ..c.clone() }),
+                self.log[n].iter().map(|c| Change {
+                    mod_revision,
+                    ..c.clone()
+                }),
                 &mut Touched::default(),
             );
         };
@@ -299,7 +302,7 @@
             .txn
             .when
             .iter()
-            .all(|(k, s)| store.stamp(k) == *s);
+            .all(|(k, s)| store.mod_revision(k) == *s);
         if holds {
             next.done.extend(&sent.ends);
             next.log.push(std::rc::Rc::new(sent.commit.changes.clone()));
@@ -402,7 +405,7 @@
     state.log.push(std::rc::Rc::new(vec![Change {
         key: Key::Usage(0),
         content: Some(Content::Usage(usage)),
-        stamp: 0,
+        mod_revision: 0,
     }]));
     state.processes[0].seen = 2;
     let view = state.view(&state.processes[0]);
--- a/src/coordination/draft/shrink.rs
+++ b/src/coordination/draft/shrink.rs
@@ -71,7 +71,7 @@
             let expected = alone
                 .machines
                 .values()
-                .map(|r| full(&r.build))
+                .map(|r| full(&r.machine_type))
                 .sum::<usize>()
                 .max(takes);
             if takes + super::SPARE_BYTES / 2 > self.limits.value_bytes {
@@ -190,7 +190,7 @@
     use super::*;
     use crate::bookkeeping::finished::Finished;
     use crate::bookkeeping::ids::{Attempt, TaskId};
-    use crate::bookkeeping::job::{JobRecord, JobSpec, Urgency};
+    use crate::bookkeeping::job::{JobRecord, JobSpec, Priority};
     use crate::bookkeeping::records::{Booking, Incarnation, LAYOUT, UsageRecord};
     use crate::bookkeeping::view::{Change, Content, Touched};
     use crate::coordination::sessions::Outcome;
@@ -218,13 +218,13 @@
         }
     }
 
-    fn job(pieces: u32) -> JobRecord {
+    fn job(task_count: u32) -> JobRecord {
         let text = r#"{"s":{"l":"lane","w":"free","u":"2","n":1,"r":[1000,0,1000],"i":"img","g":9000000},"t":1}"#;
         let record: JobRecord = serde_json::from_str(text).unwrap();
         JobRecord {
             spec: JobSpec {
-                pieces,
-                urgency: Urgency::Low,
+                task_count,
+                priority: Priority::Low,
                 ..record.spec
             },
             ..record
@@ -247,13 +247,13 @@
             changes.push(Change {
                 key: Key::Job(id),
                 content: Some(Content::Job(Box::new(job(1)))),
-                stamp: 2,
+                mod_revision: 2,
             });
         }
         changes.push(Change {
             key: Key::Group(0, 0),
             content: Some(Content::Group(g)),
-            stamp: 2,
+            mod_revision: 2,
         });
         view.apply(changes, &mut Touched::default());
         view.advance(2);
@@ -268,7 +268,7 @@
     /// What the store holds, as every write left it.
     type Store = BTreeMap<String, (Content, u64)>;
 
-    fn store(view: &View, key: &Key, store: &mut Store, commit: &Commit, stamp: u64) {
+    fn store(view: &View, key: &Key, store: &mut Store, commit: &Commit, mod_revision: u64) {
         assert!(holds(view, commit));
         assert!(
             commit.txn.then.len() <= 4 && commit.txn.when.len() <= 16,
@@ -281,7 +281,7 @@
         );
         for c in &commit.changes {
             match &c.content {
-                Some(content) => store.insert(c.key.to_string(), (content.clone(), stamp)),
+                Some(content) => store.insert(c.key.to_string(), (content.clone(), mod_revision)),
                 None => store.remove(&c.key.to_string()),
             };
         }
@@ -304,10 +304,10 @@
         let mut kept = Store::new();
         kept.insert(
             "c/group/0/0".to_owned(),
-            (Content::Group(before.value), before.stamp),
+            (Content::Group(before.value), before.mod_revision),
         );
         let key = Key::Group(0, 0);
-        let mut stamp = 2;
+        let mut mod_revision = 2;
         let mut copied = 0;
         while too_large(&view, &key, MOST) {
             // Whoever planned on the copy of before, on the word of another slice's owner: a task of a
@@ -318,21 +318,25 @@
             let late = late.commit();
             let commit = step(&view, &key, MOST).expect("a step");
             let again = step(&view, &key, MOST).expect("a step");
-            stamp += 1;
-            store(&view, &key, &mut kept, &commit, stamp);
-            apply(&mut view, commit, stamp);
+            mod_revision += 1;
+            store(&view, &key, &mut kept, &commit, mod_revision);
+            apply(&mut view, commit, mod_revision);
             assert!(!holds(&view, &late), "what was planned before is applied");
             assert!(!holds(&view, &again), "the step is applied twice");
-            assert_eq!(machines(&view), all, "after step {stamp}");
+            assert_eq!(machines(&view), all, "after step {mod_revision}");
             // A controller that starts now reads the keys in their order.
             let mut fresh = view_of(LAYOUT);
-            let listed = kept.iter().map(|(k, (content, stamp))| Change {
+            let listed = kept.iter().map(|(k, (content, mod_revision))| Change {
                 key: Key::parse(k).unwrap(),
                 content: Some(content.clone()),
-                stamp: *stamp,
+                mod_revision: *mod_revision,
             });
             fresh.apply(listed, &mut Touched::default());
-            assert_eq!(machines(&fresh), all, "a fresh copy after step {stamp}");
+            assert_eq!(
+                machines(&fresh),
+                all,
+                "a fresh copy after step {mod_revision}"
+            );
             if let Some(stale) = view
                 .machines()
                 .map(|(_, m, _)| m)
@@ -356,16 +360,16 @@
         let mut view = large_group(300);
         let all = machines(&view);
         let key = Key::Group(0, 0);
-        let mut stamp = 2;
+        let mut mod_revision = 2;
         while too_large(&view, &key, MOST) {
             let commit = step(&view, &key, 16 * 1_024).expect("a step");
             assert!(
                 commit.txn.when.iter().any(|(k, _)| *k == Key::Own(0)),
                 "not on the term"
             );
-            stamp += 1;
-            apply(&mut view, commit, stamp);
-            assert_eq!(machines(&view), all, "after step {stamp}");
+            mod_revision += 1;
+            apply(&mut view, commit, mod_revision);
+            assert_eq!(machines(&view), all, "after step {mod_revision}");
             assert!(view.machines().all(|(_, m, _)| !view.is_stale(m)));
         }
     }
@@ -386,29 +390,29 @@
                 changes.push(Change {
                     key: Key::Job(JobId(j.into())),
                     content,
-                    stamp: 2,
+                    mod_revision: 2,
                 });
             }
             changes.push(Change {
                 key: Key::Usage(0),
                 content: Some(Content::Usage(usage)),
-                stamp: 2,
+                mod_revision: 2,
             });
             view.apply(changes, &mut Touched::default());
             view.advance(2);
             assert!(encode(&view.usage[0].value).unwrap().get().len() > MOST);
-            let mut stamp = 2;
+            let mut mod_revision = 2;
             while too_large(&view, &Key::Usage(0), MOST) {
                 let commit = step(&view, &Key::Usage(0), taken).expect("a step");
                 assert!(commit.txn.then.len() <= 4);
                 assert!(taken > MOST || commit.txn.largest() <= MOST);
-                stamp += 1;
-                apply(&mut view, commit, stamp);
+                mod_revision += 1;
+                apply(&mut view, commit, mod_revision);
                 for j in 1..=90 {
                     let job = &view.jobs[&JobId(j.into())];
                     assert!(
                         job.done() == 2 && job.finished(j) && job.finished(100),
-                        "job {j} after step {stamp}"
+                        "job {j} after step {mod_revision}"
                     );
                 }
             }
--- a/src/coordination/draft/tests.rs
+++ b/src/coordination/draft/tests.rs
@@ -13,8 +13,8 @@
 
 pub(super) fn machine() -> MachineRecord {
     MachineRecord {
-        build: "small".into(),
-        yard: "a".into(),
+        machine_type: "small".into(),
+        zone: "a".into(),
         spot: true,
         endpoint: None,
         fitness: Fitness::Up,
@@ -46,16 +46,23 @@
 
 /// Whether the store would apply the transaction, as the view knows the store.
 pub(super) fn holds(view: &View, commit: &Commit) -> bool {
-    commit.txn.when.iter().all(|(k, s)| view.stamp(k) == *s)
+    commit
+        .txn
+        .when
+        .iter()
+        .all(|(k, s)| view.mod_revision(k) == *s)
 }
 
-pub(super) fn apply(view: &mut View, commit: Commit, stamp: u64) {
+pub(super) fn apply(view: &mut View, commit: Commit, mod_revision: u64) {
     assert!(holds(view, &commit));
     view.apply(
-        commit.changes.into_iter().map(|c| Change { stamp, ..c }),
+        commit
+            .changes
+            .into_iter()
+            .map(|c| Change { mod_revision, ..c }),
         &mut Touched::default(),
     );
-    view.advance(stamp);
+    view.advance(mod_revision);
 }
 
 fn new_view() -> View {
@@ -73,7 +80,7 @@
     let change = Change {
         key: Key::Meta,
         content: Some(Content::Meta(meta)),
-        stamp: 1,
+        mod_revision: 1,
     };
     view.apply([change], &mut Touched::default());
     view.advance(1);
@@ -141,7 +148,7 @@
         contents.map(|(key, content)| Change {
             key,
             content: Some(content),
-            stamp: 2,
+            mod_revision: 2,
         }),
         &mut Touched::default(),
     );
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -9,10 +9,10 @@
 use crate::bookkeeping::classes::ClassId;
 use crate::bookkeeping::fleet::{Demand, Offer, Pools, plan};
 use crate::bookkeeping::ids::{JobId, MachineId};
-use crate::bookkeeping::records::{Fitness, HireRecord};
+use crate::bookkeeping::records::{Fitness, ProvisionRecord};
 use crate::bookkeeping::time::Micros;
 use crate::bookkeeping::view::Job;
-use crate::protocol::cloud::{CloudRequest, HIRE_LIMIT, Host, HostStatus};
+use crate::protocol::cloud::{CloudMachine, CloudMachineState, CloudRequest, PROVISION_LIMIT};
 use crate::protocol::state::encode;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -22,21 +22,21 @@
     /// Types and prices.
     Catalog,
     /// A rental.
-    Hire(HireRecord),
+    Provision(ProvisionRecord),
     /// A return.
     Release(Vec<MachineId>),
     /// A page of the list.
-    List(Vec<Host>),
+    List(Vec<CloudMachine>),
 }
 
 /// A machine that the cloud is known to charge for.
 #[derive(Clone, Debug)]
 struct Known {
-    build: String,
-    yard: String,
+    machine_type: String,
+    zone: String,
     spot: bool,
     since: Micros,
-    status: HostStatus,
+    status: CloudMachineState,
     /// When a list last held it.
     listed: Option<Micros>,
     /// It was hired in this tenure and has not come up yet.
@@ -68,7 +68,7 @@
     releasing: BTreeSet<MachineId>,
     /// Machines whose release was answered.
     confirmed: BTreeSet<MachineId>,
-    hiring: usize,
+    provisioning: usize,
     writing: bool,
     none_left: HashMap<Offer, (Micros, u32)>,
     counter: u64,
@@ -183,10 +183,10 @@
             self.fleet.next_look = now + Micros::secs(2);
             self.fleet.looking = true;
         }
-        if self.fleet.looking && self.fleet.hiring == 0 && !self.fleet.writing {
+        if self.fleet.looking && self.fleet.provisioning == 0 && !self.fleet.writing {
             self.fleet.looking = false;
             self.refresh_rules();
-            self.hire_machines();
+            self.provision_machines();
         }
     }
 
@@ -203,17 +203,17 @@
             .filter(|(id, j)| !self.rounds.is_suspect(**id) && count(id, j) > 0)
             .filter(|(id, j)| j.ready() || self.nears(j) && self.lacks_machines(**id, j))
             .collect();
-        jobs.sort_by_key(|(id, j)| (j.urgency(), self.latest_start(j), **id));
+        jobs.sort_by_key(|(id, j)| (j.priority(), self.latest_start(j), **id));
         let mut used: BTreeMap<&str, u64> = BTreeMap::new();
         let mut demands = Vec::new();
         for (id, j) in jobs {
             let spec = j.spec();
             let k = self.view.job_slice(*id, spec);
             let used = used
-                .entry(&spec.crew)
-                .or_insert_with(|| self.view.used(k, &spec.crew).0);
+                .entry(&spec.team)
+                .or_insert_with(|| self.view.used(k, &spec.team).0);
             let mut count = count(id, j);
-            if let Some(limit) = self.cfg.team(&spec.crew).and_then(|t| t.cores_limit) {
+            if let Some(limit) = self.cfg.team(&spec.team).and_then(|t| t.cores_limit) {
                 let left = limit.saturating_sub(*used).checked_div(spec.need.cores);
                 count = count.min(left.unwrap_or(u64::MAX));
             }
@@ -228,7 +228,7 @@
                     spec,
                     count,
                     slack,
-                    run: spec.guess,
+                    run: spec.estimated_runtime,
                     price_limit,
                     places,
                 });
@@ -245,22 +245,22 @@
             }
             None => true,
         };
-        !job.cancelled() && !job.stage.doubtful && job.spec().awaits.iter().all(started)
+        !job.cancelled() && !job.stage.doubtful && job.spec().dependencies.iter().all(started)
     }
 
     /// Whether the machines that a job may use would not hold it even if nothing else ran there: where
     /// many are up some have room in time, and hiring ahead of the turn only costs.
     fn lacks_machines(&self, id: JobId, job: &Job) -> bool {
         let spec = job.spec();
-        let mut left = u64::from(spec.pieces);
+        let mut left = u64::from(spec.task_count);
         for (_, m, r) in self.view.machines() {
             if left == 0 {
                 return false;
             }
             if r.fitness == Fitness::Up
-                && spec.allows(&r.build, &r.yard, r.spot)
+                && spec.allows(&r.machine_type, &r.zone, r.spot)
                 && self.may_use(id, m)
-                && let Some(t) = self.view.machine_type(&r.build)
+                && let Some(t) = self.view.machine_type(&r.machine_type)
             {
                 left -= spec.need.times_in(&t.room, left);
             }
@@ -269,10 +269,10 @@
     }
 
     /// The class of machines that could be hired, where rules ask for it.
-    fn class_of_offer(&self, build: &str, yard: &str, spot: bool) -> Option<ClassId> {
+    fn class_of_offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<ClassId> {
         self.rules
             .active()
-            .then(|| self.view.classes.of_offer(build, yard, spot))
+            .then(|| self.view.classes.of_offer(machine_type, zone, spot))
             .flatten()
     }
 
@@ -286,11 +286,13 @@
                 .tasks
                 .iter()
                 .filter_map(|b| self.view.jobs.get(&b.attempt().task.job))
-                .map(|j| u128::from(j.spec().need.cores) * u128::from(j.spec().guess.0 / 2));
+                .map(|j| {
+                    u128::from(j.spec().need.cores) * u128::from(j.spec().estimated_runtime.0 / 2)
+                });
             let class = ruled.then(|| self.view.classes.of(m)).flatten();
             let free = Some((self.view.free(r), Some(m)));
             pools.add(
-                (&r.build, &r.yard, r.spot),
+                (&r.machine_type, &r.zone, r.spot),
                 catalog,
                 class,
                 1,
@@ -299,16 +301,23 @@
             );
         }
         for (_, k) in self.fleet.known.iter().filter(|(m, k)| self.boots(**m, k)) {
-            let class = self.class_of_offer(&k.build, &k.yard, k.spot);
-            pools.add((&k.build, &k.yard, k.spot), catalog, class, 1, None, 0);
+            let class = self.class_of_offer(&k.machine_type, &k.zone, k.spot);
+            pools.add(
+                (&k.machine_type, &k.zone, k.spot),
+                catalog,
+                class,
+                1,
+                None,
+                0,
+            );
         }
         // Rentals of an earlier owner whose machines no list shows yet.
-        for h in &self.view.fleet.value.hires {
+        for h in &self.view.fleet.value.provision_requests {
             let age = self.now.day.since(h.at);
             if age < self.cfg.list_lag * 2 + Micros::secs(8) {
-                let class = self.class_of_offer(&h.build, &h.yard, h.spot);
+                let class = self.class_of_offer(&h.machine_type, &h.zone, h.spot);
                 pools.add(
-                    (&h.build, &h.yard, h.spot),
+                    (&h.machine_type, &h.zone, h.spot),
                     catalog,
                     class,
                     h.count.into(),
@@ -320,7 +329,7 @@
         pools
     }
 
-    fn hire_machines(&mut self) {
+    fn provision_machines(&mut self) {
         let now = self.now.steady;
         let Some(catalog) = &self.view.types.value else {
             return;
@@ -337,10 +346,10 @@
         let catalog = &catalog;
         let none_left = &self.fleet.none_left;
         let offered = |o: &Offer| {
-            !self.zones.is_lost(&o.yard) && none_left.get(o).is_none_or(|(until, _)| *until <= now)
+            !self.zones.is_lost(&o.zone) && none_left.get(o).is_none_or(|(until, _)| *until <= now)
         };
-        let class_of = |o: &Offer| self.class_of_offer(&o.build, &o.yard, o.spot);
-        let hires = plan(
+        let class_of = |o: &Offer| self.class_of_offer(&o.machine_type, &o.zone, o.spot);
+        let provision_requests = plan(
             catalog,
             &demands,
             &mut self.pools(catalog),
@@ -348,7 +357,7 @@
             &class_of,
         );
         drop(demands);
-        if hires.is_empty() {
+        if provision_requests.is_empty() {
             return;
         }
         let mut record = self.fleet_record();
@@ -357,42 +366,42 @@
         // full of such, nothing more is hired.
         let most = self.limits.value_bytes() / 8 * 7;
         let mut size = encode(&record).map_or(usize::MAX, |r| r.get().len());
-        'all: for (offer, mut count) in hires {
+        'all: for (offer, mut count) in provision_requests {
             while count > 0 {
                 self.fleet.counter += 1;
-                let hire = HireRecord {
+                let provision = ProvisionRecord {
                     // Never used again, not even by another process or after a restart.
                     name: format!(
                         "{}-{:016x}-{}",
                         self.cfg.node, self.run.0, self.fleet.counter
                     ),
-                    build: offer.build.clone(),
-                    yard: offer.yard.clone(),
+                    machine_type: offer.machine_type.clone(),
+                    zone: offer.zone.clone(),
                     spot: offer.spot,
-                    count: count.min(HIRE_LIMIT),
+                    count: count.min(PROVISION_LIMIT),
                     at: self.now.day,
                 };
-                size += encode(&hire).map_or(0, |r| r.get().len() + 1);
+                size += encode(&provision).map_or(0, |r| r.get().len() + 1);
                 if size > most || new.len() >= self.cfg.cloud_rps as usize {
                     break 'all;
                 }
-                count -= hire.count;
-                new.push(hire);
+                count -= provision.count;
+                new.push(provision);
             }
         }
         if new.is_empty() {
             return;
         }
-        record.hires.extend(new.iter().cloned());
+        record.provision_requests.extend(new.iter().cloned());
         self.write_fleet(record, new);
     }
 
     /// Whether a known machine is still expected to come up.
     fn boots(&self, m: MachineId, k: &Known) -> bool {
         self.view.machine(m).is_none()
-            && k.status != HostStatus::Failed
+            && k.status != CloudMachineState::Failed
             && !self.fleet.released.contains(&m)
-            && self.now.steady.since(k.since) < self.boot_patience(&k.build)
+            && self.now.steady.since(k.since) < self.boot_patience(&k.machine_type)
     }
 
     /// Notes which machines have come up, and what that says of their types.
@@ -408,17 +417,19 @@
             k.booting = false;
             let took = now.since(k.since);
             tracing::debug!(machine = %m, %took, "up");
-            self.fleet.boots.ended(&k.build, now, took);
+            self.fleet.boots.ended(&k.machine_type, now, took);
         }
         let mut ages: HashMap<&str, Vec<Micros>> = HashMap::new();
         for (m, k) in self
             .fleet
             .known
             .iter()
-            .filter(|(_, k)| k.booting && k.status != HostStatus::Failed)
+            .filter(|(_, k)| k.booting && k.status != CloudMachineState::Failed)
         {
             if !self.fleet.released.contains(m) {
-                ages.entry(&k.build).or_default().push(now.since(k.since));
+                ages.entry(&k.machine_type)
+                    .or_default()
+                    .push(now.since(k.since));
             }
         }
         for t in view.machine_types() {
@@ -434,30 +445,33 @@
                 .or_insert((t.boot, t.boot));
             known.0 = expected;
             if expected > known.1 * 2 || known.1 > expected * 2 {
-                tracing::info!(build = t.name, %expected, nominal = %t.boot, "boots take another time than before");
+                tracing::info!(machine_type = t.name, %expected, nominal = %t.boot, "boots take another time than before");
                 known.1 = expected;
             }
         }
     }
 
-    fn nominal_boot(&self, build: &str) -> Micros {
+    fn nominal_boot(&self, machine_type: &str) -> Micros {
         self.view
-            .machine_type(build)
+            .machine_type(machine_type)
             .map_or(Micros::secs(60), |t| t.boot)
     }
 
     /// How long a machine of this type takes to come up at present.
-    pub(super) fn expected_boot(&self, build: &str) -> Micros {
+    pub(super) fn expected_boot(&self, machine_type: &str) -> Micros {
         self.fleet
             .expected
-            .get(build)
-            .map_or_else(|| self.nominal_boot(build), |(now, _)| *now)
+            .get(machine_type)
+            .map_or_else(|| self.nominal_boot(machine_type), |(now, _)| *now)
     }
 
     /// How long a machine of this type may take to come up before it no longer counts as coming: half
     /// as long again as boots take now, within reason.
-    fn boot_patience(&self, build: &str) -> Micros {
-        let (nominal, expected) = (self.nominal_boot(build), self.expected_boot(build));
+    fn boot_patience(&self, machine_type: &str) -> Micros {
+        let (nominal, expected) = (
+            self.nominal_boot(machine_type),
+            self.expected_boot(machine_type),
+        );
         let patience = Micros(expected.0 / 2 * 3);
         patience.clamp(Micros(nominal.0 / 2 * 3), nominal * 5) + Micros::secs(5)
     }
--- a/src/coordination/fleet/answers.rs
+++ b/src/coordination/fleet/answers.rs
@@ -4,11 +4,11 @@
 use crate::bookkeeping::catalog::Catalog;
 use crate::bookkeeping::fleet::Offer;
 use crate::bookkeeping::ids::MachineId;
-use crate::bookkeeping::records::{FleetRecord, HireRecord, Key};
+use crate::bookkeeping::records::{FleetRecord, Key, ProvisionRecord};
 use crate::bookkeeping::time::Micros;
 use crate::bookkeeping::view::{Change, Content, Touched};
 use crate::coordination::{Call, CallId, Controller, Effect, Purpose};
-use crate::protocol::cloud::{CloudReply, CloudRequest, Host, HostStatus};
+use crate::protocol::cloud::{CloudMachine, CloudMachineState, CloudReply, CloudRequest};
 use crate::protocol::state::{CallError, Put, StateReply, StateRequest, Txn, encode};
 
 impl Controller {
@@ -21,14 +21,16 @@
     pub(super) fn fleet_record(&self) -> FleetRecord {
         let mut record = self.view.fleet.value.clone();
         let old = self.cfg.list_lag * 4 + Micros::secs(60);
-        record.hires.retain(|h| self.now.day.since(h.at) < old);
+        record
+            .provision_requests
+            .retain(|h| self.now.day.since(h.at) < old);
         record
             .releasing
             .retain(|m| !self.fleet.confirmed.contains(m));
         record
     }
 
-    pub(super) fn write_fleet(&mut self, record: FleetRecord, new: Vec<HireRecord>) {
+    pub(super) fn write_fleet(&mut self, record: FleetRecord, new: Vec<ProvisionRecord>) {
         let value = encode(&record);
         if value
             .as_ref()
@@ -39,13 +41,13 @@
         }
         let txn = Txn {
             when: vec![
-                (Key::Own(0), self.view.stamp(&Key::Own(0))),
-                (Key::Fleet, self.view.fleet.stamp),
+                (Key::Own(0), self.view.mod_revision(&Key::Own(0))),
+                (Key::Fleet, self.view.fleet.mod_revision),
             ],
             then: vec![Put {
                 key: Key::Fleet,
                 value,
-                permit: None,
+                lease_id: None,
             }],
         };
         self.fleet.writing = true;
@@ -60,12 +62,12 @@
     /// not by comparing with the copy: the watch may have brought the record before this answer.
     pub(in crate::coordination) fn on_fleet_written(
         &mut self,
-        (record, new): (FleetRecord, Vec<HireRecord>),
+        (record, new): (FleetRecord, Vec<ProvisionRecord>),
         result: Result<StateReply, CallError>,
     ) {
         self.fleet.writing = false;
         self.fleet.looking = true;
-        let Ok(StateReply::Applied(stamp)) = result else {
+        let Ok(StateReply::Applied(mod_revision)) = result else {
             tracing::debug!(?result, "the plan of the fleet was not written");
             self.reader.want_barrier();
             return;
@@ -73,7 +75,7 @@
         let change = Change {
             key: Key::Fleet,
             content: Some(Content::Fleet(record)),
-            stamp,
+            mod_revision,
         };
         self.view.apply([change], &mut Touched::default());
         if !self.owns(0) {
@@ -87,21 +89,21 @@
         }
         for h in new {
             tracing::info!(
-                hire = h.name,
-                build = h.build,
+                provision = h.name,
+                machine_type = h.machine_type,
                 spot = h.spot,
                 count = h.count,
                 "hiring"
             );
-            self.fleet.hiring += 1;
-            let request = CloudRequest::Hire {
+            self.fleet.provisioning += 1;
+            let request = CloudRequest::Provision {
                 name: h.name.clone(),
-                build: h.build.clone(),
-                yard: h.yard.clone(),
+                machine_type: h.machine_type.clone(),
+                zone: h.zone.clone(),
                 spot: h.spot,
                 count: h.count,
             };
-            self.ask_cloud(CloudPurpose::Hire(h), request);
+            self.ask_cloud(CloudPurpose::Provision(h), request);
         }
     }
 
@@ -139,7 +141,7 @@
                 }
             }
             CloudPurpose::List(pages) => self.on_list(pages, result),
-            CloudPurpose::Hire(h) => self.on_hired(&h, result),
+            CloudPurpose::Provision(h) => self.on_provisioned(&h, result),
             CloudPurpose::Release(machines) => self.on_released(&machines, result),
         }
     }
@@ -162,13 +164,13 @@
         }
         let txn = Txn {
             when: vec![
-                (Key::Own(0), self.view.stamp(&Key::Own(0))),
-                (Key::Types, self.view.types.stamp),
+                (Key::Own(0), self.view.mod_revision(&Key::Own(0))),
+                (Key::Types, self.view.types.mod_revision),
             ],
             then: vec![Put {
                 key: Key::Types,
                 value,
-                permit: None,
+                lease_id: None,
             }],
         };
         self.budget.force(self.now.steady, 1);
@@ -181,11 +183,11 @@
         result: Result<StateReply, CallError>,
     ) {
         match result {
-            Ok(StateReply::Applied(stamp)) => {
+            Ok(StateReply::Applied(mod_revision)) => {
                 let change = Change {
                     key: Key::Types,
                     content: Some(Content::Types(types)),
-                    stamp,
+                    mod_revision,
                 };
                 let mut touched = Touched::default();
                 self.view.apply([change], &mut touched);
@@ -198,19 +200,19 @@
         }
     }
 
-    fn on_hired(&mut self, h: &HireRecord, result: Result<CloudReply, CallError>) {
+    fn on_provisioned(&mut self, h: &ProvisionRecord, result: Result<CloudReply, CallError>) {
         let now = self.now.steady;
-        self.fleet.hiring = self.fleet.hiring.saturating_sub(1);
+        self.fleet.provisioning = self.fleet.provisioning.saturating_sub(1);
         self.fleet.looking = true;
         let offer = Offer {
-            build: h.build.clone(),
-            yard: h.yard.clone(),
+            machine_type: h.machine_type.clone(),
+            zone: h.zone.clone(),
             spot: h.spot,
         };
         match result {
-            Ok(CloudReply::Hired(machines)) => {
+            Ok(CloudReply::Provisioned(machines)) => {
                 tracing::info!(
-                    hire = h.name,
+                    provision = h.name,
                     asked = h.count,
                     got = machines.len(),
                     "hired"
@@ -224,36 +226,40 @@
                 }
                 for m in machines {
                     self.fleet.known.entry(m).or_insert(Known {
-                        build: h.build.clone(),
-                        yard: h.yard.clone(),
+                        machine_type: h.machine_type.clone(),
+                        zone: h.zone.clone(),
                         spot: h.spot,
                         since: now,
-                        status: HostStatus::Starting,
+                        status: CloudMachineState::Starting,
                         listed: None,
                         booting: true,
                     });
                 }
-                self.forget_hire(&h.name);
+                self.forget_provision_request(&h.name);
             }
             Ok(CloudReply::NoCapacity) | Err(CallError::Refused) => {
                 let tries = self.fleet.none_left.get(&offer).map_or(0, |(_, n)| *n) + 1;
                 let pause = Micros::secs(3 * u64::from(tries.min(5)));
-                tracing::info!(build = h.build, spot = h.spot, pause = %pause, "none to be had");
+                tracing::info!(machine_type = h.machine_type, spot = h.spot, pause = %pause, "none to be had");
                 self.fleet.none_left.insert(offer, (now + pause, tries));
-                self.forget_hire(&h.name);
+                self.forget_provision_request(&h.name);
             }
             // Perhaps hired: the record keeps it counted until a list would show it.
-            other => tracing::info!(hire = h.name, ?other, "the rental had no answer"),
+            other => tracing::info!(provision = h.name, ?other, "the rental had no answer"),
         }
     }
 
     /// What came of a rental is known: it no longer counts by its record. The copy of this
     /// process alone is corrected; another owner would read the list first.
-    fn forget_hire(&mut self, name: &str) {
-        self.view.fleet.value.hires.retain(|h| h.name != name);
+    fn forget_provision_request(&mut self, name: &str) {
+        self.view
+            .fleet
+            .value
+            .provision_requests
+            .retain(|h| h.name != name);
     }
 
-    fn on_list(&mut self, mut hosts: Vec<Host>, result: Result<CloudReply, CallError>) {
+    fn on_list(&mut self, mut hosts: Vec<CloudMachine>, result: Result<CloudReply, CallError>) {
         let now = self.now.steady;
         let Ok(CloudReply::Hosts(page, more)) = result else {
             self.fleet.listing = false;
@@ -272,20 +278,20 @@
         let sent = self.fleet.list_sent;
         self.fleet.last_list = sent;
         for h in hosts {
-            if h.status == HostStatus::Failed && self.view.machine(h.id).is_some() {
+            if h.status == CloudMachineState::Failed && self.view.machine(h.id).is_some() {
                 tracing::info!(machine = %h.id, "failed, says the cloud");
                 self.rounds.gone(h.id);
             }
-            let nominal = self.nominal_boot(&h.build);
+            let nominal = self.nominal_boot(&h.machine_type);
             let known = self.fleet.known.entry(h.id).or_insert_with(|| Known {
-                build: h.build.clone(),
-                yard: h.yard.clone(),
+                machine_type: h.machine_type.clone(),
+                zone: h.zone.clone(),
                 spot: h.spot,
                 since: now - h.age,
                 status: h.status,
                 listed: None,
                 // Of one that an earlier owner hired long ago only those are left that never come up.
-                booting: h.status == HostStatus::Starting && h.age < nominal,
+                booting: h.status == CloudMachineState::Starting && h.age < nominal,
             });
             known.status = h.status;
             known.listed = Some(sent);
--- a/src/coordination/fleet/returns.rs
+++ b/src/coordination/fleet/returns.rs
@@ -6,22 +6,23 @@
 use crate::bookkeeping::records::Fitness;
 use crate::bookkeeping::time::Micros;
 use crate::coordination::Controller;
-use crate::protocol::cloud::{CloudRequest, HostStatus, RELEASE_LIMIT};
+use crate::protocol::cloud::{CloudMachineState, CloudRequest, RELEASE_LIMIT};
 use std::collections::{BTreeMap, HashMap};
 
 impl Controller {
     /// How long a machine is kept without work: as long as its next boot would take, a dear one
     /// only for a moment. Less than the shortest charge is never saved.
-    fn idle_limit(&self, build: &str, spot: bool) -> Micros {
+    fn idle_limit(&self, machine_type: &str, spot: bool) -> Micros {
         let types = self.view.machine_types();
         let cheapest = types
             .map(|t| core_price(t, true).min(core_price(t, false)))
             .min()
             .unwrap_or(0);
-        let derived = match self.view.machine_type(build) {
+        let derived = match self.view.machine_type(machine_type) {
             Some(t) if core_price(t, spot) > cheapest * 3 / 2 => Micros::secs(5),
             t => t.map_or(Micros::secs(30), |t| {
-                self.expected_boot(build).clamp(Micros::secs(2), t.boot * 2)
+                self.expected_boot(machine_type)
+                    .clamp(Micros::secs(2), t.boot * 2)
             }),
         };
         self.op.idle_s.map_or(derived, Micros::from_secs_f64)
@@ -49,7 +50,7 @@
                     seen_lost.insert(m, lost);
                     let quiet = now.since(lost);
                     // Of a zone that is lost it is decided for all together; of one that may be, in a moment.
-                    let pressed = if self.zones.is_in_doubt(&r.yard) {
+                    let pressed = if self.zones.is_in_doubt(&r.zone) {
                         worth.contains(&m)
                     } else {
                         r.tasks.iter().any(|b| self.pressed(b.attempt().task.job))
@@ -64,13 +65,15 @@
                         marks.push((m, "silent for long"));
                     }
                 }
-                Fitness::Up if idle && now.since(since) > self.idle_limit(&r.build, r.spot) => {
+                Fitness::Up
+                    if idle && now.since(since) > self.idle_limit(&r.machine_type, r.spot) =>
+                {
                     marks.push((m, "idle"))
                 }
                 Fitness::Up if idle => {
                     let offer = Offer {
-                        build: r.build.to_string(),
-                        yard: r.yard.to_string(),
+                        machine_type: r.machine_type.to_string(),
+                        zone: r.zone.to_string(),
                         spot: r.spot,
                     };
                     idle_of.entry(offer).or_default().push((since, m));
@@ -82,7 +85,7 @@
             idle_of.entry(offer.clone()).or_default();
         }
         for (offer, mut idle) in idle_of {
-            let window = self.idle_limit(&offer.build, offer.spot);
+            let window = self.idle_limit(&offer.machine_type, offer.spot);
             let spare = self.fleet.spare.entry(offer).or_default();
             let count = spare.note(now, idle.len(), window);
             spare.take(count);
@@ -101,9 +104,9 @@
         let mut given_up = Vec::new();
         for (m, k) in &self.fleet.known {
             let age = now.since(k.since);
-            let unused = self.view.machine(*m).is_none() && k.status != HostStatus::Failed;
-            let late = self.view.machine_type(&k.build).is_none_or(|t| {
-                age > self.boot_patience(&k.build).max(t.boot * 3) + Micros::secs(5)
+            let unused = self.view.machine(*m).is_none() && k.status != CloudMachineState::Failed;
+            let late = self.view.machine_type(&k.machine_type).is_none_or(|t| {
+                age > self.boot_patience(&k.machine_type).max(t.boot * 3) + Micros::secs(5)
             });
             let released =
                 self.fleet.released.contains(m) || self.view.fleet.value.releasing.contains(m);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::bookkeeping::catalog::Catalog;
 use crate::bookkeeping::ids::{JobId, MachineId, Slice};
-use crate::bookkeeping::records::{FleetRecord, HireRecord, Incarnation, LAYOUT, TERSE};
+use crate::bookkeeping::records::{FleetRecord, Incarnation, LAYOUT, ProvisionRecord, TERSE};
 use crate::bookkeeping::time::Micros;
 use crate::bookkeeping::view::{Touched, View};
 use crate::protocol::cloud::{CloudReply, CloudRequest};
@@ -117,7 +117,7 @@
     Round(Box<rounds::InFlight>),
     Types(Catalog),
     Rules,
-    Fleet(Box<(FleetRecord, Vec<HireRecord>)>),
+    Fleet(Box<(FleetRecord, Vec<ProvisionRecord>)>),
     Cloud(fleet::CloudPurpose),
     Direct(MachineId),
     Enquiry,
@@ -408,13 +408,13 @@
             self.next_hint = self.now.steady + Micros::secs(1);
             let contact = self.reader.ready().then(|| self.contact_age().as_millis());
             let terms = (0..self.view.own.len())
-                .map(|k| (self.view.own[k].stamp, self.owns(k)))
+                .map(|k| (self.view.own[k].mod_revision, self.owns(k)))
                 .collect();
             self.out.push(Effect::Peers(PeerHint {
                 node: self.cfg.node.clone(),
                 run: self.run,
                 contact_ms: contact,
-                epoch: self.view.epoch,
+                revision: self.view.revision,
                 terms,
                 heard_ms: self.heard_ms(),
                 pressed: self.rounds.pressed(self.now.steady),
@@ -440,12 +440,12 @@
             .view
             .nodes
             .get(&hint.node)
-            .is_some_and(|n| n.value.run != hint.run && n.stamp > hint.epoch);
+            .is_some_and(|n| n.value.run != hint.run && n.mod_revision > hint.revision);
         if later {
             return;
         }
         for (k, (term, owns)) in hint.terms.iter().enumerate() {
-            if *owns && self.owns(k) && *term > self.view.own[k].stamp {
+            if *owns && self.owns(k) && *term > self.view.own[k].mod_revision {
                 tracing::info!(slice = k, term, peer = hint.node, "told of a newer term");
                 self.told_newer(k, *term);
                 self.reader.want_barrier();
--- a/src/coordination/ownership.rs
+++ b/src/coordination/ownership.rs
@@ -196,7 +196,7 @@
                     slices,
                     teams,
                 }),
-                permit: None,
+                lease_id: None,
             }],
         };
         self.budget.force(now, 1);
@@ -270,14 +270,16 @@
             .view
             .nodes
             .iter()
-            .map(|(n, s)| (Key::Node(n.clone()), s.stamp));
-        let when = [(Key::Meta, self.view.meta.stamp)].into_iter().chain(nodes);
+            .map(|(n, s)| (Key::Node(n.clone()), s.mod_revision));
+        let when = [(Key::Meta, self.view.meta.mod_revision)]
+            .into_iter()
+            .chain(nodes);
         let txn = Txn {
             when: when.take(self.limits.txn_ops() * 4).collect(),
             then: vec![Put {
                 key: Key::Meta,
                 value: encode(&record),
-                permit: None,
+                lease_id: None,
             }],
         };
         self.budget.force(now, 1);
@@ -310,7 +312,7 @@
         let mut record = meta.clone();
         for t in self.cfg.teams.iter().filter(|t| self.unplaced(t)) {
             let none = (0..self.view.usage.len()).all(|k| self.view.used(k, &t.name) == (0, 0));
-            let kept = |j: &Job| j.spec().crew == t.name && !j.record.finished.covers(&j.ends);
+            let kept = |j: &Job| j.spec().team == t.name && !j.record.finished.covers(&j.ends);
             if none && !self.view.jobs.values().any(kept) {
                 let k = record.teams.len() % record.slices.max(1);
                 record.teams.insert(t.name.clone(), k);
@@ -333,11 +335,11 @@
         }
         tracing::info!(teams = ?record.teams, "teams of a later deploy file get slices");
         let txn = Txn {
-            when: vec![(Key::Meta, self.view.meta.stamp)],
+            when: vec![(Key::Meta, self.view.meta.mod_revision)],
             then: vec![Put {
                 key: Key::Meta,
                 value,
-                permit: None,
+                lease_id: None,
             }],
         };
         self.budget.force(now, 1);
@@ -357,8 +359,14 @@
         };
         let gone = self.reach.withdrawn();
         let key = Key::Node(self.cfg.node.clone());
-        let stamp = self.view.stamp(&key);
-        if self.ownership.writing || if gone { stamp == 0 } else { self.alive() } {
+        let mod_revision = self.view.mod_revision(&key);
+        if self.ownership.writing
+            || if gone {
+                mod_revision == 0
+            } else {
+                self.alive()
+            }
+        {
             return;
         }
         if now < self.ownership.next_node {
@@ -387,10 +395,14 @@
                 starts,
             })
         };
-        let permit = (!gone).then_some(lease);
+        let lease_id = (!gone).then_some(lease);
         let txn = Txn {
-            when: vec![(key.clone(), stamp)],
-            then: vec![Put { key, value, permit }],
+            when: vec![(key.clone(), mod_revision)],
+            then: vec![Put {
+                key,
+                value,
+                lease_id,
+            }],
         };
         self.ownership.writing = true;
         self.budget.force(now, 1);
@@ -430,15 +442,16 @@
         }
         let node = Key::Node(self.cfg.node.clone());
         let mut txn = Txn {
-            when: vec![(node.clone(), self.view.stamp(&node))],
+            when: vec![(node.clone(), self.view.mod_revision(&node))],
             then: Vec::new(),
         };
         for k in &wanted {
-            txn.when.push((Key::Own(*k), self.view.own[*k].stamp));
+            txn.when
+                .push((Key::Own(*k), self.view.own[*k].mod_revision));
             txn.then.push(Put {
                 key: Key::Own(*k),
                 value: encode(&self.me()),
-                permit: None,
+                lease_id: None,
             });
         }
         tracing::info!(slices = ?wanted, why, "claiming");
@@ -451,7 +464,7 @@
     fn wanted_slices(&mut self) -> (Vec<Slice>, &'static str) {
         let now = self.now.steady;
         let slices = self.view.slices();
-        let epoch = self.view.epoch;
+        let revision = self.view.revision;
         let mut raise = std::mem::take(&mut self.ownership.raise);
         raise.retain(|k| self.owns(*k));
         if !raise.is_empty() {
@@ -478,7 +491,7 @@
                         *n += 1;
                     }
                     let lost = self.ownership.lost.get(k).copied().unwrap_or(0);
-                    if o.node == self.cfg.node && !self.owns(k) && epoch >= lost {
+                    if o.node == self.cfg.node && !self.owns(k) && revision >= lost {
                         mine_again.push(k);
                     }
                 }
@@ -592,14 +605,14 @@
     pub(super) fn on_own_changed(&mut self, k: Slice) {
         self.ownership.size_for(k);
         self.ownership.look();
-        let stamp = self.view.own[k].stamp;
+        let mod_revision = self.view.own[k].mod_revision;
         let mine = self.view.own[k].value.as_ref() == Some(&self.me());
         let held = self.ownership.tenures[k].is_some();
-        if mine && !held && stamp > self.ownership.lost[k] {
-            tracing::info!(slice = k, term = stamp, "took over");
+        if mine && !held && mod_revision > self.ownership.lost[k] {
+            tracing::info!(slice = k, term = mod_revision, "took over");
             self.counters.takeovers += 1;
             self.ownership.tenures[k] = Some(Tenure {
-                first: stamp,
+                first: mod_revision,
                 since: self.now.steady,
             });
             self.begin_sessions(k);
@@ -608,10 +621,10 @@
         } else if mine && held {
             // Every claim of this process since the tenure began was conditional on its own
             // record, so nobody else can have owned the slice in between.
-            tracing::info!(slice = k, term = stamp, "raised the term");
+            tracing::info!(slice = k, term = mod_revision, "raised the term");
         } else if !mine && held {
             let owner = self.view.own[k].value.as_ref().map(|o| o.node.as_str());
-            tracing::info!(slice = k, term = stamp, owner, "lost the slice");
+            tracing::info!(slice = k, term = mod_revision, owner, "lost the slice");
             self.lose_tenure(k);
         }
     }
@@ -635,7 +648,8 @@
     /// Ends all tenures: what was known of launches without an answer is no longer reliable.
     pub(super) fn lose_all_tenures(&mut self) {
         for k in 0..self.ownership.tenures.len() {
-            self.ownership.lost[k] = self.ownership.lost[k].max(self.view.stamp(&Key::Own(k)));
+            self.ownership.lost[k] =
+                self.ownership.lost[k].max(self.view.mod_revision(&Key::Own(k)));
             self.lose_tenure(k);
         }
     }
--- a/src/coordination/reach.rs
+++ b/src/coordination/reach.rs
@@ -6,7 +6,7 @@
 
 use super::{Controller, Effect, Purpose};
 use crate::bookkeeping::time::Micros;
-use crate::protocol::worker::direct_body;
+use crate::protocol::worker::command_body;
 
 /// What is known of the way to the workers.
 #[derive(Debug, Default)]
@@ -143,7 +143,7 @@
             // A step that is far from the order in which machines came.
             let at = (self.reach.turn + i * (endpoints.len() / count)) % endpoints.len();
             let call = self.call(Purpose::Enquiry);
-            let body = direct_body(0, 0, &[]);
+            let body = command_body(0, 0, &[]);
             let endpoint = endpoints[at].to_string();
             self.out.push(Effect::Direct {
                 call,
--- a/src/coordination/reader.rs
+++ b/src/coordination/reader.rs
@@ -138,7 +138,7 @@
         } else {
             Micros::ZERO
         };
-        let after = self.view.epoch;
+        let after = self.view.revision;
         self.reader.watching = Some(now);
         self.ask_state(Purpose::Watch, StateRequest::Changes { after, wait });
     }
@@ -187,7 +187,7 @@
         self.reader.next_barrier = now + Self::BARRIER_SPACING;
         self.reader.next_poll_read = now + Self::POLL_SPACING;
         let request = StateRequest::Changes {
-            after: self.view.epoch,
+            after: self.view.revision,
             wait: Micros::ZERO,
         };
         let id = self.ask_state(Purpose::Barrier, request);
@@ -195,7 +195,12 @@
     }
 
     pub(super) fn on_page(&mut self, first: Option<u64>, result: Result<StateReply, CallError>) {
-        let Ok(StateReply::Page { items, next, epoch }) = result else {
+        let Ok(StateReply::Page {
+            items,
+            next,
+            revision,
+        }) = result
+        else {
             self.reader.phase = Phase::Empty;
             self.reader.retry = self.now.steady + Micros::millis(300);
             return;
@@ -205,7 +210,7 @@
         if self.view.foreign(self.layout) {
             return self.refuse_layout();
         }
-        let first = first.unwrap_or(epoch);
+        let first = first.unwrap_or(revision);
         if next.is_some() {
             self.budget.force(self.now.steady, 0);
             self.ask_state(
@@ -216,7 +221,7 @@
         }
         // Later pages may be newer than the first: only the changes since then make it one whole.
         self.view.advance(first);
-        self.reader.whole_at = epoch;
+        self.reader.whole_at = revision;
         self.reader.phase = Phase::Listed;
         self.reader.next_watch = self.now.steady;
     }
@@ -256,7 +261,9 @@
             self.reader.barrier = None;
         }
         match result {
-            Ok(StateReply::Changes(changes, epoch)) => self.take_changes(id, sent, changes, epoch),
+            Ok(StateReply::Changes(changes, revision)) => {
+                self.take_changes(id, sent, changes, revision)
+            }
             Ok(StateReply::TooOld) => self.read_anew("the service has dropped the changes since"),
             // Asked for again it would only be larger: all changes come at once, however many there are.
             Err(CallError::TooLarge) => {
@@ -282,7 +289,7 @@
             return;
         }
         tracing::info!(
-            epoch = self.view.epoch,
+            revision = self.view.revision,
             why,
             "the copy is too old, reading everything anew"
         );
@@ -296,13 +303,13 @@
         self.reader.phase == Phase::Ready && at.since(self.reader.contact) > Self::FAR_BEHIND
     }
 
-    fn take_changes(&mut self, id: CallId, sent: Micros, changes: Vec<Change>, epoch: u64) {
+    fn take_changes(&mut self, id: CallId, sent: Micros, changes: Vec<Change>, revision: u64) {
         if matches!(self.reader.phase, Phase::Empty | Phase::Listing) {
             return;
         }
         let mut touched = Touched::default();
         self.view.apply(changes, &mut touched);
-        self.view.advance(epoch);
+        self.view.advance(revision);
         if self.view.foreign(self.layout) {
             // Also when others raise it beyond this version while it runs.
             self.lose_all_tenures();
@@ -314,12 +321,12 @@
         self.reader.read = self.reader.read.max(id.0);
         self.end_doubt();
         if self.reader.phase == Phase::Listed {
-            if epoch < self.reader.whole_at {
+            if revision < self.reader.whole_at {
                 return;
             }
             self.reader.phase = Phase::Ready;
             tracing::info!(
-                epoch,
+                revision,
                 jobs = self.view.jobs.len(),
                 machines = self.view.machines().count(),
                 "the copy is complete"
@@ -329,7 +336,7 @@
             touched.jobs = self.view.jobs.keys().copied().collect();
         }
         self.on_touched_view(&touched);
-        self.rounds.on_read(epoch, self.reader.read);
+        self.rounds.on_read(revision, self.reader.read);
         self.users_after_read();
     }
 }
--- a/src/coordination/rounds.rs
+++ b/src/coordination/rounds.rs
@@ -11,7 +11,7 @@
 use super::sessions::{Mark, Outcome};
 use super::{Controller, Purpose};
 use crate::bookkeeping::ids::{Attempt, JobId, MachineId, TaskId};
-use crate::bookkeeping::job::{FinalRecord, Urgency};
+use crate::bookkeeping::job::{FinalRecord, Priority};
 use crate::bookkeeping::placement::Claim;
 use crate::bookkeeping::records::Key;
 use crate::bookkeeping::time::Micros;
@@ -39,7 +39,7 @@
 
 /// What comes first: what is not suspect, then work within its team's guarantee, then the urgent, then
 /// what must start soonest, then the oldest. What would be left behind goes ahead of that.
-type Precedence = (bool, bool, Urgency, Micros, Micros);
+type Precedence = (bool, bool, Priority, Micros, Micros);
 
 /// A job's turn in the order.
 struct Turn<'a> {
@@ -87,7 +87,7 @@
     /// Ends of jobs in rounds without an answer: told in the log once the copy shows them.
     unanswered_ends: BTreeMap<JobId, FinalRecord>,
     /// No planning before the copy has passed this revision.
-    hold_epoch: u64,
+    hold_until_revision: u64,
     /// No planning before a read that began after this call.
     hold_call: Option<u64>,
     suspects: BTreeMap<JobId, Suspicion>,
@@ -237,9 +237,9 @@
     }
 
     /// A read has brought the copy forward.
-    pub fn on_read(&mut self, epoch: u64, read: u64) {
-        if self.hold_epoch <= epoch {
-            self.hold_epoch = 0;
+    pub fn on_read(&mut self, revision: u64, read: u64) {
+        if self.hold_until_revision <= revision {
+            self.hold_until_revision = 0;
         }
         if self.hold_call.is_some_and(|c| read > c) {
             self.hold_call = None;
@@ -247,7 +247,7 @@
     }
 
     fn held(&self) -> bool {
-        self.hold_epoch > 0 || self.hold_call.is_some()
+        self.hold_until_revision > 0 || self.hold_call.is_some()
     }
 }
 
@@ -403,7 +403,7 @@
         self.rounds.in_flight = false;
         self.rounds.looking = true;
         match result {
-            Ok(StateReply::Applied(epoch)) => {
+            Ok(StateReply::Applied(revision)) => {
                 self.counters.commits += 1;
                 self.counters.booked += round.booked.len() as u64;
                 self.counters.cleared += round.cleared as u64;
@@ -422,7 +422,7 @@
                         .jobs
                         .get(&c.job)
                         .map(|j| self.view.job_slice(c.job, j.spec()));
-                    let term = k.map_or(0, |k| self.view.stamp(&Key::Own(k)));
+                    let term = k.map_or(0, |k| self.view.mod_revision(&Key::Own(k)));
                     tracing::info!(task = %TaskId { job: c.job, index: c.index }, attempt = number,
                         machine = %c.machine, term, "booked");
                     if let Some(met) = self.wish_met(c.job, c.machine) {
@@ -431,7 +431,7 @@
                     }
                 }
                 let changes = round.changes.into_iter().map(|mut c| {
-                    c.stamp = epoch;
+                    c.mod_revision = revision;
                     c
                 });
                 let mut touched = Touched::default();
@@ -443,11 +443,11 @@
                 }
                 self.on_touched_view(&touched);
             }
-            Ok(StateReply::Clash(keys, epoch)) => {
+            Ok(StateReply::Clash(keys, revision)) => {
                 self.counters.clashes += 1;
                 self.counters.dropped += round.booked.len() as u64;
                 tracing::debug!(?keys, claims = round.booked.len(), "the round clashed");
-                self.rounds.hold_epoch = epoch;
+                self.rounds.hold_until_revision = revision;
                 self.reader.want_barrier();
             }
             Err(CallError::Unavailable | CallError::TooMany) => {
--- a/src/coordination/rounds/asks.rs
+++ b/src/coordination/rounds/asks.rs
@@ -31,7 +31,7 @@
         let kinds: BTreeSet<(&str, &str, bool)> = self
             .view
             .machines_up()
-            .map(|(_, r)| (&*r.build, &*r.yard, r.spot))
+            .map(|(_, r)| (&*r.machine_type, &*r.zone, r.spot))
             .collect();
         for Turn {
             id,
@@ -46,11 +46,11 @@
             let spec = job.spec();
             let k = self.view.job_slice(id, spec);
             let mine = self.owns(k);
-            let team = self.cfg.team(&spec.crew);
-            let used = *left.entry(&spec.crew).or_insert_with(|| {
-                let (cores, accelerators) = draft.used(k, &spec.crew);
+            let team = self.cfg.team(&spec.team);
+            let used = *left.entry(&spec.team).or_insert_with(|| {
+                let (cores, accelerators) = draft.used(k, &spec.team);
                 let more = claimed
-                    .and_then(|c| c.get(spec.crew.as_str()))
+                    .and_then(|c| c.get(spec.team.as_str()))
                     .copied()
                     .unwrap_or_default();
                 (cores + more.cores, accelerators + more.accelerators)
@@ -72,15 +72,15 @@
                 // What is left of a gang that lost a task ends by itself; then all are placed anew.
                 continue;
             }
-            let fits = (spec.pieces as usize) <= Self::CLAIMS && !self.needs_parts(id, spec);
+            let fits = (spec.task_count as usize) <= Self::CLAIMS && !self.needs_parts(id, spec);
             let whole = spec.together() && none_booked && fits;
             let suspect = self.rounds.is_suspect(id);
-            if suspect && !spec.standing && !none_booked {
+            if suspect && !spec.service && !none_booked {
                 continue;
             }
             let cap = match (suspect && !spec.together(), whole) {
                 (true, _) => 1,
-                (_, true) => (Self::CLAIMS - wanted).max(spec.pieces as usize),
+                (_, true) => (Self::CLAIMS - wanted).max(spec.task_count as usize),
                 _ => Self::CLAIMS - wanted,
             };
             let cap = if whole {
@@ -96,16 +96,16 @@
             if whole && n < tasks.len() as u64 && claimed.is_some() {
                 continue;
             }
-            if let Some(u) = left.get_mut(spec.crew.as_str()) {
+            if let Some(u) = left.get_mut(spec.team.as_str()) {
                 u.0 += n * spec.need.cores;
                 u.1 += n * spec.need.accelerators;
             }
             asks.push(Ask {
                 job: id,
                 spec,
-                urgency: job.urgency(),
+                priority: job.priority(),
                 tasks,
-                zones: if spec.one_zone || spec.apart {
+                zones: if spec.single_zone || spec.anti_affinity {
                     self.zones_of(id)
                 } else {
                     BTreeMap::new()
@@ -145,7 +145,7 @@
         let mut claimed: BTreeMap<&str, Amount> = BTreeMap::new();
         for c in claims {
             if let Some(job) = self.view.jobs.get(&c.job) {
-                *claimed.entry(&job.spec().crew).or_default() += job.spec().need;
+                *claimed.entry(&job.spec().team).or_default() += job.spec().need;
             }
         }
         let got_none = |id: JobId| claims.iter().all(|c| c.job != id);
@@ -181,17 +181,18 @@
         let mut room: BTreeMap<_, u64> = BTreeMap::new();
         for (_, m, r) in self.view.machines() {
             if r.fitness == Fitness::Up
-                && spec.allows(&r.build, &r.yard, r.spot)
+                && spec.allows(&r.machine_type, &r.zone, r.spot)
                 && self.may_use(id, m)
             {
-                *room.entry(self.view.home(m)).or_default() +=
-                    spec.need.times_in(&self.view.free(r), spec.pieces.into());
+                *room.entry(self.view.home(m)).or_default() += spec
+                    .need
+                    .times_in(&self.view.free(r), spec.task_count.into());
             }
         }
         let mut room: Vec<u64> = room.into_values().collect();
         room.sort_unstable_by_key(|n| Reverse(*n));
         let most: u64 = room.iter().take(self.groups_of_a_round()).sum();
-        most < spec.pieces.into() && room.iter().sum::<u64>() >= spec.pieces.into()
+        most < spec.task_count.into() && room.iter().sum::<u64>() >= spec.task_count.into()
     }
 
     /// Whether a set is booked on as many groups as one transaction can write: then it may be one that is
@@ -217,21 +218,21 @@
                 let id = b.attempt().task.job;
                 let job = self.view.jobs.get(&id).filter(|_| !floors.shields(id))?;
                 let k = self.view.job_slice(id, job.spec());
-                let team = self.cfg.team(&job.spec().crew);
+                let team = self.cfg.team(&job.spec().team);
                 let borrowed = team.is_some_and(|t| {
-                    let used = self.view.used(k, &job.spec().crew);
+                    let used = self.view.used(k, &job.spec().team);
                     used.0 > t.guarantee.0 + job.spec().need.cores
                 });
                 Some(Running {
                     booking: *b,
                     need: job.spec().need,
-                    urgency: job.urgency(),
+                    priority: job.priority(),
                     borrowed,
                 })
             })
             .collect();
         // The more urgent are never reached; of the rest the latest have the least to lose.
-        running.sort_by_key(|r| (r.urgency, r.booking.2));
+        running.sort_by_key(|r| (r.priority, r.booking.2));
         running
     }
 
@@ -240,14 +241,14 @@
         let now = self.now.day;
         let latest = self.latest_start(job);
         self.starts_at_once(job.spec())
-            || latest < now + Micros::secs(5) && now < latest + job.spec().guess
+            || latest < now + Micros::secs(5) && now < latest + job.spec().estimated_runtime
     }
 
     /// Whether one more task of the job is beyond its team's guarantee.
     fn borrows(&self, job: &Job, k: Slice) -> bool {
         let spec = job.spec();
-        self.cfg.team(&spec.crew).is_some_and(|t| {
-            let used = self.view.used(k, &spec.crew);
+        self.cfg.team(&spec.team).is_some_and(|t| {
+            let used = self.view.used(k, &spec.team);
             // A team without a guarantee is always beyond it.
             used.0 + spec.need.cores > t.guarantee.0
                 || spec.need.accelerators > 0 && used.1 + spec.need.accelerators > t.guarantee.1
@@ -258,7 +259,7 @@
         let mut zones = BTreeMap::new();
         for p in self.view.booked(id).into_iter().flat_map(|b| b.values()) {
             if let Some(r) = self.view.machine(p.machine) {
-                *zones.entry(&*r.yard).or_default() += 1;
+                *zones.entry(&*r.zone).or_default() += 1;
             }
         }
         zones
@@ -267,7 +268,7 @@
     /// Whether a job's team has no slice yet, see [`Controller::unplaced`].
     pub(in crate::coordination) fn unplaced_job(&self, job: &Job) -> bool {
         self.cfg
-            .team(&job.spec().crew)
+            .team(&job.spec().team)
             .is_some_and(|t| self.unplaced(t))
     }
 
@@ -285,7 +286,7 @@
             let key: Precedence = (
                 suspect,
                 borrows,
-                job.urgency(),
+                job.priority(),
                 self.latest_start(job),
                 job.record.submitted,
             );
--- a/src/coordination/rounds/drafting.rs
+++ b/src/coordination/rounds/drafting.rs
@@ -27,10 +27,10 @@
     }
 
     /// Bytes that a machine's record takes when the machine is full of the smallest tasks there are.
-    fn full_bytes(&self, build: &str) -> usize {
+    fn full_bytes(&self, machine_type: &str) -> usize {
         let room = self
             .view
-            .machine_type(build)
+            .machine_type(machine_type)
             .map(|t| t.room)
             .unwrap_or_default();
         let tasks = self
@@ -115,7 +115,7 @@
             let full = self.full_sizes();
             for m in &self.rounds.adds {
                 if let Some(s) = self.sessions.get(m) {
-                    let full = |build: &str| full.get(build).copied().unwrap_or(0);
+                    let full = |machine_type: &str| full.get(machine_type).copied().unwrap_or(0);
                     draft.add(view.machine_slice(*m), *m, s.record(), &full);
                 }
             }
@@ -131,7 +131,7 @@
             .jobs
             .iter()
             .filter(|(id, j)| {
-                let over = j.cancelled() || j.done() >= j.spec().pieces;
+                let over = j.cancelled() || j.done() >= j.spec().task_count;
                 over && view.booked(**id).is_none() && self.owns(view.job_slice(**id, j.spec()))
             })
             .map(|(id, _)| *id)
@@ -210,7 +210,7 @@
             return None;
         }
         let full = self.full_sizes();
-        let full = |build: &str| full.get(build).copied().unwrap_or(0);
+        let full = |machine_type: &str| full.get(machine_type).copied().unwrap_or(0);
         let me = self.me();
         for key in &self.rounds.large {
             let mut draft = Draft::new(&self.view, limits);
@@ -316,11 +316,11 @@
             .filter_map(|(k, group, machine, free)| {
                 // A machine that the draft adds is planned on in the next round.
                 let r = self.view.machine(machine)?;
-                let rests = !self.zones.takes_work(&r.yard, machine, self.now.steady);
+                let rests = !self.zones.takes_work(&r.zone, machine, self.now.steady);
                 if rests && waited.is_empty() {
                     return None;
                 }
-                let t = self.view.machine_type(&r.build)?;
+                let t = self.view.machine_type(&r.machine_type)?;
                 let there = match house {
                     Some(h) if h.beside => draft
                         .machine(machine)
@@ -331,8 +331,8 @@
                     machine,
                     group,
                     owner: owners[k],
-                    build: &r.build,
-                    yard: &r.yard,
+                    machine_type: &r.machine_type,
+                    zone: &r.zone,
                     spot: r.spot,
                     price: core_price(t, r.spot),
                     all: t.room,
--- a/src/coordination/rounds/floors.rs
+++ b/src/coordination/rounds/floors.rs
@@ -19,7 +19,10 @@
 
 impl<'a> Kin<'a> {
     fn of(job: &'a Job) -> [Kin<'a>; 2] {
-        [Kin::Class(&job.spec().lane), Kin::Team(&job.spec().crew)]
+        [
+            Kin::Class(&job.spec().job_class),
+            Kin::Team(&job.spec().team),
+        ]
     }
 }
 
@@ -124,7 +127,7 @@
         let room = self
             .view
             .machines_up()
-            .filter_map(|(_, r)| self.view.machine_type(&r.build))
+            .filter_map(|(_, r)| self.view.machine_type(&r.machine_type))
             .map(|t| t.room.cores)
             .sum();
         let (classes, teams): (Vec<_>, Vec<_>) = parts
--- a/src/coordination/rounds/order.rs
+++ b/src/coordination/rounds/order.rs
@@ -17,7 +17,7 @@
         let spec = job.spec();
         // Deadlines count from the submission, everything else from when the job could begin.
         let ready = job.record.submitted.max(job.stage.ready_at);
-        let due = spec.due.map_or_else(
+        let due = spec.deadline.map_or_else(
             || ready + self.finish_aim(spec),
             |d| job.record.submitted + d,
         );
@@ -38,7 +38,7 @@
     /// to start at once.
     pub(in crate::coordination) fn price_limit(&self, job: &Job) -> u64 {
         let spec = job.spec();
-        let margin = Micros::secs(10) + Micros(spec.guess.0 / 4);
+        let margin = Micros::secs(10) + Micros(spec.estimated_runtime.0 / 4);
 
         if self.starts_at_once(spec) || self.latest_start(job) < self.now.day + margin {
             u64::MAX
@@ -60,12 +60,12 @@
             return u64::MAX;
         }
         let limit = self.price_limit(job);
-        let cheap = |(build, yard, spot): &(&str, &str, bool)| {
-            self.view.machine_type(build).is_some_and(|t| {
+        let cheap = |(machine_type, zone, spot): &(&str, &str, bool)| {
+            self.view.machine_type(machine_type).is_some_and(|t| {
                 spec.need.fits(&t.room)
-                    && spec.allows(build, yard, *spot)
+                    && spec.allows(machine_type, zone, *spot)
                     && core_price(t, *spot) <= limit
-                    && self.may_hire(id, build, yard, *spot)
+                    && self.may_provision(id, machine_type, zone, *spot)
             })
         };
         if limit < u64::MAX && !kinds.iter().any(cheap) {
@@ -76,7 +76,8 @@
     }
 
     pub(super) fn fair_price(&self, spec: &JobSpec) -> u64 {
-        let allows = |build: &str, yard: &str, spot: bool| spec.allows(build, yard, spot);
+        let allows =
+            |machine_type: &str, zone: &str, spot: bool| spec.allows(machine_type, zone, spot);
         self.view
             .types
             .value
@@ -106,7 +107,7 @@
     }
 
     fn objectives<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = ObjectiveKind> + 'a {
-        let of_class = |class: &Option<String>| class.as_ref().is_none_or(|c| *c == spec.lane);
+        let of_class = |class: &Option<String>| class.as_ref().is_none_or(|c| *c == spec.job_class);
         self.cfg
             .objectives
             .iter()
@@ -121,6 +122,6 @@
             ObjectiveKind::Finished(t) => Some(t),
             _ => None,
         });
-        aim.unwrap_or(spec.guess * 2 + Micros::secs(300))
+        aim.unwrap_or(spec.estimated_runtime * 2 + Micros::secs(300))
     }
 }
--- a/src/coordination/rules.rs
+++ b/src/coordination/rules.rs
@@ -203,9 +203,9 @@
                 .view
                 .rules
                 .values()
-                .filter_map(|s| Some((s.stamp, Arc::clone(s.value.as_ref()?))))
+                .filter_map(|s| Some((s.mod_revision, Arc::clone(s.value.as_ref()?))))
                 .collect();
-            sets.sort_by_key(|(stamp, _)| *stamp);
+            sets.sort_by_key(|(mod_revision, _)| *mod_revision);
             rules.unreadable = self.view.rules.values().any(|s| s.value.is_none());
             rules.sets = sets.into_iter().map(|(_, s)| s).collect();
             if let Some(own) = rules
@@ -225,7 +225,7 @@
         {
             return;
         }
-        let judged = (self.view.types.stamp, self.view.classes.generation());
+        let judged = (self.view.types.mod_revision, self.view.classes.generation());
         if rules.stale || judged != rules.judged {
             let Some(catalog) = &self.view.types.value else {
                 return;
@@ -322,10 +322,10 @@
         let fits = |n: &ClassId| {
             let c = &classes.all()[*n];
             classes.possible(*n)
-                && spec.allows(&c.build, &c.yard, c.spot)
+                && spec.allows(&c.machine_type, &c.zone, c.spot)
                 && self
                     .view
-                    .machine_type(&c.build)
+                    .machine_type(&c.machine_type)
                     .is_some_and(|t| spec.need.fits(&t.room))
         };
         (0..classes.all().len()).filter(fits).collect()
@@ -344,7 +344,7 @@
         let classes = &self.view.classes;
         // What could not be there within the whole wait is not waited for at all.
         let in_time = |c: ClassId, wait| {
-            classes.is_up(c) || self.expected_boot(&classes.all()[c].build) <= wait
+            classes.is_up(c) || self.expected_boot(&classes.all()[c].machine_type) <= wait
         };
         a.insists(
             &self.possible_classes(job.spec()),
@@ -371,11 +371,17 @@
     }
 
     /// Whether rules let a job on machines of a type, zone and kind.
-    pub(super) fn may_hire(&self, id: JobId, build: &str, yard: &str, spot: bool) -> bool {
+    pub(super) fn may_provision(
+        &self,
+        id: JobId,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+    ) -> bool {
         self.rules.admissions.get(&id).is_none_or(|a| {
             self.view
                 .classes
-                .of_offer(build, yard, spot)
+                .of_offer(machine_type, zone, spot)
                 .is_some_and(|c| a.may(c, 0))
         })
     }
@@ -433,12 +439,12 @@
         if let Some(least) = least.map(|(_, s)| left(s.wait)).min() {
             let in_time = |c: &ClassId| {
                 admission.may_fresh(*c, insisted)
-                    && self.expected_boot(&classes.all()[*c].build) <= least
+                    && self.expected_boot(&classes.all()[*c].machine_type) <= least
             };
             if !possible.iter().any(in_time) {
                 let boots = possible.iter().filter(|c| admission.may_fresh(**c, 0));
                 if boots
-                    .map(|c| self.expected_boot(&classes.all()[*c].build))
+                    .map(|c| self.expected_boot(&classes.all()[*c].machine_type))
                     .min()
                     < Some(least)
                 {
@@ -545,7 +551,7 @@
         if a.barred {
             let sites: Vec<(ClassId, &MachineRecord, Vec<JobId>)> = self
                 .up()
-                .filter(|(_, r)| spec.allows(&r.build, &r.yard, r.spot))
+                .filter(|(_, r)| spec.allows(&r.machine_type, &r.zone, r.spot))
                 .filter_map(|(m, r)| Some((classes.of(m)?, r, jobs_there(&r.tasks))))
                 .collect();
             let sites = sites.iter().map(|(c, r, there)| site(&house, *c, r, there));
@@ -609,7 +615,7 @@
                 then: vec![Put {
                     key,
                     value: encode(&**own),
-                    permit: None,
+                    lease_id: None,
                 }],
             }
         } else {
@@ -654,9 +660,9 @@
             .view
             .nodes
             .iter()
-            .map(|(n, s)| (Key::Node(n.clone()), s.stamp));
+            .map(|(n, s)| (Key::Node(n.clone()), s.mod_revision));
         let key = Key::Rules(*digest);
-        let when = [(key.clone(), set.stamp)]
+        let when = [(key.clone(), set.mod_revision)]
             .into_iter()
             .chain(nodes)
             .take(self.limits.txn_ops() * 4)
@@ -666,7 +672,7 @@
             then: vec![Put {
                 key,
                 value: None,
-                permit: None,
+                lease_id: None,
             }],
         })
     }
@@ -718,11 +724,15 @@
         )
     }
 
-    fn offer(&self, build: &str, yard: &str, spot: bool) -> Option<u32> {
+    fn offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u32> {
         let Some(a) = self.admission else {
             return Some(0);
         };
-        let class = self.controller.view.classes.of_offer(build, yard, spot)?;
+        let class = self
+            .controller
+            .view
+            .classes
+            .of_offer(machine_type, zone, spot)?;
         a.may_fresh(class, self.insisted)
             .then(|| a.fresh_worth(class))
     }
--- a/src/coordination/served.rs
+++ b/src/coordination/served.rs
@@ -17,15 +17,15 @@
 }
 
 /// A job's class and team, each with what it is.
-fn kin(lane: &str, crew: &str) -> [(&'static str, String); 2] {
-    [("class", lane.to_owned()), ("team", crew.to_owned())]
+fn kin(job_class: &str, team: &str) -> [(&'static str, String); 2] {
+    [("class", job_class.to_owned()), ("team", team.to_owned())]
 }
 
 impl Served {
     /// A job has ended; what is not known to be done is not counted.
     pub fn note(&mut self, ended: &Ended) {
         if ended.how.is_some_and(|f| !f.cancelled) {
-            for of in kin(&ended.lane, &ended.crew) {
+            for of in kin(&ended.job_class, &ended.team) {
                 self.0.entry(of).or_default().done += 1;
             }
         }
@@ -43,7 +43,7 @@
             let spec = job.spec();
             let running = u64::from(self.view.booked_count(*id));
             let waiting = u64::from(self.view.pending_count(*id, job));
-            for of in kin(&spec.lane, &spec.crew) {
+            for of in kin(&spec.job_class, &spec.team) {
                 let count = counts.entry(of).or_default();
                 count.running += running;
                 count.waiting += waiting;
--- a/src/coordination/sessions.rs
+++ b/src/coordination/sessions.rs
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 struct Direct {
     call: CallId,
-    baton: u64,
+    fencing_token: u64,
     session: u64,
     launches: Vec<Attempt>,
 }
@@ -29,8 +29,8 @@
 #[derive(Debug)]
 pub struct Session {
     endpoint: String,
-    build: String,
-    yard: String,
+    machine_type: String,
+    zone: String,
     spot: bool,
     order: (u64, u64),
     /// The worker reported a token of this tenure: no earlier owner commands it any more.
@@ -48,7 +48,7 @@
     unreachable: bool,
     /// The last report that was answered 200, and the highest token that was reported.
     told: Option<(u64, u64)>,
-    baton: u64,
+    fencing_token: u64,
     /// Reports in a row that do not show that the worker hears: it may be deaf, or they may be copies.
     unheeding: u32,
     seen: Vec<(Attempt, TaskState)>,
@@ -57,7 +57,7 @@
 
     /// Sessions up to this one are never answered 200 again.
     refused: u64,
-    recall_at: Option<Micros>,
+    reclaimed_at: Option<Micros>,
     direct: Option<Direct>,
     /// Direct launches without an answer: attempt, token, session.
     unsettled: Vec<(Attempt, u64, u64)>,
@@ -68,11 +68,11 @@
 }
 
 impl Session {
-    fn new(endpoint: &str, build: &str, yard: &str, spot: bool) -> Session {
+    fn new(endpoint: &str, machine_type: &str, zone: &str, spot: bool) -> Session {
         Session {
             endpoint: endpoint.to_owned(),
-            build: build.to_owned(),
-            yard: yard.to_owned(),
+            machine_type: machine_type.to_owned(),
+            zone: zone.to_owned(),
             spot,
             order: (0, 0),
             heard: false,
@@ -82,14 +82,14 @@
             last_report: None,
             unreachable: false,
             told: None,
-            baton: 0,
+            fencing_token: 0,
             unheeding: 0,
             seen: Vec::new(),
             launched: BTreeSet::new(),
             started: BTreeMap::new(),
 
             refused: 0,
-            recall_at: None,
+            reclaimed_at: None,
             direct: None,
             unsettled: Vec::new(),
             unsettled_since: Micros::ZERO,
@@ -114,13 +114,16 @@
             && self.told == Some(self.order)
             && report.order == (self.order.0, self.order.1 + 1);
         let first = self.order == (0, 0);
-        if stayed || report.baton >= first_term && (first || alone || report.baton > self.baton) {
+        if stayed
+            || report.fencing_token >= first_term
+                && (first || alone || report.fencing_token > self.fencing_token)
+        {
             self.heeds(now);
         } else {
             self.word = Some(now);
             self.unheeding = self.unheeding.saturating_add(1);
         }
-        self.baton = self.baton.max(report.baton);
+        self.fencing_token = self.fencing_token.max(report.fencing_token);
     }
 
     /// Whether reports come from it, but nothing that it is told arrives.
@@ -161,7 +164,7 @@
             return true;
         };
         let mut room = view
-            .machine_type(&record.build)
+            .machine_type(&record.machine_type)
             .map(|t| t.room)
             .unwrap_or_default();
         for (t, state) in &self.seen {
@@ -190,7 +193,7 @@
             self.bound = now;
         }
         self.order = report.order;
-        if !self.heard && report.baton >= first_term {
+        if !self.heard && report.fencing_token >= first_term {
             self.heard = true;
             self.bound = now;
         }
@@ -222,8 +225,8 @@
     /// The record of a machine that is heard for the first time.
     pub fn record(&self) -> MachineRecord {
         MachineRecord {
-            build: self.build.as_str().into(),
-            yard: self.yard.as_str().into(),
+            machine_type: self.machine_type.as_str().into(),
+            zone: self.zone.as_str().into(),
             spot: self.spot,
             endpoint: self.endpoint.parse().ok(),
             fitness: Fitness::Up,
@@ -287,7 +290,7 @@
             .machines_of(k)
             .map(|(m, r)| {
                 let endpoint = r.endpoint.map(|e| e.to_string()).unwrap_or_default();
-                let mut s = Session::new(&endpoint, &r.build, &r.yard, r.spot);
+                let mut s = Session::new(&endpoint, &r.machine_type, &r.zone, r.spot);
                 s.refused = r.dead;
                 (m, s)
             })
--- a/src/coordination/sessions/commands.rs
+++ b/src/coordination/sessions/commands.rs
@@ -8,13 +8,13 @@
 use crate::coordination::rules::log_forbidden;
 use crate::coordination::{CallId, Controller, Effect, Purpose};
 use crate::protocol::settings::Settings;
-use crate::protocol::worker::{Ended, Order, Report, TaskState, direct_body};
+use crate::protocol::worker::{Command, Ended, Report, TaskState, command_body};
 
 /// The time that a task of this job is given to save when it is stopped.
-fn leeway(job: Option<&Job>) -> Micros {
+fn grace_period(job: Option<&Job>) -> Micros {
     let spec = job.map(Job::spec);
-    spec.filter(|s| s.bookmark > Micros::ZERO)
-        .map_or(Micros::ZERO, |s| s.stash.with_drift())
+    spec.filter(|s| s.checkpoint_interval > Micros::ZERO)
+        .map_or(Micros::ZERO, |s| s.checkpoint_duration.with_drift())
 }
 
 /// Whether more is booked for a job's team than it may have. Nobody books that who knows the limit, so it was booked
@@ -23,13 +23,13 @@
     let Some(spec) = view.jobs.get(&job).map(Job::spec) else {
         return false;
     };
-    let Some(team) = cfg.team(&spec.crew) else {
+    let Some(team) = cfg.team(&spec.team) else {
         return false;
     };
     if team.cores_limit.is_none() && team.accelerators_limit.is_none() {
         return false;
     }
-    let used = view.used(view.job_slice(job, spec), &spec.crew);
+    let used = view.used(view.job_slice(job, spec), &spec.team);
     team.cores_limit.is_some_and(|most| used.0 > most)
         || team.accelerators_limit.is_some_and(|most| used.1 > most)
 }
@@ -38,7 +38,7 @@
     /// What the worker must be told, by its newest report and the copy. What the report proves is
     /// handed to the next round. `in_answer`: to a report; otherwise an earlier answer may still be
     /// on its way.
-    pub(super) fn orders(&mut self, k: Slice, machine: MachineId, in_answer: bool) -> Vec<Order> {
+    pub(super) fn orders(&mut self, k: Slice, machine: MachineId, in_answer: bool) -> Vec<Command> {
         let mut orders = Vec::new();
         let now = self.now.steady;
         let Some(s) = self.sessions.get_mut(&machine) else {
@@ -82,25 +82,25 @@
                 (true, state) => {
                     let job = self.view.jobs.get(&a.task.job);
                     if job.is_none_or(Job::cancelled) {
-                        orders.push(Order::Stop(*a, Micros::ZERO));
+                        orders.push(Command::Stop(*a, Micros::ZERO));
                     } else if preempted.contains(&Booking::of(*a)) {
-                        orders.push(Order::Stop(*a, leeway(job)));
+                        orders.push(Command::Stop(*a, grace_period(job)));
                     } else if *state == TaskState::Fetching
                         && self.rules.forbid_start(&self.view, machine, a.task.job)
                     {
                         log_forbidden(a.task, machine);
-                        orders.push(Order::Stop(*a, Micros::ZERO));
+                        orders.push(Command::Stop(*a, Micros::ZERO));
                     } else if let (Some(at), Some(job), TaskState::Running) =
-                        (s.recall_at, job, state)
+                        (s.reclaimed_at, job, state)
                     {
                         let spec = job.spec();
                         let left = at.since(now);
                         let ran = s.started.get(a).map_or(Micros::ZERO, |t| now.since(*t));
-                        let saves = spec.bookmark > Micros::ZERO;
-                        if saves && left < spec.stash + self.cfg.report * 2 {
-                            orders.push(Order::Stop(*a, spec.stash.with_drift()));
-                        } else if !saves && spec.guess.since(ran) > left * 2 {
-                            orders.push(Order::Stop(*a, Micros::ZERO));
+                        let saves = spec.checkpoint_interval > Micros::ZERO;
+                        if saves && left < spec.checkpoint_duration + self.cfg.report * 2 {
+                            orders.push(Command::Stop(*a, spec.checkpoint_duration.with_drift()));
+                        } else if !saves && spec.estimated_runtime.since(ran) > left * 2 {
+                            orders.push(Command::Stop(*a, Micros::ZERO));
                         }
                     }
                 }
@@ -108,12 +108,12 @@
                 // any more: it would run again.
                 (false, TaskState::Exited(_)) => {
                     if s.heard && s.settled(a) {
-                        orders.push(Order::Forget(*a));
+                        orders.push(Command::Forget(*a));
                     } else if s.heard && !s.unsettled.is_empty() {
                         self.ownership.raise_later(k, s.unsettled_since, now);
                     }
                 }
-                (false, _) => orders.push(Order::Stop(*a, Micros::ZERO)),
+                (false, _) => orders.push(Command::Stop(*a, Micros::ZERO)),
             }
         }
         for b in booked {
@@ -129,7 +129,7 @@
             let beyond = beyond_limit(&self.view, &self.cfg, a.task.job);
             let unwanted = job.is_none_or(Job::cancelled)
                 || fitness != Fitness::Up
-                || s.recall_at.is_some()
+                || s.reclaimed_at.is_some()
                 || preempted.contains(b)
                 || beyond
                 || forbidden;
@@ -139,7 +139,7 @@
             if !unwanted {
                 s.launched.insert(a);
                 if in_answer {
-                    orders.push(Order::Launch(a));
+                    orders.push(Command::Launch(a));
                 } else {
                     self.to_command.insert(machine);
                     s.launched.remove(&a);
@@ -196,9 +196,13 @@
                 if (cancelled || preempted)
                     && seen.is_some_and(|t| !matches!(t, TaskState::Exited(_)))
                 {
-                    orders.push(Order::Stop(
+                    orders.push(Command::Stop(
                         a,
-                        if cancelled { Micros::ZERO } else { leeway(job) },
+                        if cancelled {
+                            Micros::ZERO
+                        } else {
+                            grace_period(job)
+                        },
                     ));
                 } else if heard
                     && !cancelled
@@ -206,13 +210,13 @@
                     && seen.is_none()
                     && s.has_room(&self.view, Some(record), &a)
                     && record.fitness == Fitness::Up
-                    && s.recall_at.is_none()
+                    && s.reclaimed_at.is_none()
                     && !self.rounds.clearing(m, a)
                     && !beyond_limit(&self.view, &self.cfg, a.task.job)
                     && !self.rules.forbid_launch(&self.view, m, record, a.task.job)
                     && s.launched.insert(a)
                 {
-                    orders.push(Order::Launch(a));
+                    orders.push(Command::Launch(a));
                     launches.push(a);
                 }
             }
@@ -249,7 +253,7 @@
             }
             for a in direct.launches {
                 s.launched.remove(&a);
-                s.unsettled.push((a, direct.baton, direct.session));
+                s.unsettled.push((a, direct.fencing_token, direct.session));
             }
             return;
         };
@@ -269,11 +273,11 @@
     pub(in crate::coordination) fn command(
         &mut self,
         m: MachineId,
-        orders: Vec<Order>,
+        orders: Vec<Command>,
         launches: Vec<Attempt>,
     ) {
         let k = self.view.machine_slice(m);
-        let baton = self.view.own[k].stamp;
+        let fencing_token = self.view.own[k].mod_revision;
         let Some(s) = self
             .sessions
             .get(&m)
@@ -282,12 +286,12 @@
             return;
         };
         let (endpoint, session) = (s.endpoint.clone(), s.order.0);
-        let body = direct_body(baton, session, &orders);
+        let body = command_body(fencing_token, session, &orders);
         let call = self.call(Purpose::Direct(m));
         if let Some(s) = self.sessions.get_mut(&m) {
             s.direct = Some(Direct {
                 call,
-                baton,
+                fencing_token,
                 session,
                 launches,
             });
--- a/src/coordination/sessions/reports.rs
+++ b/src/coordination/sessions/reports.rs
@@ -29,9 +29,9 @@
         if self.is_out_of_contact() {
             return ReportAnswer::Unavailable;
         }
-        let baton = self.view.own[k].stamp;
-        if report.baton > baton {
-            tracing::info!(machine = %report.machine, theirs = report.baton, ours = baton, "a worker has a newer token");
+        let fencing_token = self.view.own[k].mod_revision;
+        if report.fencing_token > fencing_token {
+            tracing::info!(machine = %report.machine, theirs = report.fencing_token, ours = fencing_token, "a worker has a newer token");
             self.reader.want_barrier();
             return ReportAnswer::Unavailable;
         }
@@ -43,8 +43,8 @@
         }
         let dead = self.view.machine(report.machine).map_or(0, |r| r.dead);
         let session = self.sessions.entry(report.machine).or_insert_with(|| {
-            tracing::info!(machine = %report.machine, build = report.build, spot = report.spot, "heard for the first time");
-            Session::new(&report.endpoint, &report.build, &report.yard, report.spot)
+            tracing::info!(machine = %report.machine, machine_type = report.machine_type, spot = report.spot, "heard for the first time");
+            Session::new(&report.endpoint, &report.machine_type, &report.zone, report.spot)
         });
         if session.endpoint != report.endpoint {
             session.endpoint.clone_from(&report.endpoint);
@@ -71,7 +71,10 @@
         }
         let orders = self.orders(k, report.machine, newer);
         self.ask_whether_it_hears(report.machine);
-        ReportAnswer::Orders { baton, orders }
+        ReportAnswer::Orders {
+            fencing_token,
+            orders,
+        }
     }
 
     /// Whether a launch may still reach a machine whose job was cancelled so long ago that its lease must end.
@@ -109,8 +112,9 @@
         };
         s.takes(now, report, tenure.first);
         s.seen.clone_from(&report.tasks);
-        s.unsettled
-            .retain(|(_, baton, session)| report.baton <= *baton && report.session() <= *session);
+        s.unsettled.retain(|(_, fencing_token, session)| {
+            report.fencing_token <= *fencing_token && report.session() <= *session
+        });
         for (a, state) in &report.tasks {
             if *state == TaskState::Running {
                 s.started.entry(*a).or_insert(now);
@@ -120,11 +124,11 @@
             s.started
                 .retain(|a, _| report.tasks.iter().any(|(t, _)| t == a));
         }
-        let recall_at = report.recall.map(|r| now + r);
-        if recall_at.is_some() && s.recall_at.is_none() {
+        let reclaimed_at = report.preemption_notice.map(|r| now + r);
+        if reclaimed_at.is_some() && s.reclaimed_at.is_none() {
             tracing::info!(machine = %report.machine, "the cloud will take it back");
         }
-        s.recall_at = recall_at;
+        s.reclaimed_at = reclaimed_at;
         // The first word of a machine may be a copy of a report of one that is gone. Who owns the slice for long
         // remembers those.
         let copies = self.cfg.lease * 3;
@@ -146,7 +150,7 @@
                         tracing::info!(machine = %report.machine, "deaf: it reports, but hears nothing");
                     }
                     Fitness::Lost
-                } else if recall_at.is_some() || s.faulty {
+                } else if reclaimed_at.is_some() || s.faulty {
                     Fitness::Draining
                 } else {
                     Fitness::Up
--- a/src/coordination/sessions/tests.rs
+++ b/src/coordination/sessions/tests.rs
@@ -5,9 +5,9 @@
 
 const TERM: u64 = 40;
 
-fn report(session: u64, number: u64, baton: u64) -> Report {
+fn report(session: u64, number: u64, fencing_token: u64) -> Report {
     let body = format!(
-        r#"{{"host":"i-000007","endpoint":"10.1.0.7:9000","build":"g8","yard":"a","loaners":true,"shift":{session},"tally":{number},"baton":{baton},"recallS":null,"pieces":[]}}"#
+        r#"{{"host":"i-000007","endpoint":"10.1.0.7:9000","build":"g8","yard":"a","loaners":true,"shift":{session},"tally":{number},"baton":{fencing_token},"recallS":null,"pieces":[]}}"#
     );
     Report::parse(body.as_bytes()).expect("a report")
 }
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -211,9 +211,9 @@
         if !types.types.iter().any(|t| spec.fits_type(t)) {
             return Some("a task fits no allowed machine type");
         }
-        let team = self.cfg.team(&spec.crew)?;
+        let team = self.cfg.team(&spec.team)?;
         let tasks = if spec.together() {
-            u64::from(spec.pieces)
+            u64::from(spec.task_count)
         } else {
             1
         };
@@ -258,7 +258,7 @@
         let live = self.view.jobs.get(&id);
         match &request.kind {
             RequestKind::Submit(spec) if live.is_none() => {
-                if self.cfg.team(&spec.crew).is_none() {
+                if self.cfg.team(&spec.team).is_none() {
                     request.kind = RequestKind::Refuse(UserAnswer::Never("unknown team".into()));
                 } else if self.view.types.value.is_none() || self.view.slices() == 0 {
                     return self.answer(&request, Self::LATER);
@@ -271,7 +271,7 @@
                         }
                         NotTaken::Later => return self.answer(&request, Self::LATER),
                     }
-                } else if spec.awaits.is_empty() {
+                } else if spec.dependencies.is_empty() {
                     self.users.submits.push(request);
                     return;
                 } else if !self.takes_pipelines() {
--- a/src/coordination/users/changes.rs
+++ b/src/coordination/users/changes.rs
@@ -21,9 +21,11 @@
 
     pub(super) fn new_record(&self, spec: &JobSpec, submitted: Micros) -> JobRecord {
         let mut spec = spec.clone();
-        if let (Some(builds), Some(types)) = (&mut spec.builds, &self.view.types.value) {
+        if let (Some(machine_types), Some(types)) =
+            (&mut spec.machine_types, &self.view.types.value)
+        {
             // Types that the cloud does not know cannot be hired; an empty list stays one.
-            builds.retain(|b| types.get(b).is_some());
+            machine_types.retain(|b| types.get(b).is_some());
         }
         JobRecord {
             spec,
@@ -48,7 +50,7 @@
             let value = encode(&self.new_record(spec, request.day).terse(self.view.terse()));
             // Room for a full bitmap and the machines to avoid must be left.
             let size = value.as_ref().map_or(0, |v| v.get().len());
-            let spare = 1_600.min(spec.pieces as usize / 4 + 200);
+            let spare = 1_600.min(spec.task_count as usize / 4 + 200);
             if size + spare > self.limits.value_bytes() {
                 self.answer(&request, UserAnswer::Bad("too large".into()));
                 continue;
@@ -63,7 +65,7 @@
             txn.then.push(Put {
                 key: Key::Job(request.id),
                 value,
-                permit: None,
+                lease_id: None,
             });
             sent.push(request);
         }
@@ -78,7 +80,7 @@
         result: Result<StateReply, CallError>,
     ) {
         match result {
-            Ok(StateReply::Applied(epoch)) => {
+            Ok(StateReply::Applied(revision)) => {
                 let mut touched = Touched::default();
                 let changes: Vec<Change> = batch
                     .iter()
@@ -91,14 +93,15 @@
                             content: Some(Content::Job(Box::new(
                                 self.new_record(spec, request.day),
                             ))),
-                            stamp: epoch,
+                            mod_revision: revision,
                         })
                     })
                     .collect();
                 self.view.apply(changes, &mut touched);
                 for request in batch {
                     if let RequestKind::Submit(spec) = &request.kind {
-                        tracing::info!(job = %request.id, lane = spec.lane, crew = spec.crew, pieces = spec.pieces, cores = spec.need.cores as f64 / 1e3, "accepted");
+                        // Named as in the submission: log analysis joins the two by these fields.
+                        tracing::info!(job = %request.id, lane = spec.job_class, crew = spec.team, pieces = spec.task_count, cores = spec.need.cores as f64 / 1e3, "accepted");
                     }
                     // The watch may have brought its cancellation, or its end, before this answer; and of a
                     // job that awaits others it may not be known yet whether one of these is cancelled.
@@ -167,11 +170,11 @@
             ..job.record.clone().terse(self.view.terse())
         };
         let txn = Txn {
-            when: vec![(Key::Job(request.id), job.stamp)],
+            when: vec![(Key::Job(request.id), job.mod_revision)],
             then: vec![Put {
                 key: Key::Job(request.id),
                 value: encode(&record),
-                permit: None,
+                lease_id: None,
             }],
         };
         self.ask_state(Purpose::Abort(request), StateRequest::Txn(txn));
@@ -183,7 +186,7 @@
         result: Result<StateReply, CallError>,
     ) {
         match result {
-            Ok(StateReply::Applied(epoch)) => {
+            Ok(StateReply::Applied(revision)) => {
                 tracing::info!(job = %request.id, "cancelled by its user");
                 let mut answer = JobAnswer {
                     id: request.id,
@@ -201,7 +204,7 @@
                     let change = Change {
                         key: Key::Job(request.id),
                         content: Some(Content::Job(Box::new(record))),
-                        stamp: epoch,
+                        mod_revision: revision,
                     };
                     let mut touched = Touched::default();
                     self.view.apply([change], &mut touched);
--- a/src/coordination/users/reads.rs
+++ b/src/coordination/users/reads.rs
@@ -21,10 +21,10 @@
         }
         let mut missing = None;
         let mut refuse = None;
-        for name in &spec.awaits {
+        for name in &spec.dependencies {
             match self.view.jobs.get(name) {
                 _ if *name == request.id => refuse = Some("it awaits itself"),
-                Some(j) if j.spec().standing => {
+                Some(j) if j.spec().service => {
                     refuse = Some("it awaits a job that does not end by itself")
                 }
                 Some(_) => {}
@@ -87,7 +87,7 @@
                         let a = final_answer(request.id, *f);
                         self.answer(&request, UserAnswer::Is(a));
                     }
-                    None if matches!(&request.kind, RequestKind::Submit(s) if !s.awaits.is_empty()) => {
+                    None if matches!(&request.kind, RequestKind::Submit(s) if !s.dependencies.is_empty()) => {
                         self.consider(request, true)
                     }
                     None if self.users.absent.contains(&request.id) => self.decide_absent(request),
--- a/src/coordination/zones.rs
+++ b/src/coordination/zones.rs
@@ -33,21 +33,21 @@
 
 impl Zones {
     /// Whether the zone may be lost, or seems to be.
-    pub fn is_in_doubt(&self, yard: &str) -> bool {
-        self.all.get(yard).is_some_and(Zone::is_in_doubt)
+    pub fn is_in_doubt(&self, zone: &str) -> bool {
+        self.all.get(zone).is_some_and(Zone::is_in_doubt)
     }
 
     /// Since when the zone seems to be cut off or dead, if it does.
-    fn lost_since(&self, yard: &str) -> Option<Micros> {
+    fn lost_since(&self, zone: &str) -> Option<Micros> {
         self.all
-            .get(yard)
+            .get(zone)
             .filter(|z| z.state() == State::Lost)
             .map(Zone::since)
     }
 
     /// Whether the zone seems to be cut off or dead.
-    pub fn is_lost(&self, yard: &str) -> bool {
-        self.lost_since(yard).is_some()
+    pub fn is_lost(&self, zone: &str) -> bool {
+        self.lost_since(zone).is_some()
     }
 
     /// Whether any zone is.
@@ -56,8 +56,8 @@
     }
 
     /// Whether a machine of a zone takes new work: of one that returns a growing part does.
-    pub fn takes_work(&self, yard: &str, m: MachineId, now: Micros) -> bool {
-        self.all.get(yard).is_none_or(|z| z.takes_work(m.0, now))
+    pub fn takes_work(&self, zone: &str, m: MachineId, now: Micros) -> bool {
+        self.all.get(zone).is_none_or(|z| z.takes_work(m.0, now))
     }
 }
 
@@ -90,7 +90,7 @@
         let heard = words.values().filter(|w| is_heard(w)).count();
         let deaf = self.deaf();
         let mut ask = Vec::new();
-        for (yard, w) in &mut words {
+        for (zone, w) in &mut words {
             let others_heard = !deaf && heard > usize::from(is_heard(w));
             let e = Evidence {
                 machines: w.machines,
@@ -99,14 +99,14 @@
                 heard_again: w.heard_again,
                 others_heard,
             };
-            let zone = self.zones.all.entry(yard.clone()).or_default();
-            if let Some(state) = zone.note(now, report, &e) {
+            let zone_health = self.zones.all.entry(zone.clone()).or_default();
+            if let Some(state) = zone_health.note(now, report, &e) {
                 let (machines, quiet, unanswered) = (e.machines, e.quiet, e.unanswered);
-                tracing::info!(zone = &**yard, ?state, machines, %quiet, unanswered, heard_again = e.heard_again, "the zone");
+                tracing::info!(zone = &**zone, ?state, machines, %quiet, unanswered, heard_again = e.heard_again, "the zone");
                 self.rounds.look();
                 self.fleet.look();
             }
-            if zone.is_in_doubt() {
+            if zone_health.is_in_doubt() {
                 w.silent.sort_unstable();
                 ask.extend(w.silent.iter().take(Zone::ASKED).map(|(_, m)| *m));
             }
@@ -129,7 +129,7 @@
             else {
                 continue;
             };
-            let w = words.entry(r.yard.clone()).or_default();
+            let w = words.entry(r.zone.clone()).or_default();
             // Of one that was never heard in this tenure silence tells nothing.
             let Some(word) = s.last_word() else { continue };
             let word = word.max(self.absence.back()).max(self.zones.since);
@@ -137,7 +137,7 @@
             w.last = w.last.max(word);
             w.heard_again += usize::from(
                 self.zones
-                    .lost_since(&r.yard)
+                    .lost_since(&r.zone)
                     .is_some_and(|since| word > since),
             );
             w.unanswered += usize::from(s.is_unreachable());
@@ -147,8 +147,8 @@
         }
         // A zone whose machines all belong to others still counts as one that there is.
         for (_, _, r) in self.view.machines() {
-            if !words.contains_key(&r.yard) {
-                words.entry(r.yard.clone()).or_default();
+            if !words.contains_key(&r.zone) {
+                words.entry(r.zone.clone()).or_default();
             }
         }
         words
@@ -165,7 +165,7 @@
             };
             if self
                 .zones
-                .lost_since(&r.yard)
+                .lost_since(&r.zone)
                 .is_some_and(|at| s.last_word().is_none_or(|word| word < at))
             {
                 marks.push((
@@ -202,7 +202,7 @@
             .unwrap_or_default();
         let by = self.now.day + self.cfg.lease + boot;
         for (_, _, r) in self.view.machines() {
-            if r.fitness == Fitness::Lost && self.zones.is_lost(&r.yard) {
+            if r.fitness == Fitness::Lost && self.zones.is_lost(&r.zone) {
                 for b in &r.tasks {
                     *lost.entry(JobId(b.0)).or_default() += 1;
                 }
@@ -247,12 +247,12 @@
             {
                 let spec = job.spec();
                 // When it began is not on record, but it was not before it was submitted.
-                if self.now.day.since(job.record.submitted) + lease < spec.guess {
+                if self.now.day.since(job.record.submitted) + lease < spec.estimated_runtime {
                     continue;
                 }
-                let ends = lease.0.min(spec.guess.0) as u128;
-                room +=
-                    (u128::from(spec.need.cores) * ends / u128::from(spec.guess.0.max(1))) as u64;
+                let ends = lease.0.min(spec.estimated_runtime.0) as u128;
+                room += (u128::from(spec.need.cores) * ends
+                    / u128::from(spec.estimated_runtime.0.max(1))) as u64;
             }
         }
         let mut taken = 0;
@@ -260,7 +260,7 @@
             let spec = job.spec();
             let came = self.now.day.since(job.record.submitted) < lease;
             let tasks = if came {
-                spec.pieces
+                spec.task_count
             } else {
                 self.view.pending_count(*id, job)
             };
@@ -287,16 +287,16 @@
         let mut room = 0;
         let mut lost = Vec::new();
         for (_, m, r) in self.view.machines() {
-            if r.fitness == Fitness::Up && !self.zones.is_in_doubt(&r.yard) {
+            if r.fitness == Fitness::Up && !self.zones.is_in_doubt(&r.zone) {
                 room += self.view.free(r).cores;
-            } else if r.fitness == Fitness::Releasing && self.zones.is_lost(&r.yard) {
+            } else if r.fitness == Fitness::Releasing && self.zones.is_lost(&r.zone) {
                 // What is on its way back already will want its room, too.
                 room = room.saturating_sub(self.cores_on(r));
             } else if r.fitness == Fitness::Lost
-                && self.zones.is_lost(&r.yard)
+                && self.zones.is_lost(&r.zone)
                 && let Some(job) = of(r).and_then(|id| self.view.jobs.get(&id))
             {
-                lost.push((job.urgency(), self.latest_start(job), m, self.cores_on(r)));
+                lost.push((job.priority(), self.latest_start(job), m, self.cores_on(r)));
             }
         }
         lost.sort_unstable();
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -24,16 +24,16 @@
     pub name_id: String,
     /// Its class.
     #[serde(rename = "lane")]
-    pub lane: String,
+    pub job_class: String,
     /// Its team.
     #[serde(rename = "crew")]
-    pub crew: String,
+    pub team: String,
     /// Its image.
     #[serde(rename = "bundle")]
-    pub bundle: String,
+    pub image: String,
     /// Its urgency.
     #[serde(rename = "urgency")]
-    pub urgency: String,
+    pub priority: String,
 }
 
 /// A machine to judge.
@@ -45,13 +45,13 @@
     pub host: String,
     /// Type.
     #[serde(rename = "build")]
-    pub build: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "yard")]
-    pub yard: String,
+    pub zone: String,
     /// Spot.
     #[serde(rename = "loaners", default)]
-    pub loaners: bool,
+    pub spot_allowed: bool,
     /// Images that it has or is fetching.
     #[serde(rename = "images", default)]
     pub images: Vec<String>,
@@ -120,10 +120,10 @@
     fn beside(&self, field: Field, words: &Words) -> bool {
         self.beside.iter().any(|(name, job)| {
             words.contains(match field {
-                Field::Lane => job.lane,
-                Field::Crew => job.crew,
+                Field::JobClass => job.job_class,
+                Field::Team => job.team,
                 Field::Image => job.image,
-                Field::Urgency => job.urgency,
+                Field::Priority => job.priority,
                 Field::Job => name,
             })
         })
@@ -133,10 +133,10 @@
 impl Resident {
     fn subject(&self) -> Subject<'_> {
         Subject {
-            lane: &self.lane,
-            crew: &self.crew,
-            image: &self.bundle,
-            urgency: &self.urgency,
+            job_class: &self.job_class,
+            team: &self.team,
+            image: &self.image,
+            priority: &self.priority,
         }
     }
 }
@@ -153,7 +153,7 @@
             .map(|(_, r)| (r.name_id.as_str(), r.subject()));
         let found = Found {
             machine: m,
-            image: &there.bundle,
+            image: &there.image,
             beside: others.chain([own]).collect(),
         };
         let job = there.subject();
@@ -161,7 +161,7 @@
         for rule in set.concerning(&job).filter(asks) {
             let alone = Found {
                 machine: m,
-                image: &there.bundle,
+                image: &there.image,
                 beside: vec![own],
             };
             let mut about = false;
@@ -177,7 +177,7 @@
 
 fn against(spec: &JobSpec, class: &Class, catalog: &Catalog) -> Vec<String> {
     let mut found = admission::fields_against(spec, class, catalog);
-    if catalog.get(&class.build).is_none() {
+    if catalog.get(&class.machine_type).is_none() {
         // Its size, which comes last, is not known to be too small.
         found.pop();
         found.push("its type is not in the catalogue");
@@ -210,9 +210,9 @@
     for m in &file.machines {
         let machine = m.host.parse().ok().filter(|id| labelled.contains(id));
         let class = Class {
-            build: m.build.as_str().into(),
-            yard: m.yard.as_str().into(),
-            spot: m.loaners,
+            machine_type: m.machine_type.as_str().into(),
+            zone: m.zone.as_str().into(),
+            spot: m.spot_allowed,
             machine,
         };
         let traits = admission::traits(&class, &sets, &catalog).map(|mut t| t.remove(0));
@@ -224,7 +224,7 @@
             .collect();
         let found = Found {
             machine: m,
-            image: &spec.bundle,
+            image: &spec.image,
             beside,
         };
         let verdict = explain(
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 
 /// Most machines of one rental.
-pub const HIRE_LIMIT: u32 = 50;
+pub const PROVISION_LIMIT: u32 = 50;
 /// Most machines of one release.
 pub const RELEASE_LIMIT: usize = 100;
 
@@ -18,13 +18,13 @@
     /// Machine types and prices.
     Catalog,
     /// A rental.
-    Hire {
+    Provision {
         /// The request's name.
         name: String,
         /// Type.
-        build: String,
+        machine_type: String,
         /// Zone.
-        yard: String,
+        zone: String,
         /// Spot.
         spot: bool,
         /// How many.
@@ -38,7 +38,7 @@
 
 /// A machine's state by the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HostStatus {
+pub enum CloudMachineState {
     /// Boots.
     Starting,
     /// Up.
@@ -49,17 +49,17 @@
 
 /// A listed machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Host {
+pub struct CloudMachine {
     /// The machine.
     pub id: MachineId,
     /// Type.
-    pub build: String,
+    pub machine_type: String,
     /// Zone.
-    pub yard: String,
+    pub zone: String,
     /// Spot.
     pub spot: bool,
     /// State.
-    pub status: HostStatus,
+    pub status: CloudMachineState,
     /// Time since the rental request.
     pub age: Micros,
 }
@@ -70,28 +70,28 @@
     /// Machine types and prices.
     Catalog(Catalog),
     /// Rented machines.
-    Hired(Vec<MachineId>),
+    Provisioned(Vec<MachineId>),
     /// None to be had.
     NoCapacity,
     /// They are gone.
     Released,
     /// A page, and whether there are more.
-    Hosts(Vec<Host>, bool),
+    Hosts(Vec<CloudMachine>, bool),
 }
 
 /// Method, path and body of a request.
 pub fn http(request: &CloudRequest) -> (&'static str, String, Vec<u8>) {
     match request {
         CloudRequest::Catalog => ("GET", "/catalog".to_owned(), Vec::new()),
-        CloudRequest::Hire {
+        CloudRequest::Provision {
             name,
-            build,
-            yard,
+            machine_type,
+            zone,
             spot,
             count,
         } => {
             let body = serde_json::json!({
-                "hire": name, "build": build, "yard": yard, "loaners": spot, "howMany": count
+                "hire": name, "build": machine_type, "yard": zone, "loaners": spot, "howMany": count
             });
             ("POST", "/hosts".to_owned(), body.to_string().into_bytes())
         }
@@ -114,11 +114,11 @@
 #[derive(Deserialize)]
 struct CatalogWire {
     #[serde(rename = "builds")]
-    builds: Vec<BuildWire>,
+    builds: Vec<MachineTypeWire>,
 }
 
 #[derive(Deserialize)]
-struct BuildWire {
+struct MachineTypeWire {
     #[serde(rename = "name")]
     name: String,
     #[serde(rename = "cores")]
@@ -138,33 +138,33 @@
     #[serde(rename = "startupS", default)]
     startup_s: f64,
     #[serde(rename = "yards", default)]
-    yards: Vec<String>,
+    zones: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct HiredWire {
+struct ProvisionedWire {
     #[serde(rename = "hosts")]
     hosts: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct HostsWire {
+struct CloudMachinesWire {
     #[serde(rename = "hosts")]
-    hosts: Vec<HostWire>,
+    hosts: Vec<CloudMachineWire>,
     #[serde(rename = "more", default)]
     more: bool,
 }
 
 #[derive(Deserialize)]
-struct HostWire {
+struct CloudMachineWire {
     #[serde(rename = "nameId")]
     name_id: String,
     #[serde(rename = "build")]
-    build: String,
+    machine_type: String,
     #[serde(rename = "yard")]
-    yard: String,
+    zone: String,
     #[serde(rename = "loaners", default)]
-    loaners: bool,
+    spot: bool,
     #[serde(rename = "status")]
     status: String,
     #[serde(rename = "ageS", default)]
@@ -181,7 +181,7 @@
 pub fn parse(request: &CloudRequest, status: u16, body: &[u8]) -> Result<CloudReply, CallError> {
     let bad = |_: serde_json::Error| CallError::Unknown;
     match (request, status) {
-        (CloudRequest::Hire { .. }, 503) => {
+        (CloudRequest::Provision { .. }, 503) => {
             let full =
                 serde_json::from_slice::<ErrorWire>(body).is_ok_and(|e| e.error == "no capacity");
             if full {
@@ -198,15 +198,15 @@
             let types = w.builds.into_iter().map(machine_type).collect();
             Ok(CloudReply::Catalog(Catalog { types }))
         }
-        (CloudRequest::Hire { .. }, 200) => {
-            let w: HiredWire = serde_json::from_slice(body).map_err(bad)?;
-            Ok(CloudReply::Hired(
+        (CloudRequest::Provision { .. }, 200) => {
+            let w: ProvisionedWire = serde_json::from_slice(body).map_err(bad)?;
+            Ok(CloudReply::Provisioned(
                 w.hosts.iter().filter_map(|h| h.parse().ok()).collect(),
             ))
         }
         (CloudRequest::Release(_), 200) => Ok(CloudReply::Released),
         (CloudRequest::List(_), 200) => {
-            let w: HostsWire = serde_json::from_slice(body).map_err(bad)?;
+            let w: CloudMachinesWire = serde_json::from_slice(body).map_err(bad)?;
             let hosts = w.hosts.into_iter().filter_map(host).collect();
             Ok(CloudReply::Hosts(hosts, w.more))
         }
@@ -214,7 +214,7 @@
     }
 }
 
-fn machine_type(b: BuildWire) -> MachineType {
+fn machine_type(b: MachineTypeWire) -> MachineType {
     MachineType {
         name: b.name,
         room: Amount {
@@ -227,20 +227,20 @@
         price: offered(b.rate),
         spot_price: offered(b.spot_price.unwrap_or(b.rate)),
         boot: Micros::from_secs_f64(b.startup_s),
-        zones: b.yards,
+        zones: b.zones,
     }
 }
 
-fn host(w: HostWire) -> Option<Host> {
-    Some(Host {
+fn host(w: CloudMachineWire) -> Option<CloudMachine> {
+    Some(CloudMachine {
         id: w.name_id.parse().ok()?,
-        build: w.build,
-        yard: w.yard,
-        spot: w.loaners,
+        machine_type: w.machine_type,
+        zone: w.zone,
+        spot: w.spot,
         status: match w.status.as_str() {
-            "failed" => HostStatus::Failed,
-            "running" => HostStatus::Running,
-            _ => HostStatus::Starting,
+            "failed" => CloudMachineState::Failed,
+            "running" => CloudMachineState::Running,
+            _ => CloudMachineState::Starting,
         },
         age: Micros::from_secs_f64(w.age_s),
     })
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -17,7 +17,7 @@
     pub contact_ms: Option<u64>,
     /// Revision of its copy.
     #[serde(rename = "epoch")]
-    pub epoch: u64,
+    pub revision: u64,
     /// Terms of all slices as its copy has them, by slice, and whether it owns them.
     #[serde(rename = "terms")]
     pub terms: Vec<(u64, bool)>,
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -36,7 +36,7 @@
     /// Its new content, already encoded; `None` removes it.
     pub value: Option<Box<RawValue>>,
     /// The lease that the key is attached to.
-    pub permit: Option<u64>,
+    pub lease_id: Option<u64>,
 }
 
 /// A transaction.
@@ -85,7 +85,7 @@
         /// The last key of the page, if there are more.
         next: Option<String>,
         /// Revision of the page.
-        epoch: u64,
+        revision: u64,
     },
     /// The transaction was applied at this revision.
     Applied(u64),
@@ -116,7 +116,7 @@
     #[serde(rename = "key")]
     key: String,
     #[serde(rename = "stamp")]
-    stamp: u64,
+    mod_revision: u64,
 }
 
 #[derive(Serialize)]
@@ -128,7 +128,7 @@
     #[serde(rename = "value", skip_serializing_if = "Option::is_none")]
     value: Option<&'a RawValue>,
     #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
-    permit: Option<u64>,
+    lease_id: Option<u64>,
 }
 
 impl Txn {
@@ -189,7 +189,7 @@
                 .iter()
                 .map(|(k, s)| WhenWire {
                     key: k.to_string(),
-                    stamp: *s,
+                    mod_revision: *s,
                 })
                 .collect(),
             then: self
@@ -206,7 +206,7 @@
                         write,
                         remove,
                         value: p.value.as_deref(),
-                        permit: p.permit,
+                        lease_id: p.lease_id,
                     }
                 })
                 .collect(),
@@ -222,7 +222,7 @@
     #[serde(rename = "value", borrow)]
     value: &'a RawValue,
     #[serde(rename = "stamp")]
-    stamp: u64,
+    mod_revision: u64,
 }
 
 #[derive(Deserialize)]
@@ -232,7 +232,7 @@
     #[serde(rename = "more", default)]
     more: bool,
     #[serde(rename = "epoch")]
-    epoch: u64,
+    revision: u64,
 }
 
 #[derive(Deserialize)]
@@ -244,13 +244,13 @@
     #[serde(rename = "value", borrow, default)]
     value: Option<&'a RawValue>,
     #[serde(rename = "stamp")]
-    stamp: u64,
+    mod_revision: u64,
 }
 
 #[derive(Deserialize)]
 struct ChangesWire<'a> {
     #[serde(rename = "epoch")]
-    epoch: u64,
+    revision: u64,
     #[serde(rename = "log", borrow)]
     log: Vec<LogWire<'a>>,
 }
@@ -264,7 +264,7 @@
 #[derive(Deserialize)]
 struct EpochWire {
     #[serde(rename = "epoch")]
-    epoch: u64,
+    revision: u64,
 }
 
 #[derive(Deserialize)]
@@ -272,7 +272,7 @@
     #[serde(rename = "failed", default)]
     failed: Vec<String>,
     #[serde(rename = "epoch")]
-    epoch: u64,
+    revision: u64,
 }
 
 #[derive(Default, Deserialize)]
@@ -284,7 +284,7 @@
 #[derive(Deserialize)]
 struct LeaseWire {
     #[serde(rename = "permit")]
-    permit: u64,
+    lease_id: u64,
 }
 
 /// Reads the content of a key; `None` if either is not this project's.
@@ -306,7 +306,7 @@
     })
 }
 
-fn change(key: &str, value: Option<&RawValue>, stamp: u64) -> Option<Change> {
+fn change(key: &str, value: Option<&RawValue>, mod_revision: u64) -> Option<Change> {
     let key = Key::parse(key)?;
     let content = match value {
         Some(v) => Some(decode(&key, v)?),
@@ -315,7 +315,7 @@
     Some(Change {
         key,
         content,
-        stamp,
+        mod_revision,
     })
 }
 
@@ -356,24 +356,24 @@
             let items = w
                 .items
                 .iter()
-                .filter_map(|i| change(&i.key, Some(i.value), i.stamp));
+                .filter_map(|i| change(&i.key, Some(i.value), i.mod_revision));
             Ok(StateReply::Page {
                 items: items.collect(),
                 next,
-                epoch: w.epoch,
+                revision: w.revision,
             })
         }
         (StateRequest::Txn(_), 200) => {
             let w: EpochWire = serde_json::from_slice(body).map_err(bad)?;
-            Ok(StateReply::Applied(w.epoch))
+            Ok(StateReply::Applied(w.revision))
         }
         (StateRequest::Txn(_), 409) => {
             let w: ClashWire = serde_json::from_slice(body).map_err(bad)?;
             let keys = w.failed.iter().filter_map(|k| Key::parse(k)).collect();
-            Ok(StateReply::Clash(keys, w.epoch))
+            Ok(StateReply::Clash(keys, w.revision))
         }
         // Not every refusal of a write with a lease means that the lease is gone.
-        (StateRequest::Txn(t), 400) if t.then.iter().any(|p| p.permit.is_some()) => {
+        (StateRequest::Txn(t), 400) if t.then.iter().any(|p| p.lease_id.is_some()) => {
             let w: ErrorWire = serde_json::from_slice(body).unwrap_or_default();
             if w.error.contains("lease") {
                 Ok(StateReply::NoLease)
@@ -383,7 +383,7 @@
         }
         (StateRequest::Grant(_), 200) => {
             let w: LeaseWire = serde_json::from_slice(body).map_err(bad)?;
-            Ok(StateReply::Lease(w.permit))
+            Ok(StateReply::Lease(w.lease_id))
         }
         (StateRequest::Touch(_), 200) => Ok(StateReply::Touched),
         (StateRequest::Touch(_), 404) => Ok(StateReply::NoLease),
@@ -397,11 +397,11 @@
                 .enumerate()
                 .filter(|(i, l)| l.write.as_ref().is_none_or(|key| !outdone(*i, key)));
             let changes = log.filter_map(|(_, l)| match (&l.write, &l.remove) {
-                (Some(key), _) => change(key, l.value, l.stamp),
-                (None, Some(key)) => change(key, None, l.stamp),
+                (Some(key), _) => change(key, l.value, l.mod_revision),
+                (None, Some(key)) => change(key, None, l.mod_revision),
                 _ => None,
             });
-            Ok(StateReply::Changes(changes.collect(), w.epoch))
+            Ok(StateReply::Changes(changes.collect(), w.revision))
         }
         (StateRequest::Changes { .. }, 410) => Ok(StateReply::TooOld),
         (_, 400) => Err(CallError::Refused),
@@ -444,7 +444,7 @@
         let Ok(StateReply::Changes(changes, 17)) = parse(&request, 200, body.as_bytes()) else {
             panic!("no changes")
         };
-        let stamps: Vec<u64> = changes.iter().map(|c| c.stamp).collect();
+        let stamps: Vec<u64> = changes.iter().map(|c| c.mod_revision).collect();
         assert_eq!(stamps, [12, 14, 15, 16, 17]);
         let (mut view, mut touched) = (View::default(), Touched::default());
         view.apply(changes, &mut touched);
