--- a/src/protocol/user.rs
+++ b/src/protocol/user.rs
@@ -2,7 +2,7 @@
 
 use crate::bookkeeping::amount::{Amount, taken};
 use crate::bookkeeping::ids::JobId;
-use crate::bookkeeping::job::{JobSpec, Urgency};
+use crate::bookkeeping::job::{JobSpec, Priority};
 use crate::bookkeeping::time::Micros;
 use cometlead_constraints::rules::{BadRules, RuleText, read_own};
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
 /// Largest request body.
 pub const BODY_LIMIT: usize = 64 * 1024;
 /// Most tasks of one job.
-pub const PIECES_LIMIT: u64 = 100_000;
+pub const TASK_COUNT_LIMIT: u64 = 100_000;
 const NAME_LIMIT: usize = 256;
 const AMOUNT_LIMIT: f64 = 1e9;
 
@@ -37,15 +37,15 @@
     #[serde(rename = "nameId")]
     name_id: String,
     #[serde(rename = "lane")]
-    lane: String,
+    job_class: String,
     #[serde(rename = "crew")]
-    crew: String,
+    team: String,
     #[serde(rename = "shape")]
     shape: String,
     #[serde(rename = "urgency")]
-    urgency: String,
+    priority: String,
     #[serde(rename = "pieces")]
-    pieces: u64,
+    task_count: u64,
     #[serde(rename = "cores")]
     cores: f64,
     #[serde(rename = "accelerators")]
@@ -53,17 +53,17 @@
     #[serde(rename = "memGb")]
     mem_gb: f64,
     #[serde(rename = "builds")]
-    builds: Option<Vec<String>>,
+    machine_types: Option<Vec<String>>,
     #[serde(rename = "yard")]
-    yard: Option<String>,
+    zone: Option<String>,
     #[serde(rename = "oneZone")]
-    one_zone: bool,
+    single_zone: bool,
     #[serde(rename = "apart")]
-    apart: bool,
+    anti_affinity: bool,
     #[serde(rename = "loaners")]
-    loaners: bool,
+    spot_allowed: bool,
     #[serde(rename = "bundle")]
-    bundle: String,
+    image: String,
     #[serde(rename = "sizeGb")]
     size_gb: f64,
     #[serde(rename = "guessS")]
@@ -73,9 +73,9 @@
     #[serde(rename = "stashS")]
     stash_s: f64,
     #[serde(rename = "dueS")]
-    due_s: Option<f64>,
+    deadline: Option<f64>,
     #[serde(rename = "awaits")]
-    awaits: Option<Vec<String>>,
+    dependencies: Option<Vec<String>>,
     #[serde(rename = "rules")]
     rules: Option<Vec<RuleText>>,
 }
@@ -109,54 +109,54 @@
         }
     };
     let span = |field, n: f64| number(field, n).map(Micros::from_secs_f64);
-    if s.pieces == 0 || s.pieces > PIECES_LIMIT {
+    if s.task_count == 0 || s.task_count > TASK_COUNT_LIMIT {
         return Err(BadSubmission::Field("pieces"));
     }
-    let awaits = s
-        .awaits
+    let dependencies = s
+        .dependencies
         .unwrap_or_default()
         .iter()
         .map(|n| n.parse())
         .collect::<Result<BTreeSet<JobId>, _>>();
-    let awaits = awaits
+    let dependencies = dependencies
         .map_err(|_| BadSubmission::Field("awaits"))?
         .into_iter()
         .collect();
     let spec = JobSpec {
-        awaits,
+        dependencies,
         rules: read_own(&s.rules.unwrap_or_default())?,
-        lane: text("lane", s.lane)?,
-        crew: text("crew", s.crew)?,
-        standing: match s.shape.as_str() {
+        job_class: text("lane", s.job_class)?,
+        team: text("crew", s.team)?,
+        service: match s.shape.as_str() {
             "sweep" | "group" => false,
             "standing" => true,
             _ => return Err(BadSubmission::Field("shape")),
         },
         gang: s.shape == "group",
-        urgency: match s.urgency.as_str() {
-            "critical" => Urgency::Critical,
-            "high" => Urgency::High,
-            "standard" => Urgency::Standard,
-            "low" => Urgency::Low,
+        priority: match s.priority.as_str() {
+            "critical" => Priority::Critical,
+            "high" => Priority::High,
+            "standard" => Priority::Standard,
+            "low" => Priority::Low,
             _ => return Err(BadSubmission::Field("urgency")),
         },
-        pieces: s.pieces as u32,
+        task_count: s.task_count as u32,
         need: Amount {
             cores: taken(number("cores", s.cores)?),
             accelerators: taken(number("accelerators", s.accelerators)?),
             memory: taken(number("memGb", s.mem_gb)?),
         },
-        builds: s.builds,
-        yard: s.yard,
-        one_zone: s.one_zone,
-        apart: s.apart,
-        loaners: s.loaners,
-        bundle: text("bundle", s.bundle)?,
+        machine_types: s.machine_types,
+        zone: s.zone,
+        single_zone: s.single_zone,
+        anti_affinity: s.anti_affinity,
+        spot_allowed: s.spot_allowed,
+        image: text("bundle", s.image)?,
         size: taken(number("sizeGb", s.size_gb)?),
-        guess: span("guessS", s.guess_s)?,
-        bookmark: span("bookmarkS", s.bookmark_s)?,
-        stash: span("stashS", s.stash_s)?,
-        due: s.due_s.map(|d| span("dueS", d)).transpose()?,
+        estimated_runtime: span("guessS", s.guess_s)?,
+        checkpoint_interval: span("bookmarkS", s.bookmark_s)?,
+        checkpoint_duration: span("stashS", s.stash_s)?,
+        deadline: s.deadline.map(|d| span("dueS", d)).transpose()?,
     };
     Ok((id, spec))
 }
@@ -275,15 +275,18 @@
             (spec.need.cores, spec.need.memory, spec.size),
             (8_000, 64_500, 6_200)
         );
-        assert_eq!(spec.due, Some(Micros::secs(900)));
+        assert_eq!(spec.deadline, Some(Micros::secs(900)));
         let nulls = GOOD
             .replace("\"dueS\":900.0", "\"dueS\":null")
             .replace("\"yard\":null,", "");
-        assert_eq!(parse_submission(nulls.as_bytes()).unwrap().1.due, None);
-        assert_eq!(spec.awaits, [JobId(7), JobId(411)], "each once");
+        assert_eq!(parse_submission(nulls.as_bytes()).unwrap().1.deadline, None);
+        assert_eq!(spec.dependencies, [JobId(7), JobId(411)], "each once");
         for none in ["null", "[]"] {
             let text = GOOD.replace(r#"["req-000411","req-000007","req-000411"]"#, none);
-            assert_eq!(parse_submission(text.as_bytes()).unwrap().1.awaits, []);
+            assert_eq!(
+                parse_submission(text.as_bytes()).unwrap().1.dependencies,
+                []
+            );
         }
     }
 
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -11,27 +11,27 @@
     #[serde(rename = "endpoint")]
     endpoint: String,
     #[serde(rename = "build")]
-    build: String,
+    machine_type: String,
     #[serde(rename = "yard")]
-    yard: String,
+    zone: String,
     #[serde(rename = "loaners", default)]
-    loaners: bool,
+    spot: bool,
     #[serde(rename = "shift")]
-    shift: u64,
+    incarnation: u64,
     #[serde(rename = "tally")]
-    tally: u64,
+    sequence: u64,
     #[serde(rename = "baton", default)]
-    baton: u64,
+    fencing_token: u64,
     #[serde(rename = "recallS", default)]
-    recall_s: Option<f64>,
+    preemption_notice_s: Option<f64>,
     #[serde(rename = "pieces", default)]
-    pieces: Vec<PieceWire>,
+    pieces: Vec<TaskWire>,
 }
 
 #[derive(Deserialize)]
-struct PieceWire {
+struct TaskWire {
     #[serde(rename = "piece")]
-    piece: String,
+    task_name: String,
     #[serde(rename = "try")]
     number: u64,
     #[serde(rename = "status")]
@@ -80,17 +80,17 @@
     /// Address for direct commands.
     pub endpoint: String,
     /// Type.
-    pub build: String,
+    pub machine_type: String,
     /// Zone.
-    pub yard: String,
+    pub zone: String,
     /// Spot.
     pub spot: bool,
     /// Session and message number: the larger pair is the newer message.
     pub order: (u64, u64),
     /// Highest token the worker has seen.
-    pub baton: u64,
+    pub fencing_token: u64,
     /// Time until the cloud takes the machine.
-    pub recall: Option<Micros>,
+    pub preemption_notice: Option<Micros>,
     /// Tasks on the machine.
     pub tasks: Vec<(Attempt, TaskState)>,
 }
@@ -109,7 +109,7 @@
             .into_iter()
             .map(|p| {
                 let attempt = Attempt {
-                    task: p.piece.parse().ok()?,
+                    task: p.task_name.parse().ok()?,
                     number: p.number,
                 };
                 Some((attempt, task_state(&p.status, p.cause.as_deref())))
@@ -118,13 +118,15 @@
         Some(Report {
             machine: w.host.parse().ok()?,
             endpoint: w.endpoint,
-            build: w.build,
-            yard: w.yard,
-            spot: w.loaners,
-            order: (w.shift, w.tally),
-            baton: w.baton,
+            machine_type: w.machine_type,
+            zone: w.zone,
+            spot: w.spot,
+            order: (w.incarnation, w.sequence),
+            fencing_token: w.fencing_token,
             // Rounded down: the machine may go a little sooner than said, never later.
-            recall: w.recall_s.map(|s| Micros((s * 1e6).max(0.0) as u64)),
+            preemption_notice: w
+                .preemption_notice_s
+                .map(|s| Micros((s * 1e6).max(0.0) as u64)),
             tasks,
         })
     }
@@ -149,7 +151,7 @@
 
 /// A command to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Command {
     /// Start an attempt.
     Launch(Attempt),
     /// Stop it, with this much time to save.
@@ -159,29 +161,29 @@
 }
 
 #[derive(Serialize)]
-struct OrderWire {
+struct CommandWire {
     #[serde(rename = "verb")]
-    verb: &'static str,
+    operation: &'static str,
     #[serde(rename = "piece")]
-    piece: String,
+    task_name: String,
     #[serde(rename = "try")]
     number: u64,
     #[serde(rename = "leewayS", skip_serializing_if = "Option::is_none")]
-    leeway: Option<f64>,
+    grace_period: Option<f64>,
 }
 
-impl Order {
-    fn wire(&self) -> OrderWire {
-        let (verb, attempt, leeway) = match self {
-            Order::Launch(a) => ("launch", a, None),
-            Order::Stop(a, t) => ("stop", a, Some(t.as_secs_f64())),
-            Order::Forget(a) => ("forget", a, None),
+impl Command {
+    fn wire(&self) -> CommandWire {
+        let (operation, attempt, grace_period) = match self {
+            Command::Launch(a) => ("launch", a, None),
+            Command::Stop(a, t) => ("stop", a, Some(t.as_secs_f64())),
+            Command::Forget(a) => ("forget", a, None),
         };
-        OrderWire {
-            verb,
-            piece: attempt.task.to_string(),
+        CommandWire {
+            operation,
+            task_name: attempt.task.to_string(),
             number: attempt.number,
-            leeway,
+            grace_period,
         }
     }
 }
@@ -192,9 +194,9 @@
     /// 200: the lease is renewed, and the orders are to be carried out.
     Orders {
         /// The owner's term.
-        baton: u64,
+        fencing_token: u64,
         /// Commands.
-        orders: Vec<Order>,
+        orders: Vec<Command>,
     },
     /// 421, with the owner if it is known.
     Elsewhere(Option<String>),
@@ -205,30 +207,30 @@
 }
 
 #[derive(Serialize)]
-struct OrdersWire {
+struct CommandsWire {
     #[serde(rename = "baton")]
-    baton: u64,
+    fencing_token: u64,
     #[serde(rename = "shift", skip_serializing_if = "Option::is_none")]
-    shift: Option<u64>,
+    incarnation: Option<u64>,
     #[serde(rename = "orders")]
-    orders: Vec<OrderWire>,
+    orders: Vec<CommandWire>,
 }
 
 /// The body of a 200 to a report.
-pub fn orders_body(baton: u64, orders: &[Order]) -> Vec<u8> {
-    commands(baton, None, orders)
+pub fn heartbeat_response_body(fencing_token: u64, orders: &[Command]) -> Vec<u8> {
+    commands(fencing_token, None, orders)
 }
 
 /// The body of a direct command.
-pub fn direct_body(baton: u64, session: u64, orders: &[Order]) -> Vec<u8> {
-    commands(baton, Some(session), orders)
+pub fn command_body(fencing_token: u64, session: u64, orders: &[Command]) -> Vec<u8> {
+    commands(fencing_token, Some(session), orders)
 }
 
-fn commands(baton: u64, shift: Option<u64>, orders: &[Order]) -> Vec<u8> {
-    let wire = OrdersWire {
-        baton,
-        shift,
-        orders: orders.iter().map(Order::wire).collect(),
+fn commands(fencing_token: u64, incarnation: Option<u64>, orders: &[Command]) -> Vec<u8> {
+    let wire = CommandsWire {
+        fencing_token,
+        incarnation,
+        orders: orders.iter().map(Command::wire).collect(),
     };
     serde_json::to_vec(&wire).unwrap_or_default()
 }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -5,7 +5,7 @@
 use crate::bookkeeping::ids::JobId;
 use crate::coordination::connections::{Request as Asked, Verdict};
 use crate::protocol::user::{BODY_LIMIT, BadSubmission, UserAnswer, UserRequest, parse_submission};
-use crate::protocol::worker::{Report, ReportAnswer, elsewhere_body, orders_body};
+use crate::protocol::worker::{Report, ReportAnswer, elsewhere_body, heartbeat_response_body};
 use salvo::http::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use salvo::http::{ReqBody, StatusCode};
 use salvo::prelude::*;
@@ -143,9 +143,14 @@
             None => ReportAnswer::Malformed,
         };
         match answer {
-            ReportAnswer::Orders { baton, orders } => {
-                json(res, StatusCode::OK, orders_body(baton, &orders))
-            }
+            ReportAnswer::Orders {
+                fencing_token,
+                orders,
+            } => json(
+                res,
+                StatusCode::OK,
+                heartbeat_response_body(fencing_token, &orders),
+            ),
             ReportAnswer::Elsewhere(owner) => {
                 json(
                     res,
--- a/tests/days/mod.rs
+++ b/tests/days/mod.rs
@@ -14,16 +14,16 @@
     pick: &mut impl FnMut(u64) -> u64,
     at: u64,
     job: u64,
-    (pieces, run): (u64, u64),
+    (task_count, run): (u64, u64),
     teams: &[&str],
     extras: &[&str],
 ) -> String {
-    let (urgency, lane) =
+    let (priority, job_class) =
         [("high", "urgent"), ("standard", "lane"), ("low", "idle")][pick(3) as usize];
     let team = teams[pick(teams.len() as u64) as usize];
     let extra = extras[pick(extras.len() as u64) as usize];
     format!(
-        "at {at} submit req-{job:06} pieces={pieces} cores={} run={run} team={team} urgency={urgency} lane={lane} image=i{} due={}{extra}\n",
+        "at {at} submit req-{job:06} pieces={task_count} cores={} run={run} team={team} urgency={priority} lane={job_class} image=i{} due={}{extra}\n",
         1 + pick(3),
         pick(3),
         60 + run + pick(200),
@@ -48,7 +48,7 @@
     );
     for job in 1..=22 {
         let at = 1 + pick(130);
-        let (pieces, run) = [
+        let (task_count, run) = [
             (2 + pick(2), 20 + pick(100)),
             (1 + pick(24), 40 + pick(80)),
             (1 + pick(12), 2 + pick(20)),
@@ -58,7 +58,7 @@
             &mut pick,
             at,
             job,
-            (pieces, run),
+            (task_count, run),
             &["red", "free", "free"],
             &extras,
         );
@@ -164,7 +164,7 @@
     );
     for job in 1..=24 {
         let at = 1 + pick(130);
-        let (pieces, run) = [
+        let (task_count, run) = [
             (2 + pick(2), 20 + pick(100)),
             (1 + pick(24), 40 + pick(80)),
             (1 + pick(12), 2 + pick(20)),
@@ -182,7 +182,7 @@
             &mut pick,
             at,
             job,
-            (pieces, run),
+            (task_count, run),
             &["red", "blue", "free"],
             &extras,
         );
@@ -339,8 +339,8 @@
     for job in 1..=12 {
         let at = 1 + pick(120);
         let team = ["red", "blue", "free"][pick(3) as usize];
-        let urgency = ["high", "standard", "low"][pick(3) as usize];
-        let lane = if urgency == "high" { "urgent" } else { "lane" };
+        let priority = ["high", "standard", "low"][pick(3) as usize];
+        let job_class = if priority == "high" { "urgent" } else { "lane" };
         let extra = [
             "",
             " apart=yes",
@@ -349,7 +349,7 @@
             " bookmark=3 stash=2",
         ][pick(5) as usize];
         text += &format!(
-            "at {at} submit req-{job:06} pieces={} cores={} run={} team={team} urgency={urgency} lane={lane} image=i{} due={}{extra}\n",
+            "at {at} submit req-{job:06} pieces={} cores={} run={} team={team} urgency={priority} lane={job_class} image=i{} due={}{extra}\n",
             1 + pick(16),
             1 + pick(4),
             2 + pick(25),
@@ -403,11 +403,11 @@
         // Days from here on have rules, which change by a rolling restart.
         text += &format!("{RULES}with one\ngrace 50\n");
         for job in 300..340 {
-            let lane = ["renders", "masters", "watermark", "plain"][pick(4) as usize];
+            let job_class = ["renders", "masters", "watermark", "plain"][pick(4) as usize];
             let own = ["", "", "", " rules=cores", " rules=alone"][pick(5) as usize];
             let shape = ["", "", "", " shape=group", " one_zone=yes"][pick(5) as usize];
             text += &format!(
-                "at {} submit req-{job:06} lane={lane} pieces={} cores={} run={} urgency={} team={}{own}{shape}\n",
+                "at {} submit req-{job:06} lane={job_class} pieces={} cores={} run={} urgency={} team={}{own}{shape}\n",
                 6 + (job - 300) * 4 + pick(4),
                 1 + pick(6),
                 1 + pick(3),
@@ -448,13 +448,13 @@
                     format!("req-{:06}", 200 + pick(job - 199))
                 });
             }
-            let awaits = if names.is_empty() {
+            let dependencies = if names.is_empty() {
                 String::new()
             } else {
                 format!(" awaits={}", names.join(","))
             };
             text += &format!(
-                "at {at} submit req-{job:06} pieces={} cores=1 run={} urgency={} team={}{awaits}\n",
+                "at {at} submit req-{job:06} pieces={} cores=1 run={} urgency={} team={}{dependencies}\n",
                 1 + pick(7),
                 1 + pick(9),
                 ["high", "standard", "low"][pick(3) as usize],
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -13,11 +13,13 @@
 use cometlead::protocol::settings::Settings;
 use cometlead::protocol::state::{self, Put, StateReply, StateRequest, Txn};
 use cometlead::protocol::user::parse_submission;
-use cometlead::protocol::worker::{Order, Report, direct_body, elsewhere_body, orders_body};
+use cometlead::protocol::worker::{
+    Command, Report, command_body, elsewhere_body, heartbeat_response_body,
+};
 use cometlead_constraints::RuleSet;
 use serde_json::value::RawValue;
 use std::fmt::Write;
-use std::process::Command;
+use std::process;
 
 const RECORDS: &str = include_str!("golden/records.txt");
 const RULES: &[u8] = include_bytes!("../deploy/rules.example.json");
@@ -134,35 +136,35 @@
         write!(
             got,
             "{} {} {} {} {}",
-            r.machine, r.endpoint, r.build, r.yard, r.spot
+            r.machine, r.endpoint, r.machine_type, r.zone, r.spot
         )
         .unwrap();
         write!(
             got,
             " {:?} {} {:?}",
             r.order,
-            r.baton,
-            r.recall.map(|t| t.0)
+            r.fencing_token,
+            r.preemption_notice.map(|t| t.0)
         )
         .unwrap();
         for (a, s) in &r.tasks {
             write!(got, " {}/{}={s:?}", a.task, a.number).unwrap();
         }
         got.push('\n');
-        let orders: Vec<Order> = r
+        let orders: Vec<Command> = r
             .tasks
             .iter()
             .flat_map(|(a, _)| {
                 [
-                    Order::Launch(*a),
-                    Order::Stop(*a, Micros::millis(2_500)),
-                    Order::Forget(*a),
+                    Command::Launch(*a),
+                    Command::Stop(*a, Micros::millis(2_500)),
+                    Command::Forget(*a),
                 ]
             })
             .collect();
         for body in [
-            orders_body(r.baton, &orders),
-            direct_body(r.baton, r.order.0, &orders),
+            heartbeat_response_body(r.fencing_token, &orders),
+            command_body(r.fencing_token, r.order.0, &orders),
         ] {
             got += &String::from_utf8(body).unwrap();
             got.push('\n');
@@ -182,10 +184,10 @@
 #[test]
 fn what_the_cloud_gets_and_sends() {
     let machine = "i-000231".parse().unwrap();
-    let hire = |spot| CloudRequest::Hire {
+    let hire = |spot| CloudRequest::Provision {
         name: "n0-1".into(),
-        build: "small".into(),
-        yard: "a".into(),
+        machine_type: "small".into(),
+        zone: "a".into(),
         spot,
         count: 3,
     };
@@ -204,12 +206,12 @@
             let (status, body) = line.split_once(' ').unwrap();
             let read = match cloud::parse(request, status.parse().unwrap(), body.as_bytes()) {
                 Ok(CloudReply::Catalog(c)) => state::encode(&c).unwrap().get().to_owned(),
-                Ok(CloudReply::Hired(m)) => m.iter().map(|m| format!("{m},")).collect(),
+                Ok(CloudReply::Provisioned(m)) => m.iter().map(|m| format!("{m},")).collect(),
                 Ok(CloudReply::Hosts(hosts, more)) => {
                     hosts.iter().fold(more.to_string(), |t, h| {
                         t + &format!(
                             " {} {} {} {} {:?} {};",
-                            h.id, h.build, h.yard, h.spot, h.status, h.age.0
+                            h.id, h.machine_type, h.zone, h.spot, h.status, h.age.0
                         )
                     })
                 }
@@ -226,10 +228,10 @@
 #[test]
 fn what_the_state_service_gets_and_sends() {
     let key = Key::parse("c/own/1").unwrap();
-    let put = |value: Option<&str>, permit| Put {
+    let put = |value: Option<&str>, lease_id| Put {
         key: key.clone(),
         value: value.map(raw),
-        permit,
+        lease_id,
     };
     let own = Some(r#"{"node":"n0","run":7}"#);
     let txn = |then| {
@@ -265,7 +267,7 @@
                         format!(
                             " {} {} {:?};",
                             c.key,
-                            c.stamp,
+                            c.mod_revision,
                             c.content.as_ref().map(content)
                         )
                     })
@@ -273,8 +275,12 @@
             };
             let read = match state::parse(request, status.parse().unwrap(), body.as_bytes()) {
                 Ok(StateReply::Value(v)) => format!("value {:?}", v.map(|v| v.to_string())),
-                Ok(StateReply::Page { items, next, epoch }) => {
-                    format!("page {next:?} {epoch}{}", changes(&items))
+                Ok(StateReply::Page {
+                    items,
+                    next,
+                    revision,
+                }) => {
+                    format!("page {next:?} {revision}{}", changes(&items))
                 }
                 Ok(StateReply::Applied(n)) => format!("applied {n}"),
                 Ok(StateReply::Clash(keys, n)) => keys
@@ -387,7 +393,7 @@
 fn command_line() {
     let mut got = String::new();
     for line in include_str!("golden/commands.txt").lines() {
-        let out = Command::new(env!("CARGO_BIN_EXE_cometlead"))
+        let out = process::Command::new(env!("CARGO_BIN_EXE_cometlead"))
             .current_dir(env!("CARGO_MANIFEST_DIR"))
             .args(line.split_whitespace())
             .output()
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -80,7 +80,7 @@
             [Change {
                 key,
                 content,
-                stamp: i as u64 + 1,
+                mod_revision: i as u64 + 1,
             }],
             &mut Touched::default(),
         );
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -95,9 +95,9 @@
     }
 }
 
-fn spec(lane: &str, pieces: u32, cores: u64) -> JobSpec {
+fn spec(job_class: &str, task_count: u32, cores: u64) -> JobSpec {
     let text = format!(
-        r#"{{"l":"{lane}","w":"free","u":"2","n":{pieces},"r":{{"c":{cores}000}},"i":"img","g":9000000}}"#
+        r#"{{"l":"{job_class}","w":"free","u":"2","n":{task_count},"r":{{"c":{cores}000}},"i":"img","g":9000000}}"#
     );
     serde_json::from_str(&text).unwrap()
 }
@@ -110,7 +110,7 @@
     let stage = Stage::alone(&spec);
     Job {
         record,
-        stamp: 1,
+        mod_revision: 1,
         chunks: BTreeMap::new(),
         ends: Finished::default(),
         stage,
@@ -144,8 +144,8 @@
     fn machine(&self, class: usize, _: Option<MachineId>) -> bool {
         class == 1
     }
-    fn offer(&self, build: &str, _: &str, _: bool) -> Option<u32> {
-        (build == "second").then_some(0)
+    fn offer(&self, machine_type: &str, _: &str, _: bool) -> Option<u32> {
+        (machine_type == "second").then_some(0)
     }
 }
 
@@ -176,10 +176,10 @@
         places: Some(places),
     };
     let hires = fleet::plan(&catalog, &[demand], &mut pools, &|_| true, &|o| {
-        Some(usize::from(o.build == "second"))
+        Some(usize::from(o.machine_type == "second"))
     });
     assert!(
-        !hires.is_empty() && hires.iter().all(|(o, _)| o.build == "second"),
+        !hires.is_empty() && hires.iter().all(|(o, _)| o.machine_type == "second"),
         "{hires:?}"
     );
 }
@@ -224,8 +224,8 @@
         Ask {
             job: JobId(id),
             spec,
-            urgency: spec.urgency,
-            tasks: (0..spec.pieces).collect(),
+            priority: spec.priority,
+            tasks: (0..spec.task_count).collect(),
             zones: BTreeMap::new(),
             most: 100,
             price_limit: u64::MAX,
@@ -248,8 +248,8 @@
             machine: MachineId(1),
             group: 0,
             owner: 0,
-            build: "small",
-            yard: "a",
+            machine_type: "small",
+            zone: "a",
             spot: false,
             price: 1,
             all: room,
--- a/tests/runner/effects.rs
+++ b/tests/runner/effects.rs
@@ -2,7 +2,7 @@
 
 use cometlead::coordination::Effect;
 use cometlead::protocol::user::UserAnswer;
-use cometlead::protocol::worker::{ReportAnswer, elsewhere_body, orders_body};
+use cometlead::protocol::worker::{ReportAnswer, elsewhere_body, heartbeat_response_body};
 use cometlead::protocol::{cloud, state};
 
 /// FNV-1a with 64 bits: the same on every machine and in every version of Rust.
@@ -119,7 +119,10 @@
 
 fn report(answer: &ReportAnswer) -> (u64, Vec<u8>) {
     match answer {
-        ReportAnswer::Orders { baton, orders } => (200, orders_body(*baton, orders)),
+        ReportAnswer::Orders {
+            fencing_token,
+            orders,
+        } => (200, heartbeat_response_body(*fencing_token, orders)),
         ReportAnswer::Elsewhere(owner) => (421, elsewhere_body(owner.as_deref())),
         ReportAnswer::Unavailable => (503, Vec::new()),
         ReportAnswer::Malformed => (400, Vec::new()),
--- a/tests/runner/laws.rs
+++ b/tests/runner/laws.rs
@@ -24,10 +24,10 @@
 
 fn named(words: &Words, field: Field, job: u64, asked: &Asked) -> bool {
     words.contains(&match field {
-        Field::Lane => asked.lane.clone(),
-        Field::Crew => asked.team.clone(),
+        Field::JobClass => asked.lane.clone(),
+        Field::Team => asked.team.clone(),
         Field::Image => asked.image.clone(),
-        Field::Urgency => asked.urgency.clone(),
+        Field::Priority => asked.urgency.clone(),
         Field::Job => format!("req-{job:06}"),
     })
 }
--- a/tests/runner/looks.rs
+++ b/tests/runner/looks.rs
@@ -9,18 +9,18 @@
 /// What a transaction is for, as scenarios name it.
 fn kind_of(txn: &Txn) -> &'static str {
     let writes = |of: fn(&Key) -> bool| txn.then.iter().any(|p| of(&p.key));
-    let stamp = |key: &Key| {
+    let mod_revision = |key: &Key| {
         txn.when
             .iter()
             .find(|(k, _)| k == key)
-            .map_or(0, |(_, stamp)| *stamp)
+            .map_or(0, |(_, mod_revision)| *mod_revision)
     };
     if writes(|k| matches!(k, Key::Final(_))) {
         "end"
     } else if txn
         .then
         .iter()
-        .any(|p| matches!(p.key, Key::Group(..)) && stamp(&p.key) == 0)
+        .any(|p| matches!(p.key, Key::Group(..)) && mod_revision(&p.key) == 0)
     {
         "opening"
     } else if writes(|k| matches!(k, Key::Group(..) | Key::Usage(_) | Key::Chunk(..))) {
@@ -36,7 +36,7 @@
     } else if txn
         .then
         .iter()
-        .all(|p| matches!(p.key, Key::Job(_)) && stamp(&p.key) == 0)
+        .all(|p| matches!(p.key, Key::Job(_)) && mod_revision(&p.key) == 0)
     {
         "submit"
     } else if writes(|k| matches!(k, Key::Job(_))) {
--- a/tests/runner/mod.rs
+++ b/tests/runner/mod.rs
@@ -25,7 +25,7 @@
 use cometlead::protocol::state as state_wire;
 use cometlead::protocol::state::{CallError, StateRequest};
 use cometlead::protocol::user::{JobAnswer, UserAnswer, UserRequest, parse_submission};
-use cometlead::protocol::worker::{Report, ReportAnswer, elsewhere_body, orders_body};
+use cometlead::protocol::worker::{Report, ReportAnswer, elsewhere_body, heartbeat_response_body};
 use cometlead_constraints::RuleSet;
 pub use cometlead_emulator::standins::{cloud, state, worker};
 use rand::rngs::StdRng;
@@ -682,7 +682,10 @@
                     return;
                 };
                 let (status, body) = match answer {
-                    ReportAnswer::Orders { baton, orders } => (200, orders_body(baton, &orders)),
+                    ReportAnswer::Orders {
+                        fencing_token,
+                        orders,
+                    } => (200, heartbeat_response_body(fencing_token, &orders)),
                     ReportAnswer::Elsewhere(owner) => (421, elsewhere_body(owner.as_deref())),
                     ReportAnswer::Unavailable => (503, Vec::new()),
                     ReportAnswer::Malformed => panic!("a good report was refused"),
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -2,7 +2,7 @@
 //! is; fields that may be null may be missing.
 
 use cometlead::bookkeeping::ids::JobId;
-use cometlead::protocol::user::{PIECES_LIMIT, parse_submission};
+use cometlead::protocol::user::{TASK_COUNT_LIMIT, parse_submission};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{Map, Value, json};
@@ -26,16 +26,16 @@
     fn good()(
         job in 0..1_000_000u64,
         shape in prop::sample::select(vec!["sweep", "standing", "group"]),
-        urgency in prop::sample::select(vec!["critical", "high", "standard", "low"]),
-        pieces in 1..=PIECES_LIMIT,
+        priority in prop::sample::select(vec!["critical", "high", "standard", "low"]),
+        task_count in 1..=TASK_COUNT_LIMIT,
         amounts in prop::array::uniform7(0.0..1e6f64),
         flags in prop::array::uniform3(any::<bool>()),
-        builds in prop::option::of(prop::collection::vec("[a-z]{1,5}", 0..3)),
-        yard in prop::option::of("[a-z]{1,9}"),
+        machine_types in prop::option::of(prop::collection::vec("[a-z]{1,5}", 0..3)),
+        zone in prop::option::of("[a-z]{1,9}"),
         due in prop::option::of(0.0..1e6f64),
     ) -> Map<String, Value> {
         let mut body = json!({"nameId": format!("req-{job:06}"), "lane": "lane", "crew": "crew", "shape": shape,
-            "urgency": urgency, "pieces": pieces, "bundle": "img", "builds": builds, "yard": yard, "dueS": due});
+            "urgency": priority, "pieces": task_count, "bundle": "img", "builds": machine_types, "yard": zone, "dueS": due});
         AMOUNTS.iter().zip(amounts).for_each(|(f, n)| body[*f] = json!(n));
         FLAGS.iter().zip(flags).for_each(|(f, b)| body[*f] = json!(b));
         body.as_object().expect("an object").clone()
@@ -78,7 +78,7 @@
             json!(0),
             json!(-1),
             json!(1.5),
-            json!(PIECES_LIMIT + 1),
+            json!(TASK_COUNT_LIMIT + 1),
             json!(u64::MAX),
             json!("3"),
             json!([]),
