--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -1,8 +1,8 @@
 //! What benchmarks have in common.
 
-use cometlead::bookkeeping::amount::Amount;
-use cometlead::bookkeeping::catalog::{Catalog, MachineType};
-use cometlead::bookkeeping::time::Micros;
+use cometlead::storage::catalog::{Catalog, MachineType};
+use cometlead::storage::resources::Amount;
+use cometlead::time::Micros;
 
 /// Most claims of a plan, as a controller's rounds have it.
 pub const CLAIMS: usize = 256;
--- a/benches/rules.rs
+++ b/benches/rules.rs
@@ -3,16 +3,16 @@
 
 mod common;
 
-use cometlead::bookkeeping::admission::{Admission, ClassTraits, House, traits};
-use cometlead::bookkeeping::amount::Amount;
-use cometlead::bookkeeping::catalog::Catalog;
-use cometlead::bookkeeping::classes::{Class, Classes};
-use cometlead::bookkeeping::finished::Finished;
-use cometlead::bookkeeping::ids::{JobId, MachineId};
-use cometlead::bookkeeping::job::{JobRecord, JobSpec};
-use cometlead::bookkeeping::pipeline::Stage;
-use cometlead::bookkeeping::placement::{Ask, Groups, Rules, Slot, plan};
-use cometlead::bookkeeping::view::Job;
+use cometlead::scheduler::constraints::{ClassTraits, JobConstraints, PlacementContext, traits};
+use cometlead::scheduler::placement::{Candidate, GroupAllowance, PlacementRequest, Rules, plan};
+use cometlead::storage::catalog::Catalog;
+use cometlead::storage::cell_state::Job;
+use cometlead::storage::completion_bitmap::CompletionBitmap;
+use cometlead::storage::dependency_graph::DependencyState;
+use cometlead::storage::ids::{JobId, MachineId};
+use cometlead::storage::job::{JobRecord, JobSpec};
+use cometlead::storage::machine_classes::{Class, Classes};
+use cometlead::storage::resources::Amount;
 use cometlead_constraints::RuleSet;
 use common::{CLAIMS, catalog};
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
@@ -35,15 +35,15 @@
     traits: Vec<ClassTraits>,
     sets: Vec<Arc<RuleSet>>,
     jobs: HashMap<JobId, Job>,
-    admissions: HashMap<JobId, Admission>,
+    job_constraints: HashMap<JobId, JobConstraints>,
     order: Vec<JobId>,
     images: Vec<Vec<(Arc<str>, u64)>>,
 }
 
-fn job(i: u64, beside: bool) -> Job {
+fn job(i: u64, colocated: bool) -> Job {
     let (job_class, team) = match i % 10 {
         0 => ("ruled", "team"),
-        1 if beside => ("ruled", "shy"),
+        1 if colocated => ("ruled", "shy"),
         1 => ("ruled", "team"),
         2 => ("masters", "team"),
         _ => ("plain", "team"),
@@ -59,18 +59,18 @@
         serde_json::json!({"s": serde_json::to_value(&spec).expect("a job"), "t": i}),
     )
     .expect("");
-    let stage = Stage::alone(&spec);
+    let dependency_state = DependencyState::alone(&spec);
     Job {
         record,
         mod_revision: 1,
         chunks: BTreeMap::new(),
-        ends: Finished::default(),
-        stage,
+        ends: CompletionBitmap::default(),
+        dependency_state,
     }
 }
 
 impl Cluster {
-    fn new(beside: bool) -> Cluster {
+    fn new(colocated: bool) -> Cluster {
         let catalog = catalog();
         let mut classes = Classes::default();
         classes.offer(&catalog);
@@ -91,10 +91,10 @@
             .iter()
             .map(|c| traits(c, &sets, &catalog))
             .collect();
-        let jobs: HashMap<JobId, Job> = (0..JOBS).map(|i| (JobId(i), job(i, beside))).collect();
-        let admissions = jobs
+        let jobs: HashMap<JobId, Job> = (0..JOBS).map(|i| (JobId(i), job(i, colocated))).collect();
+        let job_constraints = jobs
             .iter()
-            .filter_map(|(id, j)| Some((*id, Admission::of(j.spec(), &sets, &traits)?)))
+            .filter_map(|(id, j)| Some((*id, JobConstraints::of(j.spec(), &sets, &traits)?)))
             .collect();
         let images = (0..MACHINES)
             .map(|m| vec![(format!("img-{}", m % 40).into(), 500)])
@@ -105,13 +105,13 @@
             traits,
             sets,
             jobs,
-            admissions,
+            job_constraints,
             order: (0..JOBS).map(JobId).collect(),
             images,
         }
     }
 
-    fn slots(&self, beside: bool) -> Vec<Slot<'_>> {
+    fn candidates(&self, colocated: bool) -> Vec<Candidate<'_>> {
         (0..MACHINES)
             .map(|m| {
                 let class = self.classes.of(MachineId(m)).expect("a class");
@@ -123,7 +123,7 @@
                 } else {
                     t.room.cores / (1 + m % 4)
                 };
-                Slot {
+                Candidate {
                     machine: MachineId(m),
                     group: (m / 50) as usize,
                     owner: (m % 3) as usize,
@@ -136,17 +136,17 @@
                         cores: left,
                         ..t.room
                     },
-                    kept: false,
+                    reserved: false,
                     images: &self.images[m as usize],
                     fetches: None,
                     running: Vec::new(),
                     class,
-                    guarded: beside
+                    has_exclusions: colocated
                         && self
-                            .admissions
+                            .job_constraints
                             .get(&JobId(m % JOBS))
-                            .is_some_and(Admission::asks_beside),
-                    there: if beside {
+                            .is_some_and(JobConstraints::tests_colocation),
+                    there: if colocated {
                         vec![JobId(m % JOBS)]
                     } else {
                         Vec::new()
@@ -156,12 +156,15 @@
             .collect()
     }
 
-    fn asks<'a>(&'a self, house: Option<&'a House<'a>>) -> Vec<Ask<'a>> {
-        let ask = |id: &JobId| {
+    fn requests<'a>(
+        &'a self,
+        context: Option<&'a PlacementContext<'a>>,
+    ) -> Vec<PlacementRequest<'a>> {
+        let request = |id: &JobId| {
             let spec = self.jobs[id].spec();
-            let admission = self.admissions.get(id);
-            let rules = house.filter(|h| admission.is_some() || h.beside);
-            Ask {
+            let constraints = self.job_constraints.get(id);
+            let rules = context.filter(|h| constraints.is_some() || h.colocated);
+            PlacementRequest {
                 job: *id,
                 spec,
                 priority: spec.priority,
@@ -173,36 +176,41 @@
                 mine: true,
                 preempts: false,
                 guaranteed: false,
-                modest: false,
-                whole: false,
+                takes_leftovers: false,
+                all_or_nothing: false,
                 avoid: &[],
-                rules: rules.map(|house| Rules {
-                    house,
-                    admission,
-                    insisted: 0,
+                rules: rules.map(|context| Rules {
+                    context,
+                    constraints,
+                    required_preferences: 0,
                 }),
             }
         };
-        self.order.iter().map(ask).collect()
+        self.order.iter().map(request).collect()
     }
 }
 
-fn planned(c: &mut Criterion, name: &str, cluster: &Cluster, house: Option<&House<'_>>) {
-    let beside = house.is_some_and(|h| h.beside);
+fn planned(
+    c: &mut Criterion,
+    name: &str,
+    cluster: &Cluster,
+    context: Option<&PlacementContext<'_>>,
+) {
+    let colocated = context.is_some_and(|h| h.colocated);
     c.bench_function(name, |b| {
         b.iter_batched(
             || {
                 (
-                    cluster.slots(beside),
-                    cluster.asks(house),
-                    Groups {
+                    cluster.candidates(colocated),
+                    cluster.requests(context),
+                    GroupAllowance {
                         open: vec![false; 40],
                         left: 11,
                     },
                 )
             },
-            |(mut slots, mut asks, mut groups)| {
-                black_box(plan(&mut slots, &mut asks, &mut groups, CLAIMS))
+            |(mut candidates, mut requests, mut groups)| {
+                black_box(plan(&mut candidates, &mut requests, &mut groups, CLAIMS))
             },
             BatchSize::LargeInput,
         );
@@ -210,26 +218,27 @@
 }
 
 fn plans(c: &mut Criterion) {
-    for beside in [false, true] {
-        let cluster = Cluster::new(beside);
-        let house = House {
+    for colocated in [false, true] {
+        let cluster = Cluster::new(colocated);
+        let context = PlacementContext {
             jobs: &cluster.jobs,
-            admissions: &cluster.admissions,
-            beside,
+            job_constraints: &cluster.job_constraints,
+            colocated,
         };
-        let what = if beside {
+        let what = if colocated {
             "a fifth with rules, some of them about what is beside"
         } else {
             "a fifth with rules"
         };
         planned(c, "no rules", &cluster, None);
-        planned(c, what, &cluster, Some(&house));
+        planned(c, what, &cluster, Some(&context));
     }
     let cluster = Cluster::new(true);
     c.bench_function("rules judged for 100 jobs, all classes", |b| {
         b.iter(|| {
-            let of =
-                |id: &JobId| Admission::of(cluster.jobs[id].spec(), &cluster.sets, &cluster.traits);
+            let of = |id: &JobId| {
+                JobConstraints::of(cluster.jobs[id].spec(), &cluster.sets, &cluster.traits)
+            };
             cluster.order.iter().filter_map(of).count()
         });
     });
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -3,15 +3,15 @@
 
 mod common;
 
-use cometlead::bookkeeping::amount::Amount;
-use cometlead::bookkeeping::ids::{Attempt, JobId, MachineId, TaskId};
-use cometlead::bookkeeping::job::JobRecord;
-use cometlead::bookkeeping::placement::{Ask, Groups, Slot, plan};
-use cometlead::bookkeeping::records::{
-    Booking, Fitness, GroupRecord, Key, LAYOUT, MachineRecord, MetaRecord,
-};
-use cometlead::bookkeeping::view::{Change, Content, Touched, View};
 use cometlead::protocol::state::{decode, encode};
+use cometlead::scheduler::placement::{Candidate, GroupAllowance, PlacementRequest, plan};
+use cometlead::storage::cell_state::{CellChanges, CellState, Change, Content};
+use cometlead::storage::ids::{Attempt, JobId, MachineId, TaskId};
+use cometlead::storage::job::JobRecord;
+use cometlead::storage::records::{
+    Assignment, GroupRecord, Key, LAYOUT, MachineHealth, MachineRecord, MetaRecord,
+};
+use cometlead::storage::resources::Amount;
 use common::{CLAIMS, catalog};
 use criterion::{BatchSize, BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
 use serde_json::value::RawValue;
@@ -22,7 +22,7 @@
 const WAITING: [u64; 2] = [1_000, 4_000];
 /// Machines of a group, slices, and tasks of a machine.
 const GROUP: u64 = 50;
-const SLICES: u64 = 5;
+const SHARDS: u64 = 5;
 const TASKS: u64 = 4;
 /// Tasks of a job.
 const TASK_COUNT: u64 = 40;
@@ -43,7 +43,7 @@
             job: JobId(1_000_000 + n / TASK_COUNT),
             index: (n % TASK_COUNT) as u32,
         };
-        Booking::of(Attempt {
+        Assignment::of(Attempt {
             task,
             number: 70_000 + n,
         })
@@ -58,8 +58,8 @@
         zone: if m.is_multiple_of(2) { "a" } else { "b" }.into(),
         spot: !m.is_multiple_of(3),
         endpoint: format!("10.0.{}.{}:9000", m / 250, m % 250).parse().ok(),
-        fitness: Fitness::Up,
-        dead: 0,
+        health: MachineHealth::Schedulable,
+        fenced_incarnation: 0,
         images: vec![(format!("img-{}", m % 40).into(), 500)],
         tasks: tasks.collect(),
         preempted: Vec::new(),
@@ -70,7 +70,7 @@
 fn records(machines: u64, waiting: u64) -> Vec<(Key, Content)> {
     let meta = MetaRecord {
         layout: LAYOUT,
-        slices: SLICES as usize,
+        shards: SHARDS as usize,
         teams: BTreeMap::new(),
     };
     let mut all = vec![
@@ -79,7 +79,7 @@
     ];
     let mut groups: BTreeMap<(u64, u64), GroupRecord> = BTreeMap::new();
     for m in 0..machines {
-        let at = (m % SLICES, m / SLICES / GROUP);
+        let at = (m % SHARDS, m / SHARDS / GROUP);
         groups
             .entry(at)
             .or_default()
@@ -99,16 +99,16 @@
     all
 }
 
-fn view(records: &[(Key, Content)]) -> View {
-    let mut view = View::default();
+fn cell(records: &[(Key, Content)]) -> CellState {
+    let mut cell = CellState::default();
     let changes = records.iter().map(|(k, c)| Change {
         key: k.clone(),
         content: Some(c.clone()),
         mod_revision: 1,
     });
-    view.apply(changes, &mut Touched::default());
-    view.advance(1);
-    view
+    cell.apply(changes, &mut CellChanges::default());
+    cell.advance(1);
+    cell
 }
 
 fn text(content: &Content) -> Box<RawValue> {
@@ -130,12 +130,12 @@
         .into_iter()
         .chain(WAITING.map(|w| (1_000, w)))
     {
-        let view = view(&records(machines, waiting));
-        let slots = || -> Vec<Slot<'_>> {
+        let cell = cell(&records(machines, waiting));
+        let candidates = || -> Vec<Candidate<'_>> {
             let slot = |(k, m, r): (usize, MachineId, &'_ MachineRecord)| {
-                let r = view.machine(m).unwrap_or_else(|| panic!("{r:?}"));
-                let t = view.machine_type(&r.machine_type).expect("a type");
-                Slot {
+                let r = cell.machine(m).unwrap_or_else(|| panic!("{r:?}"));
+                let t = cell.machine_type(&r.machine_type).expect("a type");
+                Candidate {
                     machine: m,
                     group: (m.0 / GROUP) as usize,
                     owner: k,
@@ -147,24 +147,24 @@
                     free: if m.0 % 2 == 0 {
                         Amount::default()
                     } else {
-                        view.free(r)
+                        cell.free(r)
                     },
-                    kept: false,
+                    reserved: false,
                     images: &r.images,
                     fetches: None,
                     running: Vec::new(),
                     class: 0,
-                    guarded: false,
+                    has_exclusions: false,
                     there: Vec::new(),
                 }
             };
-            view.machines().map(slot).collect()
+            cell.machines().map(slot).collect()
         };
-        let asks = || -> Vec<Ask<'_>> {
+        let requests = || -> Vec<PlacementRequest<'_>> {
             let ids = (0..waiting).map(|i| JobId(2_000_000 + i));
             ids.map(|id| {
-                let spec = view.jobs[&id].spec();
-                Ask {
+                let spec = cell.jobs[&id].spec();
+                PlacementRequest {
                     job: id,
                     spec,
                     priority: spec.priority,
@@ -172,13 +172,13 @@
                     zones: BTreeMap::new(),
                     most: u64::MAX,
                     price_limit: u64::MAX,
-                    owner: (id.0 % SLICES) as usize,
+                    owner: (id.0 % SHARDS) as usize,
                     // One in five is this controller's; the others' take their turn.
-                    mine: id.0 % SLICES == 0,
+                    mine: id.0 % SHARDS == 0,
                     preempts: false,
                     guaranteed: false,
-                    modest: false,
-                    whole: false,
+                    takes_leftovers: false,
+                    all_or_nothing: false,
                     avoid: &[],
                     rules: None,
                 }
@@ -188,12 +188,12 @@
         group.bench_function(
             BenchmarkId::from_parameter(format!("{machines} machines, {waiting} waiting")),
             |b| {
-                let groups = || Groups {
+                let groups = || GroupAllowance {
                     open: vec![false; (machines / GROUP) as usize + 1],
                     left: 11,
                 };
                 b.iter_batched(
-                    || (slots(), asks(), groups()),
+                    || (candidates(), requests(), groups()),
                     |(mut s, mut a, mut g)| black_box(plan(&mut s, &mut a, &mut g, CLAIMS)),
                     BatchSize::LargeInput,
                 );
@@ -208,7 +208,7 @@
     let mut group = c.benchmark_group("watch batch of ten groups");
     for machines in SIZES {
         let records = records(machines, 100);
-        let mut view = view(&records);
+        let mut cell = cell(&records);
         let mut mod_revision = 1;
         group.bench_function(
             BenchmarkId::from_parameter(format!("{machines} machines")),
@@ -237,10 +237,10 @@
                         groups.map(change).collect::<Vec<_>>()
                     },
                     |changes| {
-                        let mut touched = Touched::default();
-                        view.apply(changes, &mut touched);
-                        view.advance(view.latest);
-                        black_box(touched)
+                        let mut changes_seen = CellChanges::default();
+                        cell.apply(changes, &mut changes_seen);
+                        cell.advance(cell.latest);
+                        black_box(changes_seen)
                     },
                     BatchSize::SmallInput,
                 );
@@ -268,7 +268,7 @@
                     let read = texts
                         .iter()
                         .map(|(k, t)| (k.clone(), decode(k, t).expect("a record")));
-                    black_box(view(&read.collect::<Vec<_>>()).latest)
+                    black_box(cell(&read.collect::<Vec<_>>()).latest)
                 });
             },
         );
@@ -281,7 +281,7 @@
     let mut group = c.benchmark_group("usage after a change");
     for machines in SIZES {
         let records = records(machines, 100);
-        let mut view = view(&records);
+        let mut cell = cell(&records);
         let changed = records
             .iter()
             .find(|(k, _)| matches!(k, Key::Group(..)))
@@ -298,8 +298,8 @@
                         content: Some(changed.1.clone()),
                         mod_revision,
                     };
-                    view.apply([change], &mut Touched::default());
-                    black_box(view.used(0, "team"))
+                    cell.apply([change], &mut CellChanges::default());
+                    black_box(cell.used(0, "team"))
                 });
             },
         );
--- a/crates/constraints/src/expr.rs
+++ b/crates/constraints/src/expr.rs
@@ -122,7 +122,7 @@
     /// The machine has one of these images, or is fetching it.
     Holds(Words),
     /// A task of another job of this kind is booked there.
-    Beside(Field, Words),
+    Colocated(Field, Words),
 }
 
 impl Expr {
@@ -136,9 +136,9 @@
     }
 
     /// Whether it asks which other jobs are on the machine.
-    pub fn asks_beside(&self) -> bool {
+    pub fn tests_colocation(&self) -> bool {
         let mut any = false;
-        self.tests(&mut |t| any |= matches!(t, Expr::Beside(..)));
+        self.tests(&mut |t| any |= matches!(t, Expr::Colocated(..)));
         any
     }
 }
@@ -220,7 +220,7 @@
                 f.write_str("holds ")?;
                 print_words(f, words)
             }
-            Expr::Beside(field, words) => {
+            Expr::Colocated(field, words) => {
                 let name = Field::ALL
                     .iter()
                     .find(|(x, _)| x == field)
--- a/crates/constraints/src/judge.rs
+++ b/crates/constraints/src/judge.rs
@@ -107,7 +107,7 @@
             Expr::Trait(name, test, _) => tested(traits.get(name), test),
             Expr::HoldsOwn => now.holds_own(),
             Expr::Holds(images) => now.holds(images),
-            Expr::Beside(field, words) => now.beside(*field, words),
+            Expr::Colocated(field, words) => now.beside(*field, words),
         }
     }
 
--- a/crates/constraints/src/parse.rs
+++ b/crates/constraints/src/parse.rs
@@ -261,7 +261,7 @@
             Rule::beside => {
                 let field =
                     field.ok_or_else(|| ParseError::at(at, "expected what to be beside"))?;
-                return Ok(Expr::Beside(field, set));
+                return Ok(Expr::Colocated(field, set));
             }
             Rule::present => Test::Present,
             Rule::flag => Test::Flag,
--- a/crates/constraints/tests/language.rs
+++ b/crates/constraints/tests/language.rs
@@ -273,7 +273,7 @@
         4 => test_of_a_trait(),
         1 => Just(Expr::HoldsOwn),
         1 => words().prop_map(Expr::Holds),
-        1 => (field, words()).prop_map(|(f, w)| Expr::Beside(f, w)),
+        1 => (field, words()).prop_map(|(f, w)| Expr::Colocated(f, w)),
     ];
     leaf.prop_recursive(5, 24, 4, |inner| {
         prop_oneof![
--- a/src/coordination/cancelled.rs
+++ b/src/coordination/agents/cancellations.rs
@@ -9,20 +9,20 @@
 //! What earlier owners launched needs none of this: a worker that takes this owner's answer has its token, and one that
 //! does not take it renews no lease.
 
-use super::Controller;
-use crate::bookkeeping::ids::{Attempt, JobId};
-use crate::bookkeeping::time::Micros;
+use crate::coordination::Controller;
+use crate::storage::ids::{Attempt, JobId};
+use crate::time::Micros;
 use std::collections::BTreeMap;
 
 /// Since when cancelled jobs may have been called so by any controller, at the earliest.
 #[derive(Debug, Default)]
-pub struct Cancelled {
+pub struct Cancellations {
     since: BTreeMap<JobId, Micros>,
     /// Contact is too old to answer workers: since when.
-    mute: Option<Micros>,
+    contact_lost_at: Option<Micros>,
 }
 
-impl Cancelled {
+impl Cancellations {
     /// A job is seen to be cancelled. `before`: it was not by then.
     pub fn note(&mut self, job: JobId, before: Micros) {
         self.since.entry(job).or_insert(before);
@@ -44,13 +44,13 @@
 
 impl Controller {
     /// Whether contact with the state service is too old to answer workers.
-    pub(super) fn is_out_of_contact(&mut self) -> bool {
+    pub(in crate::coordination) fn is_out_of_contact(&mut self) -> bool {
         let (now, contact) = (self.now.steady, self.contact_age());
-        let out = contact > self.cfg.contact_limit();
-        if out && self.cancelled.mute.is_none() {
+        let out = contact > self.settings.contact_limit();
+        if out && self.cancelled.contact_lost_at.is_none() {
             tracing::info!(%contact, "workers are not answered: what was cancelled since is not known");
-            self.cancelled.mute = Some(now);
-        } else if !out && let Some(since) = self.cancelled.mute.take() {
+            self.cancelled.contact_lost_at = Some(now);
+        } else if !out && let Some(since) = self.cancelled.contact_lost_at.take() {
             tracing::info!(after = %now.since(since), "workers are answered again");
         }
         out
@@ -58,13 +58,13 @@
 
     /// Whether a job, a launch of which is under way, may have been called cancelled so long ago that only the end of the
     /// machine's lease can keep it from running there.
-    pub(super) fn is_overdue(&self, since: Option<Micros>) -> bool {
-        since.is_some_and(|t| self.now.steady.since(t) > self.cfg.contact_limit())
+    pub(in crate::coordination) fn is_overdue(&self, since: Option<Micros>) -> bool {
+        since.is_some_and(|t| self.now.steady.since(t) > self.settings.contact_limit())
     }
 
     /// Forgets cancellations that are long over.
-    pub(super) fn sweep_cancelled(&mut self) {
-        let old = (self.cfg.cancel + self.cfg.lease) * 4;
+    pub(in crate::coordination) fn tick_cancellations(&mut self) {
+        let old = (self.settings.cancel + self.settings.lease) * 4;
         if self.now.steady > old {
             self.cancelled.forget(self.now.steady - old);
         }
--- a/src/coordination/cancelled/tests.rs
+++ b/src/coordination/agents/cancellations/tests.rs
@@ -1,7 +1,7 @@
 //! Since when jobs may have been called cancelled.
 
 use super::*;
-use crate::bookkeeping::ids::TaskId;
+use crate::storage::ids::TaskId;
 
 #[test]
 fn the_first_time_counts_and_the_earliest_of_all_launches() {
@@ -12,7 +12,7 @@
         },
         number: 7,
     };
-    let mut c = Cancelled::default();
+    let mut c = Cancellations::default();
     c.note(JobId(1), Micros::secs(5));
     c.note(JobId(1), Micros::secs(9));
     c.note(JobId(2), Micros::secs(4));
--- a/src/coordination/sessions/tests.rs
+++ b/src/coordination/agents/tests.rs
@@ -1,19 +1,19 @@
 //! What silence proves.
 
 use super::*;
-use crate::bookkeeping::ids::MachineId;
+use crate::storage::ids::MachineId;
 
 const TERM: u64 = 40;
 
-fn report(session: u64, number: u64, fencing_token: u64) -> Report {
+fn heartbeat(incarnation: u64, number: u64, fencing_token: u64) -> Heartbeat {
     let body = format!(
-        r#"{{"host":"i-000007","endpoint":"10.1.0.7:9000","build":"g8","yard":"a","loaners":true,"shift":{session},"tally":{number},"baton":{fencing_token},"recallS":null,"pieces":[]}}"#
+        r#"{{"host":"i-000007","endpoint":"10.1.0.7:9000","build":"g8","yard":"a","loaners":true,"shift":{incarnation},"tally":{number},"baton":{fencing_token},"recallS":null,"pieces":[]}}"#
     );
-    Report::parse(body.as_bytes()).expect("a report")
+    Heartbeat::parse(body.as_bytes()).expect("a report")
 }
 
-fn silent_for(s: &Session, now: u64) -> Option<u64> {
-    s.unrenewed(Micros::secs(now))
+fn silent_for(s: &Agent, now: u64) -> Option<u64> {
+    s.unrenewed_for(Micros::secs(now))
         .map(|t| t.as_millis() / 1_000)
 }
 
@@ -21,15 +21,15 @@
 /// its own beginning. Counted from the answer, tasks were placed elsewhere while they ran there.
 #[test]
 fn a_session_that_began_after_the_last_answer_has_its_own_lease() {
-    let mut s = Session::new("", "g8", "a", true);
-    assert_eq!(MachineId(7), report(1, 1, 0).machine);
-    s.takes(Micros::secs(10), &report(1, 4, TERM - 5), TERM);
+    let mut s = Agent::new("", "g8", "a", true);
+    assert_eq!(MachineId(7), heartbeat(1, 1, 0).machine);
+    s.takes(Micros::secs(10), &heartbeat(1, 4, TERM - 5), TERM);
     s.answered = Some(Micros::secs(10));
     assert_eq!(silent_for(&s, 30), None, "an earlier owner may command it");
-    s.takes(Micros::secs(14), &report(2, 1, TERM), TERM);
+    s.takes(Micros::secs(14), &heartbeat(2, 1, TERM), TERM);
     assert_eq!(silent_for(&s, 30), Some(16));
     // Nothing of the session itself is new then.
-    s.takes(Micros::secs(16), &report(2, 2, TERM), TERM);
+    s.takes(Micros::secs(16), &heartbeat(2, 2, TERM), TERM);
     assert_eq!(silent_for(&s, 30), Some(16));
     s.answered = Some(Micros::secs(17));
     assert_eq!(silent_for(&s, 30), Some(13));
@@ -39,20 +39,20 @@
 /// that renews its lease.
 #[test]
 fn an_earlier_owner_may_have_answered_until_the_token_was_reported() {
-    let mut s = Session::new("", "g8", "a", true);
-    s.takes(Micros::secs(10), &report(1, 4, TERM - 5), TERM);
+    let mut s = Agent::new("", "g8", "a", true);
+    s.takes(Micros::secs(10), &heartbeat(1, 4, TERM - 5), TERM);
     s.answered = Some(Micros::secs(10));
-    s.takes(Micros::secs(19), &report(1, 6, TERM + 2), TERM);
+    s.takes(Micros::secs(19), &heartbeat(1, 6, TERM + 2), TERM);
     assert_eq!(silent_for(&s, 30), Some(11));
     // A higher token later is nothing new.
-    s.takes(Micros::secs(25), &report(1, 7, TERM + 9), TERM);
+    s.takes(Micros::secs(25), &heartbeat(1, 7, TERM + 9), TERM);
     assert_eq!(silent_for(&s, 30), Some(11));
 }
 
 /// Without an answer of this tenure there is nothing to count from.
 #[test]
 fn who_was_never_answered_is_not_proven_silent() {
-    let mut s = Session::new("", "g8", "a", true);
-    s.takes(Micros::secs(1), &report(1, 1, TERM), TERM);
+    let mut s = Agent::new("", "g8", "a", true);
+    s.takes(Micros::secs(1), &heartbeat(1, 1, TERM), TERM);
     assert_eq!(silent_for(&s, 1_000), None);
 }
--- a/src/coordination/connections.rs
+++ b/src/coordination/api/connections.rs
@@ -8,7 +8,7 @@
 //!
 //! Pure: events and the time go in, decisions come out. Nothing here is a matter of the rules, only of who is served.
 
-use crate::bookkeeping::time::Micros;
+use crate::time::Micros;
 use std::collections::BTreeMap;
 
 /// Names a connection within its process.
@@ -33,7 +33,7 @@
     /// A cancellation.
     Abort,
     /// A worker's report.
-    Report,
+    Heartbeat,
     /// A submission.
     Submit,
     /// A poll.
@@ -45,7 +45,7 @@
     pub fn class(self) -> Class {
         match self {
             Request::Health => Class::Health,
-            Request::Report => Class::Worker,
+            Request::Heartbeat => Class::Worker,
             Request::Abort | Request::Submit | Request::Query => Class::User,
         }
     }
@@ -197,7 +197,7 @@
     }
 
     /// Begins and ends giving back connections, with hysteresis.
-    fn look(&mut self) {
+    fn update_shortage(&mut self) {
         let (ceiling, enough, full, floor) =
             (self.ceiling(), self.enough(), self.is_full(), self.floor());
         let is_short = |was: bool, kept: usize| {
@@ -218,7 +218,7 @@
             busy: false,
         };
         self.open.insert(id, connection);
-        self.look();
+        self.update_shortage();
     }
 
     /// A connection is gone.
@@ -230,7 +230,7 @@
         if connection.busy && connection.class == Some(Class::User) {
             self.asking -= 1;
         }
-        self.look();
+        self.update_shortage();
     }
 
     /// The counter of a class's connections. Health checks are few, and not counted apart.
@@ -258,7 +258,7 @@
                 *self.kept_of(before) -= 1;
             }
             *self.kept_of(Some(class)) += 1;
-            self.look();
+            self.update_shortage();
         }
         if class == Class::User {
             self.asking += 1;
@@ -271,7 +271,7 @@
     fn verdict(&mut self, request: Request) -> Verdict {
         let most = self.most_asking();
         let (limit, refused) = match request {
-            Request::Health | Request::Report => return Verdict::Serve,
+            Request::Health | Request::Heartbeat => return Verdict::Serve,
             Request::Abort => (most, &mut self.counts.aborts_refused),
             Request::Submit => (most * 7 / 8, &mut self.counts.submits_refused),
             Request::Query => (most / 2, &mut self.counts.queries_refused),
--- a/src/coordination/users.rs
+++ b/src/coordination/api/mod.rs
@@ -3,25 +3,27 @@
 //! What is not final is answered only after a read that began after the request came: another
 //! node may have told this user something newer than this copy knows.
 
-use super::rules::NotTaken;
-use super::{CallId, Controller, Effect, Purpose};
-use crate::bookkeeping::ids::JobId;
-use crate::bookkeeping::job::{FinalRecord, JobSpec};
-use crate::bookkeeping::records::Key;
-use crate::bookkeeping::time::Micros;
+pub mod connections;
+pub(super) mod dependencies;
+mod reads;
+mod submissions;
+
+use crate::coordination::constraints::Rejection;
+use crate::coordination::{CallId, Controller, Effect, Purpose};
 use crate::protocol::state::StateRequest;
-use crate::protocol::user::{JobAnswer, JobStatus, UserAnswer, UserRequest};
+use crate::protocol::user::{JobStatus, JobStatusResponse, UserRequest, UserResponse};
+use crate::storage::ids::JobId;
+use crate::storage::job::{FinalRecord, JobSpec};
+use crate::storage::records::Key;
+use crate::time::Micros;
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet, VecDeque};
 
-mod changes;
-mod reads;
-
 #[derive(Clone, Debug)]
 enum RequestKind {
     Submit(Box<JobSpec>),
     /// A submission that would be refused with this answer, unless its job is known already.
-    Refuse(UserAnswer),
+    Refuse(UserResponse),
     Query,
     Abort,
 }
@@ -42,7 +44,7 @@
 
 impl PendingRequest {
     /// Whether its user only asks, and changes nothing.
-    fn only_asks(&self) -> bool {
+    fn is_query(&self) -> bool {
         matches!(self.kind, RequestKind::Query)
     }
 }
@@ -140,8 +142,8 @@
     }
 }
 
-fn final_answer(id: JobId, f: FinalRecord) -> JobAnswer {
-    JobAnswer {
+fn final_answer(id: JobId, f: FinalRecord) -> JobStatusResponse {
+    JobStatusResponse {
         id,
         status: if f.cancelled {
             JobStatus::Cancelled
@@ -155,7 +157,7 @@
 }
 
 impl Controller {
-    const LATER: UserAnswer = UserAnswer::Later(1);
+    const RETRY_AFTER: UserResponse = UserResponse::RetryAfter(1);
     /// What polls leave of the requests for everything else.
     pub(super) const POLLS: f64 = 0.4;
     /// Contact older than this means that a request could not be decided in time.
@@ -163,30 +165,32 @@
 
     /// Reads of final records that may wait: about as many as can be made before their users give up.
     fn most_finals(&self) -> usize {
-        (self.cfg.state_rps / self.cfg.controllers() as f64) as usize + 4
+        (self.settings.state_rps / self.settings.controllers() as f64) as usize + 4
     }
 
-    fn answer(&mut self, request: &PendingRequest, answer: UserAnswer) {
-        if matches!(answer, UserAnswer::Later(_)) && !request.only_asks() {
+    fn answer(&mut self, request: &PendingRequest, answer: UserResponse) {
+        if matches!(answer, UserResponse::RetryAfter(_)) && !request.is_query() {
             let waited = self.now.steady.since(request.since);
             tracing::info!(job = %request.id, %waited, "told its user to come back");
         }
-        if request.only_asks() {
+        if request.is_query() {
             let polls = &mut self.users.polls;
             *match answer {
-                UserAnswer::Later(_) if request.since == self.now.steady => &mut polls.refused,
-                UserAnswer::Later(_) => &mut polls.delayed,
+                UserResponse::RetryAfter(_) if request.since == self.now.steady => {
+                    &mut polls.refused
+                }
+                UserResponse::RetryAfter(_) => &mut polls.delayed,
                 _ => &mut polls.answered,
             } += 1;
         }
-        self.out.push(Effect::User(request.call, answer));
+        self.effects.push(Effect::User(request.call, answer));
     }
 
     /// What a live job's user is told; nothing while it may be cancelled because of a job before it.
-    fn live_answer(&self, id: JobId) -> Option<JobAnswer> {
-        let job = self.view.jobs.get(&id)?;
-        let running = self.view.booked_count(id);
-        if job.stage.doubtful {
+    fn live_answer(&self, id: JobId) -> Option<JobStatusResponse> {
+        let job = self.cell.jobs.get(&id)?;
+        let running = self.cell.assigned_count(id);
+        if job.dependency_state.doubtful {
             return None;
         }
         let status = match (job.cancelled(), running) {
@@ -194,7 +198,7 @@
             (false, 0) => JobStatus::Queued,
             _ => JobStatus::Running,
         };
-        Some(JobAnswer {
+        Some(JobStatusResponse {
             id,
             status,
             done: job.done(),
@@ -205,13 +209,13 @@
 
     /// Why a job could never run; `None` also while that is not known.
     fn never(&self, spec: &JobSpec) -> Option<&'static str> {
-        let Some(types) = &self.view.types.value else {
+        let Some(types) = &self.cell.types.value else {
             return None;
         };
         if !types.types.iter().any(|t| spec.fits_type(t)) {
             return Some("a task fits no allowed machine type");
         }
-        let team = self.cfg.team(&spec.team)?;
+        let team = self.settings.team(&spec.team)?;
         let tasks = if spec.together() {
             u64::from(spec.task_count)
         } else {
@@ -222,7 +226,7 @@
     }
 
     pub(super) fn on_bad_submission(&mut self, call: CallId, id: JobId, why: Cow<'static, str>) {
-        self.take_request(call, id, RequestKind::Refuse(UserAnswer::Bad(why)));
+        self.take_request(call, id, RequestKind::Refuse(UserResponse::Bad(why)));
     }
 
     pub(super) fn on_user(&mut self, call: CallId, request: UserRequest) {
@@ -247,36 +251,36 @@
         };
         if let Some(f) = self.users.ended.get(&id) {
             let answer = final_answer(id, *f);
-            return self.answer(&request, UserAnswer::Is(answer));
+            return self.answer(&request, UserResponse::Is(answer));
         }
-        if !self.reader.ready()
+        if !self.replica.ready()
             || self.contact_age() > Self::BLIND
             || self.users.waiting() >= Users::WAITING
         {
-            return self.answer(&request, Self::LATER);
+            return self.answer(&request, Self::RETRY_AFTER);
         }
-        let live = self.view.jobs.get(&id);
+        let live = self.cell.jobs.get(&id);
         match &request.kind {
             RequestKind::Submit(spec) if live.is_none() => {
-                if self.cfg.team(&spec.team).is_none() {
-                    request.kind = RequestKind::Refuse(UserAnswer::Never("unknown team".into()));
-                } else if self.view.types.value.is_none() || self.view.slices() == 0 {
-                    return self.answer(&request, Self::LATER);
+                if self.settings.team(&spec.team).is_none() {
+                    request.kind = RequestKind::Refuse(UserResponse::Never("unknown team".into()));
+                } else if self.cell.types.value.is_none() || self.cell.shards() == 0 {
+                    return self.answer(&request, Self::RETRY_AFTER);
                 } else if let Some(why) = self.never(spec) {
-                    request.kind = RequestKind::Refuse(UserAnswer::Never(why.into()));
-                } else if let Some(why) = self.not_taken(spec) {
+                    request.kind = RequestKind::Refuse(UserResponse::Never(why.into()));
+                } else if let Some(why) = self.rejection(spec) {
                     match why {
-                        NotTaken::Never(why) => {
-                            request.kind = RequestKind::Refuse(UserAnswer::Never(why.into()))
+                        Rejection::Never(why) => {
+                            request.kind = RequestKind::Refuse(UserResponse::Never(why.into()))
                         }
-                        NotTaken::Later => return self.answer(&request, Self::LATER),
+                        Rejection::RetryAfter => return self.answer(&request, Self::RETRY_AFTER),
                     }
                 } else if spec.dependencies.is_empty() {
                     self.users.submits.push(request);
                     return;
-                } else if !self.takes_pipelines() {
+                } else if !self.supports_dependencies() {
                     // The others would start it too early.
-                    return self.answer(&request, Self::LATER);
+                    return self.answer(&request, Self::RETRY_AFTER);
                 } else {
                     return self.consider(request, false);
                 }
@@ -284,7 +288,7 @@
             RequestKind::Abort => match live {
                 Some(j) if j.cancelled() => {
                     if let Some(a) = self.live_answer(id) {
-                        self.answer(&request, UserAnswer::Is(a));
+                        self.answer(&request, UserResponse::Is(a));
                     }
                     return;
                 }
@@ -299,13 +303,14 @@
         self.await_read(request);
     }
 
-    pub(super) fn pump_users(&mut self) {
+    pub(super) fn drive_users(&mut self) {
         let now = self.now.steady;
         let paused = self.users.paused_until;
         let sent = if now < paused {
             Err(paused)
         } else {
-            self.pump_changes().and_then(|()| self.pump_look_ups())
+            self.drive_submissions()
+                .and_then(|()| self.drive_final_lookups())
         };
         if let Err(at) = sent {
             self.wake_at(at);
@@ -313,7 +318,7 @@
     }
 
     /// Sends cancellations, then submissions; when to go on if the rates leave no room for all.
-    fn pump_changes(&mut self) -> Result<(), Micros> {
+    fn drive_submissions(&mut self) -> Result<(), Micros> {
         let now = self.now.steady;
         let round = self.limits.txn_ops();
         while let Some(request) = self.users.aborts.pop() {
@@ -348,14 +353,10 @@
     }
 
     /// Looks up how jobs ended; when to go on if the rates leave no room for all.
-    fn pump_look_ups(&mut self) -> Result<(), Micros> {
+    fn drive_final_lookups(&mut self) -> Result<(), Micros> {
         let now = self.now.steady;
         while let Some((request, of)) = self.users.finals.pop_front() {
-            let reserve = if request.only_asks() {
-                Self::POLLS
-            } else {
-                0.0
-            };
+            let reserve = if request.is_query() { Self::POLLS } else { 0.0 };
             if let Err(at) = self.budget.spend(now, 0, reserve) {
                 self.users.finals.push_front((request, of));
                 return Err(at);
@@ -369,7 +370,7 @@
     }
 
     /// Gives up on requests that took too long.
-    pub(super) fn sweep_users(&mut self) {
+    pub(super) fn tick_users(&mut self) {
         let now = self.now.steady;
         let limit = |request: &PendingRequest| match request.kind {
             RequestKind::Query => Micros::millis(1_500),
@@ -388,7 +389,7 @@
             late.extend(users.finals.pop_front().map(|(request, _)| request));
         }
         for request in late {
-            self.answer(&request, Self::LATER);
+            self.answer(&request, Self::RETRY_AFTER);
         }
     }
 }
--- a/src/coordination/users/reads.rs
+++ b/src/coordination/api/reads.rs
@@ -1,11 +1,11 @@
 //! Requests that wait for a read, and look-ups of how jobs ended.
 
 use super::{PendingRequest, RequestKind, final_answer};
-use crate::bookkeeping::ids::JobId;
-use crate::bookkeeping::job::FinalRecord;
 use crate::coordination::Controller;
 use crate::protocol::state::{CallError, StateReply};
-use crate::protocol::user::{JobStatus, UserAnswer};
+use crate::protocol::user::{JobStatus, UserResponse};
+use crate::storage::ids::JobId;
+use crate::storage::job::FinalRecord;
 
 impl Controller {
     /// Decides on the submission of a job that awaits others: each of them must have been accepted, and be
@@ -15,14 +15,14 @@
         let RequestKind::Submit(spec) = &request.kind else {
             return;
         };
-        if !self.reader.ready() {
+        if !self.replica.ready() {
             // While the copy is read anew, jobs that are not in it may be live.
-            return self.answer(&request, Self::LATER);
+            return self.answer(&request, Self::RETRY_AFTER);
         }
         let mut missing = None;
         let mut refuse = None;
         for name in &spec.dependencies {
-            match self.view.jobs.get(name) {
+            match self.cell.jobs.get(name) {
                 _ if *name == request.id => refuse = Some("it awaits itself"),
                 Some(j) if j.spec().service => {
                     refuse = Some("it awaits a job that does not end by itself")
@@ -37,7 +37,7 @@
         }
         match (refuse, missing) {
             (Some(why), _) => {
-                request.kind = RequestKind::Refuse(UserAnswer::Never(why.into()));
+                request.kind = RequestKind::Refuse(UserResponse::Never(why.into()));
                 self.await_read(request);
             }
             (None, None) => self.users.submits.push(request),
@@ -49,10 +49,10 @@
     pub(super) fn await_read(&mut self, mut request: PendingRequest) {
         request.after = self.next_call - 1;
         // What changes something goes before what only asks.
-        if request.only_asks() {
-            self.reader.want_read();
+        if request.is_query() {
+            self.replica.want_read();
         } else {
-            self.reader.want_barrier();
+            self.replica.want_barrier();
         }
         self.users.reads.push(request);
     }
@@ -65,15 +65,15 @@
         let (ready, still): (Vec<PendingRequest>, Vec<PendingRequest>) =
             std::mem::take(&mut self.users.reads)
                 .into_iter()
-                .partition(|request| self.reader.passed(request.after));
-        if still.iter().any(|request| !request.only_asks()) {
-            self.reader.want_barrier();
+                .partition(|request| self.replica.passed(request.after));
+        if still.iter().any(|request| !request.is_query()) {
+            self.replica.want_barrier();
         } else if !still.is_empty() {
-            self.reader.want_read();
+            self.replica.want_read();
         }
         self.users.reads = still;
         for request in ready {
-            let live = self.view.jobs.contains_key(&request.id);
+            let live = self.cell.jobs.contains_key(&request.id);
             match (self.live_answer(request.id), &request.kind) {
                 // How a job before it ended is being looked up; it may be cancelled whatever that is.
                 (None, RequestKind::Abort) if live => self.users.aborts.push(request),
@@ -81,21 +81,19 @@
                 (Some(a), RequestKind::Abort) if a.status != JobStatus::Cancelled => {
                     self.users.aborts.push(request)
                 }
-                (Some(a), _) => self.answer(&request, UserAnswer::Is(a)),
+                (Some(a), _) => self.answer(&request, UserResponse::Is(a)),
                 (None, _) => match self.users.ended.get(&request.id) {
                     Some(f) => {
                         let a = final_answer(request.id, *f);
-                        self.answer(&request, UserAnswer::Is(a));
+                        self.answer(&request, UserResponse::Is(a));
                     }
                     None if matches!(&request.kind, RequestKind::Submit(s) if !s.dependencies.is_empty()) => {
                         self.consider(request, true)
                     }
                     None if self.users.absent.contains(&request.id) => self.decide_absent(request),
                     // Who asks about what nobody has submitted must not take the requests of others.
-                    None if request.only_asks()
-                        && self.users.finals.len() >= self.most_finals() =>
-                    {
-                        self.answer(&request, Self::LATER);
+                    None if request.is_query() && self.users.finals.len() >= self.most_finals() => {
+                        self.answer(&request, Self::RETRY_AFTER);
                     }
                     None => self.users.finals.push_back((request.clone(), request.id)),
                 },
@@ -118,13 +116,13 @@
                     }
                     Ok(f) => {
                         self.users.remember(request.id, f);
-                        self.answer(&request, UserAnswer::Is(final_answer(request.id, f)));
+                        self.answer(&request, UserResponse::Is(final_answer(request.id, f)));
                     }
-                    Err(_) => self.answer(&request, Self::LATER),
+                    Err(_) => self.answer(&request, Self::RETRY_AFTER),
                 }
             }
             Ok(StateReply::Value(None)) => {
-                if !self.view.jobs.contains_key(&of) {
+                if !self.cell.jobs.contains_key(&of) {
                     self.users.remember_absent(of);
                 }
                 if of == request.id {
@@ -133,14 +131,14 @@
                     self.consider(request, true);
                 }
             }
-            _ => self.answer(&request, Self::LATER),
+            _ => self.answer(&request, Self::RETRY_AFTER),
         }
     }
 
     /// Nobody has submitted this job before.
     pub(super) fn decide_absent(&mut self, request: PendingRequest) {
         match &request.kind {
-            RequestKind::Query | RequestKind::Abort => self.answer(&request, UserAnswer::Unknown),
+            RequestKind::Query | RequestKind::Abort => self.answer(&request, UserResponse::Unknown),
             RequestKind::Refuse(answer) => {
                 let answer = answer.clone();
                 self.answer(&request, answer);
@@ -152,7 +150,7 @@
     /// A read brought nothing: who waits for one is told to come back.
     pub(in crate::coordination) fn users_without_contact(&mut self) {
         for request in std::mem::take(&mut self.users.reads) {
-            self.answer(&request, Self::LATER);
+            self.answer(&request, Self::RETRY_AFTER);
         }
     }
 }
--- a/src/coordination/users/changes.rs
+++ b/src/coordination/api/submissions.rs
@@ -1,13 +1,13 @@
 //! Submissions and cancellations: transactions that change a job's record, and what becomes of their answers.
 
 use super::{PendingRequest, RequestKind};
-use crate::bookkeeping::job::{JobRecord, JobSpec};
-use crate::bookkeeping::records::Key;
-use crate::bookkeeping::time::Micros;
-use crate::bookkeeping::view::{Change, Content, Touched};
 use crate::coordination::{Controller, Purpose};
 use crate::protocol::state::{CallError, Put, StateReply, StateRequest, Txn, encode};
-use crate::protocol::user::{JobAnswer, JobStatus, UserAnswer};
+use crate::protocol::user::{JobStatus, JobStatusResponse, UserResponse};
+use crate::storage::cell_state::{CellChanges, Change, Content};
+use crate::storage::job::{JobRecord, JobSpec};
+use crate::storage::records::Key;
+use crate::time::Micros;
 
 impl Controller {
     /// Submissions that share a transaction at the most.
@@ -22,7 +22,7 @@
     pub(super) fn new_record(&self, spec: &JobSpec, submitted: Micros) -> JobRecord {
         let mut spec = spec.clone();
         if let (Some(machine_types), Some(types)) =
-            (&mut spec.machine_types, &self.view.types.value)
+            (&mut spec.machine_types, &self.cell.types.value)
         {
             // Types that the cloud does not know cannot be hired; an empty list stays one.
             machine_types.retain(|b| types.get(b).is_some());
@@ -47,12 +47,12 @@
             let RequestKind::Submit(spec) = &request.kind else {
                 continue;
             };
-            let value = encode(&self.new_record(spec, request.day).terse(self.view.terse()));
+            let value = encode(&self.new_record(spec, request.day).terse(self.cell.terse()));
             // Room for a full bitmap and the machines to avoid must be left.
             let size = value.as_ref().map_or(0, |v| v.get().len());
             let spare = 1_600.min(spec.task_count as usize / 4 + 200);
             if size + spare > self.limits.value_bytes() {
-                self.answer(&request, UserAnswer::Bad("too large".into()));
+                self.answer(&request, UserResponse::Bad("too large".into()));
                 continue;
             }
             if bytes + size > Self::SUBMITTED_BYTES && !sent.is_empty() {
@@ -81,7 +81,7 @@
     ) {
         match result {
             Ok(StateReply::Applied(revision)) => {
-                let mut touched = Touched::default();
+                let mut changes_seen = CellChanges::default();
                 let changes: Vec<Change> = batch
                     .iter()
                     .filter_map(|request| {
@@ -97,7 +97,7 @@
                         })
                     })
                     .collect();
-                self.view.apply(changes, &mut touched);
+                self.cell.apply(changes, &mut changes_seen);
                 for request in batch {
                     if let RequestKind::Submit(spec) = &request.kind {
                         // Named as in the submission: log analysis joins the two by these fields.
@@ -105,33 +105,33 @@
                     }
                     // The watch may have brought its cancellation, or its end, before this answer; and of a
                     // job that awaits others it may not be known yet whether one of these is cancelled.
-                    match self.view.jobs.get(&request.id) {
-                        Some(j) if !j.record.cancelled && !j.stage.doubtful => {
+                    match self.cell.jobs.get(&request.id) {
+                        Some(j) if !j.record.cancelled && !j.dependency_state.doubtful => {
                             let status = if j.cancelled() {
                                 JobStatus::Cancelled
                             } else {
                                 JobStatus::Queued
                             };
-                            let answer = JobAnswer {
+                            let answer = JobStatusResponse {
                                 id: request.id,
                                 status,
                                 done: 0,
                                 running: 0,
                                 reason: None,
                             };
-                            self.answer(&request, UserAnswer::Accepted(answer));
+                            self.answer(&request, UserResponse::Accepted(answer));
                         }
                         _ => self.await_read(request),
                     }
                 }
-                self.on_touched_view(&touched);
+                self.on_cell_changed(&changes_seen);
             }
             Ok(_) | Err(CallError::Unknown) => {
                 // Known already, or the outcome is unknown: the state decides.
                 for mut request in batch {
                     request.tries += 1;
                     if request.tries > 2 {
-                        self.answer(&request, Self::LATER);
+                        self.answer(&request, Self::RETRY_AFTER);
                     } else {
                         self.await_read(request);
                     }
@@ -142,7 +142,7 @@
                 .for_each(|request| self.send_again(request)),
             Err(_) => {
                 for request in batch {
-                    self.answer(&request, Self::LATER);
+                    self.answer(&request, Self::RETRY_AFTER);
                 }
             }
         }
@@ -152,7 +152,7 @@
     pub(super) fn send_again(&mut self, request: PendingRequest) {
         let now = self.now.steady;
         if now.since(request.since) > Self::RATE_PATIENCE {
-            return self.answer(&request, Self::LATER);
+            return self.answer(&request, Self::RETRY_AFTER);
         }
         self.users.paused_until = now + Self::RATE_PAUSE;
         match request.kind {
@@ -162,12 +162,12 @@
     }
 
     pub(super) fn send_abort(&mut self, request: PendingRequest) {
-        let Some(job) = self.view.jobs.get(&request.id) else {
+        let Some(job) = self.cell.jobs.get(&request.id) else {
             return self.await_read(request);
         };
         let record = JobRecord {
             cancelled: true,
-            ..job.record.clone().terse(self.view.terse())
+            ..job.record.clone().terse(self.cell.terse())
         };
         let txn = Txn {
             when: vec![(Key::Job(request.id), job.mod_revision)],
@@ -188,14 +188,14 @@
         match result {
             Ok(StateReply::Applied(revision)) => {
                 tracing::info!(job = %request.id, "cancelled by its user");
-                let mut answer = JobAnswer {
+                let mut answer = JobStatusResponse {
                     id: request.id,
                     status: JobStatus::Cancelled,
                     done: 0,
                     running: 0,
                     reason: None,
                 };
-                if let Some(job) = self.view.jobs.get(&request.id) {
+                if let Some(job) = self.cell.jobs.get(&request.id) {
                     let record = JobRecord {
                         cancelled: true,
                         ..job.record.clone()
@@ -206,22 +206,22 @@
                         content: Some(Content::Job(Box::new(record))),
                         mod_revision: revision,
                     };
-                    let mut touched = Touched::default();
-                    self.view.apply([change], &mut touched);
-                    self.on_touched_view(&touched);
+                    let mut changes_seen = CellChanges::default();
+                    self.cell.apply([change], &mut changes_seen);
+                    self.on_cell_changed(&changes_seen);
                 }
-                self.answer(&request, UserAnswer::Is(answer));
+                self.answer(&request, UserResponse::Is(answer));
             }
             Ok(_) | Err(CallError::Unknown) => {
                 request.tries += 1;
                 if request.tries > 6 {
-                    self.answer(&request, Self::LATER);
+                    self.answer(&request, Self::RETRY_AFTER);
                 } else {
                     self.await_read(request);
                 }
             }
             Err(CallError::TooMany) => self.send_again(request),
-            Err(_) => self.answer(&request, Self::LATER),
+            Err(_) => self.answer(&request, Self::RETRY_AFTER),
         }
     }
 }
--- a/src/coordination/fleet/answers.rs
+++ b/src/coordination/autoscaler/cloud_responses.rs
@@ -1,32 +1,33 @@
 //! What the cloud answers, and the plan of the fleet that follows from it.
 
 use super::{CloudPurpose, Known};
-use crate::bookkeeping::catalog::Catalog;
-use crate::bookkeeping::fleet::Offer;
-use crate::bookkeeping::ids::MachineId;
-use crate::bookkeeping::records::{FleetRecord, Key, ProvisionRecord};
-use crate::bookkeeping::time::Micros;
-use crate::bookkeeping::view::{Change, Content, Touched};
 use crate::coordination::{Call, CallId, Controller, Effect, Purpose};
 use crate::protocol::cloud::{CloudMachine, CloudMachineState, CloudReply, CloudRequest};
 use crate::protocol::state::{CallError, Put, StateReply, StateRequest, Txn, encode};
+use crate::scheduler::provisioning::MachineOffer;
+use crate::storage::catalog::Catalog;
+use crate::storage::cell_state::{CellChanges, Change, Content};
+use crate::storage::ids::MachineId;
+use crate::storage::records::{FleetRecord, Key, ProvisionRecord};
+use crate::time::Micros;
 
 impl Controller {
     pub(super) fn ask_cloud(&mut self, purpose: CloudPurpose, request: CloudRequest) {
         let id = self.call(Purpose::Cloud(purpose));
-        self.out.push(Effect::Cloud(id, request, Self::CLOUD_LIMIT));
+        self.effects
+            .push(Effect::Cloud(id, request, Self::CLOUD_LIMIT));
     }
 
     /// The fleet's record without what is long settled.
     pub(super) fn fleet_record(&self) -> FleetRecord {
-        let mut record = self.view.fleet.value.clone();
-        let old = self.cfg.list_lag * 4 + Micros::secs(60);
+        let mut record = self.cell.fleet.value.clone();
+        let old = self.settings.list_lag * 4 + Micros::secs(60);
         record
             .provision_requests
             .retain(|h| self.now.day.since(h.at) < old);
         record
             .releasing
-            .retain(|m| !self.fleet.confirmed.contains(m));
+            .retain(|m| !self.autoscaler.confirmed.contains(m));
         record
     }
 
@@ -41,8 +42,11 @@
         }
         let txn = Txn {
             when: vec![
-                (Key::Own(0), self.view.mod_revision(&Key::Own(0))),
-                (Key::Fleet, self.view.fleet.mod_revision),
+                (
+                    Key::ShardLeader(0),
+                    self.cell.mod_revision(&Key::ShardLeader(0)),
+                ),
+                (Key::Fleet, self.cell.fleet.mod_revision),
             ],
             then: vec![Put {
                 key: Key::Fleet,
@@ -50,7 +54,7 @@
                 lease_id: None,
             }],
         };
-        self.fleet.writing = true;
+        self.autoscaler.writing = true;
         self.budget.force(self.now.steady, 1);
         self.ask_state(
             Purpose::Fleet(Box::new((record, new))),
@@ -65,11 +69,11 @@
         (record, new): (FleetRecord, Vec<ProvisionRecord>),
         result: Result<StateReply, CallError>,
     ) {
-        self.fleet.writing = false;
-        self.fleet.looking = true;
+        self.autoscaler.writing = false;
+        self.autoscaler.looking = true;
         let Ok(StateReply::Applied(mod_revision)) = result else {
             tracing::debug!(?result, "the plan of the fleet was not written");
-            self.reader.want_barrier();
+            self.replica.want_barrier();
             return;
         };
         let change = Change {
@@ -77,11 +81,11 @@
             content: Some(Content::Fleet(record)),
             mod_revision,
         };
-        self.view.apply([change], &mut Touched::default());
-        if !self.owns(0) {
+        self.cell.apply([change], &mut CellChanges::default());
+        if !self.leads(0) {
             return;
         }
-        if self.absence.in_doubt() {
+        if self.stall.in_doubt() {
             // Written before an absence: by now another owner may have hired for the same need. The record keeps what
             // was planned counted for as long as a rental without an answer.
             tracing::info!(rentals = new.len(), "planned before the absence, not sent");
@@ -95,7 +99,7 @@
                 count = h.count,
                 "hiring"
             );
-            self.fleet.provisioning += 1;
+            self.autoscaler.provisioning += 1;
             let request = CloudRequest::Provision {
                 name: h.name.clone(),
                 machine_type: h.machine_type.clone(),
@@ -119,7 +123,7 @@
         else {
             return;
         };
-        if !self.owns(0) {
+        if !self.leads(0) {
             return;
         }
         let now = self.now.steady;
@@ -127,17 +131,17 @@
             result,
             Err(CallError::Unavailable | CallError::TooMany | CallError::Unknown)
         ) {
-            self.fleet.trouble_until = now + Micros::millis(1_500);
+            self.autoscaler.trouble_until = now + Micros::millis(1_500);
         }
         match purpose {
             CloudPurpose::Catalog => {
-                self.fleet.asking_catalog = false;
+                self.autoscaler.asking_catalog = false;
                 match result {
                     Ok(CloudReply::Catalog(c)) => {
-                        self.fleet.next_catalog = now + Micros::secs(30);
+                        self.autoscaler.next_catalog = now + Micros::secs(30);
                         self.on_catalog(c);
                     }
-                    _ => self.fleet.next_catalog = now + Micros::secs(1),
+                    _ => self.autoscaler.next_catalog = now + Micros::secs(1),
                 }
             }
             CloudPurpose::List(pages) => self.on_list(pages, result),
@@ -148,7 +152,7 @@
 
     fn on_catalog(&mut self, new: Catalog) {
         let moved = |a: u64, b: u64| a.abs_diff(b) * 20 > b.max(1);
-        let same = self.view.types.value.as_ref().is_some_and(|old| {
+        let same = self.cell.types.value.as_ref().is_some_and(|old| {
             old.types.len() == new.types.len()
                 && old.types.iter().zip(&new.types).all(|(a, b)| {
                     let mut b = b.clone();
@@ -164,8 +168,11 @@
         }
         let txn = Txn {
             when: vec![
-                (Key::Own(0), self.view.mod_revision(&Key::Own(0))),
-                (Key::Types, self.view.types.mod_revision),
+                (
+                    Key::ShardLeader(0),
+                    self.cell.mod_revision(&Key::ShardLeader(0)),
+                ),
+                (Key::Types, self.cell.types.mod_revision),
             ],
             then: vec![Put {
                 key: Key::Types,
@@ -189,22 +196,22 @@
                     content: Some(Content::Types(types)),
                     mod_revision,
                 };
-                let mut touched = Touched::default();
-                self.view.apply([change], &mut touched);
-                self.on_touched_view(&touched);
+                let mut changes_seen = CellChanges::default();
+                self.cell.apply([change], &mut changes_seen);
+                self.on_cell_changed(&changes_seen);
             }
             _ => {
-                self.fleet.next_catalog = self.now.steady + Micros::secs(1);
-                self.reader.want_barrier();
+                self.autoscaler.next_catalog = self.now.steady + Micros::secs(1);
+                self.replica.want_barrier();
             }
         }
     }
 
     fn on_provisioned(&mut self, h: &ProvisionRecord, result: Result<CloudReply, CallError>) {
         let now = self.now.steady;
-        self.fleet.provisioning = self.fleet.provisioning.saturating_sub(1);
-        self.fleet.looking = true;
-        let offer = Offer {
+        self.autoscaler.provisioning = self.autoscaler.provisioning.saturating_sub(1);
+        self.autoscaler.looking = true;
+        let offer = MachineOffer {
             machine_type: h.machine_type.clone(),
             zone: h.zone.clone(),
             spot: h.spot,
@@ -218,14 +225,14 @@
                     "hired"
                 );
                 if (machines.len() as u32) < h.count {
-                    self.fleet
+                    self.autoscaler
                         .none_left
                         .insert(offer, (now + Micros::secs(5), 1));
                 } else {
-                    self.fleet.none_left.remove(&offer);
+                    self.autoscaler.none_left.remove(&offer);
                 }
                 for m in machines {
-                    self.fleet.known.entry(m).or_insert(Known {
+                    self.autoscaler.known.entry(m).or_insert(Known {
                         machine_type: h.machine_type.clone(),
                         zone: h.zone.clone(),
                         spot: h.spot,
@@ -238,10 +245,12 @@
                 self.forget_provision_request(&h.name);
             }
             Ok(CloudReply::NoCapacity) | Err(CallError::Refused) => {
-                let tries = self.fleet.none_left.get(&offer).map_or(0, |(_, n)| *n) + 1;
+                let tries = self.autoscaler.none_left.get(&offer).map_or(0, |(_, n)| *n) + 1;
                 let pause = Micros::secs(3 * u64::from(tries.min(5)));
                 tracing::info!(machine_type = h.machine_type, spot = h.spot, pause = %pause, "none to be had");
-                self.fleet.none_left.insert(offer, (now + pause, tries));
+                self.autoscaler
+                    .none_left
+                    .insert(offer, (now + pause, tries));
                 self.forget_provision_request(&h.name);
             }
             // Perhaps hired: the record keeps it counted until a list would show it.
@@ -252,7 +261,7 @@
     /// What came of a rental is known: it no longer counts by its record. The copy of this
     /// process alone is corrected; another owner would read the list first.
     fn forget_provision_request(&mut self, name: &str) {
-        self.view
+        self.cell
             .fleet
             .value
             .provision_requests
@@ -262,8 +271,8 @@
     fn on_list(&mut self, mut hosts: Vec<CloudMachine>, result: Result<CloudReply, CallError>) {
         let now = self.now.steady;
         let Ok(CloudReply::Hosts(page, more)) = result else {
-            self.fleet.listing = false;
-            self.fleet.next_list = now + Micros::secs(2);
+            self.autoscaler.listing = false;
+            self.autoscaler.next_list = now + Micros::secs(2);
             return;
         };
         hosts.extend(page);
@@ -272,18 +281,18 @@
             self.ask_cloud(CloudPurpose::List(hosts), CloudRequest::List(Some(after)));
             return;
         }
-        self.fleet.listing = false;
-        self.fleet.next_list = now + Micros::secs(4);
-        self.fleet.lists += 1;
-        let sent = self.fleet.list_sent;
-        self.fleet.last_list = sent;
+        self.autoscaler.listing = false;
+        self.autoscaler.next_list = now + Micros::secs(4);
+        self.autoscaler.lists += 1;
+        let sent = self.autoscaler.list_sent;
+        self.autoscaler.last_list = sent;
         for h in hosts {
-            if h.status == CloudMachineState::Failed && self.view.machine(h.id).is_some() {
+            if h.status == CloudMachineState::Failed && self.cell.machine(h.id).is_some() {
                 tracing::info!(machine = %h.id, "failed, says the cloud");
                 self.rounds.gone(h.id);
             }
             let nominal = self.nominal_boot(&h.machine_type);
-            let known = self.fleet.known.entry(h.id).or_insert_with(|| Known {
+            let known = self.autoscaler.known.entry(h.id).or_insert_with(|| Known {
                 machine_type: h.machine_type.clone(),
                 zone: h.zone.clone(),
                 spot: h.spot,
@@ -296,21 +305,21 @@
             known.status = h.status;
             known.listed = Some(sent);
         }
-        let view = &self.view;
-        let old = self.cfg.list_lag * 3 + Micros::secs(20);
-        self.fleet.known.retain(|m, k| {
+        let cell = &self.cell;
+        let old = self.settings.list_lag * 3 + Micros::secs(20);
+        self.autoscaler.known.retain(|m, k| {
             let last = k.listed.unwrap_or(k.since);
-            view.machine(*m).is_some() || now.since(last) < old
+            cell.machine(*m).is_some() || now.since(last) < old
         });
     }
 
     fn on_released(&mut self, machines: &[MachineId], result: Result<CloudReply, CallError>) {
         for m in machines {
-            self.fleet.releasing.remove(m);
+            self.autoscaler.releasing.remove(m);
             if result == Ok(CloudReply::Released) {
                 tracing::info!(machine = %m, "returned");
-                self.fleet.known.remove(m);
-                self.fleet.confirmed.insert(*m);
+                self.autoscaler.known.remove(m);
+                self.autoscaler.confirmed.insert(*m);
                 self.rounds.gone(*m);
             }
         }
--- a/src/coordination/fleet.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -1,19 +1,19 @@
 //! Hiring and returning machines: the work of slice 0's owner, who alone talks to the cloud.
 
-mod answers;
-mod returns;
+mod cloud_responses;
+mod scale_in;
 
-use super::Controller;
-use crate::bookkeeping::boots::Boots;
-use crate::bookkeeping::catalog::Catalog;
-use crate::bookkeeping::classes::ClassId;
-use crate::bookkeeping::fleet::{Demand, Offer, Pools, plan};
-use crate::bookkeeping::ids::{JobId, MachineId};
-use crate::bookkeeping::records::{Fitness, ProvisionRecord};
-use crate::bookkeeping::time::Micros;
-use crate::bookkeeping::view::Job;
+use crate::coordination::Controller;
 use crate::protocol::cloud::{CloudMachine, CloudMachineState, CloudRequest, PROVISION_LIMIT};
 use crate::protocol::state::encode;
+use crate::scheduler::boot_times::BootTimeEstimates;
+use crate::scheduler::provisioning::{Demand, MachineOffer, MachinePools, plan};
+use crate::storage::catalog::Catalog;
+use crate::storage::cell_state::Job;
+use crate::storage::ids::{JobId, MachineId};
+use crate::storage::machine_classes::ClassId;
+use crate::storage::records::{MachineHealth, ProvisionRecord};
+use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// Why the cloud was asked.
@@ -45,7 +45,7 @@
 
 /// What the fleet's owner knows.
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct Autoscaler {
     looking: bool,
     next: Micros,
     next_list: Micros,
@@ -58,11 +58,11 @@
     lists: u32,
     last_list: Micros,
     known: BTreeMap<MachineId, Known>,
-    boots: Boots,
+    boot_times: BootTimeEstimates,
     /// Expected boot times, by type: now, and as last logged.
     expected: BTreeMap<String, (Micros, Micros)>,
     idle: HashMap<MachineId, Micros>,
-    spare: BTreeMap<Offer, Spare>,
+    spare: BTreeMap<MachineOffer, Spare>,
     lost: HashMap<MachineId, Micros>,
     released: BTreeSet<MachineId>,
     releasing: BTreeSet<MachineId>,
@@ -70,7 +70,7 @@
     confirmed: BTreeSet<MachineId>,
     provisioning: usize,
     writing: bool,
-    none_left: HashMap<Offer, (Micros, u32)>,
+    none_left: HashMap<MachineOffer, (Micros, u32)>,
     counter: u64,
     trouble_until: Micros,
 }
@@ -117,14 +117,14 @@
     }
 }
 
-impl Fleet {
+impl Autoscaler {
     /// Something changed that may call for machines.
-    pub fn look(&mut self) {
+    pub fn schedule_check(&mut self) {
         self.looking = true;
     }
 
     /// This process did not run for so long: what was idle, silent or on its way is not judged by that time.
-    pub fn was_away(&mut self, now: Micros, span: Micros) {
+    pub fn on_stall(&mut self, now: Micros, span: Micros) {
         self.idle.clear();
         self.lost.clear();
         self.spare.clear();
@@ -140,51 +140,52 @@
 impl Controller {
     const CLOUD_LIMIT: Micros = Micros::secs(5);
 
-    pub(super) fn end_fleet(&mut self) {
-        let counter = self.fleet.counter;
-        self.fleet = Fleet {
+    pub(super) fn end_autoscaler(&mut self) {
+        let counter = self.autoscaler.counter;
+        self.autoscaler = Autoscaler {
             counter,
-            ..Fleet::default()
+            ..Autoscaler::default()
         };
         self.rounds.drop_fleet();
     }
 
-    pub(super) fn pump_fleet(&mut self) {
+    pub(super) fn drive_autoscaler(&mut self) {
         let now = self.now.steady;
-        if !self.owns(0) || !self.reader.ready() {
+        if !self.leads(0) || !self.replica.ready() {
             return;
         }
-        if now < self.fleet.next {
-            self.wake_at(self.fleet.next);
+        if now < self.autoscaler.next {
+            self.wake_at(self.autoscaler.next);
             return;
         }
-        self.fleet.next = now + Micros::millis(500);
-        self.wake_at(self.fleet.next);
-        if now < self.fleet.trouble_until {
+        self.autoscaler.next = now + Micros::millis(500);
+        self.wake_at(self.autoscaler.next);
+        if now < self.autoscaler.trouble_until {
             return;
         }
-        if now >= self.fleet.next_catalog && !self.fleet.asking_catalog {
-            self.fleet.asking_catalog = true;
+        if now >= self.autoscaler.next_catalog && !self.autoscaler.asking_catalog {
+            self.autoscaler.asking_catalog = true;
             self.ask_cloud(CloudPurpose::Catalog, CloudRequest::Catalog);
         }
-        if now >= self.fleet.next_list && !self.fleet.listing {
-            self.fleet.listing = true;
-            self.fleet.list_sent = now;
+        if now >= self.autoscaler.next_list && !self.autoscaler.listing {
+            self.autoscaler.listing = true;
+            self.autoscaler.list_sent = now;
             self.ask_cloud(CloudPurpose::List(Vec::new()), CloudRequest::List(None));
         }
         // Before the first list it is not known what an earlier owner has hired.
-        if self.view.types.value.is_none() || self.fleet.lists == 0 {
+        if self.cell.types.value.is_none() || self.autoscaler.lists == 0 {
             return;
         }
         self.note_boots();
         self.return_machines();
-        if now >= self.fleet.next_look {
+        if now >= self.autoscaler.next_look {
             // What was expected to come may not have come.
-            self.fleet.next_look = now + Micros::secs(2);
-            self.fleet.looking = true;
+            self.autoscaler.next_look = now + Micros::secs(2);
+            self.autoscaler.looking = true;
         }
-        if self.fleet.looking && self.fleet.provisioning == 0 && !self.fleet.writing {
-            self.fleet.looking = false;
+        if self.autoscaler.looking && self.autoscaler.provisioning == 0 && !self.autoscaler.writing
+        {
+            self.autoscaler.looking = false;
             self.refresh_rules();
             self.provision_machines();
         }
@@ -194,10 +195,10 @@
     fn demands(&self) -> Vec<Demand<'_>> {
         let lost = self.lost_with_zones();
         let count = |id: &JobId, j: &Job| {
-            u64::from(self.view.pending_count(*id, j)) + lost.get(id).copied().unwrap_or_default()
+            u64::from(self.cell.pending_count(*id, j)) + lost.get(id).copied().unwrap_or_default()
         };
         let mut jobs: Vec<_> = self
-            .view
+            .cell
             .jobs
             .iter()
             .filter(|(id, j)| !self.rounds.is_suspect(**id) && count(id, j) > 0)
@@ -208,12 +209,12 @@
         let mut demands = Vec::new();
         for (id, j) in jobs {
             let spec = j.spec();
-            let k = self.view.job_slice(*id, spec);
+            let k = self.cell.shard_of_job(*id, spec);
             let used = used
                 .entry(&spec.team)
-                .or_insert_with(|| self.view.used(k, &spec.team).0);
+                .or_insert_with(|| self.cell.used(k, &spec.team).0);
             let mut count = count(id, j);
-            if let Some(limit) = self.cfg.team(&spec.team).and_then(|t| t.cores_limit) {
+            if let Some(limit) = self.settings.team(&spec.team).and_then(|t| t.cores_limit) {
                 let left = limit.saturating_sub(*used).checked_div(spec.need.cores);
                 count = count.min(left.unwrap_or(u64::MAX));
             }
@@ -239,13 +240,15 @@
 
     /// Whether a job's turn is near: of what it awaits all tasks that are left have started.
     fn nears(&self, job: &Job) -> bool {
-        let started = |f: &JobId| match self.view.jobs.get(f) {
+        let started = |f: &JobId| match self.cell.jobs.get(f) {
             Some(j) => {
-                j.ready() && !self.rounds.is_suspect(*f) && self.view.pending_count(*f, j) == 0
+                j.ready() && !self.rounds.is_suspect(*f) && self.cell.pending_count(*f, j) == 0
             }
             None => true,
         };
-        !job.cancelled() && !job.stage.doubtful && job.spec().dependencies.iter().all(started)
+        !job.cancelled()
+            && !job.dependency_state.doubtful
+            && job.spec().dependencies.iter().all(started)
     }
 
     /// Whether the machines that a job may use would not hold it even if nothing else ran there: where
@@ -253,14 +256,14 @@
     fn lacks_machines(&self, id: JobId, job: &Job) -> bool {
         let spec = job.spec();
         let mut left = u64::from(spec.task_count);
-        for (_, m, r) in self.view.machines() {
+        for (_, m, r) in self.cell.machines() {
             if left == 0 {
                 return false;
             }
-            if r.fitness == Fitness::Up
+            if r.health == MachineHealth::Schedulable
                 && spec.allows(&r.machine_type, &r.zone, r.spot)
                 && self.may_use(id, m)
-                && let Some(t) = self.view.machine_type(&r.machine_type)
+                && let Some(t) = self.cell.machine_type(&r.machine_type)
             {
                 left -= spec.need.times_in(&t.room, left);
             }
@@ -272,25 +275,25 @@
     fn class_of_offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<ClassId> {
         self.rules
             .active()
-            .then(|| self.view.classes.of_offer(machine_type, zone, spot))
+            .then(|| self.cell.classes.of_offer(machine_type, zone, spot))
             .flatten()
     }
 
     /// Machines that are up or expected to come up.
-    fn pools<'a>(&'a self, catalog: &Catalog) -> Pools<'a> {
-        let mut pools = Pools::default();
+    fn pools<'a>(&'a self, catalog: &Catalog) -> MachinePools<'a> {
+        let mut pools = MachinePools::default();
         let ruled = self.rules.active();
-        for (m, r) in self.view.machines_up() {
+        for (m, r) in self.cell.machines_up() {
             // Half of what is booked is over, on the average.
             let work = r
                 .tasks
                 .iter()
-                .filter_map(|b| self.view.jobs.get(&b.attempt().task.job))
+                .filter_map(|b| self.cell.jobs.get(&b.attempt().task.job))
                 .map(|j| {
                     u128::from(j.spec().need.cores) * u128::from(j.spec().estimated_runtime.0 / 2)
                 });
-            let class = ruled.then(|| self.view.classes.of(m)).flatten();
-            let free = Some((self.view.free(r), Some(m)));
+            let class = ruled.then(|| self.cell.classes.of(m)).flatten();
+            let free = Some((self.cell.free(r), Some(m)));
             pools.add(
                 (&r.machine_type, &r.zone, r.spot),
                 catalog,
@@ -300,7 +303,12 @@
                 work.sum(),
             );
         }
-        for (_, k) in self.fleet.known.iter().filter(|(m, k)| self.boots(**m, k)) {
+        for (_, k) in self
+            .autoscaler
+            .known
+            .iter()
+            .filter(|(m, k)| self.is_booting(**m, k))
+        {
             let class = self.class_of_offer(&k.machine_type, &k.zone, k.spot);
             pools.add(
                 (&k.machine_type, &k.zone, k.spot),
@@ -312,9 +320,9 @@
             );
         }
         // Rentals of an earlier owner whose machines no list shows yet.
-        for h in &self.view.fleet.value.provision_requests {
+        for h in &self.cell.fleet.value.provision_requests {
             let age = self.now.day.since(h.at);
-            if age < self.cfg.list_lag * 2 + Micros::secs(8) {
+            if age < self.settings.list_lag * 2 + Micros::secs(8) {
                 let class = self.class_of_offer(&h.machine_type, &h.zone, h.spot);
                 pools.add(
                     (&h.machine_type, &h.zone, h.spot),
@@ -331,7 +339,7 @@
 
     fn provision_machines(&mut self) {
         let now = self.now.steady;
-        let Some(catalog) = &self.view.types.value else {
+        let Some(catalog) = &self.cell.types.value else {
             return;
         };
         let demands = self.demands();
@@ -344,11 +352,11 @@
             t.boot = self.expected_boot(&t.name).min(t.boot * 2);
         }
         let catalog = &catalog;
-        let none_left = &self.fleet.none_left;
-        let offered = |o: &Offer| {
+        let none_left = &self.autoscaler.none_left;
+        let offered = |o: &MachineOffer| {
             !self.zones.is_lost(&o.zone) && none_left.get(o).is_none_or(|(until, _)| *until <= now)
         };
-        let class_of = |o: &Offer| self.class_of_offer(&o.machine_type, &o.zone, o.spot);
+        let class_of = |o: &MachineOffer| self.class_of_offer(&o.machine_type, &o.zone, o.spot);
         let provision_requests = plan(
             catalog,
             &demands,
@@ -368,12 +376,12 @@
         let mut size = encode(&record).map_or(usize::MAX, |r| r.get().len());
         'all: for (offer, mut count) in provision_requests {
             while count > 0 {
-                self.fleet.counter += 1;
+                self.autoscaler.counter += 1;
                 let provision = ProvisionRecord {
                     // Never used again, not even by another process or after a restart.
                     name: format!(
                         "{}-{:016x}-{}",
-                        self.cfg.node, self.run.0, self.fleet.counter
+                        self.settings.node, self.incarnation.0, self.autoscaler.counter
                     ),
                     machine_type: offer.machine_type.clone(),
                     zone: offer.zone.clone(),
@@ -382,7 +390,7 @@
                     at: self.now.day,
                 };
                 size += encode(&provision).map_or(0, |r| r.get().len() + 1);
-                if size > most || new.len() >= self.cfg.cloud_rps as usize {
+                if size > most || new.len() >= self.settings.cloud_rps as usize {
                     break 'all;
                 }
                 count -= provision.count;
@@ -397,49 +405,49 @@
     }
 
     /// Whether a known machine is still expected to come up.
-    fn boots(&self, m: MachineId, k: &Known) -> bool {
-        self.view.machine(m).is_none()
+    fn is_booting(&self, m: MachineId, k: &Known) -> bool {
+        self.cell.machine(m).is_none()
             && k.status != CloudMachineState::Failed
-            && !self.fleet.released.contains(&m)
+            && !self.autoscaler.released.contains(&m)
             && self.now.steady.since(k.since) < self.boot_patience(&k.machine_type)
     }
 
     /// Notes which machines have come up, and what that says of their types.
     fn note_boots(&mut self) {
         let now = self.now.steady;
-        let view = &self.view;
+        let cell = &self.cell;
         for (m, k) in self
-            .fleet
+            .autoscaler
             .known
             .iter_mut()
-            .filter(|(m, k)| k.booting && view.machine(**m).is_some())
+            .filter(|(m, k)| k.booting && cell.machine(**m).is_some())
         {
             k.booting = false;
             let took = now.since(k.since);
             tracing::debug!(machine = %m, %took, "up");
-            self.fleet.boots.ended(&k.machine_type, now, took);
+            self.autoscaler.boot_times.ended(&k.machine_type, now, took);
         }
         let mut ages: HashMap<&str, Vec<Micros>> = HashMap::new();
         for (m, k) in self
-            .fleet
+            .autoscaler
             .known
             .iter()
             .filter(|(_, k)| k.booting && k.status != CloudMachineState::Failed)
         {
-            if !self.fleet.released.contains(m) {
+            if !self.autoscaler.released.contains(m) {
                 ages.entry(&k.machine_type)
                     .or_default()
                     .push(now.since(k.since));
             }
         }
-        for t in view.machine_types() {
+        for t in cell.machine_types() {
             let waiting = ages.remove(t.name.as_str()).unwrap_or_default();
-            let expected = self
-                .fleet
-                .boots
-                .expected(&t.name, t.boot, now, waiting.into_iter());
+            let expected =
+                self.autoscaler
+                    .boot_times
+                    .expected(&t.name, t.boot, now, waiting.into_iter());
             let known = self
-                .fleet
+                .autoscaler
                 .expected
                 .entry(t.name.clone())
                 .or_insert((t.boot, t.boot));
@@ -452,14 +460,14 @@
     }
 
     fn nominal_boot(&self, machine_type: &str) -> Micros {
-        self.view
+        self.cell
             .machine_type(machine_type)
             .map_or(Micros::secs(60), |t| t.boot)
     }
 
     /// How long a machine of this type takes to come up at present.
     pub(super) fn expected_boot(&self, machine_type: &str) -> Micros {
-        self.fleet
+        self.autoscaler
             .expected
             .get(machine_type)
             .map_or_else(|| self.nominal_boot(machine_type), |(now, _)| *now)
@@ -472,7 +480,7 @@
             self.nominal_boot(machine_type),
             self.expected_boot(machine_type),
         );
-        let patience = Micros(expected.0 / 2 * 3);
-        patience.clamp(Micros(nominal.0 / 2 * 3), nominal * 5) + Micros::secs(5)
+        let starvation = Micros(expected.0 / 2 * 3);
+        starvation.clamp(Micros(nominal.0 / 2 * 3), nominal * 5) + Micros::secs(5)
     }
 }
--- a/src/coordination/budget.rs
+++ b/src/coordination/commit/budget.rs
@@ -1,6 +1,6 @@
 //! A controller's share of the state service's rates.
 
-use crate::bookkeeping::time::Micros;
+use crate::time::Micros;
 
 #[derive(Debug)]
 struct Bucket {
--- a/src/coordination/limits.rs
+++ b/src/coordination/commit/limits.rs
@@ -1,7 +1,7 @@
 //! The state service's limits in force: those of the settings, until it turns out that the next ones hold.
 
-use crate::bookkeeping::time::Micros;
 use crate::protocol::settings::{Settings, StateLimits};
+use crate::time::Micros;
 use std::collections::VecDeque;
 
 /// What holds now, as far as this process has learned.
--- a/src/coordination/rounds.rs
+++ b/src/coordination/commit/mod.rs
@@ -1,22 +1,25 @@
 //! Rounds: what was proven and what was planned goes into one transaction at a time, on the
 //! revisions of the records that it changes.
 
-mod asks;
-mod drafting;
-mod floors;
-mod order;
-mod patience;
-
-use super::draft::{Commit, Limits};
-use super::sessions::{Mark, Outcome};
-use super::{Controller, Purpose};
-use crate::bookkeeping::ids::{Attempt, JobId, MachineId, TaskId};
-use crate::bookkeeping::job::{FinalRecord, Priority};
-use crate::bookkeeping::placement::Claim;
-use crate::bookkeeping::records::Key;
-use crate::bookkeeping::time::Micros;
-use crate::bookkeeping::view::{Change, Job, Touched, View};
+pub(super) mod budget;
+mod fair_shares;
+pub(super) mod limits;
+mod ordering;
+mod placement_requests;
+mod round;
+mod starvation;
+pub(super) mod transaction;
+
+use crate::coordination::agents::{HealthChange, Outcome};
+use crate::coordination::commit::transaction::{Limits, PlannedTransaction};
+use crate::coordination::{Controller, Purpose};
 use crate::protocol::state::{CallError, StateReply, StateRequest};
+use crate::scheduler::placement::Claim;
+use crate::storage::cell_state::{CellChanges, CellState, Change, Job};
+use crate::storage::ids::{Attempt, JobId, MachineId, TaskId};
+use crate::storage::job::{FinalRecord, Priority};
+use crate::storage::records::Key;
+use crate::time::Micros;
 use std::cmp::Reverse;
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -26,15 +29,15 @@
 pub struct InFlight {
     changes: Vec<Change>,
     ended: Vec<(JobId, FinalRecord)>,
-    booked: Vec<(Claim, u64)>,
-    cleared: usize,
+    assigned: Vec<(Claim, u64)>,
+    released: usize,
 }
 
 /// A round that is ready to be sent.
-struct Drafted {
-    commit: Commit,
-    booked: Vec<(Claim, u64)>,
-    cleared: usize,
+struct PlannedRound {
+    commit: PlannedTransaction,
+    assigned: Vec<(Claim, u64)>,
+    released: usize,
 }
 
 /// What comes first: what is not suspect, then work within its team's guarantee, then the urgent, then
@@ -64,7 +67,7 @@
 /// What waits to be committed.
 #[derive(Debug, Default)]
 pub struct Rounds {
-    looking: bool,
+    requested: bool,
     in_flight: bool,
     /// The call after which a read was asked for before a round, and when that was.
     reading: Option<(u64, Micros)>,
@@ -73,17 +76,17 @@
     last: Micros,
     last_full: Option<Micros>,
     /// Bookings to be cleared, with since when.
-    clears: BTreeMap<(MachineId, Attempt), (Outcome, Micros)>,
-    marks: BTreeMap<MachineId, Mark>,
+    pending_releases: BTreeMap<(MachineId, Attempt), (Outcome, Micros)>,
+    health_changes: BTreeMap<MachineId, HealthChange>,
     adds: BTreeSet<MachineId>,
     /// Machines that are proven gone, by this process as the fleet's owner.
     gone: BTreeSet<MachineId>,
     /// Machines that the fleet wants to return.
     releasing: BTreeSet<MachineId>,
     /// The last round was for what must start at once alone.
-    lean: bool,
+    urgent_only: bool,
     /// The last full round had no room left to book anything, so the next one books before it clears.
-    books_first: bool,
+    assignments_first: bool,
     /// Ends of jobs in rounds without an answer: told in the log once the copy shows them.
     unanswered_ends: BTreeMap<JobId, FinalRecord>,
     /// No planning before the copy has passed this revision.
@@ -92,24 +95,24 @@
     hold_call: Option<u64>,
     suspects: BTreeMap<JobId, Suspicion>,
     /// How long jobs have waited.
-    patience: patience::Patience,
+    starvation: starvation::StarvationPrevention,
     /// Own records that were written under larger limits than those to come, and are to be brought down.
     large: BTreeSet<Key>,
     /// The last round brought one of them down.
-    shrank: bool,
+    compacted: bool,
 }
 
 impl Rounds {
     /// Something changed that may call for a round.
-    pub fn look(&mut self) {
-        self.looking = true;
+    pub fn request(&mut self) {
+        self.requested = true;
     }
 
     /// Wants a booking cleared; false if that was wanted already. The first outcome stands: silence
     /// proves less than the end that was seen before it.
-    pub fn clear(&mut self, m: MachineId, a: Attempt, outcome: Outcome, now: Micros) -> bool {
-        self.looking = true;
-        match self.clears.entry((m, a)) {
+    pub fn release(&mut self, m: MachineId, a: Attempt, outcome: Outcome, now: Micros) -> bool {
+        self.requested = true;
+        match self.pending_releases.entry((m, a)) {
             Entry::Occupied(_) => false,
             Entry::Vacant(e) => {
                 e.insert((outcome, now));
@@ -119,32 +122,36 @@
     }
 
     /// Whether a booking is to be cleared; its attempt must not be launched again.
-    pub fn clearing(&self, m: MachineId, a: Attempt) -> bool {
-        self.clears.contains_key(&(m, a))
+    pub fn is_being_released(&self, m: MachineId, a: Attempt) -> bool {
+        self.pending_releases.contains_key(&(m, a))
     }
 
     /// Whether more waits than rounds have had room for lately.
-    pub fn pressed(&self, now: Micros) -> bool {
+    pub fn saturated(&self, now: Micros) -> bool {
         self.last_full
             .is_some_and(|t| now.since(t) < Micros::secs(3))
     }
 
     /// How many bookings wait to be cleared.
     pub fn waiting(&self) -> usize {
-        self.clears.len()
+        self.pending_releases.len()
     }
 
     /// Bookings to be cleared. A round has room for few records: first come those for which most waits,
     /// each end counting by how long it has waited, so none is left out for ever.
-    fn clears_in_order(&self, view: &View, now: Micros) -> Vec<(MachineId, Attempt, Outcome)> {
+    fn releases_in_order(
+        &self,
+        cell: &CellState,
+        now: Micros,
+    ) -> Vec<(MachineId, Attempt, Outcome)> {
         const HEAD_START: Micros = Micros::millis(500);
         let mut weights: HashMap<_, u64> = HashMap::new();
-        for ((m, _), (_, since)) in &self.clears {
-            *weights.entry(view.home(*m)).or_default() += (now.since(*since) + HEAD_START).0;
+        for ((m, _), (_, since)) in &self.pending_releases {
+            *weights.entry(cell.home(*m)).or_default() += (now.since(*since) + HEAD_START).0;
         }
-        let weight = |m: MachineId| weights.get(&view.home(m)).copied().unwrap_or(0);
+        let weight = |m: MachineId| weights.get(&cell.home(m)).copied().unwrap_or(0);
         let mut all: Vec<_> = self
-            .clears
+            .pending_releases
             .iter()
             .map(|((m, a), (o, since))| (Reverse(weight(*m)), *since, *m, *a, *o))
             .collect();
@@ -153,33 +160,33 @@
     }
 
     /// Wants a machine's record changed; false if that was wanted already.
-    pub fn mark(&mut self, m: MachineId, mark: Mark) -> bool {
-        self.looking = true;
-        self.marks.insert(m, mark) != Some(mark)
+    pub fn set_health(&mut self, m: MachineId, set_health: HealthChange) -> bool {
+        self.requested = true;
+        self.health_changes.insert(m, set_health) != Some(set_health)
     }
 
     /// Wants a machine added to its group.
     pub fn add(&mut self, m: MachineId) {
-        self.looking = true;
+        self.requested = true;
         self.adds.insert(m);
     }
 
     /// A machine is proven gone.
     pub fn gone(&mut self, m: MachineId) {
-        self.looking = true;
+        self.requested = true;
         self.gone.insert(m);
     }
 
     /// Wants a machine marked before it is returned; false if that was wanted already.
     pub fn releasing(&mut self, m: MachineId) -> bool {
-        self.looking = true;
+        self.requested = true;
         self.releasing.insert(m)
     }
 
     /// Drops what the owner of these machines wanted: it is not this process any more.
     pub fn drop_machines(&mut self, lost: impl Fn(MachineId) -> bool) {
-        self.clears.retain(|(m, _), _| !lost(*m));
-        self.marks.retain(|m, _| !lost(*m));
+        self.pending_releases.retain(|(m, _), _| !lost(*m));
+        self.health_changes.retain(|m, _| !lost(*m));
         self.adds.retain(|m| !lost(*m));
     }
 
@@ -264,14 +271,14 @@
     const CLAIMS: usize = 256;
 
     /// Most machines on which one round stops tasks for others.
-    const TAKEOVERS: usize = 4;
+    const PREEMPTIONS: usize = 4;
 
-    pub(super) fn pump_rounds(&mut self) {
+    pub(super) fn drive_rounds(&mut self) {
         let now = self.now.steady;
-        if !self.rounds.looking
+        if !self.rounds.requested
             || self.rounds.in_flight
             || self.rounds.held()
-            || !self.reader.ready()
+            || !self.replica.ready()
         {
             return;
         }
@@ -279,20 +286,20 @@
             self.wake_at(self.rounds.next);
             return;
         }
-        if self.view.types.value.is_none() || self.view.slices() == 0 {
+        if self.cell.types.value.is_none() || self.cell.shards() == 0 {
             return;
         }
         let patient = self.rounds.last + Self::GATHER;
-        if now < patient && self.yields() {
+        if now < patient && self.should_batch() {
             self.wake_at(patient);
             return;
         }
-        self.refresh_bars();
+        self.refresh_unschedulable();
         // A large round of what has time must not hold up what must start at once: that may overdraw.
-        let lean_only = match self.budget.round(now) {
+        let urgent_only = match self.budget.round(now) {
             Ok(()) => false,
             Err(_)
-                if !self.rounds.lean
+                if !self.rounds.urgent_only
                     && self.budget.overdraw(now).is_ok()
                     && self.urgent_waits() =>
             {
@@ -312,17 +319,17 @@
             conditions: ops * 4,
             value_bytes: self.limits.value_bytes(),
             taken_bytes: self.limits.taken_bytes(),
-            large_grow: !self.view.terse(),
+            large_grow: !self.cell.terse(),
             part_bytes: self.part_bytes(),
         };
-        self.rounds.next = now + Micros::millis(self.op.round_ms);
-        let Some(Drafted {
+        self.rounds.next = now + Micros::millis(self.operator_settings.round_ms);
+        let Some(PlannedRound {
             commit,
-            booked,
-            cleared,
-        }) = self.draft_round(limits, lean_only)
+            assigned,
+            released,
+        }) = self.plan_round(limits, urgent_only)
         else {
-            self.rounds.looking = lean_only;
+            self.rounds.requested = urgent_only;
             return;
         };
         self.budget.force(now, commit.txn.then.len());
@@ -335,8 +342,8 @@
         let in_flight = InFlight {
             changes: commit.changes,
             ended: commit.ended,
-            booked,
-            cleared,
+            assigned,
+            released,
         };
         self.ask_state(
             Purpose::Round(Box::new(in_flight)),
@@ -350,63 +357,65 @@
         const PATIENCE: Micros = Micros::millis(100);
         let now = self.now.steady;
         if let Some((call, asked)) = self.rounds.reading {
-            if !self.reader.passed(call) && now < asked + PATIENCE {
+            if !self.replica.passed(call) && now < asked + PATIENCE {
                 self.wake_at(asked + PATIENCE);
                 return false;
             }
             self.rounds.reading = None;
             return true;
         }
-        if self.reader.is_fresh(now) || self.cfg.others.is_empty() || !self.budget.has_requests(now)
+        if self.replica.is_fresh(now)
+            || self.settings.others.is_empty()
+            || !self.budget.has_requests(now)
         {
             return true;
         }
         self.rounds.reading = Some((self.next_call - 1, now));
-        self.reader.want_barrier();
+        self.replica.want_barrier();
         self.wake_at(now + PATIENCE);
         false
     }
 
     /// Whether small rounds should be gathered into larger ones: a peer has more to write than its share
     /// of the rate, this controller has not, and nothing here must start at once.
-    fn yields(&self) -> bool {
+    fn should_batch(&self) -> bool {
         let now = self.now.steady;
         let fresh = |told: Micros| now.since(told) < Micros::secs(3);
-        !self.rounds.pressed(now)
+        !self.rounds.saturated(now)
             && self
                 .peers
                 .values()
-                .any(|(told, hint)| hint.pressed && fresh(*told))
+                .any(|(told, hint)| hint.saturated && fresh(*told))
             && !self.urgent_waits()
     }
 
     /// Whether something waits that must start at once.
     fn urgent_waits(&self) -> bool {
-        self.view
+        self.cell
             .jobs
             .iter()
-            .any(|(id, j)| self.urgent(*id, j) && self.view.pending_count(*id, j) > 0)
+            .any(|(id, j)| self.urgent(*id, j) && self.cell.pending_count(*id, j) > 0)
     }
 
     /// Whether a job is this controller's, and must start at once.
     fn urgent(&self, id: JobId, job: &Job) -> bool {
         self.starts_at_once(job.spec())
             && job.ready()
-            && self.owns(self.view.job_slice(id, job.spec()))
+            && self.leads(self.cell.shard_of_job(id, job.spec()))
             && !self.rounds.is_suspect(id)
-            && !self.unplaced_job(job)
-            && !self.rules.bars(id)
+            && !self.belongs_to_team_without_shard(job)
+            && !self.rules.is_unschedulable(id)
     }
 
     pub(super) fn on_round(&mut self, round: InFlight, result: Result<StateReply, CallError>) {
         let now = self.now.steady;
         self.rounds.in_flight = false;
-        self.rounds.looking = true;
+        self.rounds.requested = true;
         match result {
             Ok(StateReply::Applied(revision)) => {
                 self.counters.commits += 1;
-                self.counters.booked += round.booked.len() as u64;
-                self.counters.cleared += round.cleared as u64;
+                self.counters.assigned += round.assigned.len() as u64;
+                self.counters.released += round.released as u64;
                 let spent = &mut self.counters.changes;
                 spent.ends += round.ended.len() as u64;
                 for c in &round.changes {
@@ -416,56 +425,56 @@
                         _ => &mut spent.jobs,
                     } += 1;
                 }
-                for (c, number) in &round.booked {
+                for (c, number) in &round.assigned {
                     let k = self
-                        .view
+                        .cell
                         .jobs
                         .get(&c.job)
-                        .map(|j| self.view.job_slice(c.job, j.spec()));
-                    let term = k.map_or(0, |k| self.view.mod_revision(&Key::Own(k)));
+                        .map(|j| self.cell.shard_of_job(c.job, j.spec()));
+                    let term = k.map_or(0, |k| self.cell.mod_revision(&Key::ShardLeader(k)));
                     tracing::info!(task = %TaskId { job: c.job, index: c.index }, attempt = number,
                         machine = %c.machine, term, "booked");
-                    if let Some(met) = self.wish_met(c.job, c.machine) {
-                        self.counters.wishes.0 += 1;
-                        self.counters.wishes.1 += u64::from(met);
+                    if let Some(met) = self.preference_met(c.job, c.machine) {
+                        self.counters.preferences.0 += 1;
+                        self.counters.preferences.1 += u64::from(met);
                     }
                 }
                 let changes = round.changes.into_iter().map(|mut c| {
                     c.mod_revision = revision;
                     c
                 });
-                let mut touched = Touched::default();
-                self.view.apply(changes, &mut touched);
+                let mut changes_seen = CellChanges::default();
+                self.cell.apply(changes, &mut changes_seen);
                 for (id, f) in round.ended {
                     self.rounds.unanswered_ends.remove(&id);
                     log_end(id, f);
                     self.users.remember(id, f);
                 }
-                self.on_touched_view(&touched);
+                self.on_cell_changed(&changes_seen);
             }
             Ok(StateReply::Clash(keys, revision)) => {
                 self.counters.clashes += 1;
-                self.counters.dropped += round.booked.len() as u64;
-                tracing::debug!(?keys, claims = round.booked.len(), "the round clashed");
+                self.counters.dropped += round.assigned.len() as u64;
+                tracing::debug!(?keys, claims = round.assigned.len(), "the round clashed");
                 self.rounds.hold_until_revision = revision;
-                self.reader.want_barrier();
+                self.replica.want_barrier();
             }
             Err(CallError::Unavailable | CallError::TooMany) => {
                 self.rounds.next = now + Micros::millis(250)
             }
             _ => {
                 self.counters.unknown += 1;
-                tracing::info!(claims = round.booked.len(), "the round had no answer");
+                tracing::info!(claims = round.assigned.len(), "the round had no answer");
                 self.rounds.hold_call = Some(self.next_call);
                 for (id, f) in round.ended {
                     // The watch is mostly faster than the end of waiting.
-                    if self.view.jobs.contains_key(&id) {
+                    if self.cell.jobs.contains_key(&id) {
                         self.rounds.unanswered_ends.insert(id, f);
                     } else {
                         log_end(id, f);
                     }
                 }
-                self.reader.want_barrier();
+                self.replica.want_barrier();
             }
         }
     }
--- a/src/coordination/rounds/order.rs
+++ b/src/coordination/commit/ordering.rs
@@ -1,13 +1,13 @@
 //! When a job has to start, and what its machines may cost.
 
-use crate::bookkeeping::fleet::{core_price, price_limit};
-use crate::bookkeeping::ids::JobId;
-use crate::bookkeeping::job::JobSpec;
-use crate::bookkeeping::pipeline::expected_run;
-use crate::bookkeeping::time::Micros;
-use crate::bookkeeping::view::Job;
 use crate::coordination::Controller;
 use crate::protocol::settings::ObjectiveKind;
+use crate::scheduler::provisioning::{core_price, price_limit};
+use crate::storage::cell_state::Job;
+use crate::storage::dependency_graph::expected_run;
+use crate::storage::ids::JobId;
+use crate::storage::job::JobSpec;
+use crate::time::Micros;
 use std::collections::BTreeSet;
 
 impl Controller {
@@ -16,13 +16,13 @@
     pub(in crate::coordination) fn latest_start(&self, job: &Job) -> Micros {
         let spec = job.spec();
         // Deadlines count from the submission, everything else from when the job could begin.
-        let ready = job.record.submitted.max(job.stage.ready_at);
+        let ready = job.record.submitted.max(job.dependency_state.ready_at);
         let due = spec.deadline.map_or_else(
             || ready + self.finish_aim(spec),
             |d| job.record.submitted + d,
         );
-        let due = job.stage.wanted_by.map_or(due, |by| by.min(due));
-        let types = self.view.machine_types();
+        let due = job.dependency_state.wanted_by.map_or(due, |by| by.min(due));
+        let types = self.cell.machine_types();
         let fetch = types
             .filter(|t| spec.need.fits(&t.room))
             .map(|t| t.fetch_time(spec.size))
@@ -56,12 +56,12 @@
         kinds: &BTreeSet<(&str, &str, bool)>,
     ) -> u64 {
         let spec = job.spec();
-        if self.has_waited(id) {
+        if self.is_job_starved(id) {
             return u64::MAX;
         }
         let limit = self.price_limit(job);
         let cheap = |(machine_type, zone, spot): &(&str, &str, bool)| {
-            self.view.machine_type(machine_type).is_some_and(|t| {
+            self.cell.machine_type(machine_type).is_some_and(|t| {
                 spec.need.fits(&t.room)
                     && spec.allows(machine_type, zone, *spot)
                     && core_price(t, *spot) <= limit
@@ -78,7 +78,7 @@
     pub(super) fn fair_price(&self, spec: &JobSpec) -> u64 {
         let allows =
             |machine_type: &str, zone: &str, spot: bool| spec.allows(machine_type, zone, spot);
-        self.view
+        self.cell
             .types
             .value
             .as_ref()
@@ -102,13 +102,13 @@
 
     /// The least time that a machine takes to come up: what may start later than that has time.
     fn shortest_boot(&self) -> Micros {
-        let types = self.view.machine_types();
+        let types = self.cell.machine_types();
         types.map(|t| t.boot).min().unwrap_or(Micros::FOREVER)
     }
 
     fn objectives<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = ObjectiveKind> + 'a {
         let of_class = |class: &Option<String>| class.as_ref().is_none_or(|c| *c == spec.job_class);
-        self.cfg
+        self.settings
             .objectives
             .iter()
             .filter(move |o| of_class(&o.class))
--- a/src/coordination/rounds/patience.rs
+++ b/src/coordination/commit/starvation.rs
@@ -2,12 +2,12 @@
 //!
 //! Price limits, room that is kept for what comes first, limits of a team that are saved for a set that does not fit yet,
 //! and the growing share of a zone that has come back each hold work back for a good reason, and none of them has an end by
-//! itself. So whoever has waited for [`Patience::LONG`] without a single booking is placed beside all that: one task, on what is left,
+//! itself. So whoever has waited for [`StarvationPrevention::THRESHOLD`] without a single booking is placed beside all that: one task, on what is left,
 //! within its team's limit. The next one waits as long again, so what comes first loses little by it.
 
-use crate::bookkeeping::ids::JobId;
-use crate::bookkeeping::time::Micros;
 use crate::coordination::Controller;
+use crate::storage::ids::JobId;
+use crate::time::Micros;
 use std::collections::HashMap;
 
 #[cfg(test)]
@@ -15,14 +15,14 @@
 
 /// Since when each job has had tasks to place and none was booked, and how many there were.
 #[derive(Debug, Default)]
-pub struct Patience {
+pub struct StarvationPrevention {
     since: HashMap<JobId, (Micros, u32)>,
 }
 
-impl Patience {
+impl StarvationPrevention {
     /// After so long without a booking only room, rules and limits count. With what a suspect job waits besides, and a round, this stays below
     /// what users take for left behind.
-    pub const LONG: Micros = Micros::secs(45);
+    pub const THRESHOLD: Micros = Micros::secs(45);
 
     /// Takes which jobs have how many tasks to place now.
     pub fn note(&mut self, now: Micros, waiting: impl Iterator<Item = (JobId, u32)>) {
@@ -37,34 +37,34 @@
     }
 
     /// Whether a job has waited for long.
-    pub fn is_out(&self, id: JobId, now: Micros) -> bool {
+    pub fn is_starved(&self, id: JobId, now: Micros) -> bool {
         self.since
             .get(&id)
-            .is_some_and(|(since, _)| now.since(*since) > Self::LONG)
+            .is_some_and(|(since, _)| now.since(*since) > Self::THRESHOLD)
     }
 }
 
 impl Controller {
     /// Looks who waits.
-    pub(in crate::coordination) fn sweep_patience(&mut self) {
-        let view = &self.view;
-        let waiting = view.jobs.iter().filter(|(_, j)| j.ready());
+    pub(in crate::coordination) fn tick_starvation(&mut self) {
+        let cell = &self.cell;
+        let waiting = cell.jobs.iter().filter(|(_, j)| j.ready());
         let waiting = waiting
-            .map(|(id, j)| (*id, view.pending_count(*id, j)))
+            .map(|(id, j)| (*id, cell.pending_count(*id, j)))
             .filter(|(_, n)| *n > 0);
         let now = self.now.steady;
-        self.rounds.patience.note(now, waiting);
-        if view
+        self.rounds.starvation.note(now, waiting);
+        if cell
             .jobs
             .keys()
-            .any(|id| self.rounds.patience.is_out(*id, now))
+            .any(|id| self.rounds.starvation.is_starved(*id, now))
         {
-            self.rounds.look();
+            self.rounds.request();
         }
     }
 
     /// Whether a job has waited so long that only room, rules and limits count.
-    pub(super) fn has_waited(&self, id: JobId) -> bool {
-        self.rounds.patience.is_out(id, self.now.steady)
+    pub(super) fn is_job_starved(&self, id: JobId) -> bool {
+        self.rounds.starvation.is_starved(id, self.now.steady)
     }
 }
--- a/src/coordination/draft/edits.rs
+++ b/src/coordination/commit/transaction/assignments.rs
@@ -1,11 +1,11 @@
 //! Machines and bookings in a draft.
 
-use super::{Draft, Needs, SPARE_BYTES};
-use crate::bookkeeping::ids::{Attempt, MachineId, Slice};
-use crate::bookkeeping::records::{Booking, Fitness, GroupRecord, Key, MachineRecord};
-use crate::coordination::sessions::Mark;
+use super::{Needs, SPARE_BYTES, TransactionBuilder};
+use crate::coordination::agents::HealthChange;
+use crate::storage::ids::{Attempt, MachineId, ShardId};
+use crate::storage::records::{Assignment, GroupRecord, Key, MachineHealth, MachineRecord};
 
-impl<'a> Draft<'a> {
+impl<'a> TransactionBuilder<'a> {
     /// Adds a machine that was heard for the first time, to the first of the slice's groups that
     /// will still have room when all of its machines are full, else to a new one. `full`: bytes
     /// that a machine of a type takes then.
@@ -15,7 +15,7 @@
     /// of an earlier owner fails for its term.
     pub fn add(
         &mut self,
-        k: Slice,
+        k: ShardId,
         m: MachineId,
         record: MachineRecord,
         full: &dyn Fn(&str) -> usize,
@@ -26,7 +26,7 @@
             let at = (k, n);
             let group = match self.groups.get(&at) {
                 Some(g) => Some(&g.record),
-                None => self.view.groups[k].get(&n).map(|g| &g.value),
+                None => self.cell.groups[k].get(&n).map(|g| &g.value),
             };
             let exists = group.is_some();
             let before = *self.expected.entry(at).or_insert_with(|| {
@@ -44,7 +44,7 @@
             let groups = if n == 0 { &both[..1] } else { &both };
             if !self.reserve(Needs {
                 groups,
-                conditions: &[Key::Own(k)],
+                conditions: &[Key::ShardLeader(k)],
                 ..Needs::default()
             }) {
                 return false;
@@ -66,47 +66,47 @@
     }
 
     /// Sets a machine's fitness and the sessions that are over. `by`: the slice whose owner decides.
-    pub fn mark(&mut self, m: MachineId, mark: Mark, by: Slice) -> bool {
+    pub fn set_health(&mut self, m: MachineId, set_health: HealthChange, by: ShardId) -> bool {
         let (Some(now), Some(at)) = (self.machine(m), self.home(m)) else {
             return true;
         };
         // A machine that may have been released is unusable for ever.
-        let fitness = if now.fitness == Fitness::Releasing {
-            Fitness::Releasing
+        let health = if now.health == MachineHealth::Decommissioning {
+            MachineHealth::Decommissioning
         } else {
-            mark.fitness
+            set_health.health
         };
-        let dead = now.dead.max(mark.dead);
-        if (now.fitness, now.dead) == (fitness, dead) {
+        let fenced_incarnation = now.fenced_incarnation.max(set_health.fenced_incarnation);
+        if (now.health, now.fenced_incarnation) == (health, fenced_incarnation) {
             return true;
         }
-        let more = usize::from(dead > now.dead) * 6;
+        let more = usize::from(fenced_incarnation > now.fenced_incarnation) * 6;
         if !self.reserve(Needs {
             groups: &[at],
-            conditions: &[Key::Own(by)],
+            conditions: &[Key::ShardLeader(by)],
             ..Needs::default()
         }) || !self.grow(at, more, 0)
         {
             return false;
         }
         if let Some(r) = self.machine_mut(m) {
-            r.fitness = fitness;
-            r.dead = dead;
+            r.health = health;
+            r.fenced_incarnation = fenced_incarnation;
         }
         true
     }
 
     /// Books a task.
-    pub fn book(&mut self, m: MachineId, a: Attempt) -> bool {
+    pub fn assign(&mut self, m: MachineId, a: Attempt) -> bool {
         let id = a.task.job;
-        let view = self.view;
-        let (Some(job), Some(at)) = (view.jobs.get(&id), self.home(m)) else {
+        let cell = self.cell;
+        let (Some(job), Some(at)) = (cell.jobs.get(&id), self.home(m)) else {
             return false;
         };
         let spec = job.spec();
-        let k = view.job_slice(id, spec);
-        let conditions = &[Key::Own(k), Key::Job(id), Key::Meta];
-        let size = GroupRecord::booking_bytes(&a, &spec.image, spec.size);
+        let k = cell.shard_of_job(id, spec);
+        let conditions = &[Key::ShardLeader(k), Key::Job(id), Key::Meta];
+        let size = GroupRecord::assignment_bytes(&a, &spec.image, spec.size);
         if !self.reserve(Needs {
             groups: &[at],
             usage: Some(k),
@@ -119,8 +119,8 @@
         let Some(r) = self.machine_mut(m) else {
             return false;
         };
-        r.tasks.push(Booking::of(a));
-        let cache = view.machine_type(&r.machine_type).map_or(0, |t| t.cache);
+        r.tasks.push(Assignment::of(a));
+        let cache = cell.machine_type(&r.machine_type).map_or(0, |t| t.cache);
         r.use_image(&spec.image, spec.size, cache);
         if let Some(u) = self.usage.get_mut(&k).filter(|_| !self.fenced) {
             u.record
@@ -133,11 +133,16 @@
 
     /// Books tasks on a machine in the room of others that are to be stopped there: all or nothing,
     /// since without the others' room the machine would be booked beyond what it has.
-    pub fn book_over(&mut self, m: MachineId, victims: &[Booking], tasks: &[Attempt]) -> bool {
+    pub fn assign_preempting(
+        &mut self,
+        m: MachineId,
+        victims: &[Assignment],
+        tasks: &[Attempt],
+    ) -> bool {
         let mut trial = self.clone();
         let Some(at) = self.home(m) else { return false };
         let size = GroupRecord::PREEMPTED_BYTES * victims.len();
-        if !tasks.iter().all(|a| trial.book(m, *a)) || !trial.grow(at, size, SPARE_BYTES) {
+        if !tasks.iter().all(|a| trial.assign(m, *a)) || !trial.grow(at, size, SPARE_BYTES) {
             return false;
         }
         let Some(r) = trial.machine_mut(m) else {
@@ -154,9 +159,9 @@
     }
 
     /// Books all of an indivisible set, or nothing.
-    pub fn book_all(&mut self, set: &[(MachineId, Attempt)]) -> bool {
+    pub fn assign_all(&mut self, set: &[(MachineId, Attempt)]) -> bool {
         let mut trial = self.clone();
-        let all = set.iter().all(|(m, a)| trial.book(*m, *a));
+        let all = set.iter().all(|(m, a)| trial.assign(*m, *a));
         if all {
             *self = trial;
         }
@@ -167,14 +172,14 @@
     pub fn remove(&mut self, m: MachineId) -> bool {
         match self.machine(m) {
             None => return true,
-            Some(_) if self.view.is_stale(m) => return false,
+            Some(_) if self.cell.is_stale(m) => return false,
             Some(r) if !r.tasks.is_empty() => return false,
             Some(_) => {}
         }
         let Some(at) = self.home(m) else { return true };
         if !self.reserve(Needs {
             groups: &[at],
-            conditions: &[Key::Own(0)],
+            conditions: &[Key::ShardLeader(0)],
             ..Needs::default()
         }) {
             return false;
--- /dev/null
+++ b/src/coordination/commit/transaction/compaction/tests.rs
@@ -0,0 +1,247 @@
+//! Tests of `compaction`.
+
+use super::super::tests::{apply, holds, machine, view_of};
+use super::super::{Limits, PlannedTransaction};
+use super::*;
+use crate::coordination::agents::Outcome;
+use crate::protocol::state::encode;
+use crate::storage::cell_state::{CellChanges, Change, Content};
+use crate::storage::completion_bitmap::CompletionBitmap;
+use crate::storage::ids::{Attempt, TaskId};
+use crate::storage::job::{JobRecord, JobSpec, Priority};
+use crate::storage::records::{Assignment, Incarnation, LAYOUT, UsageRecord};
+use std::collections::{BTreeMap, BTreeSet};
+
+const MOST: usize = 2_048;
+
+fn limits(taken_bytes: usize) -> Limits {
+    let (ops, part_bytes) = (4, MOST - 128);
+    Limits {
+        ops,
+        conditions: 4 * ops,
+        value_bytes: MOST,
+        taken_bytes,
+        large_grow: false,
+        part_bytes,
+    }
+}
+
+fn leader_record() -> ShardLeaderRecord {
+    ShardLeaderRecord {
+        node: "n0".to_owned(),
+        run: Incarnation(1),
+    }
+}
+
+fn job(task_count: u32) -> JobRecord {
+    let text = r#"{"s":{"l":"lane","w":"free","u":"2","n":1,"r":[1000,0,1000],"i":"img","g":9000000},"t":1}"#;
+    let record: JobRecord = serde_json::from_str(text).unwrap();
+    JobRecord {
+        spec: JobSpec {
+            task_count,
+            priority: Priority::Low,
+            ..record.spec
+        },
+        ..record
+    }
+}
+
+/// Many machines in one part, each with a task of a job of its own.
+fn large_group(machines: u64) -> CellState {
+    let mut cell = view_of(LAYOUT);
+    let mut g = GroupRecord::default();
+    let mut changes = Vec::new();
+    for m in 1..=machines {
+        let id = JobId(300_000 + m * 7_919);
+        let mut r = machine();
+        r.tasks.push(Assignment::of(Attempt {
+            task: TaskId { job: id, index: 0 },
+            number: m * 70_000,
+        }));
+        g.machines.insert(MachineId(m), r);
+        changes.push(Change {
+            key: Key::Job(id),
+            content: Some(Content::Job(Box::new(job(1)))),
+            mod_revision: 2,
+        });
+    }
+    changes.push(Change {
+        key: Key::Group(0, 0),
+        content: Some(Content::Group(g)),
+        mod_revision: 2,
+    });
+    cell.apply(changes, &mut CellChanges::default());
+    cell.advance(2);
+    cell
+}
+
+fn step(cell: &CellState, key: &Key, taken: usize) -> Option<PlannedTransaction> {
+    let mut draft = TransactionBuilder::new(cell, limits(taken));
+    draft
+        .compact(key, &leader_record(), &|_| 16)
+        .then(|| draft.commit())
+}
+
+/// What the store holds, as every write left it.
+type Store = BTreeMap<String, (Content, u64)>;
+
+fn store(
+    cell: &CellState,
+    key: &Key,
+    store: &mut Store,
+    commit: &PlannedTransaction,
+    mod_revision: u64,
+) {
+    assert!(holds(cell, commit));
+    assert!(
+        commit.txn.then.len() <= 4 && commit.txn.when.len() <= 16,
+        "{key}"
+    );
+    assert!(
+        commit.txn.largest() <= MOST,
+        "{key}: {} bytes",
+        commit.txn.largest()
+    );
+    for c in &commit.changes {
+        match &c.content {
+            Some(content) => store.insert(c.key.to_string(), (content.clone(), mod_revision)),
+            None => store.remove(&c.key.to_string()),
+        };
+    }
+}
+
+fn machines(cell: &CellState) -> BTreeSet<(MachineId, Vec<Assignment>)> {
+    cell.machines()
+        .map(|(_, m, r)| (m, r.tasks.clone()))
+        .collect()
+}
+
+/// A group that is too large for the limits in force is copied in steps of which each is complete:
+/// at any time every reader sees every machine once, nothing planned before a step is applied after
+/// it, and no machine goes while it would come up again.
+#[test]
+fn a_group_that_cannot_be_written_is_copied() {
+    let mut cell = large_group(700);
+    let all = machines(&cell);
+    let before = cell.groups[0][&0].clone();
+    let mut kept = Store::new();
+    kept.insert(
+        "c/group/0/0".to_owned(),
+        (Content::Group(before.value), before.mod_revision),
+    );
+    let key = Key::Group(0, 0);
+    let mut mod_revision = 2;
+    let mut copied = 0;
+    while too_large(&cell, &key, MOST) {
+        // Whoever planned on the copy of before, on the word of another slice's owner: a task of a
+        // machine that is copied now is cleared.
+        let (m, record) = cell.groups[0][&0].value.machines.last_key_value().unwrap();
+        let mut late = TransactionBuilder::new(&cell, limits(16 * 1_024));
+        assert!(late.release(*m, record.tasks[0].attempt(), Outcome::Again, 7));
+        let late = late.commit();
+        let commit = step(&cell, &key, MOST).expect("a step");
+        let again = step(&cell, &key, MOST).expect("a step");
+        mod_revision += 1;
+        store(&cell, &key, &mut kept, &commit, mod_revision);
+        apply(&mut cell, commit, mod_revision);
+        assert!(!holds(&cell, &late), "what was planned before is applied");
+        assert!(!holds(&cell, &again), "the step is applied twice");
+        assert_eq!(machines(&cell), all, "after step {mod_revision}");
+        // A controller that starts now reads the keys in their order.
+        let mut fresh = view_of(LAYOUT);
+        let listed = kept.iter().map(|(k, (content, mod_revision))| Change {
+            key: Key::parse(k).unwrap(),
+            content: Some(content.clone()),
+            mod_revision: *mod_revision,
+        });
+        fresh.apply(listed, &mut CellChanges::default());
+        assert_eq!(
+            machines(&fresh),
+            all,
+            "a fresh copy after step {mod_revision}"
+        );
+        if let Some(stale) = cell
+            .machines()
+            .map(|(_, m, _)| m)
+            .find(|m| cell.is_stale(*m))
+        {
+            copied += 1;
+            let mut draft = TransactionBuilder::new(&cell, limits(MOST));
+            let assignment = cell.machine(stale).unwrap().tasks[0].attempt();
+            assert!(draft.release(stale, assignment, Outcome::Again, 0));
+            assert!(!draft.remove(stale), "it would come up again");
+        }
+    }
+    assert!(copied > 1, "nothing was copied");
+    assert!(cell.machines().all(|(_, m, _)| !cell.is_stale(m)));
+    assert!(cell.groups[0].values().all(|g| size_of(&g.value) <= MOST));
+}
+
+/// While it can still be written, its machines are moved.
+#[test]
+fn a_group_that_can_be_written_is_split() {
+    let mut cell = large_group(300);
+    let all = machines(&cell);
+    let key = Key::Group(0, 0);
+    let mut mod_revision = 2;
+    while too_large(&cell, &key, MOST) {
+        let commit = step(&cell, &key, 16 * 1_024).expect("a step");
+        assert!(
+            commit
+                .txn
+                .when
+                .iter()
+                .any(|(k, _)| *k == Key::ShardLeader(0)),
+            "not on the term"
+        );
+        mod_revision += 1;
+        apply(&mut cell, commit, mod_revision);
+        assert_eq!(machines(&cell), all, "after step {mod_revision}");
+        assert!(cell.machines().all(|(_, m, _)| !cell.is_stale(m)));
+    }
+}
+
+/// Ends are never lost on their way from a usage record to those of the jobs.
+#[test]
+fn ends_of_a_usage_record_that_cannot_be_written_are_copied() {
+    for taken in [16 * 1_024, MOST] {
+        let mut cell = view_of(LAYOUT);
+        let mut usage = UsageRecord::default();
+        let mut changes = Vec::new();
+        for j in 1..=90 {
+            let mut ends = CompletionBitmap::default();
+            ends.insert(j);
+            ends.insert(100);
+            usage.ends.insert(JobId(j.into()), ends);
+            let content = Some(Content::Job(Box::new(job(120))));
+            changes.push(Change {
+                key: Key::Job(JobId(j.into())),
+                content,
+                mod_revision: 2,
+            });
+        }
+        changes.push(Change {
+            key: Key::Usage(0),
+            content: Some(Content::Usage(usage)),
+            mod_revision: 2,
+        });
+        cell.apply(changes, &mut CellChanges::default());
+        cell.advance(2);
+        assert!(encode(&cell.usage[0].value).unwrap().get().len() > MOST);
+        let mut mod_revision = 2;
+        while too_large(&cell, &Key::Usage(0), MOST) {
+            let commit = step(&cell, &Key::Usage(0), taken).expect("a step");
+            assert!(commit.txn.then.len() <= 4);
+            assert!(taken > MOST || commit.txn.largest() <= MOST);
+            mod_revision += 1;
+            apply(&mut cell, commit, mod_revision);
+            for j in 1..=90 {
+                let job = &cell.jobs[&JobId(j.into())];
+                assert!(
+                    job.done() == 2 && job.finished(j) && job.finished(100),
+                    "job {j} after step {mod_revision}"
+                );
+            }
+        }
+    }
+}
--- a/src/coordination/draft/ends.rs
+++ b/src/coordination/commit/transaction/completions.rs
@@ -1,30 +1,33 @@
 //! Ends in a draft: of tasks, and of jobs.
 
-use super::{Draft, ENTRY_BYTES, Needs, SMALL_JOB, SPARE_BYTES, size_of};
-use crate::bookkeeping::finished::{CHUNK, Finished};
-use crate::bookkeeping::ids::{Attempt, JobId, MachineId, Slice};
-use crate::bookkeeping::job::{FinalRecord, JobSpec};
-use crate::bookkeeping::records::{Booking, Key};
-use crate::bookkeeping::view::Job;
-use crate::coordination::sessions::Outcome;
+use super::{ENTRY_BYTES, Needs, SMALL_JOB, SPARE_BYTES, TransactionBuilder, size_of};
+use crate::coordination::agents::Outcome;
+use crate::storage::cell_state::Job;
+use crate::storage::completion_bitmap::{CHUNK, CompletionBitmap};
+use crate::storage::ids::{Attempt, JobId, MachineId, ShardId};
+use crate::storage::job::{FinalRecord, JobSpec};
+use crate::storage::records::{Assignment, Key};
 
-impl<'a> Draft<'a> {
+impl<'a> TransactionBuilder<'a> {
     /// Clears a booking: its outcome, its room and its team's usage in one.
-    pub fn clear(&mut self, m: MachineId, a: Attempt, outcome: Outcome, by: Slice) -> bool {
-        let booking = Booking::of(a);
+    pub fn release(&mut self, m: MachineId, a: Attempt, outcome: Outcome, by: ShardId) -> bool {
+        let assignment = Assignment::of(a);
         let Some(at) = self.home(m) else {
             return true;
         };
-        if !self.machine(m).is_some_and(|r| r.tasks.contains(&booking)) {
+        if !self
+            .machine(m)
+            .is_some_and(|r| r.tasks.contains(&assignment))
+        {
             return true;
         }
         let id = a.task.job;
-        let view = self.view;
-        let Some(job) = view.jobs.get(&id) else {
+        let cell = self.cell;
+        let Some(job) = cell.jobs.get(&id) else {
             return true;
         };
         let spec = job.spec();
-        let k = view.job_slice(id, spec);
+        let k = cell.shard_of_job(id, spec);
         let counts = outcome != Outcome::Again && !job.cancelled();
         // The slice whose usage record keeps the end until the job's own is written.
         let keeper = if self.fenced { by } else { k };
@@ -35,7 +38,7 @@
         } else {
             0
         };
-        let (groups, conditions) = (&[at], &[Key::Own(by)]);
+        let (groups, conditions) = (&[at], &[Key::ShardLeader(by)]);
         let usage = (kept || !self.fenced).then_some(keeper);
         let needs = |more| Needs {
             groups,
@@ -50,8 +53,8 @@
         }
         self.take(k, spec);
         if let Some(r) = self.machine_mut(m) {
-            r.tasks.retain(|b| *b != booking);
-            r.preempted.retain(|b| *b != booking);
+            r.tasks.retain(|b| *b != assignment);
+            r.preempted.retain(|b| *b != assignment);
         }
         if !counts {
             return true;
@@ -59,7 +62,7 @@
         match (outcome, kept) {
             (Outcome::Done, true) => {
                 if let Some(u) = self.usage.get_mut(&keeper) {
-                    let before = u.record.ends.get(&id).map_or(0, Finished::bytes);
+                    let before = u.record.ends.get(&id).map_or(0, CompletionBitmap::bytes);
                     let set = u.record.ends.entry(id).or_default();
                     set.insert(a.task.index);
                     let more = set.bytes() - before + if before == 0 { ENTRY_BYTES } else { 0 };
@@ -78,7 +81,7 @@
     }
 
     /// A team has less booked.
-    fn take(&mut self, k: Slice, spec: &'a JobSpec) {
+    fn take(&mut self, k: ShardId, spec: &'a JobSpec) {
         if let Some(u) = self.usage.get_mut(&k).filter(|_| !self.fenced) {
             u.record
                 .take(&spec.team, spec.need.cores, spec.need.accelerators);
@@ -89,7 +92,7 @@
 
     /// Whether a task's end is kept in this slice's usage record: its job is small, goes on after it, is not
     /// written for another reason, and there is room.
-    fn is_kept(&self, job: &Job, a: Attempt, keeper: Slice) -> bool {
+    fn is_kept(&self, job: &Job, a: Attempt, keeper: ShardId) -> bool {
         let id = a.task.job;
         if job.spec().task_count > SMALL_JOB || self.jobs.contains_key(&id) {
             return false;
@@ -99,7 +102,7 @@
         let done = job.record.finished.count_with(&ends) + u32::from(!known);
         let edit = self.usage.get(&keeper);
         let bytes = edit.map_or_else(
-            || size_of(&self.view.usage[keeper].value) + SPARE_BYTES,
+            || size_of(&self.cell.usage[keeper].value) + SPARE_BYTES,
             |u| u.bytes,
         );
         let most = self.limits.part_bytes.min(self.limits.value_bytes);
@@ -108,7 +111,7 @@
     }
 
     /// What usage records would keep of a job's ends.
-    fn ends_of(&self, id: JobId, job: &Job) -> Finished {
+    fn ends_of(&self, id: JobId, job: &Job) -> CompletionBitmap {
         let mut ends = job.ends.clone();
         self.usage
             .values()
@@ -137,7 +140,7 @@
 
     /// Notes that a task is completed. `ends`: there is room for the end of the job as well.
     fn finish(&mut self, id: JobId, index: u32, ends: bool) {
-        let Some(job) = self.view.jobs.get(&id) else {
+        let Some(job) = self.cell.jobs.get(&id) else {
             return;
         };
         let Some(edit) = self.jobs.get_mut(&id) else {
@@ -166,14 +169,14 @@
             edit.ended = Some(FinalRecord {
                 cancelled: false,
                 done: edit.record.done(),
-                at: self.view.today,
+                at: self.cell.today,
             });
         }
     }
 
     /// Ends a job whose tasks are all done.
     pub fn end_done(&mut self, id: JobId) -> bool {
-        let Some(job) = self.view.jobs.get(&id) else {
+        let Some(job) = self.cell.jobs.get(&id) else {
             return true;
         };
         self.end(
@@ -182,16 +185,16 @@
             FinalRecord {
                 cancelled: false,
                 done: job.spec().task_count,
-                at: self.view.today,
+                at: self.cell.today,
             },
         )
     }
 
     fn end(&mut self, id: JobId, job: &Job, end: FinalRecord) -> bool {
-        let k = self.view.job_slice(id, job.spec());
+        let k = self.cell.shard_of_job(id, job.spec());
         // What the usage record keeps of it goes along, if that can be written.
-        let kept = (!self.fenced && self.view.usage[k].value.ends.contains_key(&id)).then_some(k);
-        let conditions = &[Key::Own(k)];
+        let kept = (!self.fenced && self.cell.usage[k].value.ends.contains_key(&id)).then_some(k);
+        let conditions = &[Key::ShardLeader(k)];
         let needs = |usage| Needs {
             usage,
             job: Some((id, 1)),
@@ -209,7 +212,7 @@
 
     /// Ends a cancelled job of which nothing is booked. Large ones shed their chunks first.
     pub fn end_cancelled(&mut self, id: JobId) -> bool {
-        let Some(job) = self.view.jobs.get(&id) else {
+        let Some(job) = self.cell.jobs.get(&id) else {
             return true;
         };
         if let Some(n) = job.chunks.keys().next() {
@@ -225,22 +228,22 @@
             FinalRecord {
                 cancelled: true,
                 done: job.done(),
-                at: self.view.today,
+                at: self.cell.today,
             },
         )
     }
 
     /// Moves what the usage record keeps of a job's ends into the job's own record.
     pub fn settle(&mut self, id: JobId) -> bool {
-        let Some(job) = self.view.jobs.get(&id) else {
+        let Some(job) = self.cell.jobs.get(&id) else {
             return true;
         };
-        let k = self.view.job_slice(id, job.spec());
+        let k = self.cell.shard_of_job(id, job.spec());
         let usage = (!self.fenced).then_some(k);
         self.reserve(Needs {
             usage,
             job: Some((id, 0)),
-            conditions: &[Key::Own(k)],
+            conditions: &[Key::ShardLeader(k)],
             ..Needs::default()
         })
     }
--- a/src/coordination/draft.rs
+++ b/src/coordination/commit/transaction/mod.rs
@@ -1,19 +1,19 @@
 //! A transaction in the making: edited copies of records, with their conditions.
 
-mod edits;
-mod ends;
+mod assignments;
+pub mod compaction;
+mod completions;
 #[cfg(test)]
 mod model;
-pub mod shrink;
 #[cfg(test)]
 mod tests;
 
-use crate::bookkeeping::finished::{CHUNK, Finished};
-use crate::bookkeeping::ids::{Attempt, JobId, MachineId, Part, Slice};
-use crate::bookkeeping::job::{FinalRecord, JobRecord};
-use crate::bookkeeping::records::{GroupRecord, Key, MachineRecord, OwnRecord, UsageRecord};
-use crate::bookkeeping::view::{Change, Content, Job, View};
 use crate::protocol::state::{Put, Txn, encode};
+use crate::storage::cell_state::{CellState, Change, Content, Job};
+use crate::storage::completion_bitmap::{CHUNK, CompletionBitmap};
+use crate::storage::ids::{Attempt, GroupIndex, JobId, MachineId, ShardId};
+use crate::storage::job::{FinalRecord, JobRecord};
+use crate::storage::records::{GroupRecord, Key, MachineRecord, ShardLeaderRecord, UsageRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Bytes that a transaction may take; the service allows a little more.
@@ -81,21 +81,21 @@
 #[derive(Clone, Debug)]
 struct JobEdit {
     record: JobRecord,
-    chunks: BTreeMap<u32, Finished>,
+    chunks: BTreeMap<u32, CompletionBitmap>,
     ended: Option<FinalRecord>,
 }
 
 /// The draft.
 #[derive(Clone, Debug)]
-pub struct Draft<'a> {
-    view: &'a View,
+pub struct TransactionBuilder<'a> {
+    cell: &'a CellState,
     limits: Limits,
-    groups: BTreeMap<(Slice, Part), GroupEdit>,
+    groups: BTreeMap<(ShardId, GroupIndex), GroupEdit>,
     /// Machines that it adds.
-    added: BTreeMap<MachineId, (Slice, Part)>,
+    added: BTreeMap<MachineId, (ShardId, GroupIndex)>,
     /// Bytes that the machines of a group will take once they are full.
-    expected: BTreeMap<(Slice, Part), usize>,
-    usage: BTreeMap<Slice, UsageEdit>,
+    expected: BTreeMap<(ShardId, GroupIndex), usize>,
+    usage: BTreeMap<ShardId, UsageEdit>,
     /// Cores and accelerators that teams would have booked more, and less.
     moved: BTreeMap<&'a str, [(u64, u64); 2]>,
     jobs: BTreeMap<JobId, JobEdit>,
@@ -104,15 +104,15 @@
     bytes: usize,
     /// The terser written forms are understood by all.
     terse: bool,
-    /// What is booked is told by the groups alone: see [`View::fenced`].
+    /// What is booked is told by the groups alone: see [`CellState::fenced`].
     fenced: bool,
     /// A slice whose term it raises, and the owner.
-    raise: Option<(Slice, OwnRecord)>,
+    raise: Option<(ShardId, ShardLeaderRecord)>,
 }
 
 /// A finished draft: the transaction, and what it changes in the copy when it succeeds.
 #[derive(Debug)]
-pub struct Commit {
+pub struct PlannedTransaction {
     /// The transaction.
     pub txn: Txn,
     /// Its changes; their stamps are set when it has one.
@@ -124,8 +124,8 @@
 /// Records that an edit needs.
 #[derive(Clone, Copy, Debug, Default)]
 struct Needs<'a> {
-    groups: &'a [(Slice, Part)],
-    usage: Option<Slice>,
+    groups: &'a [(ShardId, GroupIndex)],
+    usage: Option<ShardId>,
     /// A job, and the changes that it takes beyond that of its record.
     job: Option<(JobId, usize)>,
     conditions: &'a [Key],
@@ -135,11 +135,11 @@
     encode(value).map_or(0, |r| r.get().len())
 }
 
-impl<'a> Draft<'a> {
+impl<'a> TransactionBuilder<'a> {
     /// An empty draft on the copy.
-    pub fn new(view: &'a View, limits: Limits) -> Draft<'a> {
-        Draft {
-            view,
+    pub fn new(cell: &'a CellState, limits: Limits) -> TransactionBuilder<'a> {
+        TransactionBuilder {
+            cell,
             limits,
             groups: BTreeMap::new(),
             added: BTreeMap::new(),
@@ -150,8 +150,8 @@
             removed_chunks: BTreeSet::new(),
             conditions: BTreeSet::new(),
             bytes: 0,
-            terse: view.terse(),
-            fenced: view.fenced(),
+            terse: cell.terse(),
+            fenced: cell.fenced(),
             raise: None,
         }
     }
@@ -178,27 +178,27 @@
     }
 
     /// Whether it writes this group already.
-    pub fn writes_group(&self, at: (Slice, Part)) -> bool {
+    pub fn writes_group(&self, at: (ShardId, GroupIndex)) -> bool {
         self.groups.contains_key(&at)
     }
 
     /// Whether it writes this slice's usage already.
-    pub fn writes_usage(&self, k: Slice) -> bool {
+    pub fn writes_usage(&self, k: ShardId) -> bool {
         self.usage.contains_key(&k)
     }
 
     /// Whether clearing this booking writes only records that it writes already, or that nobody else writes.
     pub fn covers(&self, m: MachineId, a: Attempt) -> bool {
         let id = a.task.job;
-        let writes_usage = |job: &Job| self.writes_usage(self.view.job_slice(id, job.spec()));
+        let writes_usage = |job: &Job| self.writes_usage(self.cell.shard_of_job(id, job.spec()));
         self.home(m).is_some_and(|at| self.writes_group(at))
-            && (self.fenced || self.view.jobs.get(&id).is_some_and(writes_usage))
+            && (self.fenced || self.cell.jobs.get(&id).is_some_and(writes_usage))
     }
 
     /// Makes sure that the records can be edited within the limits; changes nothing otherwise.
     fn reserve(&mut self, needs: Needs<'_>) -> bool {
         let mut ops = self.ops();
-        let new_groups: Vec<(Slice, Part)> = needs
+        let new_groups: Vec<(ShardId, GroupIndex)> = needs
             .groups
             .iter()
             .copied()
@@ -208,7 +208,7 @@
         ops += new_groups.len() + usize::from(new_usage.is_some());
         let mut job_bytes = 0;
         if let Some((id, more)) = needs.job
-            && let Some(job) = self.view.jobs.get(&id)
+            && let Some(job) = self.cell.jobs.get(&id)
         {
             ops += more;
             if !self.jobs.contains_key(&id) {
@@ -222,7 +222,7 @@
         }
         // While machines of a slice are being copied from a group that is too large, its term changes with
         // every step: whoever plans on a copy of before then fails.
-        let owners = needs.groups.iter().map(|(k, _)| Key::Own(*k));
+        let owners = needs.groups.iter().map(|(k, _)| Key::ShardLeader(*k));
         let wanted: Vec<Key> = needs.conditions.iter().cloned().chain(owners).collect();
         let new_conditions = wanted
             .iter()
@@ -233,10 +233,10 @@
         if ops > self.limits.ops || all > self.limits.conditions {
             return false;
         }
-        let groups: Vec<((Slice, Part), GroupEdit)> = new_groups
+        let groups: Vec<((ShardId, GroupIndex), GroupEdit)> = new_groups
             .into_iter()
             .map(|(k, n)| {
-                let record = self.view.groups[k]
+                let record = self.cell.groups[k]
                     .get(&n)
                     .map(|g| g.value.clone())
                     .unwrap_or_default();
@@ -257,7 +257,7 @@
             })
             .collect();
         let usage = new_usage.map(|k| {
-            let mut record = self.view.usage[k].value.clone();
+            let mut record = self.cell.usage[k].value.clone();
             record.ends.retain(|id, ends| self.is_needed(id, ends));
             record.ends.values_mut().for_each(|e| e.terse(self.terse));
             if self.fenced {
@@ -292,7 +292,7 @@
             .job
             .map(|(id, _)| id)
             .filter(|id| !self.jobs.contains_key(id))
-            && let Some(job) = self.view.jobs.get(&id)
+            && let Some(job) = self.cell.jobs.get(&id)
         {
             let mut record = job.record.clone();
             // A record that is written takes what usage records keep for it; from those that are not written
@@ -318,15 +318,15 @@
 
     /// Whether ends that are kept beside their job's record still say something: not those of a job that has ended
     /// itself, and not those that its record has.
-    fn is_needed(&self, id: &JobId, ends: &Finished) -> bool {
-        self.view
+    fn is_needed(&self, id: &JobId, ends: &CompletionBitmap) -> bool {
+        self.cell
             .jobs
             .get(id)
             .is_some_and(|j| !j.record.finished.covers(ends))
     }
 
     /// Makes sure that a group may grow by some bytes, and still leaves `spare`.
-    fn grow(&mut self, at: (Slice, Part), by: usize, spare: usize) -> bool {
+    fn grow(&mut self, at: (ShardId, GroupIndex), by: usize, spare: usize) -> bool {
         let Some(g) = self.groups.get_mut(&at) else {
             return false;
         };
@@ -353,15 +353,15 @@
     }
 
     /// The group that holds a machine.
-    fn home(&self, m: MachineId) -> Option<(Slice, Part)> {
-        self.added.get(&m).copied().or_else(|| self.view.home(m))
+    fn home(&self, m: MachineId) -> Option<(ShardId, GroupIndex)> {
+        self.added.get(&m).copied().or_else(|| self.cell.home(m))
     }
 
     /// The machine as this draft would leave it.
     pub fn machine(&self, m: MachineId) -> Option<&MachineRecord> {
         match self.groups.get(&self.home(m)?) {
             Some(g) => g.record.machines.get(&m),
-            None => self.view.machine(m),
+            None => self.cell.machine(m),
         }
     }
 
@@ -371,9 +371,11 @@
     }
 
     /// All machines of the copy as this draft would leave them, with the groups that hold them.
-    pub fn machines(&self) -> impl Iterator<Item = ((Slice, Part), MachineId, &MachineRecord)> {
+    pub fn machines(
+        &self,
+    ) -> impl Iterator<Item = ((ShardId, GroupIndex), MachineId, &MachineRecord)> {
         let parts = self
-            .view
+            .cell
             .groups
             .iter()
             .enumerate()
@@ -384,27 +386,27 @@
     }
 
     /// What a team of a slice would have booked.
-    pub fn used(&self, k: Slice, team: &str) -> (u64, u64) {
+    pub fn used(&self, k: ShardId, team: &str) -> (u64, u64) {
         if !self.fenced {
             return self
                 .usage
                 .get(&k)
-                .map_or(&self.view.usage[k].value, |u| &u.record)
+                .map_or(&self.cell.usage[k].value, |u| &u.record)
                 .of(team);
         }
-        let (booked, [more, less]) = (
-            self.view.used(k, team),
+        let (assigned, [more, less]) = (
+            self.cell.used(k, team),
             self.moved.get(team).copied().unwrap_or_default(),
         );
         (
-            (booked.0 + more.0).saturating_sub(less.0),
-            (booked.1 + more.1).saturating_sub(less.1),
+            (assigned.0 + more.0).saturating_sub(less.0),
+            (assigned.1 + more.1).saturating_sub(less.1),
         )
     }
 
     /// The transaction: every record that it writes is a condition.
-    pub fn commit(self) -> Commit {
-        let mut commit = Commit {
+    pub fn commit(self) -> PlannedTransaction {
+        let mut commit = PlannedTransaction {
             txn: Txn::default(),
             changes: Vec::new(),
             ended: Vec::new(),
@@ -416,7 +418,7 @@
                 Some(Content::Usage(u)) => encode(u),
                 Some(Content::Job(j)) => encode(&**j),
                 Some(Content::Chunk(c)) => encode(c),
-                Some(Content::Own(o)) => encode(o),
+                Some(Content::ShardLeader(o)) => encode(o),
                 _ => None,
             };
             conditions.insert(key.clone());
@@ -440,8 +442,11 @@
             u.record.ends.values_mut().for_each(|e| e.terse(self.terse));
             put(Key::Usage(k), Some(Content::Usage(u.record)));
         }
-        if let Some((k, me)) = self.raise {
-            put(Key::Own(k), Some(Content::Own(me)));
+        if let Some((k, leader_record)) = self.raise {
+            put(
+                Key::ShardLeader(k),
+                Some(Content::ShardLeader(leader_record)),
+            );
         }
         for (id, n) in self.removed_chunks {
             put(Key::Chunk(id, n), None);
@@ -451,7 +456,7 @@
             edit.record.finished.terse(self.terse);
             for (n, mut chunk) in edit.chunks {
                 chunk.terse(self.terse);
-                let known = self.view.mod_revision(&Key::Chunk(id, n)) > 0;
+                let known = self.cell.mod_revision(&Key::Chunk(id, n)) > 0;
                 let full = edit.record.full >> n & 1 == 1;
                 if !full {
                     put(Key::Chunk(id, n), Some(Content::Chunk(chunk)));
@@ -478,7 +483,7 @@
         }
         commit.txn.when = conditions
             .into_iter()
-            .map(|k| (self.view.mod_revision(&k), k))
+            .map(|k| (self.cell.mod_revision(&k), k))
             .map(|(s, k)| (k, s))
             .collect();
         commit
--- a/src/coordination/draft/model.rs
+++ b/src/coordination/commit/transaction/model.rs
@@ -1,15 +1,15 @@
 //! All interleavings of a small case: two controllers, two tasks of a team that may have one booked at a time, a
 //! transaction that is carried out late, a crash with its takeover. What the store holds is judged after every step.
 
-use super::{Commit, Draft, Limits};
-use crate::bookkeeping::finished::Finished;
-use crate::bookkeeping::ids::{Attempt, JobId, MachineId, Slice, TaskId};
-use crate::bookkeeping::job::JobRecord;
-use crate::bookkeeping::records::{
-    FENCED, GroupRecord, Incarnation, Key, MetaRecord, OwnRecord, TERSE,
+use super::{Limits, PlannedTransaction, TransactionBuilder};
+use crate::coordination::agents::Outcome;
+use crate::storage::cell_state::{CellChanges, CellState, Change, Content};
+use crate::storage::completion_bitmap::CompletionBitmap;
+use crate::storage::ids::{Attempt, JobId, MachineId, ShardId, TaskId};
+use crate::storage::job::JobRecord;
+use crate::storage::records::{
+    FENCED, GroupRecord, Incarnation, Key, MetaRecord, ShardLeaderRecord, TERSE,
 };
-use crate::bookkeeping::view::{Change, Content, Touched, View};
-use crate::coordination::sessions::Outcome;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
 const JOB: JobId = JobId(7);
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 struct Sent {
     changes: Vec<(Key, Option<String>)>,
-    commit: std::rc::Rc<Commit>,
+    commit: std::rc::Rc<PlannedTransaction>,
     /// The process that waits for it, if it still does.
     by: Option<usize>,
     /// Tasks that it says have ended.
@@ -64,14 +64,14 @@
     }
 }
 
-fn own(k: Slice, run: u64) -> Change {
-    let record = OwnRecord {
+fn own(k: ShardId, run: u64) -> Change {
+    let record = ShardLeaderRecord {
         node: format!("n{k}"),
         run: Incarnation(run),
     };
     Change {
-        key: Key::Own(k),
-        content: Some(Content::Own(record)),
+        key: Key::ShardLeader(k),
+        content: Some(Content::ShardLeader(record)),
         mod_revision: 0,
     }
 }
@@ -91,7 +91,7 @@
                 Key::Meta,
                 Content::Meta(MetaRecord {
                     layout,
-                    slices: 2,
+                    shards: 2,
                     teams,
                 }),
             ),
@@ -125,32 +125,32 @@
         }
     }
 
-    fn view(&self, p: &Process) -> View {
-        let mut view = View::default();
-        let apply = |view: &mut View, n: usize| {
+    fn cell(&self, p: &Process) -> CellState {
+        let mut cell = CellState::default();
+        let apply = |cell: &mut CellState, n: usize| {
             let mod_revision = n as u64 + 1;
-            view.apply(
+            cell.apply(
                 self.log[n].iter().map(|c| Change {
                     mod_revision,
                     ..c.clone()
                 }),
-                &mut Touched::default(),
+                &mut CellChanges::default(),
             );
         };
         for n in 0..p.seen {
-            apply(&mut view, n);
-            view.advance(n as u64 + 1);
+            apply(&mut cell, n);
+            cell.advance(n as u64 + 1);
         }
         p.ahead
             .iter()
             .filter(|n| **n >= p.seen)
-            .for_each(|n| apply(&mut view, *n));
-        view
+            .for_each(|n| apply(&mut cell, *n));
+        cell
     }
 
-    fn store(&self) -> View {
+    fn store(&self) -> CellState {
         let run = 0;
-        self.view(&Process {
+        self.cell(&Process {
             run,
             seen: self.log.len(),
             ahead: Vec::new(),
@@ -170,7 +170,7 @@
         format!("{:?}{:?}{sent:?}{counts:?}", self.log, self.processes)
     }
 
-    fn send(&self, p: usize, commit: Commit, ends: Vec<u32>) -> State {
+    fn send(&self, p: usize, commit: PlannedTransaction, ends: Vec<u32>) -> State {
         let mut next = self.clone();
         let changes = commit
             .txn
@@ -245,46 +245,46 @@
 
     fn plan(&self, p: usize, steps: &mut Vec<State>) {
         let process = &self.processes[p];
-        let view = self.view(process);
-        let owns = |k: Slice| {
-            view.own[k]
+        let cell = self.cell(process);
+        let leads = |k: ShardId| {
+            cell.leaders[k]
                 .value
                 .as_ref()
                 .is_some_and(|o| o.run.0 == process.run)
         };
-        let Some(job) = view.jobs.get(&JOB) else {
+        let Some(job) = cell.jobs.get(&JOB) else {
             return;
         };
-        if owns(0) {
-            for (index, m) in view
+        if leads(0) {
+            for (index, m) in cell
                 .pending(JOB, job)
                 .flat_map(|i| MACHINES.map(|m| (i, m)))
             {
-                let mut draft = Draft::new(&view, limits());
+                let mut draft = TransactionBuilder::new(&cell, limits());
                 let used = draft.used(0, "red").0;
                 let attempt = Attempt {
                     task: TaskId { job: JOB, index },
-                    number: view.latest,
+                    number: cell.latest,
                 };
-                if used + 1_000 <= LIMIT && draft.book(m, attempt) {
+                if used + 1_000 <= LIMIT && draft.assign(m, attempt) {
                     steps.push(self.send(p, draft.commit(), Vec::new()));
                 }
             }
-            let over = job.done() >= TASKS && view.booked(JOB).is_none();
-            let mut draft = Draft::new(&view, limits());
+            let over = job.done() >= TASKS && cell.assigned(JOB).is_none();
+            let mut draft = TransactionBuilder::new(&cell, limits());
             if over && draft.end_done(JOB) {
                 steps.push(self.send(p, draft.commit(), Vec::new()));
             }
         }
-        for (k, m) in MACHINES.into_iter().enumerate().filter(|(k, _)| owns(*k)) {
-            for b in view.machine(m).map_or(&[][..], |r| &r.tasks) {
+        for (k, m) in MACHINES.into_iter().enumerate().filter(|(k, _)| leads(*k)) {
+            for b in cell.machine(m).map_or(&[][..], |r| &r.tasks) {
                 let a = b.attempt();
-                let mut draft = Draft::new(&view, limits());
-                if draft.clear(m, a, Outcome::Done, k) {
+                let mut draft = TransactionBuilder::new(&cell, limits());
+                if draft.release(m, a, Outcome::Done, k) {
                     steps.push(self.send(p, draft.commit(), vec![a.task.index]));
                 }
-                let mut draft = Draft::new(&view, limits());
-                if self.failures < most_failures() && draft.clear(m, a, Outcome::Again, k) {
+                let mut draft = TransactionBuilder::new(&cell, limits());
+                if self.failures < most_failures() && draft.release(m, a, Outcome::Again, k) {
                     let mut next = self.send(p, draft.commit(), Vec::new());
                     next.failures += 1;
                     steps.push(next);
@@ -320,24 +320,24 @@
     /// What may never be seen in the store.
     fn judge(&self) -> Result<(), String> {
         let store = self.store();
-        let booked: Vec<u32> = store
+        let assigned: Vec<u32> = store
             .machines()
             .flat_map(|(_, _, r)| r.tasks.iter().map(|b| b.attempt().task.index))
             .collect();
-        let each: BTreeSet<u32> = booked.iter().copied().collect();
-        if each.len() < booked.len() {
-            return Err(format!("booked twice: {booked:?}"));
+        let each: BTreeSet<u32> = assigned.iter().copied().collect();
+        if each.len() < assigned.len() {
+            return Err(format!("booked twice: {assigned:?}"));
         }
-        if booked.len() as u64 * 1_000 > LIMIT {
-            return Err(format!("beyond the limit: {booked:?}"));
+        if assigned.len() as u64 * 1_000 > LIMIT {
+            return Err(format!("beyond the limit: {assigned:?}"));
         }
         let Some(job) = store.jobs.get(&JOB) else {
-            let all = self.done.len() == TASKS as usize && booked.is_empty();
+            let all = self.done.len() == TASKS as usize && assigned.is_empty();
             return if all {
                 Ok(())
             } else {
                 Err(format!(
-                    "ended with {:?} done, {booked:?} booked",
+                    "ended with {:?} done, {assigned:?} booked",
                     self.done
                 ))
             };
@@ -397,9 +397,9 @@
 #[test]
 fn ends_count_wherever_they_are_kept() {
     let mut state = State::new(FENCED);
-    let mut ends = Finished::default();
+    let mut ends = CompletionBitmap::default();
     ends.insert(1);
-    let mut usage = crate::bookkeeping::records::UsageRecord::default();
+    let mut usage = crate::storage::records::UsageRecord::default();
     usage.add("red", 5_000, 0);
     usage.ends.insert(JOB, ends);
     state.log.push(std::rc::Rc::new(vec![Change {
@@ -408,10 +408,10 @@
         mod_revision: 0,
     }]));
     state.processes[0].seen = 2;
-    let view = state.view(&state.processes[0]);
-    assert_eq!(view.pending(JOB, &view.jobs[&JOB]).collect::<Vec<_>>(), [0]);
+    let cell = state.cell(&state.processes[0]);
+    assert_eq!(cell.pending(JOB, &cell.jobs[&JOB]).collect::<Vec<_>>(), [0]);
     assert_eq!(
-        view.used(0, "red"),
+        cell.used(0, "red"),
         (0, 0),
         "what is booked is told by the groups"
     );
--- a/src/coordination/rules.rs
+++ b/src/coordination/constraints.rs
@@ -4,19 +4,20 @@
 //! of them hold, at every controller, until no controller has one any more: so a change by rolling restart
 //! never leaves a moment in which the old rules hold here and the new ones there.
 
-use super::{Controller, Purpose};
-use crate::bookkeeping::admission::{
-    Admission, ClassTraits, House, Insisted, Site, clash, has_hard, labelled, traits,
-};
-use crate::bookkeeping::classes::ClassId;
-use crate::bookkeeping::fleet::Places;
-use crate::bookkeeping::ids::{JobId, MachineId, TaskId};
-use crate::bookkeeping::job::JobSpec;
-use crate::bookkeeping::placement;
-use crate::bookkeeping::records::{Booking, FENCED, FENCED_RULED, Key, MachineRecord, is_ruled};
-use crate::bookkeeping::time::Micros;
-use crate::bookkeeping::view::{Job, View};
+use crate::coordination::{Controller, Purpose};
 use crate::protocol::state::{Put, StateRequest, Txn, encode};
+use crate::scheduler::constraints::{
+    ClassTraits, JobConstraints, MachineContext, PlacementContext, RequiredPreferences, clash,
+    has_hard, labelled, traits,
+};
+use crate::scheduler::placement;
+use crate::scheduler::provisioning::PlacementFilter;
+use crate::storage::cell_state::{CellState, Job};
+use crate::storage::ids::{JobId, MachineId, TaskId};
+use crate::storage::job::JobSpec;
+use crate::storage::machine_classes::ClassId;
+use crate::storage::records::{Assignment, FENCED, FENCED_RULED, Key, MachineRecord, is_ruled};
+use crate::time::Micros;
 use cometlead_constraints::RuleSet;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -34,9 +35,9 @@
     traits: Vec<ClassTraits>,
     /// What the traits were worked out from.
     judged: (u64, u64),
-    admissions: HashMap<JobId, Admission>,
+    job_constraints: HashMap<JobId, JobConstraints>,
     /// Some rule asks which jobs are beside.
-    beside: bool,
+    colocated: bool,
     /// Sets, or the copy as a whole, are to be looked at anew.
     stale: bool,
     /// Jobs that came, changed or went.
@@ -49,26 +50,26 @@
 }
 
 /// Jobs that have tasks on a machine, each once.
-pub(super) fn jobs_there(tasks: &[Booking]) -> Vec<JobId> {
+pub(super) fn jobs_there(tasks: &[Assignment]) -> Vec<JobId> {
     let mut jobs: Vec<JobId> = tasks.iter().map(|b| JobId(b.0)).collect();
     jobs.sort_unstable();
     jobs.dedup();
     jobs
 }
 
-fn site<'a>(
-    house: &House<'_>,
+fn machine_context<'a>(
+    context: &PlacementContext<'_>,
     class: ClassId,
     r: &'a MachineRecord,
     there: &'a [JobId],
-) -> Site<'a> {
-    let guarded = there.iter().any(|j| house.guards(*j));
-    Site {
+) -> MachineContext<'a> {
+    let has_exclusions = there.iter().any(|j| context.excludes_newcomers(*j));
+    MachineContext {
         class,
         images: &r.images,
         fetches: None,
         there,
-        guarded,
+        has_exclusions,
     }
 }
 
@@ -84,7 +85,7 @@
 
     /// Whether any rule has a say in anything.
     pub fn active(&self) -> bool {
-        self.unreadable || !self.admissions.is_empty() || !self.sets.is_empty()
+        self.unreadable || !self.job_constraints.is_empty() || !self.sets.is_empty()
     }
 
     /// The digest of those that this controller was started with.
@@ -93,64 +94,74 @@
     }
 
     /// Sets came, changed or went, or the copy was read anew.
-    pub fn look(&mut self) {
+    pub fn schedule_check(&mut self) {
         self.stale = true;
     }
 
     /// Why a job waits, if that is for its rules.
     pub fn reason(&self, id: JobId) -> Option<Arc<str>> {
-        self.admissions.get(&id)?.reason.clone()
+        self.job_constraints.get(&id)?.reason.clone()
     }
 
     /// Whether no machine that is up may run a job now.
-    pub fn bars(&self, id: JobId) -> bool {
-        self.unreadable || self.admissions.get(&id).is_some_and(|a| a.barred)
+    pub fn is_unschedulable(&self, id: JobId) -> bool {
+        self.unreadable
+            || self
+                .job_constraints
+                .get(&id)
+                .is_some_and(|a| a.unschedulable)
     }
 
-    fn house<'a>(&'a self, view: &'a View) -> House<'a> {
-        House {
-            jobs: &view.jobs,
-            admissions: &self.admissions,
-            beside: self.beside,
+    fn context<'a>(&'a self, cell: &'a CellState) -> PlacementContext<'a> {
+        PlacementContext {
+            jobs: &cell.jobs,
+            job_constraints: &self.job_constraints,
+            colocated: self.colocated,
         }
     }
 
     /// Whether a task that was booked must not be launched: its rules have changed since, or what is on its
     /// machine has.
-    pub fn forbid_launch(&self, view: &View, m: MachineId, r: &MachineRecord, id: JobId) -> bool {
+    pub fn forbid_launch(
+        &self,
+        cell: &CellState,
+        m: MachineId,
+        r: &MachineRecord,
+        id: JobId,
+    ) -> bool {
         if self.unreadable {
             return true;
         }
-        let admission = self.admissions.get(&id);
-        if admission.is_none() && !self.beside {
+        let constraints = self.job_constraints.get(&id);
+        if constraints.is_none() && !self.colocated {
             return false;
         }
-        let (Some(class), Some(job)) = (view.classes.of(m), view.jobs.get(&id)) else {
+        let (Some(class), Some(job)) = (cell.classes.of(m), cell.jobs.get(&id)) else {
             return false;
         };
         let there = jobs_there(&r.tasks);
-        let house = self.house(view);
-        !house.admits(
+        let context = self.context(cell);
+        !context.admits(
             (id, job.spec()),
-            admission,
+            constraints,
             0,
-            site(&house, class, r, &there),
+            machine_context(&context, class, r, &there),
         )
     }
 
     /// Whether a task that has not begun must be stopped: its machine is not one that it may run on any more.
-    pub fn forbid_start(&self, view: &View, m: MachineId, id: JobId) -> bool {
-        let admission = self.admissions.get(&id);
-        admission.is_some_and(|a| view.classes.of(m).is_some_and(|c| !a.may(c, 0)))
+    pub fn forbid_start(&self, cell: &CellState, m: MachineId, id: JobId) -> bool {
+        let constraints = self.job_constraints.get(&id);
+        constraints.is_some_and(|a| cell.classes.of(m).is_some_and(|c| !a.may(c, 0)))
     }
 }
 
 /// Why a submission is not simply taken, for the sake of rules.
-pub(super) enum NotTaken {
+pub(super) enum Rejection {
     /// It can never run.
     Never(String),
     /// Not every controller would keep its rules yet.
-    Later,
+    RetryAfter,
 }
 
 impl Controller {
@@ -165,25 +176,25 @@
     pub(super) fn wanted_layout(&self) -> u32 {
         let ruled = self.rules.own.is_some() || self.keeps_rules();
         let most = if ruled { FENCED_RULED } else { FENCED };
-        self.layout.min(most.max(self.view.layout()))
+        self.layout.min(most.max(self.cell.layout()))
     }
 
     /// Whether every controller keeps rules.
     fn keeps_rules(&self) -> bool {
-        is_ruled(self.view.layout())
+        is_ruled(self.cell.layout())
     }
 
-    pub(super) fn house(&self) -> House<'_> {
-        self.rules.house(&self.view)
+    pub(super) fn context(&self) -> PlacementContext<'_> {
+        self.rules.context(&self.cell)
     }
 
     /// A job came, changed or went.
     pub(super) fn note_rules_of(&mut self, id: JobId) {
         let rules = &mut self.rules;
         if !rules.sets.is_empty()
-            || rules.admissions.contains_key(&id)
+            || rules.job_constraints.contains_key(&id)
             || self
-                .view
+                .cell
                 .jobs
                 .get(&id)
                 .is_some_and(|j| !j.spec().rules.is_empty())
@@ -194,44 +205,44 @@
 
     /// Brings what rules say up to what the copy shows.
     pub(super) fn refresh_rules(&mut self) {
-        if self.view.types.value.is_none() {
+        if self.cell.types.value.is_none() {
             return;
         }
         let rules = &mut self.rules;
         if rules.stale {
             let mut sets: Vec<(u64, Arc<RuleSet>)> = self
-                .view
+                .cell
                 .rules
                 .values()
                 .filter_map(|s| Some((s.mod_revision, Arc::clone(s.value.as_ref()?))))
                 .collect();
             sets.sort_by_key(|(mod_revision, _)| *mod_revision);
-            rules.unreadable = self.view.rules.values().any(|s| s.value.is_none());
+            rules.unreadable = self.cell.rules.values().any(|s| s.value.is_none());
             rules.sets = sets.into_iter().map(|(_, s)| s).collect();
             if let Some(own) = rules
                 .own
                 .as_ref()
-                .filter(|own| !self.view.rules.contains_key(&own.digest))
+                .filter(|own| !self.cell.rules.contains_key(&own.digest))
             {
                 rules.sets.push(Arc::clone(own));
             }
             let labelled = labelled(&rules.sets);
-            self.view.label(labelled);
+            self.cell.label(labelled);
         }
         if !rules.stale
             && rules.sets.is_empty()
-            && rules.admissions.is_empty()
+            && rules.job_constraints.is_empty()
             && rules.changed.is_empty()
         {
             return;
         }
-        let judged = (self.view.types.mod_revision, self.view.classes.generation());
+        let judged = (self.cell.types.mod_revision, self.cell.classes.generation());
         if rules.stale || judged != rules.judged {
-            let Some(catalog) = &self.view.types.value else {
+            let Some(catalog) = &self.cell.types.value else {
                 return;
             };
             rules.traits = self
-                .view
+                .cell
                 .classes
                 .all()
                 .iter()
@@ -239,11 +250,11 @@
                 .collect();
             rules.judged = judged;
             rules.changed.extend(
-                self.view
+                self.cell
                     .jobs
                     .keys()
                     .copied()
-                    .chain(rules.admissions.keys().copied()),
+                    .chain(rules.job_constraints.keys().copied()),
             );
         }
         rules.stale = false;
@@ -251,51 +262,58 @@
             return;
         }
         for id in std::mem::take(&mut rules.changed) {
-            let job = self.view.jobs.get(&id);
-            let admission = job.and_then(|j| Admission::of(j.spec(), &rules.sets, &rules.traits));
-            match admission {
+            let job = self.cell.jobs.get(&id);
+            let constraints =
+                job.and_then(|j| JobConstraints::of(j.spec(), &rules.sets, &rules.traits));
+            match constraints {
                 Some(mut a) => {
                     // What was last said of it stands until it is looked at again.
-                    a.reason = rules.admissions.get(&id).and_then(|b| b.reason.clone());
-                    rules.admissions.insert(id, a);
+                    a.reason = rules
+                        .job_constraints
+                        .get(&id)
+                        .and_then(|b| b.reason.clone());
+                    rules.job_constraints.insert(id, a);
                 }
                 None => {
-                    rules.admissions.remove(&id);
+                    rules.job_constraints.remove(&id);
                 }
             }
         }
-        rules.beside = rules.admissions.values().any(Admission::asks_beside);
+        rules.colocated = rules
+            .job_constraints
+            .values()
+            .any(JobConstraints::tests_colocation);
     }
 
     /// Notes which jobs no machine that is up may run now: they take no place in a plan.
-    pub(super) fn refresh_bars(&mut self) {
+    pub(super) fn refresh_unschedulable(&mut self) {
         self.refresh_rules();
         if !self.rules.active() {
             return;
         }
-        let barred: Vec<(JobId, bool)> = self
+        let unschedulable: Vec<(JobId, bool)> = self
             .rules
-            .admissions
+            .job_constraints
             .iter()
-            .map(|(id, a)| (*id, self.is_barred(*id, a)))
+            .map(|(id, a)| (*id, self.is_unschedulable_now(*id, a)))
             .collect();
-        for (id, barred) in barred {
-            if let Some(a) = self.rules.admissions.get_mut(&id) {
-                a.barred = barred;
+        for (id, unschedulable) in unschedulable {
+            if let Some(a) = self.rules.job_constraints.get_mut(&id) {
+                a.unschedulable = unschedulable;
             }
         }
     }
 
-    fn is_barred(&self, id: JobId, a: &Admission) -> bool {
+    fn is_unschedulable_now(&self, id: JobId, a: &JobConstraints) -> bool {
         let Some(job) = self
-            .view
+            .cell
             .jobs
             .get(&id)
-            .filter(|j| self.view.pending_count(id, j) > 0)
+            .filter(|j| self.cell.pending_count(id, j) > 0)
         else {
             return false;
         };
-        let classes = &self.view.classes;
+        let classes = &self.cell.classes;
         let up = (0..classes.all().len()).filter(|c| classes.is_up(*c) && a.may(*c, 0));
         let spec = job.spec();
         match up.map(|c| a.is_open_on(c)).reduce(|a, b| a && b) {
@@ -304,27 +322,32 @@
             // It depends on what is on each.
             Some(true) => !self.up().any(|(m, r)| {
                 let there = jobs_there(&r.tasks);
-                let house = self.house();
+                let context = self.context();
                 classes.of(m).is_some_and(|c| {
-                    house.admits((id, spec), Some(a), 0, site(&house, c, r, &there))
+                    context.admits(
+                        (id, spec),
+                        Some(a),
+                        0,
+                        machine_context(&context, c, r, &there),
+                    )
                 })
             }),
         }
     }
 
     fn up(&self) -> impl Iterator<Item = (MachineId, &MachineRecord)> {
-        self.view.machines_up()
+        self.cell.machines_up()
     }
 
     /// Classes of machines that are up or could be, and that a job's own fields and size let it use.
     fn possible_classes(&self, spec: &JobSpec) -> Vec<ClassId> {
-        let classes = &self.view.classes;
+        let classes = &self.cell.classes;
         let fits = |n: &ClassId| {
             let c = &classes.all()[*n];
             classes.possible(*n)
                 && spec.allows(&c.machine_type, &c.zone, c.spot)
                 && self
-                    .view
+                    .cell
                     .machine_type(&c.machine_type)
                     .is_some_and(|t| spec.need.fits(&t.room))
         };
@@ -332,16 +355,16 @@
     }
 
     /// The preferences that a job still waits for: none past its latest start.
-    pub(super) fn insisted(&self, id: JobId, job: &Job) -> Insisted {
-        let Some(a) = self.rules.admissions.get(&id).filter(|a| a.waits()) else {
+    pub(super) fn required_preferences(&self, id: JobId, job: &Job) -> RequiredPreferences {
+        let Some(a) = self.rules.job_constraints.get(&id).filter(|a| a.waits()) else {
             return 0;
         };
         let now = self.now.day;
         if now >= self.latest_start(job) {
             return 0;
         }
-        let ready = job.record.submitted.max(job.stage.ready_at);
-        let classes = &self.view.classes;
+        let ready = job.record.submitted.max(job.dependency_state.ready_at);
+        let classes = &self.cell.classes;
         // What could not be there within the whole wait is not waited for at all.
         let in_time = |c: ClassId, wait| {
             classes.is_up(c) || self.expected_boot(&classes.all()[c].machine_type) <= wait
@@ -358,15 +381,15 @@
         &'b self,
         id: JobId,
         job: &Job,
-        house: Option<&'b House<'b>>,
+        context: Option<&'b PlacementContext<'b>>,
     ) -> Option<placement::Rules<'b>> {
-        let house = house?;
-        let admission = self.rules.admissions.get(&id);
-        let insisted = self.insisted(id, job);
-        (admission.is_some() || house.beside).then_some(placement::Rules {
-            house,
-            admission,
-            insisted,
+        let context = context?;
+        let constraints = self.rules.job_constraints.get(&id);
+        let required_preferences = self.required_preferences(id, job);
+        (constraints.is_some() || context.colocated).then_some(placement::Rules {
+            context,
+            constraints,
+            required_preferences,
         })
     }
 
@@ -378,8 +401,8 @@
         zone: &str,
         spot: bool,
     ) -> bool {
-        self.rules.admissions.get(&id).is_none_or(|a| {
-            self.view
+        self.rules.job_constraints.get(&id).is_none_or(|a| {
+            self.cell
                 .classes
                 .of_offer(machine_type, zone, spot)
                 .is_some_and(|c| a.may(c, 0))
@@ -388,18 +411,18 @@
 
     /// Whether a machine meets the weightiest of a job's preferences, as far as its class tells; `None` if the
     /// job has none.
-    pub(super) fn wish_met(&self, id: JobId, m: MachineId) -> Option<bool> {
-        let a = self.rules.admissions.get(&id)?;
+    pub(super) fn preference_met(&self, id: JobId, m: MachineId) -> Option<bool> {
+        let a = self.rules.job_constraints.get(&id)?;
         let first = a.soft.first()?;
-        Some(self.view.classes.of(m).is_some_and(|c| first.may_meet(c)))
+        Some(self.cell.classes.of(m).is_some_and(|c| first.may_meet(c)))
     }
 
     /// Whether rules let a job on a machine, as far as its class tells.
     pub(super) fn may_use(&self, id: JobId, m: MachineId) -> bool {
         self.rules
-            .admissions
+            .job_constraints
             .get(&id)
-            .is_none_or(|a| self.view.classes.of(m).is_some_and(|c| a.may(c, 0)))
+            .is_none_or(|a| self.cell.classes.of(m).is_some_and(|c| a.may(c, 0)))
     }
 
     /// What rules make of machines that are hired for a job; `Err` if none that could be hired would do, or
@@ -408,41 +431,41 @@
         &'a self,
         id: JobId,
         job: &'a Job,
-    ) -> Result<Option<Box<dyn Places + 'a>>, ()> {
-        let Some(admission) = self.rules.admissions.get(&id) else {
-            return if self.rules.beside {
+    ) -> Result<Option<Box<dyn PlacementFilter + 'a>>, ()> {
+        let Some(constraints) = self.rules.job_constraints.get(&id) else {
+            return if self.rules.colocated {
                 Ok(Some(Box::new(JobPlaces {
                     controller: self,
                     id,
                     spec: job.spec(),
-                    admission: None,
-                    insisted: 0,
+                    constraints: None,
+                    required_preferences: 0,
                 })))
             } else {
                 Ok(None)
             };
         };
         let spec = job.spec();
-        let classes = &self.view.classes;
+        let classes = &self.cell.classes;
         let possible = self.possible_classes(spec);
         // A preference that no machine could meet in time is not hired for; and what does not meet it is of no
         // use before the wait is over.
-        let mut insisted = self.insisted(id, job);
+        let mut required_preferences = self.required_preferences(id, job);
         let left = |wait: Micros| {
-            (job.record.submitted.max(job.stage.ready_at) + wait).since(self.now.day)
+            (job.record.submitted.max(job.dependency_state.ready_at) + wait).since(self.now.day)
         };
-        let least = admission
+        let least = constraints
             .soft
             .iter()
             .enumerate()
-            .filter(|(i, _)| insisted >> i & 1 == 1);
+            .filter(|(i, _)| required_preferences >> i & 1 == 1);
         if let Some(least) = least.map(|(_, s)| left(s.wait)).min() {
             let in_time = |c: &ClassId| {
-                admission.may_fresh(*c, insisted)
+                constraints.may_fresh(*c, required_preferences)
                     && self.expected_boot(&classes.all()[*c].machine_type) <= least
             };
             if !possible.iter().any(in_time) {
-                let boots = possible.iter().filter(|c| admission.may_fresh(**c, 0));
+                let boots = possible.iter().filter(|c| constraints.may_fresh(**c, 0));
                 if boots
                     .map(|c| self.expected_boot(&classes.all()[*c].machine_type))
                     .min()
@@ -450,33 +473,36 @@
                 {
                     return Err(());
                 }
-                insisted = 0;
+                required_preferences = 0;
             }
         }
-        if !possible.iter().any(|c| admission.may_fresh(*c, insisted)) {
+        if !possible
+            .iter()
+            .any(|c| constraints.may_fresh(*c, required_preferences))
+        {
             return Err(());
         }
         Ok(Some(Box::new(JobPlaces {
             controller: self,
             id,
             spec,
-            admission: Some(admission),
-            insisted,
+            constraints: Some(constraints),
+            required_preferences,
         })))
     }
 
     /// Whether rules keep a submission from being taken. What they say is only known once the machine types are.
-    pub(super) fn not_taken(&self, spec: &JobSpec) -> Option<NotTaken> {
+    pub(super) fn rejection(&self, spec: &JobSpec) -> Option<Rejection> {
         let sets = &self.rules.sets;
         if !self.keeps_rules() && (!spec.rules.is_empty() || has_hard(spec, sets)) {
             if self.rules.own.is_none() {
                 return (!spec.rules.is_empty()).then(|| {
-                    NotTaken::Never(
+                    Rejection::Never(
                         "rules: none are taken here, operators have not turned them on".to_owned(),
                     )
                 });
             }
-            return Some(NotTaken::Later);
+            return Some(Rejection::RetryAfter);
         }
         // A trait that one of two versions of the rules does not know may come to be known.
         for rule in &spec.rules {
@@ -484,37 +510,37 @@
             if let Some(Err(e)) = checked.first()
                 && checked.iter().all(Result::is_err)
             {
-                return Some(NotTaken::Never(format!("rules: {e}")));
+                return Some(Rejection::Never(format!("rules: {e}")));
             }
         }
-        let catalog = self.view.types.value.as_ref()?;
-        let admission = Admission::of(spec, sets, &self.rules.traits)?;
-        let clash = clash(spec, &admission, sets, &self.view.classes, catalog)?;
-        Some(NotTaken::Never(format!(
+        let catalog = self.cell.types.value.as_ref()?;
+        let constraints = JobConstraints::of(spec, sets, &self.rules.traits)?;
+        let clash = clash(spec, &constraints, sets, &self.cell.classes, catalog)?;
+        Some(Rejection::Never(format!(
             "rules: no machine that could be had meets all of: {}",
             clash.join(", ")
         )))
     }
 
     /// Looks why jobs wait, and says so when that changes.
-    pub(super) fn sweep_rules(&mut self) {
+    pub(super) fn tick_rules(&mut self) {
         let now = self.now.steady;
-        if now < self.rules.next_reasons || !self.reader.ready() {
+        if now < self.rules.next_reasons || !self.replica.ready() {
             return;
         }
         self.rules.next_reasons = now + Micros::secs(1);
-        self.refresh_bars();
+        self.refresh_unschedulable();
         if !self.rules.active() {
             return;
         }
         let reasons: Vec<(JobId, Option<String>)> = self
             .rules
-            .admissions
+            .job_constraints
             .iter()
             .map(|(id, a)| (*id, self.why_it_waits(*id, a)))
             .collect();
         for (id, reason) in reasons {
-            let Some(a) = self.rules.admissions.get_mut(&id) else {
+            let Some(a) = self.rules.job_constraints.get_mut(&id) else {
                 continue;
             };
             if a.reason.as_deref() == reason.as_deref() {
@@ -527,35 +553,42 @@
             a.reason = reason.map(Into::into);
         }
         // What a preference was waited for may be over.
-        if self.rules.admissions.values().any(Admission::waits) {
-            self.rounds.look();
-            self.fleet.look();
+        if self
+            .rules
+            .job_constraints
+            .values()
+            .any(JobConstraints::waits)
+        {
+            self.rounds.request();
+            self.autoscaler.schedule_check();
         }
     }
 
-    fn why_it_waits(&self, id: JobId, a: &Admission) -> Option<String> {
-        let job = self.view.jobs.get(&id)?;
-        if !job.ready() || self.view.pending_count(id, job) == 0 {
+    fn why_it_waits(&self, id: JobId, a: &JobConstraints) -> Option<String> {
+        let job = self.cell.jobs.get(&id)?;
+        if !job.ready() || self.cell.pending_count(id, job) == 0 {
             return None;
         }
         let spec = job.spec();
-        let catalog = self.view.types.value.as_ref()?;
-        if let Some(clash) = clash(spec, a, &self.rules.sets, &self.view.classes, catalog) {
+        let catalog = self.cell.types.value.as_ref()?;
+        if let Some(clash) = clash(spec, a, &self.rules.sets, &self.cell.classes, catalog) {
             return Some(format!(
                 "no machine that could be had meets all of: {}",
                 clash.join(", ")
             ));
         }
-        let classes = &self.view.classes;
-        let house = self.house();
-        if a.barred {
+        let classes = &self.cell.classes;
+        let context = self.context();
+        if a.unschedulable {
             let sites: Vec<(ClassId, &MachineRecord, Vec<JobId>)> = self
                 .up()
                 .filter(|(_, r)| spec.allows(&r.machine_type, &r.zone, r.spot))
                 .filter_map(|(m, r)| Some((classes.of(m)?, r, jobs_there(&r.tasks))))
                 .collect();
-            let sites = sites.iter().map(|(c, r, there)| site(&house, *c, r, there));
-            return match house.kept_from((id, spec), a, sites) {
+            let sites = sites
+                .iter()
+                .map(|(c, r, there)| machine_context(&context, *c, r, there));
+            return match context.blocking_rules((id, spec), a, sites) {
                 Some(clash) if !clash.is_empty() => {
                     Some(format!("no machine that is up meets: {}", clash.join(", ")))
                 }
@@ -565,14 +598,14 @@
                 }
             };
         }
-        let insisted = self.insisted(id, job);
-        let here = |c: ClassId| classes.is_up(c) && a.may(c, insisted);
-        (insisted > 0 && !(0..classes.all().len()).any(here)).then(|| {
+        let required_preferences = self.required_preferences(id, job);
+        let here = |c: ClassId| classes.is_up(c) && a.may(c, required_preferences);
+        (required_preferences > 0 && !(0..classes.all().len()).any(here)).then(|| {
             let names: Vec<&str> = a
                 .soft
                 .iter()
                 .enumerate()
-                .filter(|(i, _)| insisted >> i & 1 == 1)
+                .filter(|(i, _)| required_preferences >> i & 1 == 1)
                 .map(|(_, s)| s.name.as_str())
                 .collect();
             format!(
@@ -584,15 +617,15 @@
 
     /// Notes which rules the live controllers were started with.
     pub(super) fn note_declared(&mut self) {
-        for (name, node) in &self.view.nodes {
+        for (name, node) in &self.cell.nodes {
             self.rules.declared.insert(name.clone(), node.value.rules);
         }
     }
 
     /// Keeps the records of rules: this controller's own is there, and one that no controller has any more goes.
-    pub(super) fn pump_rules(&mut self) {
+    pub(super) fn drive_rules(&mut self) {
         let now = self.now.steady;
-        if !self.reader.ready()
+        if !self.replica.ready()
             || !self.keeps_rules()
             || self.rules.writing
             || now < self.rules.next_write
@@ -603,7 +636,7 @@
             .rules
             .own
             .as_ref()
-            .filter(|own| !self.view.rules.contains_key(&own.digest));
+            .filter(|own| !self.cell.rules.contains_key(&own.digest));
         let txn = if let Some(own) = missing {
             tracing::info!(
                 rules = format!("{:016x}", own.digest),
@@ -632,15 +665,15 @@
 
     /// The removal of a set that no controller of the deploy file was last seen with.
     fn withdrawn_rules(&self) -> Option<Txn> {
-        if !self.owns(0) {
+        if !self.leads(0) {
             return None;
         }
         let all = || {
-            self.cfg
+            self.settings
                 .others
                 .iter()
                 .map(|o| &o.node)
-                .chain([&self.cfg.node])
+                .chain([&self.settings.node])
         };
         let unused = |d: &u64| {
             all().all(|n| {
@@ -650,14 +683,14 @@
                     .is_some_and(|has| has.as_ref() != Some(d))
             })
         };
-        let (digest, set) = self.view.rules.iter().find(|(d, _)| unused(d))?;
+        let (digest, set) = self.cell.rules.iter().find(|(d, _)| unused(d))?;
         tracing::info!(
             rules = format!("{digest:016x}"),
             "rules that no controller has any more hold no longer"
         );
         // A controller that comes back with them in this moment would be missed: then this fails.
         let nodes = self
-            .view
+            .cell
             .nodes
             .iter()
             .map(|(n, s)| (Key::Node(n.clone()), s.mod_revision));
@@ -679,15 +712,15 @@
 
     /// Sets of rules came or went, or prices changed: what waits to be launched is looked at again.
     pub(super) fn on_rules_changed(&mut self) {
-        self.rules.look();
+        self.rules.schedule_check();
         self.refresh_rules();
-        self.rounds.look();
-        self.fleet.look();
+        self.rounds.request();
+        self.autoscaler.schedule_check();
     }
 
     pub(super) fn on_rules_written(&mut self) {
         self.rules.writing = false;
-        self.reader.want_barrier();
+        self.replica.want_barrier();
     }
 }
 
@@ -696,45 +729,46 @@
     controller: &'a Controller,
     id: JobId,
     spec: &'a JobSpec,
-    admission: Option<&'a Admission>,
-    insisted: Insisted,
+    constraints: Option<&'a JobConstraints>,
+    required_preferences: RequiredPreferences,
 }
 
-impl Places for JobPlaces<'_> {
+impl PlacementFilter for JobPlaces<'_> {
     fn class(&self, class: ClassId) -> bool {
-        self.admission.is_none_or(|a| a.may(class, self.insisted))
+        self.constraints
+            .is_none_or(|a| a.may(class, self.required_preferences))
     }
 
     fn machine(&self, class: ClassId, machine: Option<MachineId>) -> bool {
         let Some(m) = machine else {
             return self
-                .admission
-                .is_none_or(|a| a.may_fresh(class, self.insisted));
+                .constraints
+                .is_none_or(|a| a.may_fresh(class, self.required_preferences));
         };
-        let Some(r) = self.controller.view.machine(m) else {
+        let Some(r) = self.controller.cell.machine(m) else {
             return false;
         };
         let there = jobs_there(&r.tasks);
-        let house = self.controller.house();
-        house.admits(
+        let context = self.controller.context();
+        context.admits(
             (self.id, self.spec),
-            self.admission,
-            self.insisted,
-            site(&house, class, r, &there),
+            self.constraints,
+            self.required_preferences,
+            machine_context(&context, class, r, &there),
         )
     }
 
     fn offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u32> {
-        let Some(a) = self.admission else {
+        let Some(a) = self.constraints else {
             return Some(0);
         };
         let class = self
             .controller
-            .view
+            .cell
             .classes
             .of_offer(machine_type, zone, spot)?;
-        a.may_fresh(class, self.insisted)
-            .then(|| a.fresh_worth(class))
+        a.may_fresh(class, self.required_preferences)
+            .then(|| a.score_when_empty(class))
     }
 }
 
