--- a/src/coordination/reach.rs
+++ b/src/coordination/health/connectivity.rs
@@ -4,13 +4,13 @@
 //! Nothing here proves anything. A withdrawal only removes the node's own record, as the end of its
 //! lease would; whoever claims its slices begins new terms as after a crash.
 
-use super::{Controller, Effect, Purpose};
-use crate::bookkeeping::time::Micros;
+use crate::coordination::{Controller, Effect, Purpose};
 use crate::protocol::worker::command_body;
+use crate::time::Micros;
 
 /// What is known of the way to the workers.
 #[derive(Debug, Default)]
-pub struct Reach {
+pub struct Connectivity {
     /// When any worker was last heard, by report or answer.
     heard: Option<Micros>,
     /// Enquiries that had no answer since then.
@@ -21,13 +21,13 @@
     /// Machines are asked in turn.
     turn: usize,
     /// When the node withdrew, unless it has come back.
-    withdrawn: Option<Micros>,
+    withdrawn_since: Option<Micros>,
     /// How long it stays away, and when it last came back.
     pause: Micros,
     back: Option<Micros>,
 }
 
-impl Reach {
+impl Connectivity {
     /// A worker was heard.
     pub fn heard(&mut self, now: Micros) {
         self.heard = Some(now);
@@ -35,21 +35,21 @@
     }
 
     /// Whether the node has given its slices up.
-    pub fn withdrawn(&self) -> bool {
-        self.withdrawn.is_some()
+    pub fn is_withdrawn(&self) -> bool {
+        self.withdrawn_since.is_some()
     }
 }
 
 impl Controller {
     /// Enquiries without an answer that make it sure, if there are so many machines.
-    const ENQUIRIES: usize = 3;
-    const ENQUIRY_LIMIT: Micros = Micros::millis(1_500);
+    const PROBES: usize = 3;
+    const PROBE_TIMEOUT: Micros = Micros::millis(1_500);
     /// Shortest time away after a withdrawal; it doubles up to the longest.
     const AWAY: (Micros, Micros) = (Micros::secs(3), Micros::secs(60));
 
     /// Milliseconds since any worker was heard.
-    pub(super) fn heard_ms(&self) -> Option<u64> {
-        self.reach
+    pub(in crate::coordination) fn heard_ms(&self) -> Option<u64> {
+        self.connectivity
             .heard
             .map(|t| self.now.steady.since(t).as_millis())
     }
@@ -57,28 +57,29 @@
     /// Whether it is too quiet for the number of workers that report here.
     fn quiet(&self) -> bool {
         let now = self.now.steady;
-        let begun = (0..self.view.own.len())
-            .filter_map(|k| Some(self.ownership.tenure(k)?.since))
+        let begun = (0..self.cell.leaders.len())
+            .filter_map(|k| Some(self.leadership.leader_term(k)?.since))
             .min();
-        let (Some(begun), workers) = (begun, self.sessions.len() as u64) else {
+        let (Some(begun), workers) = (begun, self.agents.len() as u64) else {
             return false;
         };
-        let begun = begun.max(self.absence.back());
+        let begun = begun.max(self.stall.back());
         if workers == 0 {
             return false;
         }
         // After a takeover workers may first have to give up on another node.
         let first = begun + Micros::millis(5_500);
         let since = self
-            .reach
+            .connectivity
             .heard
             .map_or(first, |t| if t < begun { first } else { t });
-        now.since(since) > Micros::secs(1).max(Micros(self.cfg.report.0 * 6 / workers))
+        now.since(since)
+            > Micros::secs(1).max(Micros(self.settings.heartbeat_interval.0 * 6 / workers))
     }
 
     /// Whether the silence of workers says something about this node rather than about them.
-    pub(super) fn deaf(&self) -> bool {
-        self.reach.withdrawn() || self.quiet() && self.peers_hear()
+    pub(in crate::coordination) fn cannot_hear_agents(&self) -> bool {
+        self.connectivity.is_withdrawn() || self.quiet() && self.peers_hear()
     }
 
     /// Whether a peer has heard workers lately.
@@ -91,78 +92,82 @@
     }
 
     /// Looks whether workers are heard, and withdraws or comes back.
-    pub(super) fn sweep_reach(&mut self) {
+    pub(in crate::coordination) fn tick_connectivity(&mut self) {
         let now = self.now.steady;
-        if !self.reader.ready() {
+        if !self.replica.ready() {
             return;
         }
-        if let Some(since) = self.reach.withdrawn {
+        if let Some(since) = self.connectivity.withdrawn_since {
             let again = self
-                .reach
+                .connectivity
                 .heard
                 .is_some_and(|t| t > since && now.since(t) < Micros::secs(2));
             // Somebody must own the slices, even if it hears nobody.
-            let alone = self.view.nodes.is_empty() && now.since(since) > Micros::secs(1);
-            if alone || again && self.reach.failed <= 1 && now.since(since) > self.reach.pause {
+            let alone = self.cell.nodes.is_empty() && now.since(since) > Micros::secs(1);
+            if alone
+                || again
+                    && self.connectivity.failed <= 1
+                    && now.since(since) > self.connectivity.pause
+            {
                 tracing::info!(away = %now.since(since), alone, "workers are heard again, back in service for them");
-                self.reach.withdrawn = None;
-                self.reach.back = Some(now);
-                self.ownership.look();
+                self.connectivity.withdrawn_since = None;
+                self.connectivity.back = Some(now);
+                self.leadership.schedule_check();
             } else {
-                self.enquire();
+                self.probe_agents();
             }
             return;
         }
         if !self.quiet() {
             return;
         }
-        let machines = self.view.machines_up().count();
-        let sure = self.reach.failed >= Self::ENQUIRIES.min(machines.max(1));
+        let machines = self.cell.machines_up().count();
+        let sure = self.connectivity.failed >= Self::PROBES.min(machines.max(1));
         if sure && self.peers_hear() && self.contact_age() < Micros::secs(4) {
             self.withdraw();
         } else {
-            self.enquire();
+            self.probe_agents();
         }
     }
 
     /// Asks a few workers, whosever they are, for a sign of life. The command's token and session are
     /// none that a worker takes: nothing is carried out, and the answer is its report.
-    fn enquire(&mut self) {
+    fn probe_agents(&mut self) {
         let now = self.now.steady;
-        if self.reach.asking > 0 || now < self.reach.next_ask {
+        if self.connectivity.asking > 0 || now < self.connectivity.next_ask {
             return;
         }
-        let up = self.view.machines_up();
+        let up = self.cell.machines_up();
         let endpoints: Vec<_> = up.filter_map(|(_, r)| r.endpoint).collect();
         if endpoints.is_empty() {
             return;
         }
-        self.reach.next_ask = now + Micros::millis(500);
-        let count = Self::ENQUIRIES.min(endpoints.len());
+        self.connectivity.next_ask = now + Micros::millis(500);
+        let count = Self::PROBES.min(endpoints.len());
         for i in 0..count {
             // A step that is far from the order in which machines came.
-            let at = (self.reach.turn + i * (endpoints.len() / count)) % endpoints.len();
-            let call = self.call(Purpose::Enquiry);
+            let at = (self.connectivity.turn + i * (endpoints.len() / count)) % endpoints.len();
+            let call = self.call(Purpose::Probe);
             let body = command_body(0, 0, &[]);
             let endpoint = endpoints[at].to_string();
-            self.out.push(Effect::Direct {
+            self.effects.push(Effect::PushCommand {
                 call,
                 endpoint,
                 body,
-                limit: Self::ENQUIRY_LIMIT,
+                limit: Self::PROBE_TIMEOUT,
             });
         }
-        self.reach.turn = self.reach.turn.wrapping_add(1);
-        self.reach.asking = count;
+        self.connectivity.turn = self.connectivity.turn.wrapping_add(1);
+        self.connectivity.asking = count;
     }
 
     /// A worker answered an enquiry, or did not.
-    pub(super) fn on_enquiry(&mut self, answered: bool) {
-        self.reach.asking = self.reach.asking.saturating_sub(1);
+    pub(in crate::coordination) fn on_probe_answer(&mut self, answered: bool) {
+        self.connectivity.asking = self.connectivity.asking.saturating_sub(1);
         if answered {
-            self.reach.heard(self.now.steady);
+            self.connectivity.heard(self.now.steady);
         } else {
-            self.reach.failed += 1;
+            self.connectivity.failed += 1;
         }
     }
 
@@ -171,16 +176,16 @@
         let now = self.now.steady;
         let (least, most) = Self::AWAY;
         let lately = self
-            .reach
+            .connectivity
             .back
             .is_some_and(|t| now.since(t) < Micros::secs(120));
-        self.reach.pause = if lately {
-            Micros(self.reach.pause.0 * 2).min(most)
+        self.connectivity.pause = if lately {
+            Micros(self.connectivity.pause.0 * 2).min(most)
         } else {
             least
         };
-        self.reach.withdrawn = Some(now);
-        let (workers, pause) = (self.sessions.len(), self.reach.pause);
+        self.connectivity.withdrawn_since = Some(now);
+        let (workers, pause) = (self.agents.len(), self.connectivity.pause);
         tracing::info!(workers, %pause, "no worker is heard, but peers hear theirs: withdrawing");
     }
 }
--- a/src/coordination/absence.rs
+++ b/src/coordination/health/stall.rs
@@ -9,19 +9,19 @@
 //! absence makes no newer; and whatever is committed is conditional on revisions. This keeps from being decided in vain,
 //! or for effects that need no commit, what a newer copy would not let be decided.
 
-use super::Controller;
-use crate::bookkeeping::time::Micros;
+use crate::coordination::Controller;
+use crate::time::Micros;
 
 /// When this process was last away.
 #[derive(Debug, Default)]
-pub struct Absence {
+pub struct StallDetector {
     /// When it came back.
     back: Micros,
     /// A read that begins after this call ends the doubt.
     doubt: Option<u64>,
 }
 
-impl Absence {
+impl StallDetector {
     /// When it last came back; silence before that says nothing.
     pub fn back(&self) -> Micros {
         self.back
@@ -39,33 +39,33 @@
     const LATE: Micros = Micros::secs(1);
 
     /// Compares the time with when a tick was wanted at the latest.
-    pub(super) fn note_time(&mut self) {
+    pub(in crate::coordination) fn detect_stall(&mut self) {
         let now = self.now.steady;
-        let late = now.since(self.wake);
-        if self.wake == Micros::ZERO || late <= Self::LATE {
+        let late = now.since(self.next_wake);
+        if self.next_wake == Micros::ZERO || late <= Self::LATE {
             return;
         }
         tracing::info!(away = %late, "was not running: reading before anything is decided");
-        self.counters.absences += 1;
-        self.absence = Absence {
+        self.counters.stalls += 1;
+        self.stall = StallDetector {
             back: now,
             doubt: Some(self.next_call - 1),
         };
-        if self.reader.ready() {
-            self.reader.want_barrier();
+        if self.replica.ready() {
+            self.replica.want_barrier();
         }
-        self.fleet.was_away(now, late);
+        self.autoscaler.on_stall(now, late);
     }
 
     /// A read has been applied; the doubt ends with the first that began after the return.
-    pub(super) fn end_doubt(&mut self) {
+    pub(in crate::coordination) fn end_stall_recovery(&mut self) {
         if self
-            .absence
+            .stall
             .doubt
-            .is_some_and(|call| self.reader.passed(call))
+            .is_some_and(|call| self.replica.passed(call))
         {
-            self.absence.doubt = None;
-            tracing::info!(since = %self.now.steady.since(self.absence.back), "the copy is up to date again after the absence");
+            self.stall.doubt = None;
+            tracing::info!(since = %self.now.steady.since(self.stall.back), "the copy is up to date again after the absence");
         }
     }
 }
--- a/src/coordination/zones.rs
+++ b/src/coordination/health/zones.rs
@@ -3,12 +3,12 @@
 //! See docs/zones.md. All of it is order, hiring and waiting; clearing stays as it is, machine by machine and on proof.
 //! Where there is but one zone nothing of this applies.
 
-use super::Controller;
-use crate::bookkeeping::ids::{JobId, MachineId};
-use crate::bookkeeping::records::{Fitness, MachineRecord};
-use crate::bookkeeping::time::Micros;
-use crate::bookkeeping::zones::{Evidence, State, Zone};
-use crate::coordination::sessions::Mark;
+use crate::coordination::Controller;
+use crate::coordination::agents::HealthChange;
+use crate::scheduler::zone_health::{Evidence, State, Zone};
+use crate::storage::ids::{JobId, MachineId};
+use crate::storage::records::{MachineHealth, MachineRecord};
+use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -67,7 +67,7 @@
 
     /// Looks at each zone: asks a few machines of one that has gone quiet, and marks all that it answers there once the
     /// zone seems to be lost.
-    pub(super) fn sweep_zones(&mut self) {
+    pub(in crate::coordination) fn tick_zones(&mut self) {
         let now = self.now.steady;
         if self.contact_age() > Self::CUT_OFF_ITSELF {
             // It may be this controller that is in the lost zone. What it hears now, and has not heard until contact is
@@ -83,12 +83,12 @@
             self.zones.all.clear();
             return;
         }
-        let report = self.cfg.report;
+        let report = self.settings.heartbeat_interval;
         let is_heard = |w: &Word| {
             w.machines > 0 && now.since(w.last) <= Zone::usual_silence(w.machines, report)
         };
         let heard = words.values().filter(|w| is_heard(w)).count();
-        let deaf = self.deaf();
+        let deaf = self.cannot_hear_agents();
         let mut ask = Vec::new();
         for (zone, w) in &mut words {
             let others_heard = !deaf && heard > usize::from(is_heard(w));
@@ -103,8 +103,8 @@
             if let Some(state) = zone_health.note(now, report, &e) {
                 let (machines, quiet, unanswered) = (e.machines, e.quiet, e.unanswered);
                 tracing::info!(zone = &**zone, ?state, machines, %quiet, unanswered, heard_again = e.heard_again, "the zone");
-                self.rounds.look();
-                self.fleet.look();
+                self.rounds.request();
+                self.autoscaler.schedule_check();
             }
             if zone_health.is_in_doubt() {
                 w.silent.sort_unstable();
@@ -115,24 +115,26 @@
             self.command(m, Vec::new(), Vec::new());
         }
         if self.zones.any_lost() {
-            self.mark_lost_zones();
+            self.mark_unreachable_zones();
         }
     }
 
     fn words_of_zones(&self) -> BTreeMap<Arc<str>, Word> {
         let mut words: BTreeMap<Arc<str>, Word> = BTreeMap::new();
-        for (m, s) in &self.sessions {
+        for (m, s) in &self.agents {
             let Some(r) = self
-                .view
+                .cell
                 .machine(*m)
-                .filter(|r| r.fitness < Fitness::Releasing)
+                .filter(|r| r.health < MachineHealth::Decommissioning)
             else {
                 continue;
             };
             let w = words.entry(r.zone.clone()).or_default();
             // Of one that was never heard in this tenure silence tells nothing.
-            let Some(word) = s.last_word() else { continue };
-            let word = word.max(self.absence.back()).max(self.zones.since);
+            let Some(word) = s.last_sign_of_life() else {
+                continue;
+            };
+            let word = word.max(self.stall.back()).max(self.zones.since);
             w.machines += 1;
             w.last = w.last.max(word);
             w.heard_again += usize::from(
@@ -146,7 +148,7 @@
             }
         }
         // A zone whose machines all belong to others still counts as one that there is.
-        for (_, _, r) in self.view.machines() {
+        for (_, _, r) in self.cell.machines() {
             if !words.contains_key(&r.zone) {
                 words.entry(r.zone.clone()).or_default();
             }
@@ -157,29 +159,33 @@
     /// Marks all machines that this controller answers in zones that seem to be lost, at once and together, instead of
     /// each when its own silence shows: so they take no more work, and others may see what is lost. Whoever is heard is
     /// marked well again by its report.
-    fn mark_lost_zones(&mut self) {
-        let mut marks = Vec::new();
-        for (m, s) in &self.sessions {
-            let Some(r) = self.view.machine(*m).filter(|r| r.fitness < Fitness::Lost) else {
+    fn mark_unreachable_zones(&mut self) {
+        let mut health_changes = Vec::new();
+        for (m, s) in &self.agents {
+            let Some(r) = self
+                .cell
+                .machine(*m)
+                .filter(|r| r.health < MachineHealth::Unreachable)
+            else {
                 continue;
             };
             if self
                 .zones
                 .lost_since(&r.zone)
-                .is_some_and(|at| s.last_word().is_none_or(|word| word < at))
+                .is_some_and(|at| s.last_sign_of_life().is_none_or(|word| word < at))
             {
-                marks.push((
+                health_changes.push((
                     *m,
-                    Mark {
-                        fitness: Fitness::Lost,
-                        dead: r.dead,
+                    HealthChange {
+                        health: MachineHealth::Unreachable,
+                        fenced_incarnation: r.fenced_incarnation,
                     },
                 ));
             }
         }
-        let count = marks
+        let count = health_changes
             .into_iter()
-            .filter(|(m, mark)| self.rounds.mark(*m, *mark))
+            .filter(|(m, mark)| self.rounds.set_health(*m, *mark))
             .count();
         if count > 0 {
             self.counters.lost_with_zones += count as u64;
@@ -190,26 +196,26 @@
     /// Of jobs with tasks on machines of lost zones that would be late if they waited for the leases there and then for a
     /// boot, how many each has there: room is hired for these elsewhere ahead of the proof that they are gone. What has
     /// more time may still come back, or finds what others have left.
-    pub(super) fn lost_with_zones(&self) -> HashMap<JobId, u64> {
+    pub(in crate::coordination) fn lost_with_zones(&self) -> HashMap<JobId, u64> {
         let mut lost = HashMap::new();
         if !self.zones.any_lost() {
             return lost;
         }
-        let types = self.view.machine_types();
+        let types = self.cell.machine_types();
         let boot = types
             .map(|t| self.expected_boot(&t.name))
             .max()
             .unwrap_or_default();
-        let by = self.now.day + self.cfg.lease + boot;
-        for (_, _, r) in self.view.machines() {
-            if r.fitness == Fitness::Lost && self.zones.is_lost(&r.zone) {
+        let by = self.now.day + self.settings.lease + boot;
+        for (_, _, r) in self.cell.machines() {
+            if r.health == MachineHealth::Unreachable && self.zones.is_lost(&r.zone) {
                 for b in &r.tasks {
                     *lost.entry(JobId(b.0)).or_default() += 1;
                 }
             }
         }
         lost.retain(|id, _| {
-            self.view
+            self.cell
                 .jobs
                 .get(id)
                 .is_some_and(|j| !j.cancelled() && self.latest_start(j) < by)
@@ -219,11 +225,11 @@
         let mut room = self.room_by_the_end_of_leases();
         let mut order: Vec<_> = lost
             .keys()
-            .filter_map(|id| Some((self.latest_start(self.view.jobs.get(id)?), *id)))
+            .filter_map(|id| Some((self.latest_start(self.cell.jobs.get(id)?), *id)))
             .collect();
         order.sort_unstable();
         for (_, id) in order.into_iter().rev() {
-            let each = self.view.need(id).cores.max(1);
+            let each = self.cell.need(id).cores.max(1);
             if let Some(tasks) = lost.get_mut(&id) {
                 let placed = (*tasks).min(room / each);
                 room -= placed * each;
@@ -236,14 +242,14 @@
     /// Cores that are free outside lost zones by when leases that run now are over, as far as can be told: what is free,
     /// and the part of what runs that ends until then, less what waits and as much as came in as long a time before.
     fn room_by_the_end_of_leases(&self) -> u64 {
-        let lease = self.cfg.lease;
+        let lease = self.settings.lease;
         let mut room = 0;
-        for (_, r) in self.view.machines_up() {
-            room += self.view.free(r).cores;
+        for (_, r) in self.cell.machines_up() {
+            room += self.cell.free(r).cores;
             for job in r
                 .tasks
                 .iter()
-                .filter_map(|b| self.view.jobs.get(&JobId(b.0)))
+                .filter_map(|b| self.cell.jobs.get(&JobId(b.0)))
             {
                 let spec = job.spec();
                 // When it began is not on record, but it was not before it was submitted.
@@ -256,13 +262,13 @@
             }
         }
         let mut taken = 0;
-        for (id, job) in self.view.jobs.iter().filter(|(_, j)| !j.cancelled()) {
+        for (id, job) in self.cell.jobs.iter().filter(|(_, j)| !j.cancelled()) {
             let spec = job.spec();
             let came = self.now.day.since(job.record.submitted) < lease;
             let tasks = if came {
                 spec.task_count
             } else {
-                self.view.pending_count(*id, job)
+                self.cell.pending_count(*id, job)
             };
             taken += u64::from(tasks) * spec.need.cores;
         }
@@ -272,7 +278,7 @@
     /// Which machines of lost zones are worth releasing for their tasks: those with the most pressing ones first, as long
     /// as there is room elsewhere in which these could start. A release beyond that proves what nobody can use yet, and
     /// the machine may come back with its work done.
-    pub(super) fn worth_releasing(&self) -> BTreeSet<MachineId> {
+    pub(in crate::coordination) fn is_surplus(&self) -> BTreeSet<MachineId> {
         let mut worth = BTreeSet::new();
         if !self.zones.any_lost() {
             return worth;
@@ -281,20 +287,20 @@
             r.tasks
                 .iter()
                 .map(|b| b.attempt().task.job)
-                .filter(|j| self.pressed(*j))
+                .filter(|j| self.saturated(*j))
                 .min()
         };
         let mut room = 0;
         let mut lost = Vec::new();
-        for (_, m, r) in self.view.machines() {
-            if r.fitness == Fitness::Up && !self.zones.is_in_doubt(&r.zone) {
-                room += self.view.free(r).cores;
-            } else if r.fitness == Fitness::Releasing && self.zones.is_lost(&r.zone) {
+        for (_, m, r) in self.cell.machines() {
+            if r.health == MachineHealth::Schedulable && !self.zones.is_in_doubt(&r.zone) {
+                room += self.cell.free(r).cores;
+            } else if r.health == MachineHealth::Decommissioning && self.zones.is_lost(&r.zone) {
                 // What is on its way back already will want its room, too.
                 room = room.saturating_sub(self.cores_on(r));
-            } else if r.fitness == Fitness::Lost
+            } else if r.health == MachineHealth::Unreachable
                 && self.zones.is_lost(&r.zone)
-                && let Some(job) = of(r).and_then(|id| self.view.jobs.get(&id))
+                && let Some(job) = of(r).and_then(|id| self.cell.jobs.get(&id))
             {
                 lost.push((job.priority(), self.latest_start(job), m, self.cores_on(r)));
             }
@@ -313,7 +319,7 @@
     fn cores_on(&self, r: &MachineRecord) -> u64 {
         r.tasks
             .iter()
-            .map(|b| self.view.need(JobId(b.0)).cores)
+            .map(|b| self.cell.need(JobId(b.0)).cores)
             .sum()
     }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -3,37 +3,29 @@
 //! Nothing here does I/O or reads a clock, so the scenario runner can drive several controllers
 //! through any order of messages.
 
-mod absence;
-mod budget;
-mod cancelled;
-pub mod connections;
-mod draft;
-mod fleet;
-mod limits;
-mod ownership;
-mod pipelines;
-mod reach;
-mod reader;
-mod rounds;
-mod rules;
-mod served;
-mod sessions;
-mod users;
-mod zones;
+mod agents;
+pub mod api;
+mod autoscaler;
+mod commit;
+mod constraints;
+mod health;
+mod leadership;
+mod replication;
+mod throughput;
 
-use crate::bookkeeping::catalog::Catalog;
-use crate::bookkeeping::ids::{JobId, MachineId, Slice};
-use crate::bookkeeping::records::{FleetRecord, Incarnation, LAYOUT, ProvisionRecord, TERSE};
-use crate::bookkeeping::time::Micros;
-use crate::bookkeeping::view::{Touched, View};
 use crate::protocol::cloud::{CloudReply, CloudRequest};
 use crate::protocol::operator::OperatorSettings;
 use crate::protocol::peer::PeerHint;
 use crate::protocol::settings::Settings;
 use crate::protocol::state::{CallError, StateReply, StateRequest};
-use crate::protocol::user::{UserAnswer, UserRequest};
-use crate::protocol::worker::{Report, ReportAnswer};
-use budget::Budget;
+use crate::protocol::user::{UserRequest, UserResponse};
+use crate::protocol::worker::{Heartbeat, HeartbeatResponse};
+use crate::storage::catalog::Catalog;
+use crate::storage::cell_state::{CellChanges, CellState};
+use crate::storage::ids::{JobId, MachineId, ShardId};
+use crate::storage::records::{FleetRecord, Incarnation, LAYOUT, ProvisionRecord, TERSE};
+use crate::time::Micros;
+use commit::budget::Budget;
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -61,14 +53,14 @@
     /// A submission that is malformed but names its job.
     BadSubmission(CallId, JobId, Cow<'static, str>),
     /// A worker reports; the answer goes to this call.
-    Report(CallId, Report),
+    Heartbeat(CallId, Heartbeat),
     /// The state service answered, or did not.
     State(CallId, Result<StateReply, CallError>),
     /// The cloud answered, or did not.
     Cloud(CallId, Result<CloudReply, CallError>),
     /// A worker answered a direct command: its report if there was any answer, and whether the
     /// command was carried out.
-    Direct(CallId, Option<(bool, Report)>),
+    PushCommand(CallId, Option<(bool, Heartbeat)>),
     /// A peer told of itself.
     Peer(PeerHint),
 }
@@ -81,7 +73,7 @@
     /// Ask the cloud.
     Cloud(CallId, CloudRequest, Micros),
     /// Send a direct command to a worker.
-    Direct {
+    PushCommand {
         /// The call.
         call: CallId,
         /// The worker's address.
@@ -92,9 +84,9 @@
         limit: Micros,
     },
     /// Answer a user.
-    User(CallId, UserAnswer),
+    User(CallId, UserResponse),
     /// Answer a worker's report.
-    Report(CallId, ReportAnswer),
+    Heartbeat(CallId, HeartbeatResponse),
     /// Tell all peers.
     Peers(PeerHint),
 }
@@ -105,22 +97,22 @@
     Watch,
     Barrier,
     Page { first: Option<u64> },
-    Grant,
-    Touch,
+    LeaseGrant,
+    LeaseKeepAlive,
     Node,
     Meta,
-    Claim(Vec<Slice>),
-    Submit(Vec<users::PendingRequest>),
-    Abort(users::PendingRequest),
-    Final(users::PendingRequest, JobId),
-    Forerunner(JobId),
-    Round(Box<rounds::InFlight>),
+    Claim(Vec<ShardId>),
+    Submit(Vec<api::PendingRequest>),
+    Abort(api::PendingRequest),
+    Final(api::PendingRequest, JobId),
+    DependencyLookup(JobId),
+    Round(Box<commit::InFlight>),
     Types(Catalog),
     Rules,
     Fleet(Box<(FleetRecord, Vec<ProvisionRecord>)>),
-    Cloud(fleet::CloudPurpose),
-    Direct(MachineId),
-    Enquiry,
+    Cloud(autoscaler::CloudPurpose),
+    PushCommand(MachineId),
+    Probe,
 }
 
 struct Call {
@@ -142,15 +134,15 @@
     /// Claims dropped for a clash and planned again.
     pub dropped: u64,
     /// Claims committed.
-    pub booked: u64,
+    pub assigned: u64,
     /// Bookings cleared.
-    pub cleared: u64,
+    pub released: u64,
     /// Requests that the state service refused for their rate.
     pub refused: u64,
     /// Slices taken over.
-    pub takeovers: u64,
+    pub failovers: u64,
     /// Times that this process itself did not run for a while.
-    pub absences: u64,
+    pub stalls: u64,
     /// Sessions declared over for their silence.
     pub silenced: u64,
     /// Machines that were to be returned for want of work.
@@ -158,14 +150,14 @@
     /// Machines marked as lost together with their zones.
     pub lost_with_zones: u64,
     /// Bookings of jobs with preferences, and those of them whose machines meet the weightiest.
-    pub wishes: (u64, u64),
+    pub preferences: (u64, u64),
     /// Changes of groups, usage, jobs and their chunks, and ends of jobs in its rounds.
-    pub changes: Changes,
+    pub changes: ChangeCounters,
 }
 
 /// What rounds spent their changes on.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Changes {
+pub struct ChangeCounters {
     /// Groups of machines.
     pub groups: u64,
     /// Usage of teams.
@@ -178,41 +170,41 @@
 
 /// One controller.
 pub struct Controller {
-    cfg: Arc<Settings>,
-    op: OperatorSettings,
-    run: Incarnation,
+    settings: Arc<Settings>,
+    operator_settings: OperatorSettings,
+    incarnation: Incarnation,
     now: Now,
-    out: Vec<Effect>,
-    wake: Micros,
+    effects: Vec<Effect>,
+    next_wake: Micros,
     next_call: u64,
     calls: HashMap<CallId, Call>,
     /// The latest layout of the records that it understands.
     layout: u32,
-    limits: limits::InForce,
+    limits: commit::limits::InForce,
     budget: Budget,
-    view: View,
-    absence: absence::Absence,
-    reader: reader::Reader,
-    ownership: ownership::Ownership,
-    sessions: BTreeMap<MachineId, sessions::Session>,
+    cell: CellState,
+    stall: health::stall::StallDetector,
+    replica: replication::Replica,
+    leadership: leadership::Leadership,
+    agents: BTreeMap<MachineId, agents::Agent>,
     /// Since when jobs may have been called cancelled.
-    cancelled: cancelled::Cancelled,
+    cancelled: agents::cancellations::Cancellations,
     /// Machines whose workers may have to be sent a direct command.
-    to_command: BTreeSet<MachineId>,
+    agents_to_command: BTreeSet<MachineId>,
     /// Machines that were removed lately: those of the highest numbers.
-    removed: BTreeSet<MachineId>,
+    removed_machines: BTreeSet<MachineId>,
     /// Most machines that this controller has answered at a time, as far as some were removed since.
     largest_fleet: usize,
-    reach: reach::Reach,
-    rounds: rounds::Rounds,
-    users: users::Users,
-    look_ups: pipelines::LookUps,
-    fleet: fleet::Fleet,
-    rules: rules::Rules,
-    served: served::Served,
-    zones: zones::Zones,
+    connectivity: health::connectivity::Connectivity,
+    rounds: commit::Rounds,
+    users: api::Users,
+    dependency_lookups: api::dependencies::DependencyLookups,
+    autoscaler: autoscaler::Autoscaler,
+    rules: constraints::Rules,
+    served: throughput::Served,
+    zones: health::zones::Zones,
     peers: HashMap<String, (Micros, PeerHint)>,
-    next_sweep: Micros,
+    next_tick: Micros,
     next_hint: Micros,
     next_count: Micros,
     counters: Counters,
@@ -220,42 +212,49 @@
 
 impl Controller {
     /// A controller that has just started. The seed also names this run of the process.
-    pub fn new(cfg: Arc<Settings>, op: OperatorSettings, seed: u64) -> Controller {
-        let share = cfg.controllers() as f64;
+    pub fn new(
+        settings: Arc<Settings>,
+        operator_settings: OperatorSettings,
+        seed: u64,
+    ) -> Controller {
+        let share = settings.controllers() as f64;
         Controller {
-            run: Incarnation(seed),
+            incarnation: Incarnation(seed),
             now: Now::default(),
-            out: Vec::new(),
-            wake: Micros::ZERO,
+            effects: Vec::new(),
+            next_wake: Micros::ZERO,
             next_call: 1,
             calls: HashMap::new(),
             layout: LAYOUT,
-            limits: limits::InForce::new(&cfg),
-            budget: Budget::new(cfg.state_rps / share, cfg.limits.write_rps / share),
-            view: View::default(),
-            absence: absence::Absence::default(),
-            reader: reader::Reader::default(),
-            ownership: ownership::Ownership::default(),
-            sessions: BTreeMap::new(),
-            cancelled: cancelled::Cancelled::default(),
-            to_command: BTreeSet::new(),
-            removed: BTreeSet::new(),
+            limits: commit::limits::InForce::new(&settings),
+            budget: Budget::new(
+                settings.state_rps / share,
+                settings.limits.write_rps / share,
+            ),
+            cell: CellState::default(),
+            stall: health::stall::StallDetector::default(),
+            replica: replication::Replica::default(),
+            leadership: leadership::Leadership::default(),
+            agents: BTreeMap::new(),
+            cancelled: agents::cancellations::Cancellations::default(),
+            agents_to_command: BTreeSet::new(),
+            removed_machines: BTreeSet::new(),
             largest_fleet: 0,
-            reach: reach::Reach::default(),
-            rounds: rounds::Rounds::default(),
-            users: users::Users::default(),
-            look_ups: pipelines::LookUps::default(),
-            fleet: fleet::Fleet::default(),
-            rules: rules::Rules::default(),
-            served: served::Served::default(),
-            zones: zones::Zones::default(),
+            connectivity: health::connectivity::Connectivity::default(),
+            rounds: commit::Rounds::default(),
+            users: api::Users::default(),
+            dependency_lookups: api::dependencies::DependencyLookups::default(),
+            autoscaler: autoscaler::Autoscaler::default(),
+            rules: constraints::Rules::default(),
+            served: throughput::Served::default(),
+            zones: health::zones::Zones::default(),
             peers: HashMap::new(),
-            next_sweep: Micros::ZERO,
+            next_tick: Micros::ZERO,
             next_hint: Micros::ZERO,
             next_count: Micros::ZERO,
             counters: Counters::default(),
-            cfg,
-            op,
+            settings,
+            operator_settings,
         }
     }
 
@@ -264,7 +263,7 @@
     pub fn understanding(mut self, layout: u32) -> Controller {
         self.layout = layout;
         if layout < TERSE {
-            self.limits = limits::InForce::unaware(&self.cfg);
+            self.limits = commit::limits::InForce::unaware(&self.settings);
         }
         self
     }
@@ -275,46 +274,48 @@
             steady: now.steady.max(self.now.steady),
             day: now.day,
         };
-        self.view.today = now.day;
-        self.note_time();
+        self.cell.today = now.day;
+        self.detect_stall();
         match event {
             Event::Tick => {}
             Event::User(call, request) => self.on_user(call, request),
             Event::BadSubmission(call, job, why) => self.on_bad_submission(call, job, why),
-            Event::Report(call, report) => {
-                self.reach.heard(self.now.steady);
-                let answer = self.on_report(&report);
-                self.out.push(Effect::Report(call, answer));
+            Event::Heartbeat(call, heartbeat) => {
+                self.connectivity.heard(self.now.steady);
+                let answer = self.on_heartbeat(&heartbeat);
+                self.effects.push(Effect::Heartbeat(call, answer));
             }
             Event::State(call, result) => self.on_state(call, result),
             Event::Cloud(call, result) => self.on_cloud(call, result),
-            Event::Direct(call, result) => {
+            Event::PushCommand(call, result) => {
                 if result.is_some() {
-                    self.reach.heard(self.now.steady);
+                    self.connectivity.heard(self.now.steady);
                 }
                 match self.calls.remove(&call).map(|c| c.purpose) {
-                    Some(Purpose::Direct(machine)) => self.on_direct(call, machine, result),
-                    Some(Purpose::Enquiry) => self.on_enquiry(result.is_some()),
+                    Some(Purpose::PushCommand(machine)) => {
+                        self.on_pushed_command(call, machine, result)
+                    }
+                    Some(Purpose::Probe) => self.on_probe_answer(result.is_some()),
                     _ => {}
                 }
             }
             Event::Peer(hint) => self.on_hint(hint),
         }
-        self.pump();
-        std::mem::take(&mut self.out)
+        self.drive();
+        std::mem::take(&mut self.effects)
     }
 
     /// When the controller next wants a [`Event::Tick`].
     pub fn wake(&self) -> Micros {
-        self.wake
+        self.next_wake
     }
 
     /// Whether the node can take requests.
     pub fn healthy(&self, now: Now) -> bool {
-        if !self.reader.ready() {
+        if !self.replica.ready() {
             return false;
         }
-        let age = now.steady.since(self.reader.contact());
+        let age = now.steady.since(self.replica.contact());
         // Own trouble only: while the peers are without contact too, it is the state service's,
         // and nodes that went unhealthy would come back one pause later than it does.
         let blind = Micros::secs(4);
@@ -337,40 +338,40 @@
     }
 
     /// The private copy.
-    pub fn view(&self) -> &View {
-        &self.view
+    pub fn cell(&self) -> &CellState {
+        &self.cell
     }
 
-    fn pump(&mut self) {
-        self.wake = Micros::FOREVER;
-        if self.now.steady >= self.next_sweep {
-            self.next_sweep = self.now.steady + Micros::millis(500);
-            self.sweep();
+    fn drive(&mut self) {
+        self.next_wake = Micros::FOREVER;
+        if self.now.steady >= self.next_tick {
+            self.next_tick = self.now.steady + Micros::millis(500);
+            self.tick();
         }
-        self.wake_at(self.next_sweep);
-        self.pump_ownership();
-        self.pump_pipelines();
-        self.pump_rules();
-        self.pump_users();
-        if !self.absence.in_doubt() {
-            self.pump_fleet();
-            self.pump_rounds();
+        self.wake_at(self.next_tick);
+        self.drive_leadership();
+        self.drive_dependencies();
+        self.drive_rules();
+        self.drive_users();
+        if !self.stall.in_doubt() {
+            self.drive_autoscaler();
+            self.drive_rounds();
         }
-        self.pump_sessions();
-        self.pump_reader();
-        self.pump_hints();
+        self.drive_agents();
+        self.drive_replica();
+        self.drive_hints();
     }
 
-    fn sweep(&mut self) {
-        if !self.absence.in_doubt() {
-            self.sweep_reach();
-            self.sweep_sessions();
-            self.sweep_zones();
+    fn tick(&mut self) {
+        if !self.stall.in_doubt() {
+            self.tick_connectivity();
+            self.tick_agents();
+            self.tick_zones();
         }
-        self.sweep_cancelled();
-        self.sweep_patience();
-        self.sweep_users();
-        self.sweep_rules();
+        self.tick_cancellations();
+        self.tick_starvation();
+        self.tick_users();
+        self.tick_rules();
         if self.now.steady >= self.next_count {
             self.next_count = self.now.steady + Micros::secs(30);
             let c = self.counters;
@@ -380,10 +381,10 @@
                 clashes = c.clashes,
                 unknown = c.unknown,
                 dropped = c.dropped,
-                booked = c.booked,
-                cleared = c.cleared,
+                assigned = c.assigned,
+                released = c.released,
                 refused = c.refused,
-                absences = c.absences,
+                stalls = c.stalls,
                 silenced = c.silenced,
                 unneeded = c.unneeded,
                 lost_with_zones = c.lost_with_zones,
@@ -391,8 +392,8 @@
                 usage = c.changes.usage,
                 jobs = c.changes.jobs,
                 ends = c.changes.ends,
-                wishes = c.wishes.0,
-                wishes_met = c.wishes.1,
+                preferences = c.preferences.0,
+                wishes_met = c.preferences.1,
                 waiting = self.rounds.waiting(),
                 polls = polls.answered,
                 polls_delayed = polls.delayed,
@@ -403,21 +404,21 @@
         }
     }
 
-    fn pump_hints(&mut self) {
+    fn drive_hints(&mut self) {
         if self.now.steady >= self.next_hint {
             self.next_hint = self.now.steady + Micros::secs(1);
-            let contact = self.reader.ready().then(|| self.contact_age().as_millis());
-            let terms = (0..self.view.own.len())
-                .map(|k| (self.view.own[k].mod_revision, self.owns(k)))
+            let contact = self.replica.ready().then(|| self.contact_age().as_millis());
+            let terms = (0..self.cell.leaders.len())
+                .map(|k| (self.cell.leaders[k].mod_revision, self.leads(k)))
                 .collect();
-            self.out.push(Effect::Peers(PeerHint {
-                node: self.cfg.node.clone(),
-                run: self.run,
+            self.effects.push(Effect::Peers(PeerHint {
+                node: self.settings.node.clone(),
+                run: self.incarnation,
                 contact_ms: contact,
-                revision: self.view.revision,
+                revision: self.cell.revision,
                 terms,
                 heard_ms: self.heard_ms(),
-                pressed: self.rounds.pressed(self.now.steady),
+                saturated: self.rounds.saturated(self.now.steady),
                 spends: (self.budget.spending(self.now.steady) * 1e3) as u64,
             }));
             let lately = |(heard, hint): &(Micros, PeerHint)| {
@@ -425,7 +426,7 @@
                     .then_some(hint.spends as f64 / 1e3)
             };
             let others = self
-                .cfg
+                .settings
                 .others
                 .iter()
                 .map(|o| self.peers.get(&o.node).and_then(lately));
@@ -437,18 +438,18 @@
     fn on_hint(&mut self, hint: PeerHint) {
         // A word of an earlier run that arrives late: its copy had not come as far as the record of a later run.
         let later = self
-            .view
+            .cell
             .nodes
             .get(&hint.node)
             .is_some_and(|n| n.value.run != hint.run && n.mod_revision > hint.revision);
         if later {
             return;
         }
-        for (k, (term, owns)) in hint.terms.iter().enumerate() {
-            if *owns && self.owns(k) && *term > self.view.own[k].mod_revision {
-                tracing::info!(slice = k, term, peer = hint.node, "told of a newer term");
-                self.told_newer(k, *term);
-                self.reader.want_barrier();
+        for (k, (term, leads)) in hint.terms.iter().enumerate() {
+            if *leads && self.leads(k) && *term > self.cell.leaders[k].mod_revision {
+                tracing::info!(shard = k, term, peer = hint.node, "told of a newer term");
+                self.on_newer_term(k, *term);
+                self.replica.want_barrier();
             }
         }
         self.peers
@@ -456,7 +457,7 @@
     }
 
     fn wake_at(&mut self, at: Micros) {
-        self.wake = self.wake.min(at);
+        self.next_wake = self.next_wake.min(at);
     }
 
     fn call(&mut self, purpose: Purpose) -> CallId {
@@ -484,12 +485,12 @@
         if let (StateRequest::Txn(txn), Some(call)) = (&request, self.calls.get_mut(&id)) {
             call.size = Some((txn.then.len(), txn.largest()));
         }
-        self.out.push(Effect::State(id, request, limit));
+        self.effects.push(Effect::State(id, request, limit));
         id
     }
 
     fn contact_age(&self) -> Micros {
-        self.now.steady.since(self.reader.contact())
+        self.now.steady.since(self.replica.contact())
     }
 
     fn on_state(&mut self, id: CallId, result: Result<StateReply, CallError>) {
@@ -518,20 +519,20 @@
             Purpose::Watch => self.on_changes(id, call.sent, true, result),
             Purpose::Barrier => self.on_changes(id, call.sent, false, result),
             Purpose::Page { first } => self.on_page(first, result),
-            Purpose::Grant => self.on_grant(result),
-            Purpose::Touch => self.on_touched(call.sent, result),
+            Purpose::LeaseGrant => self.on_lease_granted(result),
+            Purpose::LeaseKeepAlive => self.on_lease_kept_alive(call.sent, result),
             Purpose::Node => self.on_node_written(result),
-            Purpose::Meta => self.reader.want_barrier(),
-            Purpose::Claim(slices) => self.on_claimed(&slices, result),
+            Purpose::Meta => self.replica.want_barrier(),
+            Purpose::Claim(shards) => self.on_claimed(&shards, result),
             Purpose::Submit(batch) => self.on_submitted(batch, result),
             Purpose::Abort(w) => self.on_aborted(w, result),
             Purpose::Final(w, of) => self.on_final(w, of, result),
-            Purpose::Forerunner(id) => self.on_forerunner(id, result),
+            Purpose::DependencyLookup(id) => self.on_dependency_lookup(id, result),
             Purpose::Round(round) => self.on_round(*round, result),
             Purpose::Rules => self.on_rules_written(),
             Purpose::Types(types) => self.on_types_written(types, result),
             Purpose::Fleet(record) => self.on_fleet_written(*record, result),
-            Purpose::Cloud(_) | Purpose::Direct(_) | Purpose::Enquiry => {}
+            Purpose::Cloud(_) | Purpose::PushCommand(_) | Purpose::Probe => {}
         }
     }
 
@@ -549,51 +550,52 @@
             rate,
             "the state service has lowered its limits"
         );
-        self.budget.set_writes(rate / self.cfg.controllers() as f64);
-        self.rounds.look();
+        self.budget
+            .set_writes(rate / self.settings.controllers() as f64);
+        self.rounds.request();
     }
 
     /// Acts on what changes brought.
-    fn on_touched_view(&mut self, touched: &Touched) {
-        for k in &touched.own {
-            self.on_own_changed(*k);
+    fn on_cell_changed(&mut self, changes_seen: &CellChanges) {
+        for k in &changes_seen.leaders {
+            self.on_leader_changed(*k);
         }
-        self.note_layout();
-        if touched.nodes {
-            self.ownership.look();
-            self.note_versions();
+        self.on_format_observed();
+        if changes_seen.nodes {
+            self.leadership.schedule_check();
+            self.update_known_formats();
             self.note_declared();
         }
-        if touched.rules {
+        if changes_seen.rules {
             self.on_rules_changed();
         }
-        for m in &touched.machines {
+        for m in &changes_seen.machines {
             self.on_machine_changed(*m);
         }
-        for ended in &touched.ended {
+        for ended in &changes_seen.ended {
             self.served.note(ended);
             self.on_job_gone(ended.job);
             if let Some(f) = ended.how {
                 self.users.remember(ended.job, f);
             }
         }
-        for j in &touched.jobs {
+        for j in &changes_seen.jobs {
             self.users.appeared(*j);
             self.note_rules_of(*j);
             self.on_job_changed(*j);
         }
-        if touched.usage
-            || !touched.jobs.is_empty()
-            || !touched.machines.is_empty()
-            || !touched.own.is_empty()
+        if changes_seen.usage
+            || !changes_seen.jobs.is_empty()
+            || !changes_seen.machines.is_empty()
+            || !changes_seen.leaders.is_empty()
         {
-            self.rounds.look();
-            self.fleet.look();
+            self.rounds.request();
+            self.autoscaler.schedule_check();
         }
     }
 
     /// Whether this process owns the slice, as far as it knows.
-    fn owns(&self, k: Slice) -> bool {
-        self.ownership.tenure(k).is_some()
+    fn leads(&self, k: ShardId) -> bool {
+        self.leadership.leader_term(k).is_some()
     }
 }
--- a/src/coordination/reader.rs
+++ b/src/coordination/replication/mod.rs
@@ -1,13 +1,13 @@
 //! The watch that keeps the private copy, and read barriers.
 
-use super::{CallId, Controller, Purpose};
-use crate::bookkeeping::time::Micros;
-use crate::bookkeeping::view::{Change, Touched};
+use crate::coordination::{CallId, Controller, Purpose};
 use crate::protocol::state::{CallError, StateReply, StateRequest};
+use crate::storage::cell_state::{CellChanges, Change};
+use crate::time::Micros;
 
 /// How the copy is kept.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct Replica {
     phase: Phase,
     contact: Micros,
     /// Contact before the read that was applied last: what that read brought had not happened by then.
@@ -42,7 +42,7 @@
     Ready,
 }
 
-impl Reader {
+impl Replica {
     /// Whether the copy is complete and consistent.
     pub fn ready(&self) -> bool {
         self.phase == Phase::Ready
@@ -93,18 +93,18 @@
     /// How long a watch waits. Short enough that contact never looks old in quiet times.
     const WATCH_WAIT: Micros = Micros::millis(2_000);
 
-    pub(super) fn pump_reader(&mut self) {
+    pub(super) fn drive_replica(&mut self) {
         let now = self.now.steady;
-        match self.reader.phase {
+        match self.replica.phase {
             Phase::Empty => {
-                if now < self.reader.retry {
-                    self.wake_at(self.reader.retry);
+                if now < self.replica.retry {
+                    self.wake_at(self.replica.retry);
                     return;
                 }
-                self.view.clear();
-                self.rules.look();
+                self.cell.clear();
+                self.rules.schedule_check();
                 self.users.forget_absent();
-                self.reader.phase = Phase::Listing;
+                self.replica.phase = Phase::Listing;
                 self.budget.force(now, 0);
                 self.ask_state(
                     Purpose::Page { first: None },
@@ -113,57 +113,59 @@
             }
             Phase::Listing => {}
             Phase::Listed | Phase::Ready => {
-                self.pump_barrier();
-                self.pump_watch();
+                self.drive_barrier();
+                self.drive_watch();
             }
         }
     }
 
-    fn pump_watch(&mut self) {
+    fn drive_watch(&mut self) {
         let now = self.now.steady;
-        let behind = self.is_far_behind(now);
-        if self.reader.watching.is_some() || behind && self.reader.barrier.is_some() {
+        let starved_classes_and_teams = self.is_far_behind(now);
+        if self.replica.watching.is_some()
+            || starved_classes_and_teams && self.replica.barrier.is_some()
+        {
             return;
         }
-        if now < self.reader.next_watch {
-            self.wake_at(self.reader.next_watch);
+        if now < self.replica.next_watch {
+            self.wake_at(self.replica.next_watch);
             return;
         }
         if let Err(at) = self.budget.spend(now, 0, 0.1) {
             self.wake_at(at);
             return;
         }
-        let wait = if self.reader.ready() && !behind {
+        let wait = if self.replica.ready() && !starved_classes_and_teams {
             Self::WATCH_WAIT
         } else {
             Micros::ZERO
         };
-        let after = self.view.revision;
-        self.reader.watching = Some(now);
+        let after = self.cell.revision;
+        self.replica.watching = Some(now);
         self.ask_state(Purpose::Watch, StateRequest::Changes { after, wait });
     }
 
-    fn pump_barrier(&mut self) {
+    fn drive_barrier(&mut self) {
         let now = self.now.steady;
-        let urgent = self.reader.wanted;
-        if !urgent && !self.reader.wanted_soon
-            || self.reader.barrier.is_some()
-            || !self.reader.ready()
+        let urgent = self.replica.wanted;
+        if !urgent && !self.replica.wanted_soon
+            || self.replica.barrier.is_some()
+            || !self.replica.ready()
         {
             return;
         }
         if self.is_far_behind(now)
             && self
-                .reader
+                .replica
                 .watching
                 .is_some_and(|sent| self.is_far_behind(sent))
         {
             return;
         }
         let at = if urgent {
-            self.reader.next_barrier
+            self.replica.next_barrier
         } else {
-            self.reader.next_poll_read.max(self.reader.next_barrier)
+            self.replica.next_poll_read.max(self.replica.next_barrier)
         };
         if now < at {
             self.wake_at(at);
@@ -182,16 +184,16 @@
             self.wake_at(at);
             return;
         }
-        self.reader.wanted = false;
-        self.reader.wanted_soon = false;
-        self.reader.next_barrier = now + Self::BARRIER_SPACING;
-        self.reader.next_poll_read = now + Self::POLL_SPACING;
+        self.replica.wanted = false;
+        self.replica.wanted_soon = false;
+        self.replica.next_barrier = now + Self::BARRIER_SPACING;
+        self.replica.next_poll_read = now + Self::POLL_SPACING;
         let request = StateRequest::Changes {
-            after: self.view.revision,
+            after: self.cell.revision,
             wait: Micros::ZERO,
         };
         let id = self.ask_state(Purpose::Barrier, request);
-        self.reader.barrier = Some(id);
+        self.replica.barrier = Some(id);
     }
 
     pub(super) fn on_page(&mut self, first: Option<u64>, result: Result<StateReply, CallError>) {
@@ -201,13 +203,13 @@
             revision,
         }) = result
         else {
-            self.reader.phase = Phase::Empty;
-            self.reader.retry = self.now.steady + Micros::millis(300);
+            self.replica.phase = Phase::Empty;
+            self.replica.retry = self.now.steady + Micros::millis(300);
             return;
         };
-        let mut touched = Touched::default();
-        self.view.apply(items, &mut touched);
-        if self.view.foreign(self.layout) {
+        let mut changes_seen = CellChanges::default();
+        self.cell.apply(items, &mut changes_seen);
+        if self.cell.foreign(self.layout) {
             return self.refuse_layout();
         }
         let first = first.unwrap_or(revision);
@@ -220,30 +222,30 @@
             return;
         }
         // Later pages may be newer than the first: only the changes since then make it one whole.
-        self.view.advance(first);
-        self.reader.whole_at = revision;
-        self.reader.phase = Phase::Listed;
-        self.reader.next_watch = self.now.steady;
+        self.cell.advance(first);
+        self.replica.whole_at = revision;
+        self.replica.phase = Phase::Listed;
+        self.replica.next_watch = self.now.steady;
     }
 
     /// Records of another layout would be misread: they are left alone, and the node stays out of
     /// service.
     fn refuse_layout(&mut self) {
         if self
-            .reader
+            .replica
             .refused
             .is_none_or(|at| self.now.steady.since(at) > Micros::secs(60))
         {
-            self.reader.refused = Some(self.now.steady);
-            let found = self.view.meta.value.as_ref().map_or(0, |m| m.layout);
+            self.replica.refused = Some(self.now.steady);
+            let found = self.cell.meta.value.as_ref().map_or(0, |m| m.layout);
             tracing::error!(
                 found,
                 understood = self.layout,
                 "the state service holds records of another layout, not in service"
             );
         }
-        self.reader.phase = Phase::Empty;
-        self.reader.retry = self.now.steady + Micros::secs(5);
+        self.replica.phase = Phase::Empty;
+        self.replica.retry = self.now.steady + Micros::secs(5);
     }
 
     pub(super) fn on_changes(
@@ -255,10 +257,10 @@
     ) {
         let now = self.now.steady;
         if watch {
-            self.reader.watching = None;
-            self.reader.next_watch = now + Self::WATCH_SPACING;
-        } else if self.reader.barrier == Some(id) {
-            self.reader.barrier = None;
+            self.replica.watching = None;
+            self.replica.next_watch = now + Self::WATCH_SPACING;
+        } else if self.replica.barrier == Some(id) {
+            self.replica.barrier = None;
         }
         match result {
             Ok(StateReply::Changes(changes, revision)) => {
@@ -271,10 +273,10 @@
             }
             other => {
                 if watch {
-                    self.reader.next_watch = now + Micros::millis(250);
+                    self.replica.next_watch = now + Micros::millis(250);
                 } else {
-                    self.reader.wanted = true;
-                    self.reader.next_barrier = now + Micros::millis(250);
+                    self.replica.wanted = true;
+                    self.replica.next_barrier = now + Micros::millis(250);
                     self.users_without_contact();
                 }
                 tracing::debug!(?other, watch, "a read brought nothing");
@@ -285,58 +287,58 @@
     /// The copy can't be brought forward: it is read anew in pages, from now on and with no tenure meanwhile.
     fn read_anew(&mut self, why: &'static str) {
         // Several reads may have been under way, and the first answer of them was enough.
-        if matches!(self.reader.phase, Phase::Empty | Phase::Listing) {
+        if matches!(self.replica.phase, Phase::Empty | Phase::Listing) {
             return;
         }
         tracing::info!(
-            revision = self.view.revision,
+            revision = self.cell.revision,
             why,
             "the copy is too old, reading everything anew"
         );
-        self.lose_all_tenures();
-        self.reader.phase = Phase::Empty;
+        self.step_down_everywhere();
+        self.replica.phase = Phase::Empty;
     }
 
     /// Whether the copy is so far behind that an answer with all changes since may be large: then there is one read at
     /// a time, for each would bring the same.
     fn is_far_behind(&self, at: Micros) -> bool {
-        self.reader.phase == Phase::Ready && at.since(self.reader.contact) > Self::FAR_BEHIND
+        self.replica.phase == Phase::Ready && at.since(self.replica.contact) > Self::FAR_BEHIND
     }
 
     fn take_changes(&mut self, id: CallId, sent: Micros, changes: Vec<Change>, revision: u64) {
-        if matches!(self.reader.phase, Phase::Empty | Phase::Listing) {
+        if matches!(self.replica.phase, Phase::Empty | Phase::Listing) {
             return;
         }
-        let mut touched = Touched::default();
-        self.view.apply(changes, &mut touched);
-        self.view.advance(revision);
-        if self.view.foreign(self.layout) {
+        let mut changes_seen = CellChanges::default();
+        self.cell.apply(changes, &mut changes_seen);
+        self.cell.advance(revision);
+        if self.cell.foreign(self.layout) {
             // Also when others raise it beyond this version while it runs.
-            self.lose_all_tenures();
+            self.step_down_everywhere();
             return self.refuse_layout();
         }
-        self.reader.before = self.reader.contact;
-        self.reader.contact = self.reader.contact.max(sent);
-        self.reader.answered = self.now.steady;
-        self.reader.read = self.reader.read.max(id.0);
-        self.end_doubt();
-        if self.reader.phase == Phase::Listed {
-            if revision < self.reader.whole_at {
+        self.replica.before = self.replica.contact;
+        self.replica.contact = self.replica.contact.max(sent);
+        self.replica.answered = self.now.steady;
+        self.replica.read = self.replica.read.max(id.0);
+        self.end_stall_recovery();
+        if self.replica.phase == Phase::Listed {
+            if revision < self.replica.whole_at {
                 return;
             }
-            self.reader.phase = Phase::Ready;
+            self.replica.phase = Phase::Ready;
             tracing::info!(
                 revision,
-                jobs = self.view.jobs.len(),
-                machines = self.view.machines().count(),
+                jobs = self.cell.jobs.len(),
+                machines = self.cell.machines().count(),
                 "the copy is complete"
             );
-            touched.own = (0..self.view.own.len()).collect();
-            touched.nodes = true;
-            touched.jobs = self.view.jobs.keys().copied().collect();
+            changes_seen.leaders = (0..self.cell.leaders.len()).collect();
+            changes_seen.nodes = true;
+            changes_seen.jobs = self.cell.jobs.keys().copied().collect();
         }
-        self.on_touched_view(&touched);
-        self.rounds.on_read(revision, self.reader.read);
+        self.on_cell_changed(&changes_seen);
+        self.rounds.on_read(revision, self.replica.read);
         self.users_after_read();
     }
 }
--- a/src/coordination/served.rs
+++ b/src/coordination/throughput.rs
@@ -1,8 +1,8 @@
 //! What was served of each class and team, for the log: jobs done as the watch tells of their ends, and what runs and
 //! waits now. Told by the owner of slice 0 for all, every 30 s.
 
-use super::Controller;
-use crate::bookkeeping::view::Ended;
+use crate::coordination::Controller;
+use crate::storage::cell_state::Ended;
 use std::collections::BTreeMap;
 
 /// Counts by class and by team since this process has had a copy.
@@ -17,7 +17,7 @@
 }
 
 /// A job's class and team, each with what it is.
-fn kin(job_class: &str, team: &str) -> [(&'static str, String); 2] {
+fn owners(job_class: &str, team: &str) -> [(&'static str, String); 2] {
     [("class", job_class.to_owned()), ("team", team.to_owned())]
 }
 
@@ -25,7 +25,7 @@
     /// A job has ended; what is not known to be done is not counted.
     pub fn note(&mut self, ended: &Ended) {
         if ended.how.is_some_and(|f| !f.cancelled) {
-            for of in kin(&ended.job_class, &ended.team) {
+            for of in owners(&ended.job_class, &ended.team) {
                 self.0.entry(of).or_default().done += 1;
             }
         }
@@ -35,15 +35,15 @@
 impl Controller {
     /// Tells how much of each class and team was done, runs and waits, and which are left behind.
     pub(super) fn log_served(&mut self) {
-        if !self.owns(0) {
+        if !self.leads(0) {
             return;
         }
         let mut counts = self.served.0.clone();
-        for (id, job) in &self.view.jobs {
+        for (id, job) in &self.cell.jobs {
             let spec = job.spec();
-            let running = u64::from(self.view.booked_count(*id));
-            let waiting = u64::from(self.view.pending_count(*id, job));
-            for of in kin(&spec.job_class, &spec.team) {
+            let running = u64::from(self.cell.assigned_count(*id));
+            let waiting = u64::from(self.cell.pending_count(*id, job));
+            for of in owners(&spec.job_class, &spec.team) {
                 let count = counts.entry(of).or_default();
                 count.running += running;
                 count.waiting += waiting;
@@ -62,12 +62,12 @@
                 kind,
                 name,
                 jobs_done = done,
-                tasks_booked = running,
+                tasks_assigned = running,
                 tasks_waiting = waiting,
                 "served"
             );
         }
-        for (name, cores) in self.behind() {
+        for (name, cores) in self.starved_classes_and_teams() {
             tracing::info!(
                 name,
                 cores,
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -3,12 +3,12 @@
 //! Works on files alone: a submission as `POST /work` takes it, a rules file, and the machines to judge
 //! together with the cloud's catalogue.
 
-use crate::bookkeeping::admission::{self, Admission, clash, subject};
-use crate::bookkeeping::catalog::Catalog;
-use crate::bookkeeping::classes::{Class, Classes};
-use crate::bookkeeping::job::JobSpec;
 use crate::protocol::cloud::{self, CloudReply, CloudRequest};
 use crate::protocol::user::parse_submission;
+use crate::scheduler::constraints::{self, JobConstraints, clash, subject};
+use crate::storage::catalog::Catalog;
+use crate::storage::job::JobSpec;
+use crate::storage::machine_classes::{Class, Classes};
 use cometlead_constraints::explain::{Verdict, explain};
 use cometlead_constraints::expr::{Expr, Field, Words};
 use cometlead_constraints::{Now, Rule, RuleSet, Subject, Traits};
@@ -157,7 +157,7 @@
             beside: others.chain([own]).collect(),
         };
         let job = there.subject();
-        let asks = |r: &&Rule| r.is_hard() && r.expr.asks_beside();
+        let asks = |r: &&Rule| r.is_hard() && r.expr.tests_colocation();
         for rule in set.concerning(&job).filter(asks) {
             let alone = Found {
                 machine: m,
@@ -166,7 +166,7 @@
             };
             let mut about = false;
             rule.expr
-                .tests(&mut |t| about |= matches!(t, Expr::Beside(f, w) if alone.beside(*f, w)));
+                .tests(&mut |t| about |= matches!(t, Expr::Colocated(f, w) if alone.beside(*f, w)));
             if about && !rule.expr.holds(traits, &found) {
                 away.push(format!("{} of {}", rule.name, there.name_id));
             }
@@ -176,7 +176,7 @@
 }
 
 fn against(spec: &JobSpec, class: &Class, catalog: &Catalog) -> Vec<String> {
-    let mut found = admission::fields_against(spec, class, catalog);
+    let mut found = constraints::fields_against(spec, class, catalog);
     if catalog.get(&class.machine_type).is_none() {
         // Its size, which comes last, is not known to be too small.
         found.pop();
@@ -201,7 +201,7 @@
             .map_err(|e| format!("job: {e}"))?;
     }
     let sets = [Arc::clone(&set)];
-    let labelled = admission::labelled(&sets);
+    let labelled = constraints::labelled(&sets);
     let own = (id.to_string(), subject(&spec));
     let mut judged = Vec::new();
     let mut classes = Classes::default();
@@ -215,7 +215,7 @@
             spot: m.spot_allowed,
             machine,
         };
-        let traits = admission::traits(&class, &sets, &catalog).map(|mut t| t.remove(0));
+        let traits = constraints::traits(&class, &sets, &catalog).map(|mut t| t.remove(0));
         let beside = m
             .jobs
             .iter()
@@ -251,10 +251,10 @@
     let traits: Vec<_> = classes
         .all()
         .iter()
-        .map(|c| admission::traits(c, &sets, &catalog))
+        .map(|c| constraints::traits(c, &sets, &catalog))
         .collect();
-    let admission = Admission::of(&spec, &sets, &traits).unwrap_or_default();
-    let clash = clash(&spec, &admission, &sets, &classes, &catalog);
+    let constraints = JobConstraints::of(&spec, &sets, &traits).unwrap_or_default();
+    let clash = clash(&spec, &constraints, &sets, &classes, &catalog);
     Ok(Report {
         possible: clash.is_none(),
         clash: clash.unwrap_or_default(),
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,12 +1,12 @@
 //! The command line of cometlead.
 
 use clap::{Parser, Subcommand};
-use cometlead::bookkeeping::time::Micros;
 use cometlead::coordination::Controller;
-use cometlead::coordination::connections::SocketPlan;
+use cometlead::coordination::api::connections::SocketPlan;
 use cometlead::explain::Report;
 use cometlead::protocol::operator::OperatorSettings;
 use cometlead::protocol::settings::Settings;
+use cometlead::time::Micros;
 use cometlead::transport::node::Node;
 use cometlead::transport::{peers, server};
 use cometlead_constraints::RuleSet;
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,10 +1,10 @@
 //! The cloud's requests and responses.
 
 use super::state::CallError;
-use crate::bookkeeping::amount::{Amount, offered};
-use crate::bookkeeping::catalog::{Catalog, MachineType};
-use crate::bookkeeping::ids::MachineId;
-use crate::bookkeeping::time::Micros;
+use crate::storage::catalog::{Catalog, MachineType};
+use crate::storage::ids::MachineId;
+use crate::storage::resources::{Amount, offered};
+use crate::time::Micros;
 use serde::Deserialize;
 
 /// Most machines of one rental.
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -12,7 +12,7 @@
     /// or for each team with a guarantee or a limit if these are more.
     #[schemars(range(min = 1, max = 64))]
     #[serde(rename = "slices")]
-    pub slices: Option<usize>,
+    pub shards: Option<usize>,
     /// Shortest time between two rounds of one controller, in milliseconds.
     #[schemars(range(min = 10, max = 10_000))]
     #[serde(rename = "round_ms")]
@@ -36,7 +36,7 @@
 impl Default for OperatorSettings {
     fn default() -> Self {
         OperatorSettings {
-            slices: None,
+            shards: None,
             round_ms: 150,
             node_lease_ms: 2_000,
             idle_s: None,
@@ -58,7 +58,7 @@
         };
         check(
             "slices",
-            s.slices.is_none_or(|n| (1..=64).contains(&n)),
+            s.shards.is_none_or(|n| (1..=64).contains(&n)),
             "1 to 64",
         )?;
         check(
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -1,6 +1,6 @@
 //! What controllers tell each other: hints, on which no rule rests.
 
-use crate::bookkeeping::records::Incarnation;
+use crate::storage::records::Incarnation;
 use serde::{Deserialize, Serialize};
 
 /// A controller's view of itself.
@@ -29,5 +29,5 @@
     pub heard_ms: Option<u64>,
     /// Its rounds are full, and more waits for the rate of changes.
     #[serde(rename = "pressed", default)]
-    pub pressed: bool,
+    pub saturated: bool,
 }
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -1,7 +1,7 @@
 //! The platform's deploy file. Fields it may gain later are ignored.
 
-use crate::bookkeeping::amount::offered;
-use crate::bookkeeping::time::Micros;
+use crate::storage::resources::offered;
+use crate::time::Micros;
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 use thiserror::Error;
@@ -256,7 +256,7 @@
     /// Aims.
     pub objectives: Vec<Objective>,
     /// A worker's report interval.
-    pub report: Micros,
+    pub heartbeat_interval: Micros,
     /// A worker's lease.
     pub lease: Micros,
     /// Time by which a cancelled job's tasks must be gone.
@@ -408,7 +408,7 @@
             state: address("outside.state", &file.outside.state)?,
             teams,
             objectives: p.objectives.into_iter().filter_map(objective).collect(),
-            report: seconds("params.workers.report_s", p.workers.report_s)?,
+            heartbeat_interval: seconds("params.workers.report_s", p.workers.report_s)?,
             lease: seconds("params.workers.lease_s", p.workers.lease_s)?,
             cancel: seconds("params.workers.cancel_s", p.workers.cancel_s)?,
             state_rps: positive("params.state.rps", p.state.rps)?,
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -1,8 +1,8 @@
 //! The state service's requests and responses.
 
-use crate::bookkeeping::records::{Key, LIVE};
-use crate::bookkeeping::time::Micros;
-use crate::bookkeeping::view::{Change, Content};
+use crate::storage::cell_state::{Change, Content};
+use crate::storage::records::{Key, LIVE};
+use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::collections::HashMap;
@@ -61,9 +61,9 @@
     /// A transaction.
     Txn(Txn),
     /// A new lease.
-    Grant(Micros),
+    LeaseGrant(Micros),
     /// A lease's renewal.
-    Touch(u64),
+    LeaseKeepAlive(u64),
     /// Changes of live keys after a revision.
     Changes {
         /// The revision.
@@ -94,7 +94,7 @@
     /// A lease.
     Lease(u64),
     /// The lease lives on.
-    Touched,
+    LeaseKeptAlive,
     /// The lease is gone, or the write's lease is.
     NoLease,
     /// Changes up to a revision.
@@ -164,11 +164,11 @@
             )
         }
         StateRequest::Txn(txn) => ("POST", "/txn".to_owned(), txn.body()),
-        StateRequest::Grant(life) => {
+        StateRequest::LeaseGrant(life) => {
             let body = serde_json::json!({ "lifeMs": life.as_millis() });
             ("POST", "/leases".to_owned(), body.to_string().into_bytes())
         }
-        StateRequest::Touch(id) => ("POST", format!("/leases/{id}/touch"), Vec::new()),
+        StateRequest::LeaseKeepAlive(id) => ("POST", format!("/leases/{id}/touch"), Vec::new()),
         StateRequest::Changes { after, wait } => (
             "GET",
             format!(
@@ -295,7 +295,7 @@
         Key::Types => Content::Types(serde_json::from_str(text).ok()?),
         Key::Fleet => Content::Fleet(serde_json::from_str(text).ok()?),
         Key::Node(_) => Content::Node(serde_json::from_str(text).ok()?),
-        Key::Own(_) => Content::Own(serde_json::from_str(text).ok()?),
+        Key::ShardLeader(_) => Content::ShardLeader(serde_json::from_str(text).ok()?),
         Key::Group(..) => Content::Group(serde_json::from_str(text).ok()?),
         Key::Usage(_) => Content::Usage(serde_json::from_str(text).ok()?),
         Key::Job(_) => Content::Job(serde_json::from_str(text).ok()?),
@@ -381,12 +381,12 @@
                 Err(CallError::Refused)
             }
         }
-        (StateRequest::Grant(_), 200) => {
+        (StateRequest::LeaseGrant(_), 200) => {
             let w: LeaseWire = serde_json::from_slice(body).map_err(bad)?;
             Ok(StateReply::Lease(w.lease_id))
         }
-        (StateRequest::Touch(_), 200) => Ok(StateReply::Touched),
-        (StateRequest::Touch(_), 404) => Ok(StateReply::NoLease),
+        (StateRequest::LeaseKeepAlive(_), 200) => Ok(StateReply::LeaseKeptAlive),
+        (StateRequest::LeaseKeepAlive(_), 404) => Ok(StateReply::NoLease),
         (StateRequest::Changes { .. }, 200) => {
             let w: ChangesWire = serde_json::from_slice(body).map_err(bad)?;
             let last = last_of_groups(&w.log);
@@ -410,50 +410,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::bookkeeping::view::{Touched, View};
-
-    /// Only groups may be passed over: without the record that was cancelled the copy would take the job for done.
-    #[test]
-    fn of_an_answer_with_many_changes_groups_are_read_once_and_jobs_each_time() {
-        let spec = serde_json::json!({"nameId": "req-000007", "lane": "x", "crew": "free", "shape": "sweep",
-            "urgency": "high", "pieces": 2, "cores": 1.0, "accelerators": 0, "memGb": 1.0, "bundle": "i", "sizeGb": 0.1,
-            "oneZone": false, "apart": false, "loaners": true, "guessS": 1.0, "bookmarkS": 0, "stashS": 0});
-        let (id, spec) =
-            crate::protocol::user::parse_submission(spec.to_string().as_bytes()).unwrap();
-        let record = |cancelled| {
-            let plain = serde_json::json!({"s": serde_json::to_value(&spec).unwrap(), "t": 0, "x": cancelled});
-            plain
-        };
-        let group = |m: u64| serde_json::json!({"k": [["small", "a", 1, null]], "i": [], "a": [], "m": [[m, 0, 0, 0, 0]]});
-        let log = serde_json::json!([
-            {"write": "c/group/0/0", "value": group(1), "stamp": 11},
-            {"write": "c/job/7", "value": record(false), "stamp": 12},
-            {"write": "c/group/0/1", "value": group(3), "stamp": 13},
-            {"write": "c/job/7", "value": record(true), "stamp": 14},
-            {"remove": "c/group/0/1", "stamp": 15},
-            {"write": "c/group/0/0", "value": group(2), "stamp": 16},
-            {"remove": "c/job/7", "stamp": 17},
-        ]);
-        let body = serde_json::json!({"epoch": 17, "log": log}).to_string();
-        let request = StateRequest::Changes {
-            after: 10,
-            wait: Micros::ZERO,
-        };
-        let Ok(StateReply::Changes(changes, 17)) = parse(&request, 200, body.as_bytes()) else {
-            panic!("no changes")
-        };
-        let stamps: Vec<u64> = changes.iter().map(|c| c.mod_revision).collect();
-        assert_eq!(stamps, [12, 14, 15, 16, 17]);
-        let (mut view, mut touched) = (View::default(), Touched::default());
-        view.apply(changes, &mut touched);
-        assert_eq!(
-            view.machines().map(|(_, m, _)| m.0).collect::<Vec<_>>(),
-            [2]
-        );
-        assert!(
-            matches!(&touched.ended[..], [ended] if ended.job == id && ended.how.is_some_and(|f| f.cancelled))
-        );
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/protocol/user/tests.rs
@@ -0,0 +1,62 @@
+//! Tests of `user`.
+
+use super::*;
+
+const GOOD: &str = r#"{"nameId":"req-000412","lane":"train","crew":"vision","shape":"sweep","urgency":"high",
+    "pieces":16,"cores":8.0,"accelerators":1,"memGb":64.5,"bundle":"img-07","sizeGb":6.2,"builds":["g8"],
+    "yard":null,"oneZone":true,"apart":false,"loaners":true,"guessS":240.0,"bookmarkS":30.0,"stashS":4.0,
+    "dueS":900.0,"awaits":["req-000411","req-000007","req-000411"],"later":1}"#;
+
+#[test]
+fn takes_what_is_right() {
+    let (id, spec) = parse_submission(GOOD.as_bytes()).unwrap();
+    assert_eq!(id, JobId(412));
+    assert_eq!(
+        (spec.need.cores, spec.need.memory, spec.size),
+        (8_000, 64_500, 6_200)
+    );
+    assert_eq!(spec.deadline, Some(Micros::secs(900)));
+    let nulls = GOOD
+        .replace("\"dueS\":900.0", "\"dueS\":null")
+        .replace("\"yard\":null,", "");
+    assert_eq!(parse_submission(nulls.as_bytes()).unwrap().1.deadline, None);
+    assert_eq!(spec.dependencies, [JobId(7), JobId(411)], "each once");
+    for none in ["null", "[]"] {
+        let text = GOOD.replace(r#"["req-000411","req-000007","req-000411"]"#, none);
+        assert_eq!(
+            parse_submission(text.as_bytes()).unwrap().1.dependencies,
+            []
+        );
+    }
+}
+
+#[test]
+fn refuses_what_is_wrong() {
+    for (from, to) in [
+        ("req-000412", "req-412"),
+        ("\"pieces\":16", "\"pieces\":0"),
+        ("\"pieces\":16", "\"pieces\":100001"),
+        ("\"pieces\":16", "\"pieces\":-1"),
+        ("\"cores\":8.0", "\"cores\":-8.0"),
+        ("\"cores\":8.0", "\"cores\":1e999"),
+        ("\"cores\":8.0", "\"cores\":\"8\""),
+        ("\"cores\":8.0,", ""),
+        ("\"sweep\"", "\"gang\""),
+        ("\"high\"", "\"urgent\""),
+        ("\"oneZone\":true", "\"oneZone\":1"),
+        ("\"dueS\":900.0", "\"dueS\":-1"),
+        ("\"loaners\":true", "\"loaners\":null"),
+        ("\"req-000007\"", "7"),
+        ("\"req-000007\"", "\"req-7\""),
+        (
+            "[\"req-000411\",\"req-000007\",\"req-000411\"]",
+            "\"req-000411\"",
+        ),
+    ] {
+        let bad = GOOD.replace(from, to);
+        assert_ne!(bad, GOOD);
+        assert!(parse_submission(bad.as_bytes()).is_err(), "{to}");
+    }
+    assert!(parse_submission(b"[1]").is_err());
+    assert!(parse_submission(b"").is_err());
+}
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,11 +1,11 @@
 //! What workers send and get.
 
-use crate::bookkeeping::ids::{Attempt, MachineId};
-use crate::bookkeeping::time::Micros;
+use crate::storage::ids::{Attempt, MachineId};
+use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
-struct ReportWire {
+struct HeartbeatWire {
     #[serde(rename = "host")]
     host: String,
     #[serde(rename = "endpoint")]
@@ -74,7 +74,7 @@
 
 /// A worker's report.
 #[derive(Clone, Debug)]
-pub struct Report {
+pub struct Heartbeat {
     /// Machine.
     pub machine: MachineId,
     /// Address for direct commands.
@@ -95,15 +95,15 @@
     pub tasks: Vec<(Attempt, TaskState)>,
 }
 
-impl Report {
+impl Heartbeat {
     /// The session.
-    pub fn session(&self) -> u64 {
+    pub fn incarnation(&self) -> u64 {
         self.order.0
     }
 
     /// Reads a report; `None` if it is malformed.
-    pub fn parse(body: &[u8]) -> Option<Report> {
-        let w: ReportWire = serde_json::from_slice(body).ok()?;
+    pub fn parse(body: &[u8]) -> Option<Heartbeat> {
+        let w: HeartbeatWire = serde_json::from_slice(body).ok()?;
         let tasks = w
             .pieces
             .into_iter()
@@ -115,7 +115,7 @@
                 Some((attempt, task_state(&p.status, p.cause.as_deref())))
             })
             .collect::<Option<Vec<_>>>()?;
-        Some(Report {
+        Some(Heartbeat {
             machine: w.host.parse().ok()?,
             endpoint: w.endpoint,
             machine_type: w.machine_type,
@@ -190,13 +190,13 @@
 
 /// The answer to a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ReportAnswer {
+pub enum HeartbeatResponse {
     /// 200: the lease is renewed, and the orders are to be carried out.
-    Orders {
+    Commands {
         /// The owner's term.
         fencing_token: u64,
         /// Commands.
-        orders: Vec<Command>,
+        commands: Vec<Command>,
     },
     /// 421, with the owner if it is known.
     Elsewhere(Option<String>),
@@ -213,24 +213,28 @@
     #[serde(rename = "shift", skip_serializing_if = "Option::is_none")]
     incarnation: Option<u64>,
     #[serde(rename = "orders")]
-    orders: Vec<CommandWire>,
+    commands: Vec<CommandWire>,
 }
 
 /// The body of a 200 to a report.
-pub fn heartbeat_response_body(fencing_token: u64, orders: &[Command]) -> Vec<u8> {
-    commands(fencing_token, None, orders)
+pub fn heartbeat_response_body(fencing_token: u64, commands: &[Command]) -> Vec<u8> {
+    build_commands_body(fencing_token, None, commands)
 }
 
 /// The body of a direct command.
-pub fn command_body(fencing_token: u64, session: u64, orders: &[Command]) -> Vec<u8> {
-    commands(fencing_token, Some(session), orders)
+pub fn command_body(fencing_token: u64, incarnation: u64, commands: &[Command]) -> Vec<u8> {
+    build_commands_body(fencing_token, Some(incarnation), commands)
 }
 
-fn commands(fencing_token: u64, incarnation: Option<u64>, orders: &[Command]) -> Vec<u8> {
+fn build_commands_body(
+    fencing_token: u64,
+    incarnation: Option<u64>,
+    commands: &[Command],
+) -> Vec<u8> {
     let wire = CommandsWire {
         fencing_token,
         incarnation,
-        orders: orders.iter().map(Command::wire).collect(),
+        commands: commands.iter().map(Command::wire).collect(),
     };
     serde_json::to_vec(&wire).unwrap_or_default()
 }
--- a/src/bookkeeping/boots.rs
+++ b/src/scheduler/boot_times.rs
@@ -1,22 +1,22 @@
 //! How long machines take to come up: what the catalogue says is a first guess.
 
-use super::time::Micros;
+use crate::time::Micros;
 use std::collections::{HashMap, VecDeque};
 
 /// A machine that has come up: when, and how long it took.
 #[derive(Clone, Copy, Debug)]
-struct Boot {
+struct BootRecord {
     at: Micros,
     took: Micros,
 }
 
 /// Boots that ended lately, by type.
 #[derive(Debug, Default)]
-pub struct Boots {
-    ended: HashMap<String, VecDeque<Boot>>,
+pub struct BootTimeEstimates {
+    ended: HashMap<String, VecDeque<BootRecord>>,
 }
 
-impl Boots {
+impl BootTimeEstimates {
     /// Boots remembered of a type, and for how long.
     const MOST: usize = 8;
     const MEMORY: Micros = Micros::secs(90);
@@ -24,7 +24,7 @@
     /// A machine has come up.
     pub fn ended(&mut self, machine_type: &str, at: Micros, took: Micros) {
         let ended = self.ended.entry(machine_type.to_owned()).or_default();
-        ended.push_back(Boot { at, took });
+        ended.push_back(BootRecord { at, took });
         if ended.len() > Self::MOST {
             ended.pop_front();
         }
@@ -68,53 +68,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const NOMINAL: Micros = Micros::secs(30);
-
-    #[test]
-    fn late_boots_show_before_they_end() {
-        let boots = Boots::default();
-        let expected = |ages: &[u64]| {
-            boots.expected(
-                "x",
-                NOMINAL,
-                Micros::secs(99),
-                ages.iter().map(|a| Micros::secs(*a)),
-            )
-        };
-        assert_eq!(expected(&[]), NOMINAL);
-        assert_eq!(expected(&[20, 25]), NOMINAL, "nothing is late yet");
-        assert_eq!(expected(&[90]), NOMINAL, "a single one may be stuck");
-        assert_eq!(expected(&[80, 80, 80, 80]), Micros::secs(100));
-    }
-
-    #[test]
-    fn quick_boots_are_learned_and_forgotten() {
-        let mut boots = Boots::default();
-        for i in 0..4 {
-            boots.ended("x", Micros::secs(100 + i), Micros::secs(1));
-        }
-        let expected = |now: u64, ages: &[u64]| {
-            boots.expected(
-                "x",
-                NOMINAL,
-                Micros::secs(now),
-                ages.iter().map(|a| Micros::secs(*a)),
-            )
-        };
-        assert_eq!(expected(110, &[]), Micros::secs(1));
-        assert_eq!(
-            expected(110, &[5, 5, 5]),
-            NOMINAL,
-            "those that come now are not as quick"
-        );
-        assert_eq!(expected(300, &[]), NOMINAL);
-        assert_eq!(
-            expected(180, &[90, 90, 90, 90, 90, 90]),
-            Micros::secs(1),
-            "others came up meanwhile"
-        );
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/scheduler/boot_times/tests.rs
@@ -0,0 +1,50 @@
+//! Tests of `boot_times`.
+
+use super::*;
+
+const NOMINAL: Micros = Micros::secs(30);
+
+#[test]
+fn late_boots_show_before_they_end() {
+    let boots = BootTimeEstimates::default();
+    let expected = |ages: &[u64]| {
+        boots.expected(
+            "x",
+            NOMINAL,
+            Micros::secs(99),
+            ages.iter().map(|a| Micros::secs(*a)),
+        )
+    };
+    assert_eq!(expected(&[]), NOMINAL);
+    assert_eq!(expected(&[20, 25]), NOMINAL, "nothing is late yet");
+    assert_eq!(expected(&[90]), NOMINAL, "a single one may be stuck");
+    assert_eq!(expected(&[80, 80, 80, 80]), Micros::secs(100));
+}
+
+#[test]
+fn quick_boots_are_learned_and_forgotten() {
+    let mut boots = BootTimeEstimates::default();
+    for i in 0..4 {
+        boots.ended("x", Micros::secs(100 + i), Micros::secs(1));
+    }
+    let expected = |now: u64, ages: &[u64]| {
+        boots.expected(
+            "x",
+            NOMINAL,
+            Micros::secs(now),
+            ages.iter().map(|a| Micros::secs(*a)),
+        )
+    };
+    assert_eq!(expected(110, &[]), Micros::secs(1));
+    assert_eq!(
+        expected(110, &[5, 5, 5]),
+        NOMINAL,
+        "those that come now are not as quick"
+    );
+    assert_eq!(expected(300, &[]), NOMINAL);
+    assert_eq!(
+        expected(180, &[90, 90, 90, 90, 90, 90]),
+        Micros::secs(1),
+        "others came up meanwhile"
+    );
+}
--- a/src/bookkeeping/admission.rs
+++ b/src/scheduler/constraints.rs
@@ -4,12 +4,12 @@
 //! is judged machine by machine: images held, and tasks of other jobs beside. The latter holds in both
 //! directions. Nothing here is kept anywhere: it all follows from the rules and the records.
 
-use super::catalog::Catalog;
-use super::classes::{Class, ClassId, Classes};
-use super::ids::{JobId, MachineId};
-use super::job::JobSpec;
-use super::live::Job;
-use super::time::Micros;
+use crate::storage::catalog::Catalog;
+use crate::storage::ids::{JobId, MachineId};
+use crate::storage::job::JobSpec;
+use crate::storage::live_job::Job;
+use crate::storage::machine_classes::{Class, ClassId, Classes};
+use crate::time::Micros;
 use cometlead_constraints::clash::{RuleMask, smallest};
 use cometlead_constraints::expr::{Field, Words};
 use cometlead_constraints::judge::Empty;
@@ -94,17 +94,17 @@
 
 /// A hard rule.
 #[derive(Clone, Debug)]
-struct Hard {
+struct Requirement {
     name: String,
     /// What it asks about jobs beside, if it does.
-    beside: Vec<(Field, Words)>,
+    colocated: Vec<(Field, Words)>,
     /// By class.
     judged: Vec<Judged>,
 }
 
 /// A preference.
 #[derive(Clone, Debug)]
-pub struct Soft {
+pub struct Preference {
     /// Its name.
     pub name: String,
     /// How much it counts.
@@ -114,26 +114,26 @@
     judged: Vec<Judged>,
 }
 
-impl Soft {
+impl Preference {
     /// Whether machines of the class may meet it.
     pub fn may_meet(&self, class: ClassId) -> bool {
         self.judged.get(class).is_some_and(|j| *j != Judged::No)
     }
 }
 
-/// Preferences, as bits by their place in [`Admission::soft`].
-pub type Insisted = u64;
+/// Preferences, as bits by their place in [`JobConstraints::soft`].
+pub type RequiredPreferences = u64;
 
 /// What the rules that concern a job say to each class of machines.
 #[derive(Clone, Debug, Default)]
-pub struct Admission {
-    hard: Vec<Hard>,
+pub struct JobConstraints {
+    hard: Vec<Requirement>,
     /// All hard rules together, by class.
     together: Vec<Judged>,
     /// Preferences, the weightiest first, then by name: the same order on every controller.
-    pub soft: Vec<Soft>,
+    pub soft: Vec<Preference>,
     /// No machine that is up may run it now.
-    pub barred: bool,
+    pub unschedulable: bool,
     /// Why it waits, if that is for its rules.
     pub reason: Option<Arc<str>>,
 }
@@ -158,18 +158,22 @@
     concerning(spec, sets).iter().any(|(r, _)| r.is_hard())
 }
 
-impl Admission {
+impl JobConstraints {
     /// What rules say for a job; `None` if none concerns it. Of several sets in force, the last one's
     /// preferences count; hard rules hold of all. `classes`: the traits of every class.
-    pub fn of(spec: &JobSpec, sets: &[Arc<RuleSet>], classes: &[ClassTraits]) -> Option<Admission> {
+    pub fn of(
+        spec: &JobSpec,
+        sets: &[Arc<RuleSet>],
+        classes: &[ClassTraits],
+    ) -> Option<JobConstraints> {
         let rules = concerning(spec, sets);
         if rules.is_empty() {
             return None;
         }
         let last = sets.len().max(1) - 1;
-        let mut all = Admission {
+        let mut all = JobConstraints {
             together: vec![Judged::Yes; classes.len()],
-            ..Admission::default()
+            ..JobConstraints::default()
         };
         for (rule, under) in rules {
             let under = if rule.is_hard() {
@@ -193,20 +197,20 @@
                     for (t, j) in all.together.iter_mut().zip(&judged) {
                         *t = both(std::mem::replace(t, Judged::Yes), j.clone());
                     }
-                    let mut beside = Vec::new();
+                    let mut colocated = Vec::new();
                     rule.expr.tests(&mut |t| {
-                        if let Expr::Beside(field, words) = t {
-                            beside.push((*field, words.clone()));
+                        if let Expr::Colocated(field, words) = t {
+                            colocated.push((*field, words.clone()));
                         }
                     });
-                    all.hard.push(Hard {
+                    all.hard.push(Requirement {
                         name: rule.name.clone(),
-                        beside,
+                        colocated,
                         judged,
                     });
                 }
                 Kind::Prefer { weight, wait } => {
-                    all.soft.push(Soft {
+                    all.soft.push(Preference {
                         name: rule.name.clone(),
                         weight,
                         wait: Micros(wait),
@@ -217,41 +221,55 @@
         }
         all.soft
             .sort_by(|a, b| b.weight.cmp(&a.weight).then_with(|| a.name.cmp(&b.name)));
-        all.soft.truncate(Insisted::BITS as usize);
+        all.soft.truncate(RequiredPreferences::BITS as usize);
         Some(all)
     }
 
-    /// Whether a machine of the class may run it, as far as the class tells. `insisted`: preferences that
+    /// Whether a machine of the class may run it, as far as the class tells. `required_preferences`: preferences that
     /// are waited for.
-    pub fn may(&self, class: ClassId, insisted: Insisted) -> bool {
+    pub fn may(&self, class: ClassId, required_preferences: RequiredPreferences) -> bool {
         let no = |judged: &[Judged]| judged.get(class).is_none_or(|j| *j == Judged::No);
-        !no(&self.together) && !self.insisted(insisted).any(|s| no(&s.judged))
+        !no(&self.together)
+            && !self
+                .required_preferences(required_preferences)
+                .any(|s| no(&s.judged))
     }
 
     /// Whether a machine of the class that has just come up may run it.
-    pub fn may_fresh(&self, class: ClassId, insisted: Insisted) -> bool {
-        self.holds(class, insisted, &Empty)
+    pub fn may_fresh(&self, class: ClassId, required_preferences: RequiredPreferences) -> bool {
+        self.holds(class, required_preferences, &Empty)
     }
 
-    fn insisted(&self, insisted: Insisted) -> impl Iterator<Item = &Soft> {
+    fn required_preferences(
+        &self,
+        required_preferences: RequiredPreferences,
+    ) -> impl Iterator<Item = &Preference> {
         self.soft
             .iter()
             .enumerate()
-            .filter(move |(i, _)| insisted >> i & 1 == 1)
+            .filter(move |(i, _)| required_preferences >> i & 1 == 1)
             .map(|(_, s)| s)
     }
 
-    fn holds(&self, class: ClassId, insisted: Insisted, now: &dyn Now) -> bool {
+    fn holds(
+        &self,
+        class: ClassId,
+        required_preferences: RequiredPreferences,
+        now: &dyn Now,
+    ) -> bool {
         let holds = |judged: &[Judged]| judged.get(class).is_some_and(|j| j.holds(now));
-        holds(&self.together) && self.insisted(insisted).all(|s| holds(&s.judged))
+        holds(&self.together)
+            && self
+                .required_preferences(required_preferences)
+                .all(|s| holds(&s.judged))
     }
 
     /// The weights of the preferences that a machine that has just come up would meet, added up.
-    pub fn fresh_worth(&self, class: ClassId) -> u32 {
-        self.worth(class, &Empty)
+    pub fn score_when_empty(&self, class: ClassId) -> u32 {
+        self.score(class, &Empty)
     }
 
-    fn worth(&self, class: ClassId, now: &dyn Now) -> u32 {
+    fn score(&self, class: ClassId, now: &dyn Now) -> u32 {
         let met = self
             .soft
             .iter()
@@ -265,8 +283,8 @@
     }
 
     /// Whether a hard rule asks which jobs are beside.
-    pub fn asks_beside(&self) -> bool {
-        self.hard.iter().any(|h| !h.beside.is_empty())
+    pub fn tests_colocation(&self) -> bool {
+        self.hard.iter().any(|h| !h.colocated.is_empty())
     }
 
     /// Whether some preference is worth waiting for.
@@ -282,25 +300,25 @@
         possible: &[ClassId],
         waits: &dyn Fn(Micros) -> bool,
         in_time: &dyn Fn(ClassId, Micros) -> bool,
-    ) -> Insisted {
-        let mut insisted = 0;
+    ) -> RequiredPreferences {
+        let mut required_preferences = 0;
         for (i, s) in self.soft.iter().enumerate() {
-            let with = insisted | 1 << i;
+            let with = required_preferences | 1 << i;
             if s.wait > Micros::ZERO
                 && waits(s.wait)
                 && possible
                     .iter()
                     .any(|c| self.may(*c, with) && in_time(*c, s.wait))
             {
-                insisted = with;
+                required_preferences = with;
             }
         }
-        insisted
+        required_preferences
     }
 
     /// The hard rules that a class does not meet, as bits from `first` on.
     fn failing(&self, class: ClassId, first: usize) -> RuleMask {
-        let fails = |h: &Hard| h.judged.get(class).is_none_or(|j| *j == Judged::No);
+        let fails = |h: &Requirement| h.judged.get(class).is_none_or(|j| *j == Judged::No);
         mask(self.hard.iter().map(fails), first)
     }
 
@@ -366,7 +384,7 @@
 /// `None` if some machine could run it.
 pub fn clash(
     spec: &JobSpec,
-    admission: &Admission,
+    constraints: &JobConstraints,
     sets: &[Arc<RuleSet>],
     classes: &Classes,
     catalog: &Catalog,
@@ -379,7 +397,7 @@
         .enumerate()
         .filter(|(n, _)| classes.possible(*n))
     {
-        let fails = fields_failing(spec, class, catalog) | admission.failing(n, first);
+        let fails = fields_failing(spec, class, catalog) | constraints.failing(n, first);
         if fails == 0 {
             return None;
         }
@@ -407,7 +425,7 @@
                 machine: Some(m),
                 ..class.clone()
             };
-            let judged = Admission::of(spec, sets, &[traits(&class, sets, catalog)]);
+            let judged = JobConstraints::of(spec, sets, &[traits(&class, sets, catalog)]);
             let fails =
                 fields_failing(spec, &class, catalog) | judged.map_or(0, |a| a.failing(0, first));
             if fails == 0 {
@@ -418,7 +436,7 @@
     }
     let clash = smallest(&places)?;
     Some(
-        admission
+        constraints
             .names(clash, first)
             .into_iter()
             .map(str::to_owned)
@@ -428,18 +446,18 @@
 
 /// Everything that is judged machine by machine.
 #[derive(Clone, Copy, Debug)]
-pub struct House<'a> {
+pub struct PlacementContext<'a> {
     /// Live jobs.
     pub jobs: &'a HashMap<JobId, Job>,
     /// Those that some rule concerns.
-    pub admissions: &'a HashMap<JobId, Admission>,
+    pub job_constraints: &'a HashMap<JobId, JobConstraints>,
     /// Whether any rule asks what is beside.
-    pub beside: bool,
+    pub colocated: bool,
 }
 
 /// A machine, as far as rules ask what is on it now.
 #[derive(Clone, Copy, Debug)]
-pub struct Site<'a> {
+pub struct MachineContext<'a> {
     /// Its class.
     pub class: ClassId,
     /// Images that it has or is fetching.
@@ -448,14 +466,14 @@
     pub fetches: Option<&'a str>,
     /// Jobs that have tasks there.
     pub there: &'a [JobId],
-    /// Whether rules of some of them ask what is beside, see [`House::guards`].
-    pub guarded: bool,
+    /// Whether rules of some of them ask what is beside, see [`PlacementContext::excludes_newcomers`].
+    pub has_exclusions: bool,
 }
 
 /// What a job finds on a machine.
 struct Found<'a> {
-    house: &'a House<'a>,
-    site: Site<'a>,
+    context: &'a PlacementContext<'a>,
+    machine_context: MachineContext<'a>,
     job: JobId,
     image: &'a str,
     /// One more job that is to come there.
@@ -474,7 +492,12 @@
 
 impl Found<'_> {
     fn has(&self, image: &str) -> bool {
-        self.site.fetches == Some(image) || self.site.images.iter().any(|(n, _)| **n == *image)
+        self.machine_context.fetches == Some(image)
+            || self
+                .machine_context
+                .images
+                .iter()
+                .any(|(n, _)| **n == *image)
     }
 }
 
@@ -488,105 +511,117 @@
     }
 
     fn beside(&self, field: Field, words: &Words) -> bool {
-        let there = self.site.there.iter().filter(|j| **j != self.job);
-        let known = there.filter_map(|j| Some((*j, self.house.jobs.get(j)?.spec())));
+        let there = self
+            .machine_context
+            .there
+            .iter()
+            .filter(|j| **j != self.job);
+        let known = there.filter_map(|j| Some((*j, self.context.jobs.get(j)?.spec())));
         known
             .chain(self.comes)
             .any(|(id, spec)| is_of(spec, id, field, words))
     }
 }
 
-impl House<'_> {
+impl PlacementContext<'_> {
     /// Whether rules of a job ask what is beside, so that others may have to stay away from where it is.
-    pub fn guards(&self, job: JobId) -> bool {
-        self.beside
+    pub fn excludes_newcomers(&self, job: JobId) -> bool {
+        self.colocated
             && self
-                .admissions
+                .job_constraints
                 .get(&job)
-                .is_some_and(Admission::asks_beside)
+                .is_some_and(JobConstraints::tests_colocation)
     }
 
     /// Whether rules let a task of a job on a machine: its own, and those of the jobs that are there.
     pub fn admits(
         &self,
         (job, spec): (JobId, &JobSpec),
-        admission: Option<&Admission>,
-        insisted: Insisted,
-        site: Site<'_>,
+        constraints: Option<&JobConstraints>,
+        required_preferences: RequiredPreferences,
+        machine_context: MachineContext<'_>,
     ) -> bool {
         let found = Found {
-            house: self,
-            site,
+            context: self,
+            machine_context,
             job,
             image: &spec.image,
             comes: None,
         };
-        admission.is_none_or(|a| a.holds(site.class, insisted, &found))
-            && (!site.guarded
-                || site
-                    .there
-                    .iter()
-                    .all(|other| *other == job || self.bears(*other, (job, spec), site)))
+        constraints.is_none_or(|a| a.holds(machine_context.class, required_preferences, &found))
+            && (!machine_context.has_exclusions
+                || machine_context.there.iter().all(|other| {
+                    *other == job || self.admits_newcomer(*other, (job, spec), machine_context)
+                }))
     }
 
     /// Whether the rules of a job that has tasks on a machine let another job come there.
-    fn bears(&self, there: JobId, comes: (JobId, &JobSpec), site: Site<'_>) -> bool {
-        let Some(admission) = self.admissions.get(&there) else {
+    fn admits_newcomer(
+        &self,
+        there: JobId,
+        comes: (JobId, &JobSpec),
+        machine_context: MachineContext<'_>,
+    ) -> bool {
+        let Some(constraints) = self.job_constraints.get(&there) else {
             return true;
         };
         let image = self.jobs.get(&there).map_or("", |j| &j.spec().image);
         let found = Found {
-            house: self,
-            site,
+            context: self,
+            machine_context,
             job: there,
             image,
             comes: Some(comes),
         };
-        admission.hard.iter().all(|h| {
+        constraints.hard.iter().all(|h| {
             let concerned = h
-                .beside
+                .colocated
                 .iter()
                 .any(|(field, words)| is_of(comes.1, comes.0, *field, words));
-            !concerned || h.judged.get(site.class).is_some_and(|j| j.holds(&found))
+            !concerned
+                || h.judged
+                    .get(machine_context.class)
+                    .is_some_and(|j| j.holds(&found))
         })
     }
 
     /// The weights of the preferences that a machine meets, added up.
-    pub fn worth(
+    pub fn score(
         &self,
         (job, spec): (JobId, &JobSpec),
-        admission: Option<&Admission>,
-        site: Site<'_>,
+        constraints: Option<&JobConstraints>,
+        machine_context: MachineContext<'_>,
     ) -> u32 {
         let found = Found {
-            house: self,
-            site,
+            context: self,
+            machine_context,
             job,
             image: &spec.image,
             comes: None,
         };
-        admission.map_or(0, |a| a.worth(site.class, &found))
+        constraints.map_or(0, |a| a.score(machine_context.class, &found))
     }
 
     /// The hard rules that a machine does not meet now, as bits.
     fn failing_now(
         &self,
         (job, spec): (JobId, &JobSpec),
-        admission: &Admission,
-        site: Site<'_>,
+        constraints: &JobConstraints,
+        machine_context: MachineContext<'_>,
     ) -> RuleMask {
         let found = Found {
-            house: self,
-            site,
+            context: self,
+            machine_context,
             job,
             image: &spec.image,
             comes: None,
         };
         mask(
-            admission
-                .hard
-                .iter()
-                .map(|h| !h.judged.get(site.class).is_some_and(|j| j.holds(&found))),
+            constraints.hard.iter().map(|h| {
+                !h.judged
+                    .get(machine_context.class)
+                    .is_some_and(|j| j.holds(&found))
+            }),
             0,
         )
     }
@@ -594,16 +629,18 @@
     /// The smallest set of a job's hard rules that keeps it from every one of these machines, by name; `None`
     /// if some machine meets all of them. What keeps it away may also be a rule of a job that is there: such
     /// a machine is left out.
-    pub fn kept_from<'s>(
+    pub fn blocking_rules<'s>(
         &self,
         job: (JobId, &JobSpec),
-        admission: &Admission,
-        sites: impl Iterator<Item = Site<'s>>,
+        constraints: &JobConstraints,
+        sites: impl Iterator<Item = MachineContext<'s>>,
     ) -> Option<Vec<String>> {
-        let places: Vec<RuleMask> = sites.map(|s| self.failing_now(job, admission, s)).collect();
+        let places: Vec<RuleMask> = sites
+            .map(|s| self.failing_now(job, constraints, s))
+            .collect();
         let clash = smallest(&places)?;
         Some(
-            admission
+            constraints
                 .names(clash, 0)
                 .into_iter()
                 .map(str::to_owned)
--- a/src/bookkeeping/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,21 +1,23 @@
 //! Where tasks go: a pure plan on a set of machines.
 
-use super::admission::{Admission, House, Insisted, Site};
-use super::amount::Amount;
-use super::classes::ClassId;
-use super::ids::{JobId, MachineId};
-use super::job::{JobSpec, Priority};
-use super::records::Booking;
+use crate::scheduler::constraints::{
+    JobConstraints, MachineContext, PlacementContext, RequiredPreferences,
+};
+use crate::storage::ids::{JobId, MachineId};
+use crate::storage::job::{JobSpec, Priority};
+use crate::storage::machine_classes::ClassId;
+use crate::storage::records::Assignment;
+use crate::storage::resources::Amount;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::sync::Arc;
 
 /// A machine that takes bookings.
 #[derive(Clone, Debug)]
-pub struct Slot<'a> {
+pub struct Candidate<'a> {
     /// The machine.
     pub machine: MachineId,
-    /// Number of the record that holds it, in [`Groups`].
+    /// Number of the record that holds it, in [`GroupAllowance`].
     pub group: usize,
     /// Who answers its worker, by some number that jobs use as well.
     pub owner: usize,
@@ -32,7 +34,7 @@
     /// Room left.
     pub free: Amount,
     /// Kept for a job that found no room and comes before others.
-    pub kept: bool,
+    pub reserved: bool,
     /// Images that it has or is fetching.
     pub images: &'a [(Arc<str>, u64)],
     /// An image that this plan lets it fetch.
@@ -44,17 +46,17 @@
     /// Jobs that have tasks there, where rules ask for them.
     pub there: Vec<JobId>,
     /// Whether rules of some of them ask what is beside.
-    pub guarded: bool,
+    pub has_exclusions: bool,
 }
 
-impl Slot<'_> {
-    fn site(&self) -> Site<'_> {
-        Site {
+impl Candidate<'_> {
+    fn machine_context(&self) -> MachineContext<'_> {
+        MachineContext {
             class: self.class,
             images: self.images,
             fetches: self.fetches,
             there: &self.there,
-            guarded: self.guarded,
+            has_exclusions: self.has_exclusions,
         }
     }
 
@@ -65,14 +67,14 @@
 
 /// Records that a round may write: each one more is a change, and of changes there are few.
 #[derive(Clone, Debug, Default)]
-pub struct Groups {
+pub struct GroupAllowance {
     /// Whether the round writes it.
     pub open: Vec<bool>,
     /// How many more it may open.
     pub left: usize,
 }
 
-impl Groups {
+impl GroupAllowance {
     fn may(&self, group: usize) -> bool {
         self.left > 0 || self.open[group]
     }
@@ -93,7 +95,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Running {
     /// Its booking.
-    pub booking: Booking,
+    pub assignment: Assignment,
     /// What it takes.
     pub need: Amount,
     /// How urgent it is.
@@ -104,7 +106,7 @@
 
 /// Tasks of one job that want a place.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct PlacementRequest<'a> {
     /// The job.
     pub job: JobId,
     /// What was asked for.
@@ -129,9 +131,9 @@
     /// It is work within its team's guarantee.
     pub guaranteed: bool,
     /// Takes what is free, and has nothing kept for it.
-    pub modest: bool,
+    pub takes_leftovers: bool,
     /// All or nothing.
-    pub whole: bool,
+    pub all_or_nothing: bool,
     /// Machines to leave to others if any other will do.
     pub avoid: &'a [MachineId],
     /// The rules that have a say.
@@ -142,50 +144,57 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Rules<'a> {
     /// What they ask about the present.
-    pub house: &'a House<'a>,
+    pub context: &'a PlacementContext<'a>,
     /// What those that concern the job say; others may concern what is on the machines.
-    pub admission: Option<&'a Admission>,
+    pub constraints: Option<&'a JobConstraints>,
     /// Preferences that are waited for.
-    pub insisted: Insisted,
+    pub required_preferences: RequiredPreferences,
 }
 
-impl Ask<'_> {
-    fn takes(&self, s: &Slot<'_>) -> bool {
-        self.suits(s) && self.admitted(s)
+impl PlacementRequest<'_> {
+    fn is_feasible(&self, s: &Candidate<'_>) -> bool {
+        self.matches_request(s) && self.admitted(s)
     }
 
     /// Whether the machine is one that it asks for.
-    fn suits(&self, s: &Slot<'_>) -> bool {
+    fn matches_request(&self, s: &Candidate<'_>) -> bool {
         s.price <= self.price_limit && self.spec.allows(s.machine_type, s.zone, s.spot)
     }
 
     /// Whether rules let it on the machine.
-    fn admitted(&self, s: &Slot<'_>) -> bool {
+    fn admitted(&self, s: &Candidate<'_>) -> bool {
         self.rules.is_none_or(|r| {
-            r.house
-                .admits((self.job, self.spec), r.admission, r.insisted, s.site())
+            r.context.admits(
+                (self.job, self.spec),
+                r.constraints,
+                r.required_preferences,
+                s.machine_context(),
+            )
         })
     }
 
     /// The same, as far as the machine's class tells.
-    fn class_admitted(&self, s: &Slot<'_>) -> bool {
+    fn class_admitted(&self, s: &Candidate<'_>) -> bool {
         self.rules
-            .and_then(|r| r.admission.map(|a| (a, r.insisted)))
+            .and_then(|r| r.constraints.map(|a| (a, r.required_preferences)))
             .is_none_or(|(a, i)| a.may(s.class, i))
     }
 
     /// How much its preferences make of the machine.
-    fn worth(&self, s: &Slot<'_>) -> u32 {
+    fn score(&self, s: &Candidate<'_>) -> u32 {
         self.rules.map_or(0, |r| {
-            r.house.worth((self.job, self.spec), r.admission, s.site())
+            r.context
+                .score((self.job, self.spec), r.constraints, s.machine_context())
         })
     }
 
     /// Notes that tasks of it go to the machine, if rules ask.
-    fn comes_to(&self, s: &mut Slot<'_>) {
-        if self.rules.is_some_and(|r| r.house.beside) && !s.there.contains(&self.job) {
+    fn add_to(&self, s: &mut Candidate<'_>) {
+        if self.rules.is_some_and(|r| r.context.colocated) && !s.there.contains(&self.job) {
             s.there.push(self.job);
-            s.guarded |= self.rules.is_some_and(|r| r.house.guards(self.job));
+            s.has_exclusions |= self
+                .rules
+                .is_some_and(|r| r.context.excludes_newcomers(self.job));
         }
     }
 }
@@ -203,11 +212,11 @@
 
 /// Tasks to be booked on a machine in the room of others that are stopped for them.
 #[derive(Clone, Debug)]
-pub struct Takeover {
+pub struct Preemption {
     /// The machine.
     pub machine: MachineId,
     /// What is stopped.
-    pub victims: Vec<Booking>,
+    pub victims: Vec<Assignment>,
     /// What is booked.
     pub claims: Vec<Claim>,
 }
@@ -216,41 +225,41 @@
 /// the latest started first, and of all machines the one where the least is lost. `running`: what
 /// could be stopped on a machine.
 pub fn preempt(
-    slots: &mut [Slot<'_>],
-    asks: &[Ask<'_>],
+    candidates: &mut [Candidate<'_>],
+    requests: &[PlacementRequest<'_>],
     claims: &[Claim],
     most: usize,
     running: &dyn Fn(MachineId) -> Vec<Running>,
-) -> Vec<Takeover> {
-    let mut takeovers: Vec<Takeover> = Vec::new();
+) -> Vec<Preemption> {
+    let mut takeovers: Vec<Preemption> = Vec::new();
     let mut looked = false;
-    for ask in asks.iter().filter(|a| {
-        a.mine && a.preempts && !a.whole && !a.spec.single_zone && !a.spec.anti_affinity
+    for request in requests.iter().filter(|a| {
+        a.mine && a.preempts && !a.all_or_nothing && !a.spec.single_zone && !a.spec.anti_affinity
     }) {
-        let placed = claims.iter().filter(|c| c.job == ask.job).count() as u64;
-        let mut left = (ask.tasks.len() as u64)
-            .min(ask.most)
+        let placed = claims.iter().filter(|c| c.job == request.job).count() as u64;
+        let mut left = (request.tasks.len() as u64)
+            .min(request.most)
             .saturating_sub(placed);
         if left > 0 && !std::mem::replace(&mut looked, true) {
-            for s in slots.iter_mut() {
+            for s in candidates.iter_mut() {
                 s.running = running(s.machine);
             }
         }
-        let mut next = ask.tasks[placed as usize..].iter();
+        let mut next = request.tasks[placed as usize..].iter();
         while left > 0 && takeovers.len() < most {
-            let best = slots
+            let best = candidates
                 .iter()
                 .enumerate()
-                .filter(|(_, s)| ask.takes(s) && ask.spec.need.fits(&s.all))
+                .filter(|(_, s)| request.is_feasible(s) && request.spec.need.fits(&s.all))
                 .filter_map(|(i, s)| {
-                    let (victims, room, n) = victims(s, ask, left)?;
+                    let (victims, room, n) = victims(s, request, left)?;
                     let lost: u64 = s.running[s.running.len() - victims..]
                         .iter()
                         .map(|r| r.need.cores)
                         .sum();
                     // Stopping much for little is not worth what is lost.
-                    let gained = n * ask.spec.need.cores;
-                    let no_image = !s.has_image(&ask.spec.image);
+                    let gained = n * request.spec.need.cores;
+                    let no_image = !s.has_image(&request.spec.image);
                     (lost <= gained * 4).then_some((
                         (no_image, lost * 16 / gained.max(1), s.machine),
                         i,
@@ -263,23 +272,27 @@
             let Some((_, i, n, count, room)) = best else {
                 break;
             };
-            let slot = &mut slots[i];
-            slot.free = room;
-            slot.free -= ask.spec.need.times(n);
-            ask.comes_to(slot);
-            let from = slot.running.len() - count;
-            let victims = slot.running.drain(from..).map(|r| r.booking).collect();
-            let machine = slot.machine;
+            let candidate = &mut candidates[i];
+            candidate.free = room;
+            candidate.free -= request.spec.need.times(n);
+            request.add_to(candidate);
+            let from = candidate.running.len() - count;
+            let victims = candidate
+                .running
+                .drain(from..)
+                .map(|r| r.assignment)
+                .collect();
+            let machine = candidate.machine;
             let claims = next
                 .by_ref()
                 .take(n as usize)
                 .map(|index| Claim {
-                    job: ask.job,
+                    job: request.job,
                     index: *index,
                     machine,
                 })
                 .collect();
-            takeovers.push(Takeover {
+            takeovers.push(Preemption {
                 machine,
                 victims,
                 claims,
@@ -292,17 +305,21 @@
 
 /// How many of the latest started must be stopped for as many as `most` more tasks, the room that there
 /// is then, and how many tasks have it.
-fn victims(slot: &Slot<'_>, ask: &Ask<'_>, most: u64) -> Option<(usize, Amount, u64)> {
-    let mut room = slot.free;
+fn victims(
+    candidate: &Candidate<'_>,
+    request: &PlacementRequest<'_>,
+    most: u64,
+) -> Option<(usize, Amount, u64)> {
+    let mut room = candidate.free;
     let mut best = None;
     let mut fit = 0;
-    for (i, r) in slot.running.iter().rev().enumerate() {
-        let may = r.priority > ask.priority || (r.borrowed && ask.guaranteed);
+    for (i, r) in candidate.running.iter().rev().enumerate() {
+        let may = r.priority > request.priority || (r.borrowed && request.guaranteed);
         if !may || fit >= most {
             break;
         }
         room += r.need;
-        let n = ask.spec.need.times_in(&room, most);
+        let n = request.spec.need.times_in(&room, most);
         if n > fit {
             fit = n;
             best = Some((i + 1, room, n));
@@ -313,43 +330,48 @@
 
 /// Places what fits, in the order of the asks; takes the room from the slots.
 pub fn plan<'a>(
-    slots: &mut [Slot<'a>],
-    asks: &mut [Ask<'a>],
-    groups: &mut Groups,
+    candidates: &mut [Candidate<'a>],
+    requests: &mut [PlacementRequest<'a>],
+    groups: &mut GroupAllowance,
     most: usize,
 ) -> Vec<Claim> {
     let mut claims = Vec::new();
     // Room only becomes less while planning: what is full now is not looked at again.
-    let mut live: Vec<usize> = (0..slots.len())
-        .filter(|i| slots[*i].free.cores > 0)
+    let mut live: Vec<usize> = (0..candidates.len())
+        .filter(|i| candidates[*i].free.cores > 0)
         .collect();
     // So what was looked for in vain need not be looked for again.
     let mut vain: Vec<Shape<'a>> = Vec::new();
     // The others' claims only take room here. Beyond some number they are no longer worth following.
     let mut followed = 0;
-    for ask in asks {
-        live.retain(|i| !slots[*i].kept && slots[*i].free.cores > 0);
+    for request in requests {
+        live.retain(|i| !candidates[*i].reserved && candidates[*i].free.cores > 0);
         if claims.len() >= most || live.is_empty() {
             break;
         }
-        if !ask.mine && followed >= most {
+        if !request.mine && followed >= most {
             continue;
         }
         let begun = claims.len();
-        let shape = Shape::of(ask);
+        let shape = Shape::of(request);
         if shape.is_none_or(|s| !vain.contains(&s)) {
-            let found = place_job(slots, &live, ask, groups, most, &mut claims);
+            let found = place_job(candidates, &live, request, groups, most, &mut claims);
             vain.extend(shape.filter(|_| !found));
         }
         let placed = claims.len() - begun;
-        if ask.whole && placed < ask.tasks.len() {
+        if request.all_or_nothing && placed < request.tasks.len() {
             if placed > 0 {
                 vain.clear();
             }
-            take_back(slots, ask, &mut claims, begun);
+            take_back(candidates, request, &mut claims, begun);
         }
-        keep(slots, &live, ask, (ask.tasks.len() - placed) as u64);
-        if !ask.mine {
+        reserve(
+            candidates,
+            &live,
+            request,
+            (request.tasks.len() - placed) as u64,
+        );
+        if !request.mine {
             followed += placed;
             claims.truncate(begun);
         }
@@ -358,12 +380,17 @@
 }
 
 /// Gives back the room of a set that could not be placed whole.
-fn take_back(slots: &mut [Slot<'_>], ask: &Ask<'_>, claims: &mut Vec<Claim>, begun: usize) {
+fn take_back(
+    candidates: &mut [Candidate<'_>],
+    request: &PlacementRequest<'_>,
+    claims: &mut Vec<Claim>,
+    begun: usize,
+) {
     for c in claims.drain(begun..) {
-        if let Some(s) = slots.iter_mut().find(|s| s.machine == c.machine) {
-            s.free += ask.spec.need;
+        if let Some(s) = candidates.iter_mut().find(|s| s.machine == c.machine) {
+            s.free += request.spec.need;
             // Nothing of it was booked before.
-            s.there.retain(|j| *j != ask.job);
+            s.there.retain(|j| *j != request.job);
         }
     }
 }
@@ -381,56 +408,56 @@
 
 impl<'a> Shape<'a> {
     /// None where more has a say: rules, or the zone of its other tasks.
-    fn of(ask: &Ask<'a>) -> Option<Shape<'a>> {
-        let spec = ask.spec;
+    fn of(request: &PlacementRequest<'a>) -> Option<Shape<'a>> {
+        let spec = request.spec;
         let shape = Shape {
             need: spec.need,
             machine_types: spec.machine_types.as_deref(),
             zone: spec.zone.as_deref(),
             spot: spec.spot_allowed,
-            price_limit: ask.price_limit,
-            mine: ask.mine,
+            price_limit: request.price_limit,
+            mine: request.mine,
         };
-        (ask.rules.is_none() && !spec.single_zone).then_some(shape)
+        (request.rules.is_none() && !spec.single_zone).then_some(shape)
     }
 }
 
 /// Places tasks of a job; whether any machine has room for one.
 fn place_job<'a>(
-    slots: &mut [Slot<'a>],
+    candidates: &mut [Candidate<'a>],
     live: &[usize],
-    ask: &mut Ask<'a>,
-    groups: &mut Groups,
+    request: &mut PlacementRequest<'a>,
+    groups: &mut GroupAllowance,
     most: usize,
     claims: &mut Vec<Claim>,
 ) -> bool {
-    let mut zone = ask
+    let mut zone = request
         .zones
         .keys()
         .next()
         .copied()
-        .filter(|_| ask.spec.single_zone);
-    if ask.spec.single_zone && zone.is_none() {
-        zone = roomiest_zone(slots, ask);
+        .filter(|_| request.spec.single_zone);
+    if request.spec.single_zone && zone.is_none() {
+        zone = roomiest_zone(candidates, request);
     }
-    let fits = |s: &Slot<'_>| {
-        ask.spec.need.fits(&s.free)
-            && ask.suits(s)
+    let fits = |s: &Candidate<'_>| {
+        request.spec.need.fits(&s.free)
+            && request.matches_request(s)
             && zone.is_none_or(|z| z == s.zone)
-            && (!ask.mine || groups.may(s.group))
-            && ask.class_admitted(s)
+            && (!request.mine || groups.may(s.group))
+            && request.class_admitted(s)
     };
     // What preferences make of it, then the image's machine, else the fullest that fits. Among machines
     // alike in this, those that this controller answers come first: their tasks' ends then go out with its own claims.
-    let rank = |s: &Slot<'_>| {
-        let avoided = ask.avoid.contains(&s.machine);
-        let far = s.owner != ask.owner;
+    let rank = |s: &Candidate<'_>| {
+        let avoided = request.avoid.contains(&s.machine);
+        let far = s.owner != request.owner;
         let new = !groups.open[s.group];
-        let worth = ask.worth(s);
+        let score = request.score(s);
         (
             avoided,
-            Reverse(worth),
-            !s.has_image(&ask.spec.image),
+            Reverse(score),
+            !s.has_image(&request.spec.image),
             far,
             s.free.cores,
             s.free.memory,
@@ -443,42 +470,42 @@
     // until it is full: one ranking serves all tasks of the job.
     let mut best: BinaryHeap<_> = live
         .iter()
-        .filter(|i| fits(&slots[**i]))
-        .map(|i| Reverse((rank(&slots[*i]), *i)))
+        .filter(|i| fits(&candidates[**i]))
+        .map(|i| Reverse((rank(&candidates[*i]), *i)))
         .collect();
     let found = !best.is_empty();
-    let mut tasks = ask
+    let mut tasks = request
         .tasks
         .iter()
-        .take(ask.most.min(most as u64) as usize)
+        .take(request.most.min(most as u64) as usize)
         .peekable();
     while tasks.peek().is_some() && claims.len() < most {
         let Some(Reverse((_, at))) = best.pop() else {
             break;
         };
-        let slot = &mut slots[at];
+        let candidate = &mut candidates[at];
         // What is on it now is only looked at once its turn has come: most machines' never does.
-        if !ask.admitted(slot) || ask.mine && !groups.take(slot.group) {
+        if !request.admitted(candidate) || request.mine && !groups.take(candidate.group) {
             continue;
         }
         let before = claims.len();
-        let in_zone = ask.zones.entry(slot.zone).or_default();
-        let limit = ask.spec.zone_limit();
-        while ask.spec.need.fits(&slot.free) && *in_zone < limit && claims.len() < most {
+        let in_zone = request.zones.entry(candidate.zone).or_default();
+        let limit = request.spec.zone_limit();
+        while request.spec.need.fits(&candidate.free) && *in_zone < limit && claims.len() < most {
             let Some(index) = tasks.next() else {
                 break;
             };
-            slot.free -= ask.spec.need;
-            slot.fetches = Some(&ask.spec.image);
+            candidate.free -= request.spec.need;
+            candidate.fetches = Some(&request.spec.image);
             *in_zone += 1;
             claims.push(Claim {
-                job: ask.job,
+                job: request.job,
                 index: *index,
-                machine: slot.machine,
+                machine: candidate.machine,
             });
         }
         if claims.len() > before {
-            ask.comes_to(slot);
+            request.add_to(candidate);
         }
     }
     found
@@ -486,36 +513,59 @@
 
 /// Keeps the machines nearest to having room for what found none, so that smaller tasks of lower
 /// precedence do not nibble at them for ever.
-fn keep(slots: &mut [Slot<'_>], live: &[usize], ask: &Ask<'_>, missing: u64) {
-    let mut missing = missing.min(ask.most);
-    if missing == 0 || ask.modest {
+fn reserve(
+    candidates: &mut [Candidate<'_>],
+    live: &[usize],
+    request: &PlacementRequest<'_>,
+    missing: u64,
+) {
+    let mut missing = missing.min(request.most);
+    if missing == 0 || request.takes_leftovers {
         return;
     }
-    let fits = |s: &Slot<'_>| ask.spec.need.fits(&s.all) && ask.takes(s);
-    let nearest: Vec<usize> = live.iter().copied().filter(|i| fits(&slots[*i])).collect();
-    if !ask.whole && nearest.iter().any(|i| ask.spec.need.fits(&slots[*i].free)) {
+    let fits = |s: &Candidate<'_>| request.spec.need.fits(&s.all) && request.is_feasible(s);
+    let nearest: Vec<usize> = live
+        .iter()
+        .copied()
+        .filter(|i| fits(&candidates[*i]))
+        .collect();
+    if !request.all_or_nothing
+        && nearest
+            .iter()
+            .any(|i| request.spec.need.fits(&candidates[*i].free))
+    {
         // There is room; it is the round that cannot take more.
         return;
     }
     // A few of many are wanted: they are not sorted.
-    let near = |i: usize| (slots[i].free.cores, slots[i].free.memory, Reverse(i), i);
+    let near = |i: usize| {
+        (
+            candidates[i].free.cores,
+            candidates[i].free.memory,
+            Reverse(i),
+            i,
+        )
+    };
     let mut nearest: BinaryHeap<_> = nearest.into_iter().map(near).collect();
-    for _ in 0..slots.len().div_ceil(3) {
+    for _ in 0..candidates.len().div_ceil(3) {
         let Some((.., i)) = nearest.pop().filter(|_| missing > 0) else {
             return;
         };
-        let slot = &mut slots[i];
-        slot.kept = true;
-        missing = missing.saturating_sub(ask.spec.need.times_in(&slot.all, missing));
+        let candidate = &mut candidates[i];
+        candidate.reserved = true;
+        missing = missing.saturating_sub(request.spec.need.times_in(&candidate.all, missing));
     }
 }
 
-fn roomiest_zone<'a>(slots: &[Slot<'a>], ask: &Ask<'_>) -> Option<&'a str> {
-    let spec = ask.spec;
+fn roomiest_zone<'a>(
+    candidates: &[Candidate<'a>],
+    request: &PlacementRequest<'_>,
+) -> Option<&'a str> {
+    let spec = request.spec;
     let mut room: BTreeMap<&str, u64> = BTreeMap::new();
-    for s in slots
+    for s in candidates
         .iter()
-        .filter(|s| spec.allows(s.machine_type, s.zone, s.spot) && ask.admitted(s))
+        .filter(|s| spec.allows(s.machine_type, s.zone, s.spot) && request.admitted(s))
     {
         *room.entry(s.zone).or_default() += spec.need.times_in(&s.free, spec.task_count.into());
     }
@@ -523,86 +573,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use rand::rngs::StdRng;
-    use rand::{RngExt, SeedableRng};
-
-    /// Jobs whose shape found no room are passed over, and that changes no plan: with price limits that differ, and
-    /// forbid nothing, all are looked for.
-    #[test]
-    fn passing_over_shapes_changes_nothing() {
-        let record = |text: String| serde_json::from_str::<JobSpec>(&text).expect("a job");
-        for seed in 0..400 {
-            let mut rng = StdRng::seed_from_u64(seed);
-            let specs: Vec<JobSpec> = (0..30)
-                .map(|_| {
-                    let set = if rng.random_range(0..6) == 0 { r#""q":true,"# } else { "" };
-                    let zone = if rng.random_range(0..5) == 0 { r#""y":"a","# } else { "" };
-                    let (n, cores) = (rng.random_range(1..6), rng.random_range(1..5));
-                    record(format!(
-                        r#"{{"l":"x","w":"t","u":"2","n":{n},{set}{zone}"r":{{"c":{cores}000}},"i":"i","g":1}}"#
-                    ))
-                })
-                .collect();
-            let free: Vec<u64> = (0..12).map(|_| rng.random_range(0..6) * 1_000).collect();
-            let mine: Vec<bool> = specs.iter().map(|_| rng.random()).collect();
-            let planned = |differ: bool| {
-                let slot = |(i, free): (usize, &u64)| Slot {
-                    machine: MachineId(i as u64),
-                    group: i / 3,
-                    owner: i % 2,
-                    machine_type: "small",
-                    zone: if i % 2 == 0 { "a" } else { "b" },
-                    spot: false,
-                    price: 1,
-                    all: Amount {
-                        cores: 6_000,
-                        accelerators: 0,
-                        memory: 0,
-                    },
-                    free: Amount {
-                        cores: *free,
-                        accelerators: 0,
-                        memory: 0,
-                    },
-                    kept: false,
-                    images: &[],
-                    fetches: None,
-                    running: Vec::new(),
-                    class: 0,
-                    guarded: false,
-                    there: Vec::new(),
-                };
-                let mut slots: Vec<Slot<'_>> = free.iter().enumerate().map(slot).collect();
-                let mut asks: Vec<Ask<'_>> = specs
-                    .iter()
-                    .enumerate()
-                    .map(|(i, spec)| Ask {
-                        job: JobId(i as u64),
-                        spec,
-                        priority: spec.priority,
-                        tasks: (0..spec.task_count).collect(),
-                        zones: BTreeMap::new(),
-                        most: u64::MAX,
-                        price_limit: u64::MAX - if differ { i as u64 } else { 0 },
-                        owner: 0,
-                        mine: mine[i],
-                        preempts: false,
-                        guaranteed: false,
-                        modest: false,
-                        whole: spec.together(),
-                        avoid: &[],
-                        rules: None,
-                    })
-                    .collect();
-                let mut groups = Groups {
-                    open: vec![false; 4],
-                    left: 3,
-                };
-                plan(&mut slots, &mut asks, &mut groups, 20)
-            };
-            assert_eq!(planned(false), planned(true), "seed {seed}");
-        }
-    }
-}
+mod tests;
--- a/src/bookkeeping/fleet.rs
+++ b/src/scheduler/provisioning.rs
@@ -1,15 +1,15 @@
 //! What to hire: a pure plan from what waits and what there is.
 
-use super::amount::Amount;
-use super::catalog::{Catalog, MachineType};
-use super::classes::ClassId;
-use super::ids::MachineId;
-use super::job::JobSpec;
-use super::time::Micros;
+use crate::storage::catalog::{Catalog, MachineType};
+use crate::storage::ids::MachineId;
+use crate::storage::job::JobSpec;
+use crate::storage::machine_classes::ClassId;
+use crate::storage::resources::Amount;
+use crate::time::Micros;
 use std::cmp::Reverse;
 
 /// What rules make of machines, for one job.
-pub trait Places {
+pub trait PlacementFilter {
     /// Whether machines of a class may run it, as far as the class tells.
     fn class(&self, class: ClassId) -> bool;
     /// Whether a machine may run it as it is now; one that is still to come up is nobody yet.
@@ -31,12 +31,12 @@
     /// Most that a core of a machine may cost, see [`price_limit`].
     pub price_limit: u64,
     /// What rules say, if any concern it.
-    pub places: Option<Box<dyn Places + 'a>>,
+    pub places: Option<Box<dyn PlacementFilter + 'a>>,
 }
 
 impl Demand<'_> {
     /// Whether the machines of a pool may run it.
-    fn takes(&self, p: &Pool<'_>) -> bool {
+    fn is_feasible(&self, p: &MachinePool<'_>) -> bool {
         self.spec.allows(p.machine_type, p.zone, p.spot)
             && self
                 .places
@@ -45,7 +45,7 @@
     }
 
     /// What a machine hired for it would be worth to its preferences; `None` if it may not run it.
-    fn worth(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u32> {
+    fn score(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u32> {
         if !self.spec.allows(machine_type, zone, spot) {
             return None;
         }
@@ -57,7 +57,7 @@
 
 /// Machines of one type, zone and kind that are up, or are expected to be.
 #[derive(Clone, Debug)]
-pub struct Pool<'a> {
+pub struct MachinePool<'a> {
     /// Type.
     pub machine_type: &'a str,
     /// Zone.
@@ -80,9 +80,9 @@
 
 /// All machines.
 #[derive(Clone, Debug, Default)]
-pub struct Pools<'a>(Vec<Pool<'a>>);
+pub struct MachinePools<'a>(Vec<MachinePool<'a>>);
 
-impl<'a> Pools<'a> {
+impl<'a> MachinePools<'a> {
     /// Adds machines with this much room left and this much work booked on each.
     pub fn add(
         &mut self,
@@ -93,7 +93,7 @@
         free: Option<(Amount, Option<MachineId>)>,
         work: u128,
     ) {
-        let same = |p: &Pool<'_>| {
+        let same = |p: &MachinePool<'_>| {
             p.spot == spot && p.machine_type == machine_type && p.zone == zone && p.class == class
         };
         let at = self.0.iter().position(same);
@@ -101,7 +101,7 @@
             let kind = catalog.get(machine_type);
             let all = kind.map_or(Amount::default(), |t| t.room);
             let price = kind.map_or(0, |t| core_price(t, spot));
-            self.0.push(Pool {
+            self.0.push(MachinePool {
                 machine_type,
                 zone,
                 spot,
@@ -124,7 +124,7 @@
     }
 }
 
-impl Pool<'_> {
+impl MachinePool<'_> {
     /// Takes room for up to `left` tasks; how many found none.
     fn take(&mut self, d: &Demand<'_>, mut left: u64, task_work: u128) -> u64 {
         let need = &d.spec.need;
@@ -149,7 +149,7 @@
 
 /// A type, zone and kind of machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Offer {
+pub struct MachineOffer {
     /// Type.
     pub machine_type: String,
     /// Zone.
@@ -186,13 +186,13 @@
 pub fn plan<'a>(
     catalog: &'a Catalog,
     demands: &[Demand<'_>],
-    pools: &mut Pools<'a>,
-    offered: &dyn Fn(&Offer) -> bool,
-    class_of: &dyn Fn(&Offer) -> Option<ClassId>,
-) -> Vec<(Offer, u32)> {
+    pools: &mut MachinePools<'a>,
+    offered: &dyn Fn(&MachineOffer) -> bool,
+    class_of: &dyn Fn(&MachineOffer) -> Option<ClassId>,
+) -> Vec<(MachineOffer, u32)> {
     /// Most machines asked for at once.
     const MOST: u32 = 400;
-    let mut provision_requests: Vec<(Offer, u32)> = Vec::new();
+    let mut provision_requests: Vec<(MachineOffer, u32)> = Vec::new();
     let mut provisioned = 0;
     let mut waiting: u128 = 0;
     for d in demands {
@@ -201,9 +201,9 @@
         let mut left = d.count;
         // What is dear is there for what would be late, whatever it was hired for.
         let mut late = false;
-        let take = |pools: &mut Pools<'_>, mut left: u64, dear: bool| {
+        let take = |pools: &mut MachinePools<'_>, mut left: u64, dear: bool| {
             for p in &mut pools.0 {
-                if left > 0 && (p.price > d.price_limit) == dear && d.takes(p) {
+                if left > 0 && (p.price > d.price_limit) == dear && d.is_feasible(p) {
                     left = p.take(d, left, task_work);
                 }
             }
@@ -214,7 +214,7 @@
             // How long until the machines that could run these tasks have run off what is ahead.
             let (mut cores, mut ahead) = (0, waiting + task_work * u128::from(left));
             for p in &pools.0 {
-                if (late || p.price <= d.price_limit) && d.takes(p) {
+                if (late || p.price <= d.price_limit) && d.is_feasible(p) {
                     let usable = need.times_in(&p.all, u64::from(u32::MAX)) * need.cores;
                     if usable > 0 {
                         cores += u128::from(usable * p.count);
@@ -291,12 +291,12 @@
     d: &Demand<'_>,
     left: u64,
     backlog: Backlog,
-    offered: &dyn Fn(&Offer) -> bool,
-) -> Option<(&'a MachineType, Offer)> {
+    offered: &dyn Fn(&MachineOffer) -> bool,
+) -> Option<(&'a MachineType, MachineOffer)> {
     let dear = price_limit(catalog, d.spec, &|machine_type, zone, spot| {
-        d.worth(machine_type, zone, spot).is_some()
+        d.score(machine_type, zone, spot).is_some()
     });
-    let mut best: Option<(Cost, &MachineType, Offer)> = None;
+    let mut best: Option<(Cost, &MachineType, MachineOffer)> = None;
     for t in &catalog.types {
         let per_machine = d.spec.need.times_in(&t.room, left);
         if per_machine == 0 {
@@ -305,7 +305,7 @@
         let comes_up = t.boot + t.fetch_time(d.spec.size);
         for zone in &t.zones {
             for spot in [true, false] {
-                let offer = Offer {
+                let offer = MachineOffer {
                     machine_type: t.name.clone(),
                     zone: zone.clone(),
                     spot,
@@ -320,10 +320,10 @@
                 // What is dear is only for what would be late otherwise and will not be with it, and
                 // only if it does not take longer to come up than it works.
                 let late = backlog.drained() > d.slack && comes_up < d.slack && comes_up <= d.run;
-                let worth = useful && (late || backlog.cores == 0 || core_price(t, spot) <= dear);
+                let score = useful && (late || backlog.cores == 0 || core_price(t, spot) <= dear);
                 let Some(liked) = d
-                    .worth(&t.name, zone, spot)
-                    .filter(|_| worth && offered(&offer))
+                    .score(&t.name, zone, spot)
+                    .filter(|_| score && offered(&offer))
                 else {
                     continue;
                 };
--- a/src/bookkeeping/zones.rs
+++ b/src/scheduler/zone_health.rs
@@ -3,7 +3,7 @@
 //! Nothing here proves anything of any machine. What a state moves is where new work and new machines go, what is worth
 //! waiting for, and in which order machines are released.
 
-use super::time::Micros;
+use crate::time::Micros;
 
 /// What a controller has of one zone now.
 #[derive(Clone, Copy, Debug, Default)]
--- a/src/bookkeeping/catalog.rs
+++ b/src/storage/catalog.rs
@@ -1,7 +1,7 @@
 //! Machine types as the cloud publishes them.
 
-use super::amount::Amount;
-use super::time::Micros;
+use crate::storage::resources::Amount;
+use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 
 /// One machine type. Prices are thousandths of the currency unit per hour.
--- a/src/bookkeeping/view.rs
+++ b/src/storage/cell_state.rs
@@ -5,19 +5,19 @@
 //! slice's usage record conditionally, and every record is written on the revision that the copy has of it. So a
 //! commit that succeeded proves that the copy had missed no booking of that slice, and nothing of what it wrote.
 
-use super::amount::Amount;
-use super::catalog::{Catalog, MachineType};
-use super::classes::Classes;
-use super::finished::Finished;
-use super::ids::{JobId, MachineId, Part, Slice, TaskId};
-use super::job::{FinalRecord, JobRecord, JobSpec};
-pub use super::live::{Job, Versioned};
-use super::pipeline::{Graph, Stage};
-use super::records::{
-    Booking, FENCED, FIRST_LAYOUT, Fitness, FleetRecord, GroupRecord, Key, MachineRecord,
-    MetaRecord, NodeRecord, OwnRecord, TERSE, UsageRecord,
+use crate::storage::catalog::{Catalog, MachineType};
+use crate::storage::completion_bitmap::CompletionBitmap;
+use crate::storage::dependency_graph::{DependencyGraph, DependencyState};
+use crate::storage::ids::{GroupIndex, JobId, MachineId, ShardId, TaskId};
+use crate::storage::job::{FinalRecord, JobRecord, JobSpec};
+pub use crate::storage::live_job::{Job, Versioned};
+use crate::storage::machine_classes::Classes;
+use crate::storage::records::{
+    Assignment, FENCED, FIRST_LAYOUT, FleetRecord, GroupRecord, Key, MachineHealth, MachineRecord,
+    MetaRecord, NodeRecord, ShardLeaderRecord, TERSE, UsageRecord,
 };
-use super::time::Micros;
+use crate::storage::resources::Amount;
+use crate::time::Micros;
 use cometlead_constraints::RuleSet;
 use std::cell::OnceCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -34,8 +34,8 @@
     Fleet(FleetRecord),
     /// See [`NodeRecord`].
     Node(NodeRecord),
-    /// See [`OwnRecord`].
-    Own(OwnRecord),
+    /// See [`ShardLeaderRecord`].
+    ShardLeader(ShardLeaderRecord),
     /// See [`GroupRecord`].
     Group(GroupRecord),
     /// See [`UsageRecord`].
@@ -43,7 +43,7 @@
     /// See [`JobRecord`].
     Job(Box<JobRecord>),
     /// A chunk of a finished set.
-    Chunk(Finished),
+    Chunk(CompletionBitmap),
     /// Rules; `None` if they are written in a way that this version does not understand.
     Rules(Option<Arc<RuleSet>>),
 }
@@ -83,9 +83,9 @@
 
 /// What applying changes did, for those who must act on it.
 #[derive(Clone, Debug, Default)]
-pub struct Touched {
+pub struct CellChanges {
     /// Slices whose owner changed.
-    pub own: Vec<Slice>,
+    pub leaders: Vec<ShardId>,
     /// Machines that came, changed or went.
     pub machines: Vec<MachineId>,
     /// Slices whose usage changed.
@@ -102,22 +102,22 @@
 
 /// Takes a machine's bookings out of the index.
 fn unindex(
-    booked: &mut HashMap<JobId, BTreeMap<u32, Place>>,
+    assigned: &mut HashMap<JobId, BTreeMap<u32, Place>>,
     m: MachineId,
     record: &MachineRecord,
 ) {
-    for Booking(job, index, number) in &record.tasks {
+    for Assignment(job, index, number) in &record.tasks {
         let place = Place {
             machine: m,
             number: *number,
         };
-        if let Some(tasks) = booked.get_mut(&JobId(*job)) {
+        if let Some(tasks) = assigned.get_mut(&JobId(*job)) {
             // A task that moved is indexed at its new place already.
             if tasks.get(index) == Some(&place) {
                 tasks.remove(index);
             }
             if tasks.is_empty() {
-                booked.remove(&JobId(*job));
+                assigned.remove(&JobId(*job));
             }
         }
     }
@@ -125,7 +125,7 @@
 
 /// The private copy.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct CellState {
     /// The time of day, as its controller last told it.
     pub today: Micros,
     /// All changes up to this revision are in.
@@ -141,66 +141,66 @@
     /// Live controllers.
     pub nodes: BTreeMap<String, Versioned<NodeRecord>>,
     /// Owners, by slice.
-    pub own: Vec<Versioned<Option<OwnRecord>>>,
+    pub leaders: Vec<Versioned<Option<ShardLeaderRecord>>>,
     /// Groups, by slice and part.
-    pub groups: Vec<BTreeMap<Part, Versioned<GroupRecord>>>,
+    pub groups: Vec<BTreeMap<GroupIndex, Versioned<GroupRecord>>>,
     /// Usage, by slice.
     pub usage: Vec<Versioned<UsageRecord>>,
     /// Live jobs.
     pub jobs: HashMap<JobId, Job>,
     /// Which of them await which.
-    pub pipelines: Graph,
+    pub dependencies: DependencyGraph,
     /// Sets of rules, by digest.
     pub rules: BTreeMap<u64, Versioned<Option<Arc<RuleSet>>>>,
     /// Classes of equal machines.
     pub classes: Classes,
-    parts: HashMap<MachineId, Part>,
+    parts: HashMap<MachineId, GroupIndex>,
     /// Machines that a lower part still lists although they were copied to a higher one, with that part.
-    stale: HashMap<MachineId, Part>,
-    booked: HashMap<JobId, BTreeMap<u32, Place>>,
+    stale: HashMap<MachineId, GroupIndex>,
+    assigned: HashMap<JobId, BTreeMap<u32, Place>>,
     /// What teams have booked, added up when it is asked for.
     used: OnceCell<HashMap<String, (u64, u64)>>,
     gone: HashMap<Key, u64>,
 }
 
-impl View {
+impl CellState {
     /// Number of slices, once known.
-    pub fn slices(&self) -> usize {
-        self.meta.value.as_ref().map_or(0, |m| m.slices)
+    pub fn shards(&self) -> usize {
+        self.meta.value.as_ref().map_or(0, |m| m.shards)
     }
 
-    fn size_for(&mut self, k: Slice) {
-        let n = (k + 1).max(self.slices());
-        if self.own.len() < n {
-            self.own.resize_with(n, Default::default);
+    fn size_for(&mut self, k: ShardId) {
+        let n = (k + 1).max(self.shards());
+        if self.leaders.len() < n {
+            self.leaders.resize_with(n, Default::default);
             self.groups.resize_with(n, Default::default);
             self.usage.resize_with(n, Default::default);
         }
     }
 
     /// Slice of a machine.
-    pub fn machine_slice(&self, m: MachineId) -> Slice {
-        (m.0 % self.slices().max(1) as u64) as Slice
+    pub fn shard_of_machine(&self, m: MachineId) -> ShardId {
+        (m.0 % self.shards().max(1) as u64) as ShardId
     }
 
     /// Slice of a job: by team, or by job where teams have no say.
-    pub fn job_slice(&self, id: JobId, spec: &JobSpec) -> Slice {
+    pub fn shard_of_job(&self, id: JobId, spec: &JobSpec) -> ShardId {
         let Some(meta) = &self.meta.value else {
             return 0;
         };
         match meta.teams.get(&spec.team) {
-            Some(&k) if k < meta.slices => k,
+            Some(&k) if k < meta.shards => k,
             // The job ids come in no order; a multiplicative hash spreads runs of them too.
             _ => {
-                ((id.0.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) % meta.slices.max(1) as u64)
-                    as Slice
+                ((id.0.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) % meta.shards.max(1) as u64)
+                    as ShardId
             }
         }
     }
 
     /// The record that holds a machine.
-    pub fn home(&self, m: MachineId) -> Option<(Slice, Part)> {
-        self.parts.get(&m).map(|n| (self.machine_slice(m), *n))
+    pub fn home(&self, m: MachineId) -> Option<(ShardId, GroupIndex)> {
+        self.parts.get(&m).map(|n| (self.shard_of_machine(m), *n))
     }
 
     /// The machine's record.
@@ -220,19 +220,19 @@
     }
 
     /// All machines of all groups.
-    pub fn machines(&self) -> impl Iterator<Item = (Slice, MachineId, &MachineRecord)> {
+    pub fn machines(&self) -> impl Iterator<Item = (ShardId, MachineId, &MachineRecord)> {
         (0..self.groups.len()).flat_map(|k| self.machines_of(k).map(move |(m, r)| (k, m, r)))
     }
 
     /// Those of them that take bookings.
     pub fn machines_up(&self) -> impl Iterator<Item = (MachineId, &MachineRecord)> {
         self.machines()
-            .filter(|(_, _, r)| r.fitness == Fitness::Up)
+            .filter(|(_, _, r)| r.health == MachineHealth::Schedulable)
             .map(|(_, m, r)| (m, r))
     }
 
     /// The machines of a slice.
-    pub fn machines_of(&self, k: Slice) -> impl Iterator<Item = (MachineId, &MachineRecord)> {
+    pub fn machines_of(&self, k: ShardId) -> impl Iterator<Item = (MachineId, &MachineRecord)> {
         self.groups
             .get(k)
             .into_iter()
@@ -260,7 +260,7 @@
     /// Bookings of a slice's jobs are known to the slice's owner, or its next one fails for its condition on the
     /// usage record; of clearings it may know too few. So this is never less than what is booked, and a limit
     /// that it keeps is kept.
-    pub fn used(&self, k: Slice, team: &str) -> (u64, u64) {
+    pub fn used(&self, k: ShardId, team: &str) -> (u64, u64) {
         if !self.fenced() {
             return self.usage.get(k).map_or((0, 0), |u| u.value.of(team));
         }
@@ -273,7 +273,7 @@
 
     fn add_up(&self) -> HashMap<String, (u64, u64)> {
         let mut used: HashMap<String, (u64, u64)> = HashMap::new();
-        for (id, tasks) in &self.booked {
+        for (id, tasks) in &self.assigned {
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
@@ -295,9 +295,9 @@
     }
 
     /// How a job ended that live ones await, and of which that was not known.
-    pub fn learn(&mut self, id: JobId, end: FinalRecord, touched: &mut Touched) {
-        self.pipelines
-            .learn(id, end, &mut self.jobs, &mut touched.jobs);
+    pub fn learn(&mut self, id: JobId, end: FinalRecord, changes_seen: &mut CellChanges) {
+        self.dependencies
+            .learn(id, end, &mut self.jobs, &mut changes_seen.jobs);
     }
 
     /// All types that are known.
@@ -311,18 +311,18 @@
     }
 
     /// Where the tasks of a job are booked.
-    pub fn booked(&self, job: JobId) -> Option<&BTreeMap<u32, Place>> {
-        self.booked.get(&job)
+    pub fn assigned(&self, job: JobId) -> Option<&BTreeMap<u32, Place>> {
+        self.assigned.get(&job)
     }
 
     /// How many tasks of a job are booked.
-    pub fn booked_count(&self, job: JobId) -> u32 {
-        self.booked(job).map_or(0, |b| b.len() as u32)
+    pub fn assigned_count(&self, job: JobId) -> u32 {
+        self.assigned(job).map_or(0, |b| b.len() as u32)
     }
 
     /// Where a task is booked.
     pub fn place(&self, task: TaskId) -> Option<Place> {
-        self.booked.get(&task.job)?.get(&task.index).copied()
+        self.assigned.get(&task.job)?.get(&task.index).copied()
     }
 
     /// What a task of this job takes; nothing for a job that is not live.
@@ -351,9 +351,9 @@
 
     /// Tasks of a job that are neither finished nor booked, in order.
     pub fn pending<'a>(&'a self, id: JobId, job: &'a Job) -> impl Iterator<Item = u32> + 'a {
-        let booked = self.booked.get(&id);
+        let assigned = self.assigned.get(&id);
         (0..job.record.spec.task_count)
-            .filter(move |i| !job.finished(*i) && booked.is_none_or(|b| !b.contains_key(i)))
+            .filter(move |i| !job.finished(*i) && assigned.is_none_or(|b| !b.contains_key(i)))
     }
 
     /// How many tasks of a job are neither finished nor booked.
@@ -361,7 +361,7 @@
         job.record
             .spec
             .task_count
-            .saturating_sub(job.done() + self.booked_count(id))
+            .saturating_sub(job.done() + self.assigned_count(id))
     }
 
     /// The revision of a key as the copy knows it.
@@ -371,7 +371,7 @@
             Key::Types => self.types.mod_revision,
             Key::Fleet => self.fleet.mod_revision,
             Key::Node(n) => self.nodes.get(n).map_or(0, |s| s.mod_revision),
-            Key::Own(k) => self.own.get(*k).map_or(0, |s| s.mod_revision),
+            Key::ShardLeader(k) => self.leaders.get(*k).map_or(0, |s| s.mod_revision),
             Key::Group(k, n) => self
                 .groups
                 .get(*k)
@@ -392,7 +392,11 @@
     /// Applies changes in order. Those that are in already are passed over; so is everything up to
     /// the copy's epoch: the answer to an own commit may come long after the watch has brought it
     /// and what followed, and must not bring back a job that has ended since.
-    pub fn apply(&mut self, changes: impl IntoIterator<Item = Change>, touched: &mut Touched) {
+    pub fn apply(
+        &mut self,
+        changes: impl IntoIterator<Item = Change>,
+        changes_seen: &mut CellChanges,
+    ) {
         for c in changes {
             let known = self.revision.max(self.mod_revision(&c.key));
             if c.mod_revision <= known
@@ -401,7 +405,7 @@
                 continue;
             }
             self.latest = self.latest.max(c.mod_revision);
-            self.apply_one(c, touched);
+            self.apply_one(c, changes_seen);
         }
     }
 
@@ -414,7 +418,7 @@
         }
     }
 
-    fn apply_one(&mut self, c: Change, touched: &mut Touched) {
+    fn apply_one(&mut self, c: Change, changes_seen: &mut CellChanges) {
         let mod_revision = if c.content.is_some() {
             c.mod_revision
         } else {
@@ -428,7 +432,7 @@
         }
         match (c.key, c.content) {
             (Key::Meta, Some(Content::Meta(value))) => {
-                let last = value.slices.saturating_sub(1);
+                let last = value.shards.saturating_sub(1);
                 self.meta = Versioned {
                     value: Some(value),
                     mod_revision,
@@ -441,8 +445,8 @@
                     value: Some(value),
                     mod_revision,
                 };
-                touched.usage = true;
-                touched.rules = true;
+                changes_seen.usage = true;
+                changes_seen.rules = true;
             }
             (Key::Rules(digest), Some(Content::Rules(value))) => {
                 self.rules.insert(
@@ -452,11 +456,11 @@
                         mod_revision,
                     },
                 );
-                touched.rules = true;
+                changes_seen.rules = true;
             }
             (Key::Rules(digest), None) => {
                 self.rules.remove(&digest);
-                touched.rules = true;
+                changes_seen.rules = true;
             }
             (Key::Fleet, Some(Content::Fleet(value))) => {
                 self.fleet = Versioned {
@@ -472,23 +476,23 @@
                         mod_revision,
                     },
                 );
-                touched.nodes = true;
+                changes_seen.nodes = true;
             }
             (Key::Node(name), None) => {
                 self.nodes.remove(&name);
-                touched.nodes = true;
+                changes_seen.nodes = true;
             }
-            (Key::Own(k), content) => {
+            (Key::ShardLeader(k), content) => {
                 self.size_for(k);
                 let value = match content {
-                    Some(Content::Own(o)) => Some(o),
+                    Some(Content::ShardLeader(o)) => Some(o),
                     _ => None,
                 };
-                self.own[k] = Versioned {
+                self.leaders[k] = Versioned {
                     value,
                     mod_revision,
                 };
-                touched.own.push(k);
+                changes_seen.leaders.push(k);
             }
             (Key::Group(k, n), content) => {
                 self.size_for(k);
@@ -499,7 +503,7 @@
                     }),
                     _ => None,
                 };
-                self.put_group(k, n, value, touched);
+                self.put_group(k, n, value, changes_seen);
             }
             (Key::Usage(k), content) => {
                 self.size_for(k);
@@ -514,8 +518,8 @@
                         mod_revision,
                     },
                 );
-                self.gather_ends(k, &old.value.ends, touched);
-                touched.usage = true;
+                self.gather_ends(k, &old.value.ends, changes_seen);
+                changes_seen.usage = true;
             }
             (Key::Job(id), Some(Content::Job(record))) => {
                 let record = *record;
@@ -525,14 +529,14 @@
                         job.record = record;
                         job.mod_revision = mod_revision;
                         if cancels {
-                            self.pipelines
-                                .cancelled(id, &mut self.jobs, &mut touched.jobs);
+                            self.dependencies
+                                .cancelled(id, &mut self.jobs, &mut changes_seen.jobs);
                         }
                     }
                     None => {
                         let ends = self.kept_ends(id);
                         let chunks = BTreeMap::new();
-                        let stage = Stage::alone(&record.spec);
+                        let dependency_state = DependencyState::alone(&record.spec);
                         self.jobs.insert(
                             id,
                             Job {
@@ -540,35 +544,35 @@
                                 mod_revision,
                                 chunks,
                                 ends,
-                                stage,
+                                dependency_state,
                             },
                         );
-                        self.pipelines
-                            .appeared(id, &mut self.jobs, &mut touched.jobs);
+                        self.dependencies
+                            .appeared(id, &mut self.jobs, &mut changes_seen.jobs);
                     }
                 }
-                touched.jobs.push(id);
+                changes_seen.jobs.push(id);
             }
             (Key::Job(id), None) => {
                 if let Some(job) = self.jobs.remove(&id) {
-                    let end = self.pipelines.ended(
+                    let end = self.dependencies.ended(
                         id,
                         &job,
                         self.today,
                         &mut self.jobs,
-                        &mut touched.jobs,
+                        &mut changes_seen.jobs,
                     );
                     let JobSpec {
                         job_class, team, ..
                     } = job.record.spec;
-                    touched.ended.push(Ended {
+                    changes_seen.ended.push(Ended {
                         job: id,
                         how: end,
                         job_class,
                         team,
                     });
                 }
-                touched.jobs.push(id);
+                changes_seen.jobs.push(id);
             }
             (Key::Chunk(id, n), Some(Content::Chunk(value))) => {
                 if let Some(job) = self.jobs.get_mut(&id) {
@@ -591,7 +595,7 @@
     }
 
     /// Ends of a job's tasks that records other than its own keep. Ends are facts: what several keep is their union.
-    fn kept_ends(&self, id: JobId) -> Finished {
+    fn kept_ends(&self, id: JobId) -> CompletionBitmap {
         let mut kept = self.usage.iter().filter_map(|u| u.value.ends.get(&id));
         let mut all = kept.next().cloned().unwrap_or_default();
         kept.for_each(|ends| all.merge(ends));
@@ -599,7 +603,12 @@
     }
 
     /// A slice's usage record has changed, and kept these ends before.
-    fn gather_ends(&mut self, k: Slice, old: &BTreeMap<JobId, Finished>, touched: &mut Touched) {
+    fn gather_ends(
+        &mut self,
+        k: ShardId,
+        old: &BTreeMap<JobId, CompletionBitmap>,
+        changes_seen: &mut CellChanges,
+    ) {
         let new = &self.usage[k].value.ends;
         let changed = new
             .iter()
@@ -615,7 +624,7 @@
                 && job.ends != ends
             {
                 job.ends = ends;
-                touched.jobs.push(id);
+                changes_seen.jobs.push(id);
             }
         }
     }
@@ -632,13 +641,13 @@
     /// higher part counts: the lower could not be written any more, or was read before it was.
     fn put_group(
         &mut self,
-        k: Slice,
-        n: Part,
+        k: ShardId,
+        n: GroupIndex,
         mut new: Option<Versioned<GroupRecord>>,
-        touched: &mut Touched,
+        changes_seen: &mut CellChanges,
     ) {
         if !self.stale.is_empty() {
-            let of_this = |m: &MachineId| (m.0 % self.slices().max(1) as u64) as Slice == k;
+            let of_this = |m: &MachineId| (m.0 % self.shards().max(1) as u64) as ShardId == k;
             let again: Vec<MachineId> = self
                 .stale
                 .iter()
@@ -664,7 +673,7 @@
                     let low = self.groups[k]
                         .get_mut(&p)
                         .and_then(|low| low.value.machines.remove(m));
-                    low.iter().for_each(|r| unindex(&mut self.booked, *m, r));
+                    low.iter().for_each(|r| unindex(&mut self.assigned, *m, r));
                 }
             }
         }
@@ -680,12 +689,12 @@
             if now == Some(record) {
                 continue;
             }
-            touched.machines.push(*m);
+            changes_seen.machines.push(*m);
             if self.parts.get(m).is_some_and(|p| *p != n) {
                 // It has gone to another part, and is indexed there.
                 continue;
             }
-            unindex(&mut self.booked, *m, record);
+            unindex(&mut self.assigned, *m, record);
             if now.is_none() && self.parts.get(m) == Some(&n) {
                 self.parts.remove(m);
                 self.classes.remove(*m);
@@ -697,16 +706,16 @@
                 continue;
             }
             if was.is_none() {
-                touched.machines.push(*m);
+                changes_seen.machines.push(*m);
                 self.parts.insert(*m, n);
                 self.classes.add(*m, record);
             }
-            for Booking(job, index, number) in &record.tasks {
+            for Assignment(job, index, number) in &record.tasks {
                 let place = Place {
                     machine: *m,
                     number: *number,
                 };
-                self.booked
+                self.assigned
                     .entry(JobId(*job))
                     .or_default()
                     .insert(*index, place);
@@ -716,9 +725,9 @@
 
     /// Forgets everything before a full reread; revisions start anew.
     pub fn clear(&mut self) {
-        *self = View {
+        *self = CellState {
             today: self.today,
-            ..View::default()
+            ..CellState::default()
         };
     }
 }
--- a/src/bookkeeping/finished.rs
+++ b/src/storage/completion_bitmap.rs
@@ -13,24 +13,24 @@
 
 /// A bitmap over the tasks of one chunk.
 #[derive(Clone, Debug, Default)]
-pub struct Finished {
+pub struct CompletionBitmap {
     words: Vec<u64>,
     count: u32,
     terse: bool,
 }
 
-impl PartialEq for Finished {
-    fn eq(&self, other: &Finished) -> bool {
+impl PartialEq for CompletionBitmap {
+    fn eq(&self, other: &CompletionBitmap) -> bool {
         self.words == other.words
     }
 }
 
-impl Eq for Finished {}
+impl Eq for CompletionBitmap {}
 
-impl Finished {
-    fn of(words: Vec<u64>) -> Finished {
+impl CompletionBitmap {
+    fn of(words: Vec<u64>) -> CompletionBitmap {
         let count = words.iter().map(|w| w.count_ones()).sum();
-        Finished {
+        CompletionBitmap {
             words,
             count,
             terse: false,
@@ -58,7 +58,7 @@
     }
 
     /// Whether all tasks of the other are in it.
-    pub fn covers(&self, other: &Finished) -> bool {
+    pub fn covers(&self, other: &CompletionBitmap) -> bool {
         self.count_with(other) == self.count
     }
 
@@ -69,16 +69,16 @@
     }
 
     /// How many tasks are in either.
-    pub fn count_with(&self, other: &Finished) -> u32 {
+    pub fn count_with(&self, other: &CompletionBitmap) -> u32 {
         let longest = self.words.len().max(other.words.len());
-        let word = |set: &Finished, i: usize| set.words.get(i).copied().unwrap_or(0);
+        let word = |set: &CompletionBitmap, i: usize| set.words.get(i).copied().unwrap_or(0);
         (0..longest)
             .map(|i| (word(self, i) | word(other, i)).count_ones())
             .sum()
     }
 
     /// Adds all tasks of the other.
-    pub fn merge(&mut self, other: &Finished) {
+    pub fn merge(&mut self, other: &CompletionBitmap) {
         if self.words.len() < other.words.len() {
             self.words.resize(other.words.len(), 0);
         }
@@ -103,7 +103,7 @@
     }
 }
 
-impl Serialize for Finished {
+impl Serialize for CompletionBitmap {
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
         if self.terse {
             let mut bytes: Vec<u8> = self.words.iter().flat_map(|w| w.to_le_bytes()).collect();
@@ -122,16 +122,16 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Finished {
+impl<'de> Deserialize<'de> for CompletionBitmap {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let text = Cow::<str>::deserialize(d)?;
         let bad = || serde::de::Error::custom("not a bitmap");
         if let Some(terse) = text.strip_prefix(TERSE) {
             let bytes = URL_SAFE_NO_PAD.decode(terse).map_err(|_| bad())?;
             let word = |b: &[u8]| b.iter().rev().fold(0, |w, b| w << 8 | u64::from(*b));
-            return Ok(Finished {
+            return Ok(CompletionBitmap {
                 terse: true,
-                ..Finished::of(bytes.chunks(8).map(word).collect())
+                ..CompletionBitmap::of(bytes.chunks(8).map(word).collect())
             });
         }
         if !text.is_ascii() || text.len() % 16 != 0 {
@@ -141,29 +141,9 @@
             .map(|i| u64::from_str_radix(&text[i * 16..i * 16 + 16], 16))
             .collect::<Result<Vec<_>, _>>()
             .map_err(|_| bad())?;
-        Ok(Finished::of(words))
+        Ok(CompletionBitmap::of(words))
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn survives_the_store() {
-        let mut set = Finished::default();
-        assert!(set.insert(3) && set.insert(8_191) && !set.insert(3));
-        let text = serde_json::to_string(&set).unwrap();
-        assert!(text.len() < 2_100);
-        let back: Finished = serde_json::from_str(&text).unwrap();
-        assert_eq!(back, set);
-        assert_eq!(back.count(), 2);
-        assert!(serde_json::from_str::<Finished>("\"zz\"").is_err());
-        set.terse(true);
-        let text = serde_json::to_string(&set).unwrap();
-        assert!(text.len() < 1_380);
-        let back: Finished = serde_json::from_str(&text).unwrap();
-        assert_eq!(back, set);
-        assert!(serde_json::from_str::<Finished>("\"=%\"").is_err());
-    }
-}
+mod tests;
--- a/src/bookkeeping/pipeline.rs
+++ b/src/storage/dependency_graph.rs
@@ -3,15 +3,15 @@
 //! Everything here is derived from facts that never change: how a job ended, that it was cancelled,
 //! and which jobs another one names. So every controller derives the same, whoever ends next.
 
-use super::ids::JobId;
-use super::job::{FinalRecord, JobSpec, Priority};
-use super::live::Job;
-use super::time::Micros;
+use crate::storage::ids::JobId;
+use crate::storage::job::{FinalRecord, JobSpec, Priority};
+use crate::storage::live_job::Job;
+use crate::time::Micros;
 use std::collections::{BTreeSet, HashMap};
 
 /// Where a job stands in its pipeline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stage {
+pub struct DependencyState {
     /// Some job that it awaits is not known to be done.
     pub waits: bool,
     /// A job that it awaits, directly or through others, is cancelled.
@@ -26,12 +26,12 @@
     pub wanted_by: Option<Micros>,
 }
 
-impl Stage {
+impl DependencyState {
     /// The stage of a job that awaits nothing and that nothing awaits.
-    pub fn alone(spec: &JobSpec) -> Stage {
+    pub fn alone(spec: &JobSpec) -> DependencyState {
         let none = Micros::ZERO;
         let priority = spec.priority;
-        Stage {
+        DependencyState {
             waits: false,
             cancelled: false,
             doubtful: false,
@@ -51,13 +51,16 @@
 /// When a job must begin for itself and for what needs it to be in time.
 fn must_begin(job: &Job) -> Option<Micros> {
     let own = job.spec().deadline.map(|d| job.record.submitted + d);
-    let by = own.into_iter().chain(job.stage.wanted_by).min()?;
+    let by = own
+        .into_iter()
+        .chain(job.dependency_state.wanted_by)
+        .min()?;
     Some(by - expected_run(job.spec()))
 }
 
 /// The jobs that others await.
 #[derive(Debug, Default)]
-pub struct Graph {
+pub struct DependencyGraph {
     /// Live jobs that name a job, by the job that they name.
     followers: HashMap<JobId, BTreeSet<JobId>>,
     /// How jobs ended that live ones name.
@@ -66,7 +69,7 @@
     unknown: BTreeSet<JobId>,
 }
 
-impl Graph {
+impl DependencyGraph {
     /// Jobs whose ends have to be looked up.
     pub fn unknown(&self) -> &BTreeSet<JobId> {
         &self.unknown
@@ -130,7 +133,7 @@
         } else {
             job.spec().task_count
         };
-        let known = cancelled || !job.stage.waits;
+        let known = cancelled || !job.dependency_state.waits;
         let end = known.then_some(FinalRecord {
             cancelled,
             done,
@@ -198,18 +201,18 @@
     ) {
         while let Some(id) = todo.pop() {
             let Some(job) = jobs.get(&id) else { continue };
-            let mut new = Stage {
+            let mut new = DependencyState {
                 waits: false,
                 cancelled: false,
                 doubtful: false,
-                ..job.stage
+                ..job.dependency_state
             };
             for f in &job.spec().dependencies {
                 match (jobs.get(f), self.ends.get(f)) {
                     (Some(before), _) => {
                         new.waits = true;
                         new.cancelled |= before.cancelled();
-                        new.doubtful |= before.stage.doubtful;
+                        new.doubtful |= before.dependency_state.doubtful;
                     }
                     (None, Some(end)) => {
                         new.waits |= end.cancelled;
@@ -224,12 +227,12 @@
             }
             // What is cancelled is known, whatever else is not.
             new.doubtful &= !new.cancelled && !job.record.cancelled;
-            let old = job.stage;
+            let old = job.dependency_state;
             if new == old {
                 continue;
             }
             if let Some(job) = jobs.get_mut(&id) {
-                job.stage = new;
+                job.dependency_state = new;
             }
             changed.push(id);
             if (new.cancelled, new.doubtful) != (old.cancelled, old.doubtful) {
@@ -243,16 +246,26 @@
         let mut todo = vec![id];
         while let Some(id) = todo.pop() {
             let Some(job) = jobs.get(&id) else { continue };
-            let (priority, by) = (job.stage.priority, must_begin(job));
+            let (priority, by) = (job.dependency_state.priority, must_begin(job));
             for f in job.spec().dependencies.clone() {
                 let Some(before) = jobs.get_mut(&f) else {
                     continue;
                 };
-                let wanted_by = before.stage.wanted_by.into_iter().chain(by).min();
-                let priority = before.stage.priority.min(priority);
-                if (priority, wanted_by) != (before.stage.priority, before.stage.wanted_by) {
-                    before.stage.priority = priority;
-                    before.stage.wanted_by = wanted_by;
+                let wanted_by = before
+                    .dependency_state
+                    .wanted_by
+                    .into_iter()
+                    .chain(by)
+                    .min();
+                let priority = before.dependency_state.priority.min(priority);
+                if (priority, wanted_by)
+                    != (
+                        before.dependency_state.priority,
+                        before.dependency_state.wanted_by,
+                    )
+                {
+                    before.dependency_state.priority = priority;
+                    before.dependency_state.wanted_by = wanted_by;
                     changed.push(f);
                     todo.push(f);
                 }
@@ -275,18 +288,23 @@
                 .collect();
             let priority = needed
                 .iter()
-                .map(|j| j.stage.priority)
+                .map(|j| j.dependency_state.priority)
                 .chain([job.spec().priority])
                 .min();
             let priority = priority.unwrap_or(job.spec().priority);
             let wanted_by = needed.iter().filter_map(|j| must_begin(j)).min();
-            if (priority, wanted_by) == (job.stage.priority, job.stage.wanted_by) {
+            if (priority, wanted_by)
+                == (
+                    job.dependency_state.priority,
+                    job.dependency_state.wanted_by,
+                )
+            {
                 continue;
             }
             let before = job.spec().dependencies.clone();
             if let Some(job) = jobs.get_mut(&id) {
-                job.stage.priority = priority;
-                job.stage.wanted_by = wanted_by;
+                job.dependency_state.priority = priority;
+                job.dependency_state.wanted_by = wanted_by;
             }
             changed.push(id);
             todo.extend(before);
--- a/src/bookkeeping/job.rs
+++ b/src/storage/job.rs
@@ -1,10 +1,10 @@
 //! Jobs as the scheduler sees them.
 
-use super::amount::{Amount, is_zero};
-use super::catalog::MachineType;
-use super::finished::{CHUNK, Finished};
-use super::ids::{JobId, MachineId};
-use super::time::Micros;
+use crate::storage::catalog::MachineType;
+use crate::storage::completion_bitmap::{CHUNK, CompletionBitmap};
+use crate::storage::ids::{JobId, MachineId};
+use crate::storage::resources::{Amount, is_zero};
+use crate::time::Micros;
 use cometlead_constraints::Rule;
 use serde::{Deserialize, Serialize};
 
@@ -98,7 +98,7 @@
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<JobId>,
     /// Rules of its own for where it runs. Only written once every controller understands
-    /// [`super::records::RULED`].
+    /// [`crate::storage::records::RULED`].
     #[serde(rename = "j", default, skip_serializing_if = "Vec::is_empty")]
     pub rules: Vec<Rule>,
 }
@@ -160,8 +160,12 @@
     #[serde(rename = "x", default, skip_serializing_if = "is_false")]
     pub cancelled: bool,
     /// Finished tasks of the first chunk.
-    #[serde(rename = "f", default, skip_serializing_if = "Finished::is_empty")]
-    pub finished: Finished,
+    #[serde(
+        rename = "f",
+        default,
+        skip_serializing_if = "CompletionBitmap::is_empty"
+    )]
+    pub finished: CompletionBitmap,
     /// Finished tasks of all further chunks together.
     #[serde(rename = "m", default, skip_serializing_if = "is_none")]
     pub more: u32,
--- a/src/bookkeeping/live.rs
+++ b/src/storage/live_job.rs
@@ -1,8 +1,8 @@
 //! Live jobs, as the copy has them.
 
-use super::finished::{CHUNK, Finished};
-use super::job::{JobRecord, JobSpec, Priority};
-use super::pipeline::Stage;
+use crate::storage::completion_bitmap::{CHUNK, CompletionBitmap};
+use crate::storage::dependency_graph::DependencyState;
+use crate::storage::job::{JobRecord, JobSpec, Priority};
 use std::collections::BTreeMap;
 
 /// A value with the revision of its last change, 0 if it does not exist.
@@ -22,27 +22,27 @@
     /// The record's revision.
     pub mod_revision: u64,
     /// Further chunks of the finished set.
-    pub chunks: BTreeMap<u32, Versioned<Finished>>,
+    pub chunks: BTreeMap<u32, Versioned<CompletionBitmap>>,
     /// Finished tasks that usage records have, and the job's own may not have yet.
-    pub ends: Finished,
+    pub ends: CompletionBitmap,
     /// Where it stands in its pipeline.
-    pub stage: Stage,
+    pub dependency_state: DependencyState,
 }
 
 impl Job {
     /// Whether it is cancelled, by its own user or because of a job that it awaits.
     pub fn cancelled(&self) -> bool {
-        self.record.cancelled || self.stage.cancelled
+        self.record.cancelled || self.dependency_state.cancelled
     }
 
     /// Whether its tasks may be booked: everything that it awaits is known to be done.
     pub fn ready(&self) -> bool {
-        !self.cancelled() && !self.stage.waits
+        !self.cancelled() && !self.dependency_state.waits
     }
 
     /// How urgent it is, for itself or for what needs it.
     pub fn priority(&self) -> Priority {
-        self.stage.priority
+        self.dependency_state.priority
     }
 
     /// How many tasks are finished.
--- a/src/bookkeeping/classes.rs
+++ b/src/storage/machine_classes.rs
@@ -1,8 +1,8 @@
 //! Classes of equal machines: what rules ask about the machines themselves is judged once for each.
 
-use super::catalog::Catalog;
-use super::ids::MachineId;
-use super::records::MachineRecord;
+use crate::storage::catalog::Catalog;
+use crate::storage::ids::MachineId;
+use crate::storage::records::MachineRecord;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
--- a/src/bookkeeping/group.rs
+++ b/src/storage/machine_group.rs
@@ -4,7 +4,7 @@
 //! so the written form is terse: types, images and attempts are named once for the whole record,
 //! and machines refer to them by number.
 
-use super::ids::{Attempt, JobId, MachineId, TaskId};
+use crate::storage::ids::{Attempt, JobId, MachineId, TaskId};
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use serde::de::value::MapAccessDeserializer;
@@ -17,12 +17,12 @@
 
 /// A task's place: job number, task number, attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Booking(pub u64, pub u32, pub u64);
+pub struct Assignment(pub u64, pub u32, pub u64);
 
-impl Booking {
+impl Assignment {
     /// The booking of an attempt.
-    pub fn of(a: Attempt) -> Booking {
-        Booking(a.task.job.0, a.task.index, a.number)
+    pub fn of(a: Attempt) -> Assignment {
+        Assignment(a.task.job.0, a.task.index, a.number)
     }
 
     /// The attempt that it books.
@@ -39,24 +39,24 @@
 
 /// What a machine may still be used for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fitness {
+pub enum MachineHealth {
     /// Takes bookings.
     #[default]
-    Up,
+    Schedulable,
     /// Takes no further bookings: the cloud will take it, or it is faulty.
-    Draining,
+    Cordoned,
     /// Silent: takes no bookings until it is heard again.
-    Lost,
+    Unreachable,
     /// A release may have been sent: unusable for ever.
-    Releasing,
+    Decommissioning,
 }
 
-impl Fitness {
-    const ALL: [Fitness; 4] = [
-        Fitness::Up,
-        Fitness::Draining,
-        Fitness::Lost,
-        Fitness::Releasing,
+impl MachineHealth {
+    const ALL: [MachineHealth; 4] = [
+        MachineHealth::Schedulable,
+        MachineHealth::Cordoned,
+        MachineHealth::Unreachable,
+        MachineHealth::Decommissioning,
     ];
 }
 
@@ -72,15 +72,15 @@
     /// The worker's address, if it is a plain one.
     pub endpoint: Option<SocketAddrV4>,
     /// What it may be used for.
-    pub fitness: Fitness,
+    pub health: MachineHealth,
     /// Sessions up to this one are over for ever, whatever their worker believes.
-    pub dead: u64,
+    pub fenced_incarnation: u64,
     /// Images that it fetched, the most recently used last, with their sizes.
     pub images: Vec<(Arc<str>, u64)>,
     /// Bookings.
-    pub tasks: Vec<Booking>,
+    pub tasks: Vec<Assignment>,
     /// Those of them that are to be stopped for others, which have their room already.
-    pub preempted: Vec<Booking>,
+    pub preempted: Vec<Assignment>,
 }
 
 impl MachineRecord {
@@ -128,7 +128,7 @@
 
 impl GroupRecord {
     /// Most bytes that one more booking can add.
-    pub fn booking_bytes(a: &Attempt, image: &str, size: u64) -> usize {
+    pub fn assignment_bytes(a: &Attempt, image: &str, size: u64) -> usize {
         // The attempt's entry, the image's, and the machine's references to both.
         let attempt = digits(a.task.job.0) + digits(a.number) + 4;
         let image = image.len() + digits(size) + 6 + 4;
@@ -142,17 +142,17 @@
     /// Most bytes that an empty machine can add.
     pub fn machine_bytes(id: MachineId, r: &MachineRecord) -> usize {
         let kind = r.machine_type.len() + r.zone.len() + 10 + 2 + 6 + 21;
-        kind + digits(id.0) + 6 + digits(r.dead) + 8
+        kind + digits(id.0) + 6 + digits(r.fenced_incarnation) + 8
     }
 
     /// About as many bytes as a machine takes with this many bookings, once names are shared. In the
     /// terser form tasks of one attempt share their entry.
-    pub fn usual_bytes(bookings: u64, terse: bool) -> usize {
-        let bookings = bookings as usize;
+    pub fn usual_bytes(assignments: u64, terse: bool) -> usize {
+        let assignments = assignments as usize;
         if terse {
-            16 + 4 * bookings
+            16 + 4 * assignments
         } else {
-            20 + 4 * MachineRecord::IMAGES / 2 + 12 * bookings
+            20 + 4 * MachineRecord::IMAGES / 2 + 12 * assignments
         }
     }
 }
@@ -212,11 +212,11 @@
         let mut attempts = Numbered::new();
         if self.terse {
             // In order, so that each can be written as what it is beyond the one before.
-            let bookings = self
+            let assignments = self
                 .machines
                 .values()
                 .flat_map(|r| r.tasks.iter().chain(&r.preempted));
-            let mut all: Vec<(u64, u64)> = bookings.map(|b| (b.0, b.2)).collect();
+            let mut all: Vec<(u64, u64)> = assignments.map(|b| (b.0, b.2)).collect();
             all.sort_unstable();
             all.into_iter().for_each(|a| {
                 attempts.number(a, || a);
@@ -239,10 +239,12 @@
             m.extend([id.0 - last, kind]);
             let images_here = r.images.len() as u64;
             if self.terse {
-                m.push(r.fitness as u64 | u64::from(r.dead > 0) << 2 | images_here << 3);
-                m.extend((r.dead > 0).then_some(r.dead));
+                m.push(
+                    r.health as u64 | u64::from(r.fenced_incarnation > 0) << 2 | images_here << 3,
+                );
+                m.extend((r.fenced_incarnation > 0).then_some(r.fenced_incarnation));
             } else {
-                m.extend([r.fitness as u64, r.dead, images_here]);
+                m.extend([r.health as u64, r.fenced_incarnation, images_here]);
             }
             for (name, size) in &r.images {
                 m.push(images.number((&**name, *size), || ((&**name).into(), *size)));
@@ -350,20 +352,20 @@
         };
         let kinds: Vec<_> = self.k.into_iter().map(shared).collect();
         let attempts = self.a;
-        let booking = |attempt: u64, index: u64| {
+        let assignment = |attempt: u64, index: u64| {
             let (job, number) = attempts.get(usize::try_from(attempt).ok()?)?;
-            Some(Booking(*job, u32::try_from(index).ok()?, *number))
+            Some(Assignment(*job, u32::try_from(index).ok()?, *number))
         };
         let mut machines = BTreeMap::new();
         let mut last: u64 = 0;
         for m in self.m {
-            let (id, kind, fitness, dead, images_here, rest) = match &*m {
-                [id, kind, head, dead, rest @ ..] if terse && head >> 2 & 1 == 1 => {
-                    (id, kind, head & 3, *dead, head >> 3, rest)
+            let (id, kind, health, fenced_incarnation, images_here, rest) = match &*m {
+                [id, kind, head, fenced_incarnation, rest @ ..] if terse && head >> 2 & 1 == 1 => {
+                    (id, kind, head & 3, *fenced_incarnation, head >> 3, rest)
                 }
                 [id, kind, head, rest @ ..] if terse => (id, kind, head & 3, 0, head >> 3, rest),
-                [id, kind, fitness, dead, images_here, rest @ ..] if !terse => {
-                    (id, kind, *fitness, *dead, *images_here, rest)
+                [id, kind, health, fenced_incarnation, images_here, rest @ ..] if !terse => {
+                    (id, kind, *health, *fenced_incarnation, *images_here, rest)
                 }
                 _ => return None,
             };
@@ -385,8 +387,8 @@
                 zone: Arc::clone(zone),
                 spot: *spot,
                 endpoint,
-                fitness: *Fitness::ALL.get(usize::try_from(fitness).ok()?)?,
-                dead,
+                health: *MachineHealth::ALL.get(usize::try_from(health).ok()?)?,
+                fenced_incarnation,
                 images: has.collect::<Option<_>>()?,
                 tasks: if terse {
                     let masks = tasks
@@ -397,12 +399,12 @@
                     let each = masks
                         .into_iter()
                         .flat_map(|(a, first, mask)| bits(mask).map(move |b| (a, first, b)));
-                    each.map(|(a, first, b)| booking(a, first.checked_add(b)?))
+                    each.map(|(a, first, b)| assignment(a, first.checked_add(b)?))
                         .collect::<Option<_>>()?
                 } else {
                     tasks
                         .chunks(2)
-                        .map(|t| booking(t[0], *t.get(1)?))
+                        .map(|t| assignment(t[0], *t.get(1)?))
                         .collect::<Option<_>>()?
                 },
                 preempted: Vec::new(),
@@ -413,7 +415,7 @@
             machines
                 .get_mut(&MachineId(*id))?
                 .preempted
-                .push(booking(*attempt, *index)?);
+                .push(assignment(*attempt, *index)?);
         }
         Some(GroupRecord { machines, terse })
     }
@@ -453,104 +455,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn machine(endpoint: &str) -> MachineRecord {
-        MachineRecord {
-            machine_type: "small".into(),
-            zone: "a".into(),
-            spot: true,
-            endpoint: endpoint.parse().ok(),
-            fitness: Fitness::Up,
-            dead: 0,
-            images: Vec::new(),
-            tasks: Vec::new(),
-            preempted: Vec::new(),
-        }
-    }
-
-    /// Every estimate must be at least what the written form really grows by: a round that outgrew
-    /// the store's limit would be refused for ever.
-    #[test]
-    fn estimates_are_upper_bounds_and_records_survive_the_store() {
-        grows_as_estimated(false);
-        grows_as_estimated(true);
-    }
-
-    fn grows_as_estimated(terse: bool) {
-        let size = |g: &GroupRecord| serde_json::to_string(g).unwrap().len();
-        let mut g = GroupRecord {
-            terse,
-            ..GroupRecord::default()
-        };
-        for i in 0..130u64 {
-            let id = MachineId(900 + i * 997);
-            let mut new = machine(&format!("10.1.{}.{}:9000", i / 200, 1 + i % 200));
-            new.dead = i % 3 * 1_000_000;
-            let before = size(&g);
-            let most = GroupRecord::machine_bytes(id, &new);
-            g.machines.insert(id, new);
-            assert!(size(&g) <= before + most, "a machine");
-            for n in 0..i % 5 {
-                let task = TaskId {
-                    job: JobId(999_990 + i * n),
-                    index: 99_999 - (i * n) as u32,
-                };
-                let a = Attempt {
-                    task,
-                    number: 1_000_000 + n,
-                };
-                let image = format!("image-{}", i % 40);
-                let before = size(&g);
-                let most = GroupRecord::booking_bytes(&a, &image, 123_456);
-                let r = g.machines.get_mut(&id).unwrap();
-                r.tasks.push(Booking::of(a));
-                r.use_image(&image, 123_456, u64::MAX);
-                assert!(size(&g) <= before + most, "a booking");
-                let before = size(&g);
-                let r = g.machines.get_mut(&id).unwrap();
-                r.preempted.extend(r.tasks.last().copied());
-                // The list's own key is part of the spare room.
-                assert!(
-                    size(&g) <= before + GroupRecord::PREEMPTED_BYTES + 8,
-                    "a preemption"
-                );
-            }
-        }
-        let text = serde_json::to_string(&g).unwrap();
-        let mut back = serde_json::from_str::<GroupRecord>(&text).unwrap();
-        back.machines
-            .values_mut()
-            .chain(g.machines.values_mut())
-            .for_each(|r| r.tasks.sort_unstable());
-        assert_eq!(back, g);
-        assert!(
-            serde_json::from_str::<GroupRecord>(r#"{"k":[],"i":[],"a":[],"m":[[1,0,0,0,0]]}"#)
-                .is_err()
-        );
-        assert!(
-            serde_json::from_str::<GroupRecord>(r#"{"m":{}}"#).is_err(),
-            "the first layout"
-        );
-    }
-
-    #[test]
-    fn many_machines_fit_a_small_value() {
-        let mut g = GroupRecord::default();
-        for i in 1..=100 {
-            let mut r = machine(&format!("10.1.0.{i}:9000"));
-            let task = TaskId {
-                job: JobId(400_000 + i / 8),
-                index: i as u32,
-            };
-            r.tasks.push(Booking::of(Attempt {
-                task,
-                number: 10_000 + i / 8,
-            }));
-            r.use_image("img-07", 900, u64::MAX);
-            g.machines.insert(MachineId(i), r);
-        }
-        assert!(serde_json::to_string(&g).unwrap().len() < 3_000);
-    }
-}
+mod tests;
--- a/src/bookkeeping/records.rs
+++ b/src/storage/records.rs
@@ -1,11 +1,11 @@
 //! The records kept in the state service, and their keys.
 
-use super::catalog::Catalog;
-use super::finished::Finished;
-pub use super::group::{Booking, Fitness, GroupRecord, MachineRecord};
-use super::ids::{JobId, MachineId, Part, Slice};
-use super::starts::Starts;
-use super::time::Micros;
+use crate::storage::catalog::Catalog;
+use crate::storage::completion_bitmap::CompletionBitmap;
+use crate::storage::ids::{GroupIndex, JobId, MachineId, ShardId};
+pub use crate::storage::machine_group::{Assignment, GroupRecord, MachineHealth, MachineRecord};
+use crate::storage::restart_history::RestartHistory;
+use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -24,12 +24,12 @@
     /// A controller's liveness.
     Node(String),
     /// Owner of a slice.
-    Own(Slice),
+    ShardLeader(ShardId),
     /// Some machines of a slice, and their bookings. A slice has as many of these records as its
     /// machines need; the first of them is written with every addition.
-    Group(Slice, Part),
+    Group(ShardId, GroupIndex),
     /// What the slice's teams have booked; in layouts from [`FENCED`] on only its owner writes it.
-    Usage(Slice),
+    Usage(ShardId),
     /// A live job.
     Job(JobId),
     /// A further chunk of a job's finished set.
@@ -47,7 +47,7 @@
             Key::Types => f.write_str("c/types"),
             Key::Fleet => f.write_str("c/fleet"),
             Key::Node(n) => write!(f, "c/node/{n}"),
-            Key::Own(k) => write!(f, "c/own/{k}"),
+            Key::ShardLeader(k) => write!(f, "c/own/{k}"),
             Key::Group(k, n) => write!(f, "c/group/{k}/{n}"),
             Key::Usage(k) => write!(f, "c/usage/{k}"),
             Key::Job(j) => write!(f, "c/job/{}", j.0),
@@ -75,7 +75,7 @@
         };
         match kind {
             "node" => Some(Key::Node(id.to_owned())),
-            "own" => id.parse().ok().map(Key::Own),
+            "own" => id.parse().ok().map(Key::ShardLeader),
             "group" => {
                 let (k, n) = id.split_once('/')?;
                 Some(Key::Group(k.parse().ok()?, n.parse().ok()?))
@@ -128,10 +128,10 @@
     pub layout: u32,
     /// Number of slices.
     #[serde(rename = "slices")]
-    pub slices: usize,
+    pub shards: usize,
     /// Slices of the teams with a guarantee or a limit.
     #[serde(rename = "teams")]
-    pub teams: BTreeMap<String, Slice>,
+    pub teams: BTreeMap<String, ShardId>,
 }
 
 /// One run of a controller process; drawn at random when it starts.
@@ -152,13 +152,17 @@
     #[serde(rename = "u", default, skip_serializing_if = "Option::is_none")]
     pub rules: Option<u64>,
     /// When it started lately, this run included. Earlier versions did not say.
-    #[serde(rename = "s", default, skip_serializing_if = "Starts::is_empty")]
-    pub starts: Starts,
+    #[serde(
+        rename = "s",
+        default,
+        skip_serializing_if = "RestartHistory::is_empty"
+    )]
+    pub restart_history: RestartHistory,
 }
 
 /// The owner of a slice. The record's stamp is the owner's term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OwnRecord {
+pub struct ShardLeaderRecord {
     /// The controller.
     #[serde(rename = "node")]
     pub node: String,
@@ -180,7 +184,7 @@
     pub teams: BTreeMap<String, (u64, u64)>,
     /// Finished tasks that the jobs' own records do not have yet.
     #[serde(rename = "f", default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub ends: BTreeMap<JobId, Finished>,
+    pub ends: BTreeMap<JobId, CompletionBitmap>,
 }
 
 impl UsageRecord {
@@ -223,7 +227,11 @@
     #[serde(rename = "y")]
     pub zone: String,
     /// Spot.
-    #[serde(rename = "s", default, skip_serializing_if = "super::job::is_false")]
+    #[serde(
+        rename = "s",
+        default,
+        skip_serializing_if = "crate::storage::job::is_false"
+    )]
     pub spot: bool,
     /// How many were asked for.
     #[serde(rename = "c")]
--- a/src/bookkeeping/starts.rs
+++ b/src/storage/restart_history.rs
@@ -5,15 +5,15 @@
 //! the time. So after a few starts in a short time it takes none until it has lived for a while. This is suspicion like
 //! any other: it says who should claim, never who may.
 
-use super::time::Micros;
+use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 
 /// Recent starts, by the time of day in whole seconds, the latest last.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Starts(Vec<u64>);
+pub struct RestartHistory(Vec<u64>);
 
-impl Starts {
+impl RestartHistory {
     /// Starts that count together.
     const WINDOW: u64 = 60;
     /// So many within the window say nothing: a roll of all or a crash of all beside it.
@@ -29,7 +29,7 @@
     }
 
     /// These, and one more now; what is long past is left out.
-    pub fn and(&self, day: Micros) -> Starts {
+    pub fn and(&self, day: Micros) -> RestartHistory {
         let now = day.0 / 1_000_000;
         let recent = self
             .0
@@ -38,7 +38,7 @@
             .filter(|t| now.saturating_sub(*t) < Self::WINDOW);
         let mut all: Vec<u64> = recent.chain([now]).collect();
         all.drain(..all.len().saturating_sub(Self::KEPT));
-        Starts(all)
+        RestartHistory(all)
     }
 
     /// From when on the process that started last may take slices, by the time of day.
@@ -65,35 +65,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn after(starts: &[u64]) -> Starts {
-        starts
-            .iter()
-            .fold(Starts::default(), |s, t| s.and(Micros::secs(*t)))
-    }
-
-    #[test]
-    fn a_few_starts_say_nothing_and_more_ask_for_a_longer_life_each() {
-        for (starts, lives) in [
-            (vec![1_000], 0),
-            (vec![1_000, 1_002], 0),
-            // Long ago does not count.
-            (vec![1_000, 1_002, 1_100, 1_102], 0),
-            (vec![1_000, 1_002, 1_004], 5),
-            (vec![1_000, 1_002, 1_004, 1_006], 10),
-            ((1_000..1_024).collect(), 40),
-        ] {
-            let last = *starts.last().unwrap();
-            let all = after(&starts);
-            assert_eq!(all.is_steady(Micros::secs(last)), lives == 0, "{starts:?}");
-            assert!(all.is_steady(Micros::secs(last + lives)), "{starts:?}");
-            assert!(
-                lives == 0 || !all.is_steady(Micros::secs(last + lives - 1)),
-                "{starts:?}"
-            );
-            assert!(serde_json::to_string(&all).unwrap().len() < 100);
-        }
-    }
-}
+mod tests;
--- a/src/transport/admission.rs
+++ b/src/transport/admission.rs
@@ -1,10 +1,10 @@
 //! Carries out the admission of connections: registers those that come and go, and ends those that are too slow.
 
 use super::clock::Clock;
-use crate::bookkeeping::time::Micros;
-use crate::coordination::connections::{
+use crate::coordination::api::connections::{
     ConnectionCounts, ConnectionId, Connections, Request, Verdict,
 };
+use crate::time::Micros;
 use salvo::conn::ConnCtrl;
 use salvo::fuse::{ArcConnObserver, ConnObserver, FuseAction, FuseConfig, FuseInfo, FusePolicy};
 use salvo::prelude::async_trait;
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,6 +1,6 @@
 //! The HTTP client: pooled connections, a time limit on every call, bounded sockets.
 
-use crate::bookkeeping::time::Micros;
+use crate::time::Micros;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
--- a/src/transport/clock.rs
+++ b/src/transport/clock.rs
@@ -1,7 +1,7 @@
 //! The process's clocks.
 
-use crate::bookkeeping::time::Micros;
 use crate::coordination::Now;
+use crate::time::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// A steady clock that starts with the process, and the time of day.
