--- a/src/transport/node.rs
+++ b/src/transport/node.rs
@@ -2,15 +2,15 @@
 
 use super::client::{HttpClient, NoAnswer};
 use super::clock::Clock;
-use crate::bookkeeping::ids::JobId;
-use crate::coordination::connections::SocketPlan;
+use crate::coordination::api::connections::SocketPlan;
 use crate::coordination::{CallId, Controller, Effect, Event};
 use crate::protocol::peer::PeerHint;
 use crate::protocol::settings::Settings;
 use crate::protocol::state::CallError;
-use crate::protocol::user::{UserAnswer, UserRequest};
-use crate::protocol::worker::{Report, ReportAnswer};
+use crate::protocol::user::{UserRequest, UserResponse};
+use crate::protocol::worker::{Heartbeat, HeartbeatResponse};
 use crate::protocol::{cloud, state};
+use crate::storage::ids::JobId;
 use std::borrow::Cow;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,7 +18,7 @@
 
 struct Inner {
     controller: Controller,
-    users: HashMap<CallId, oneshot::Sender<UserAnswer>>,
+    users: HashMap<CallId, oneshot::Sender<UserResponse>>,
     next_call: u64,
 }
 
@@ -105,7 +105,7 @@
     }
 
     /// A user's request; the answer comes once it is decided.
-    pub async fn user(self: &Arc<Self>, request: UserRequest) -> UserAnswer {
+    pub async fn user(self: &Arc<Self>, request: UserRequest) -> UserResponse {
         self.ask(|call| Event::User(call, request)).await
     }
 
@@ -114,11 +114,11 @@
         self: &Arc<Self>,
         job: JobId,
         why: Cow<'static, str>,
-    ) -> UserAnswer {
+    ) -> UserResponse {
         self.ask(|call| Event::BadSubmission(call, job, why)).await
     }
 
-    async fn ask(self: &Arc<Self>, event: impl FnOnce(CallId) -> Event) -> UserAnswer {
+    async fn ask(self: &Arc<Self>, event: impl FnOnce(CallId) -> Event) -> UserResponse {
         let (sender, receiver) = oneshot::channel();
         let call = {
             let mut inner = self.lock();
@@ -128,18 +128,20 @@
             call
         };
         self.post(event(call));
-        receiver.await.unwrap_or(UserAnswer::Later(1))
+        receiver.await.unwrap_or(UserResponse::RetryAfter(1))
     }
 
     /// A worker's report; it is answered at once.
-    pub fn report(self: &Arc<Self>, report: Report) -> ReportAnswer {
-        let mut effects = self.handle(Event::Report(CallId(0), report));
-        let at = effects.iter().position(|e| matches!(e, Effect::Report(..)));
+    pub fn heartbeat(self: &Arc<Self>, heartbeat: Heartbeat) -> HeartbeatResponse {
+        let mut effects = self.handle(Event::Heartbeat(CallId(0), heartbeat));
+        let at = effects
+            .iter()
+            .position(|e| matches!(e, Effect::Heartbeat(..)));
         let answer = at.map(|i| effects.remove(i));
         self.carry_out(effects);
         match answer {
-            Some(Effect::Report(_, answer)) => answer,
-            _ => ReportAnswer::Unavailable,
+            Some(Effect::Heartbeat(_, answer)) => answer,
+            _ => HeartbeatResponse::Unavailable,
         }
     }
 
@@ -177,7 +179,7 @@
                         node.post(Event::Cloud(call, result));
                     });
                 }
-                Effect::Direct {
+                Effect::PushCommand {
                     call,
                     endpoint,
                     body,
@@ -195,9 +197,9 @@
                             .ok()
                             .filter(|(status, _)| matches!(status, 200 | 409))
                             .and_then(|(status, body)| {
-                                Some((status == 200, Report::parse(&body)?))
+                                Some((status == 200, Heartbeat::parse(&body)?))
                             });
-                        node.post(Event::Direct(call, result));
+                        node.post(Event::PushCommand(call, result));
                     });
                 }
                 Effect::User(call, answer) => {
@@ -206,7 +208,7 @@
                         let _ = sender.send(answer);
                     }
                 }
-                Effect::Report(..) => {}
+                Effect::Heartbeat(..) => {}
                 Effect::Peers(hint) => {
                     self.hints.send_replace(Some(hint));
                 }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -2,10 +2,14 @@
 
 use super::admission::{Admission, Register};
 use super::node::Node;
-use crate::bookkeeping::ids::JobId;
-use crate::coordination::connections::{Request as Asked, Verdict};
-use crate::protocol::user::{BODY_LIMIT, BadSubmission, UserAnswer, UserRequest, parse_submission};
-use crate::protocol::worker::{Report, ReportAnswer, elsewhere_body, heartbeat_response_body};
+use crate::coordination::api::connections::{Request as Asked, Verdict};
+use crate::protocol::user::{
+    BODY_LIMIT, BadSubmission, UserRequest, UserResponse, parse_submission,
+};
+use crate::protocol::worker::{
+    Heartbeat, HeartbeatResponse, elsewhere_body, heartbeat_response_body,
+};
+use crate::storage::ids::JobId;
 use salvo::http::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use salvo::http::{ReqBody, StatusCode};
 use salvo::prelude::*;
@@ -50,7 +54,7 @@
     let work = Router::with_path("work").post(end(Asked::Submit)).push(job);
     let router = Router::new()
         .push(work)
-        .push(Router::with_path("v1/report").post(end(Asked::Report)))
+        .push(Router::with_path("v1/report").post(end(Asked::Heartbeat)))
         .push(Router::with_path("healthz").get(end(Asked::Health)));
     Service::new(router)
 }
@@ -67,7 +71,7 @@
         let remote = req.remote_addr().clone().into_std();
         match remote.map_or(Verdict::Serve, |r| self.admission.requested(r, self.asked)) {
             Verdict::Serve => self.serve(req, res).await,
-            Verdict::TurnAway(seconds) => user_answer(res, UserAnswer::Later(seconds)),
+            Verdict::TurnAway(seconds) => user_answer(res, UserResponse::RetryAfter(seconds)),
         }
         if remote.is_some_and(|r: SocketAddr| self.admission.answered(r)) {
             res.headers_mut()
@@ -81,7 +85,7 @@
         match self.asked {
             Asked::Submit => self.submit(req, res).await,
             Asked::Query | Asked::Abort => self.about_job(req, res).await,
-            Asked::Report => self.report(req, res).await,
+            Asked::Heartbeat => self.heartbeat(req, res).await,
             Asked::Health => self.health(res),
         }
     }
@@ -114,7 +118,7 @@
                 };
                 match named_job(body) {
                     Some(id) => self.node.bad_submission(id, why).await,
-                    None => UserAnswer::Bad(why),
+                    None => UserResponse::Bad(why),
                 }
             }
         };
@@ -127,39 +131,41 @@
             .and_then(|id| id.parse::<JobId>().ok());
         let answer = match (id, self.asked) {
             // Nothing of such a name was ever accepted.
-            (None, _) => UserAnswer::Unknown,
+            (None, _) => UserResponse::Unknown,
             (Some(id), Asked::Abort) => self.node.user(UserRequest::Abort(id)).await,
             (Some(id), _) => self.node.user(UserRequest::Query(id)).await,
         };
         user_answer(res, answer);
     }
 
-    async fn report(&self, req: &mut Request, res: &mut Response) {
+    async fn heartbeat(&self, req: &mut Request, res: &mut Response) {
         let Some(body) = body(req, res).await else {
             return;
         };
-        let answer = match Report::parse(body) {
-            Some(report) => self.node.report(report),
-            None => ReportAnswer::Malformed,
+        let answer = match Heartbeat::parse(body) {
+            Some(heartbeat) => self.node.heartbeat(heartbeat),
+            None => HeartbeatResponse::Malformed,
         };
         match answer {
-            ReportAnswer::Orders {
+            HeartbeatResponse::Commands {
                 fencing_token,
-                orders,
+                commands,
             } => json(
                 res,
                 StatusCode::OK,
-                heartbeat_response_body(fencing_token, &orders),
+                heartbeat_response_body(fencing_token, &commands),
             ),
-            ReportAnswer::Elsewhere(owner) => {
+            HeartbeatResponse::Elsewhere(owner) => {
                 json(
                     res,
                     StatusCode::MISDIRECTED_REQUEST,
                     elsewhere_body(owner.as_deref()),
                 );
             }
-            ReportAnswer::Unavailable => json(res, StatusCode::SERVICE_UNAVAILABLE, b"{}".to_vec()),
-            ReportAnswer::Malformed => json(res, StatusCode::BAD_REQUEST, b"{}".to_vec()),
+            HeartbeatResponse::Unavailable => {
+                json(res, StatusCode::SERVICE_UNAVAILABLE, b"{}".to_vec())
+            }
+            HeartbeatResponse::Malformed => json(res, StatusCode::BAD_REQUEST, b"{}".to_vec()),
         }
     }
 }
@@ -210,14 +216,14 @@
     );
 }
 
-fn user_answer(res: &mut Response, answer: UserAnswer) {
+fn user_answer(res: &mut Response, answer: UserResponse) {
     match answer {
-        UserAnswer::Accepted(a) => json(res, StatusCode::CREATED, a.body()),
-        UserAnswer::Is(a) => json(res, StatusCode::OK, a.body()),
-        UserAnswer::Unknown => problem(res, StatusCode::NOT_FOUND, "no such job"),
-        UserAnswer::Never(why) => problem(res, StatusCode::UNPROCESSABLE_ENTITY, &why),
-        UserAnswer::Bad(why) => problem(res, StatusCode::BAD_REQUEST, &why),
-        UserAnswer::Later(seconds) => {
+        UserResponse::Accepted(a) => json(res, StatusCode::CREATED, a.body()),
+        UserResponse::Is(a) => json(res, StatusCode::OK, a.body()),
+        UserResponse::Unknown => problem(res, StatusCode::NOT_FOUND, "no such job"),
+        UserResponse::Never(why) => problem(res, StatusCode::UNPROCESSABLE_ENTITY, &why),
+        UserResponse::Bad(why) => problem(res, StatusCode::BAD_REQUEST, &why),
+        UserResponse::RetryAfter(seconds) => {
             res.headers_mut()
                 .insert(RETRY_AFTER, HeaderValue::from(seconds));
             problem(res, StatusCode::SERVICE_UNAVAILABLE, "not now");
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,7 +1,7 @@
 //! Admission of connections: many clients against the pure core, in simulated time.
 
-use cometlead::bookkeeping::time::Micros;
-use cometlead::coordination::connections::{Connections, Request, SocketPlan, Verdict};
+use cometlead::coordination::api::connections::{Connections, Request, SocketPlan, Verdict};
+use cometlead::time::Micros;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -59,7 +59,7 @@
         };
         self.held.insert(worker, id);
         assert_eq!(
-            self.connections.requested(self.now, id, Request::Report),
+            self.connections.requested(self.now, id, Request::Heartbeat),
             Verdict::Serve
         );
         if self.connections.answered(self.now, id) {
@@ -153,7 +153,7 @@
     for id in 0..1_450 {
         connections.opened(Micros::ZERO, id);
         let request = if id % 2 == 0 {
-            Request::Report
+            Request::Heartbeat
         } else {
             Request::Query
         };
@@ -173,17 +173,17 @@
     let mut now = Micros::ZERO;
     for id in 0..1_100 {
         connections.opened(now, id);
-        connections.requested(now, id, Request::Report);
+        connections.requested(now, id, Request::Heartbeat);
         connections.answered(now, id);
     }
     now = Micros::millis(500);
-    connections.requested(now, 1, Request::Report);
+    connections.requested(now, 1, Request::Heartbeat);
     assert!(
         !connections.answered(now, 1),
         "it was idle for half a second"
     );
     now = Micros::secs(9);
-    connections.requested(now, 2, Request::Report);
+    connections.requested(now, 2, Request::Heartbeat);
     assert!(connections.answered(now, 2), "it was idle for nine seconds");
 }
 
@@ -296,7 +296,7 @@
     let request = prop_oneof![
         Just(Request::Health),
         Just(Request::Abort),
-        Just(Request::Report),
+        Just(Request::Heartbeat),
         Just(Request::Submit),
         Just(Request::Query),
     ];
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -2,11 +2,6 @@
 //!
 //! Where a file differs, what was written instead is left in `target/tmp`.
 
-use cometlead::bookkeeping::ids::JobId;
-use cometlead::bookkeeping::job::FinalRecord;
-use cometlead::bookkeeping::records::Key;
-use cometlead::bookkeeping::time::Micros;
-use cometlead::bookkeeping::view::Content;
 use cometlead::protocol::cloud::{self, CloudReply, CloudRequest};
 use cometlead::protocol::operator::OperatorSettings;
 use cometlead::protocol::peer::PeerHint;
@@ -14,8 +9,13 @@
 use cometlead::protocol::state::{self, Put, StateReply, StateRequest, Txn};
 use cometlead::protocol::user::parse_submission;
 use cometlead::protocol::worker::{
-    Command, Report, command_body, elsewhere_body, heartbeat_response_body,
+    Command, Heartbeat, command_body, elsewhere_body, heartbeat_response_body,
 };
+use cometlead::storage::cell_state::Content;
+use cometlead::storage::ids::JobId;
+use cometlead::storage::job::FinalRecord;
+use cometlead::storage::records::Key;
+use cometlead::time::Micros;
 use cometlead_constraints::RuleSet;
 use serde_json::value::RawValue;
 use std::fmt::Write;
@@ -46,7 +46,7 @@
         Content::Types(r) => state::encode(r),
         Content::Fleet(r) => state::encode(r),
         Content::Node(r) => state::encode(r),
-        Content::Own(r) => state::encode(r),
+        Content::ShardLeader(r) => state::encode(r),
         Content::Group(r) => state::encode(r),
         Content::Usage(r) => state::encode(r),
         Content::Job(r) => state::encode(&**r),
@@ -129,7 +129,7 @@
 fn what_workers_send_and_get() {
     let mut got = String::new();
     for line in include_str!("golden/reports.txt").lines() {
-        let Some(r) = Report::parse(line.as_bytes()) else {
+        let Some(r) = Heartbeat::parse(line.as_bytes()) else {
             got += "malformed\n";
             continue;
         };
@@ -249,8 +249,8 @@
         txn(vec![]),
         txn(vec![put(own, None), put(None, None)]),
         txn(vec![put(own, Some(5))]),
-        StateRequest::Grant(Micros::millis(3_500)),
-        StateRequest::Touch(5),
+        StateRequest::LeaseGrant(Micros::millis(3_500)),
+        StateRequest::LeaseKeepAlive(5),
         StateRequest::Changes {
             after: 9,
             wait: Micros::millis(700),
@@ -261,7 +261,7 @@
         sent(&mut got, state::http(request));
         for line in include_str!("golden/state.txt").lines() {
             let (status, body) = line.split_once(' ').unwrap();
-            let changes = |all: &[cometlead::bookkeeping::view::Change]| -> String {
+            let changes = |all: &[cometlead::storage::cell_state::Change]| -> String {
                 all.iter()
                     .map(|c| {
                         format!(
@@ -287,7 +287,7 @@
                     .iter()
                     .fold(format!("clash {n}"), |t, k| format!("{t} {k}")),
                 Ok(StateReply::Lease(n)) => format!("lease {n}"),
-                Ok(StateReply::Touched) => "touched".into(),
+                Ok(StateReply::LeaseKeptAlive) => "touched".into(),
                 Ok(StateReply::NoLease) => "no lease".into(),
                 Ok(StateReply::Changes(all, n)) => format!("changes {n}{}", changes(&all)),
                 Ok(StateReply::TooOld) => "too old".into(),
@@ -380,7 +380,7 @@
             Ok(s) => writeln!(
                 got,
                 "{:?} {} {} {:?} {:?}",
-                s.slices, s.round_ms, s.node_lease_ms, s.idle_s, s.rules
+                s.shards, s.round_ms, s.node_lease_ms, s.idle_s, s.rules
             ),
             Err(e) => writeln!(got, "{e}"),
         }
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -6,10 +6,10 @@
 #[allow(dead_code)]
 mod runner;
 
-use cometlead::bookkeeping::records::{Key, NodeRecord};
-use cometlead::bookkeeping::view::{Change, Content, Touched, View};
 use cometlead::protocol::peer::PeerHint;
 use cometlead::protocol::state::{decode, encode};
+use cometlead::storage::cell_state::{CellChanges, CellState, Change, Content};
+use cometlead::storage::records::{Key, NodeRecord};
 use runner::World;
 use runner::script::Script;
 use serde::Serialize;
@@ -29,7 +29,7 @@
         Key::Meta => pass::<frozen::MetaRecord>(text),
         Key::Fleet => pass::<frozen::FleetRecord>(text),
         Key::Node(_) => pass::<frozen::NodeRecord>(text),
-        Key::Own(_) => pass::<frozen::OwnRecord>(text),
+        Key::ShardLeader(_) => pass::<frozen::OwnRecord>(text),
         Key::Group(..) => pass::<frozen::GroupRecord>(text),
         Key::Usage(_) => pass::<frozen::UsageRecord>(text),
         Key::Job(_) => pass::<frozen::JobRecord>(text),
@@ -48,7 +48,7 @@
         Content::Types(r) => encode(&r),
         Content::Fleet(r) => encode(&r),
         Content::Node(r) => encode(&r),
-        Content::Own(r) => encode(&r),
+        Content::ShardLeader(r) => encode(&r),
         Content::Group(mut r) => {
             r.terse = false;
             encode(&r)
@@ -64,11 +64,11 @@
 #[test]
 fn reads_what_production_wrote_and_loses_nothing() {
     let records: BTreeMap<String, Box<RawValue>> = serde_json::from_str(RECORDS).unwrap();
-    let mut view = View::default();
+    let mut cell = CellState::default();
     for (i, (key, value)) in records.iter().enumerate() {
         let key = Key::parse(key).unwrap_or_else(|| panic!("{key}"));
         if matches!(key, Key::Final(_)) {
-            let end: cometlead::bookkeeping::job::FinalRecord =
+            let end: cometlead::storage::job::FinalRecord =
                 serde_json::from_str(value.get()).unwrap();
             assert_eq!(end.at.0, 0);
             continue;
@@ -76,20 +76,20 @@
         let same: Value = serde_json::from_str(value.get()).unwrap();
         assert_eq!(by_this(&key, value.get()), Some(same), "{key}");
         let content = decode(&key, value);
-        view.apply(
+        cell.apply(
             [Change {
                 key,
                 content,
                 mod_revision: i as u64 + 1,
             }],
-            &mut Touched::default(),
+            &mut CellChanges::default(),
         );
     }
-    assert!(!view.foreign(3) && view.layout() == 2);
-    assert!(view.machines().count() > 5 && view.jobs.len() > 3);
-    assert!(view.jobs.values().all(|j| j.ready() || j.cancelled()));
+    assert!(!cell.foreign(3) && cell.layout() == 2);
+    assert!(cell.machines().count() > 5 && cell.jobs.len() > 3);
+    assert!(cell.jobs.values().all(|j| j.ready() || j.cancelled()));
     assert!(
-        view.jobs.values().any(|j| !j.ends.is_empty()),
+        cell.jobs.values().any(|j| !j.ends.is_empty()),
         "ends of tasks in a usage record"
     );
 }
@@ -137,7 +137,7 @@
         .collect();
     let ours: PeerHint = rmp_serde::from_slice(&bytes).unwrap();
     assert_eq!(
-        (ours.spends, ours.heard_ms, ours.pressed),
+        (ours.spends, ours.heard_ms, ours.saturated),
         (3100, Some(40), true)
     );
     let written = rmp_serde::to_vec(&ours).unwrap();
--- a/tests/production/frozen.rs
+++ b/tests/production/frozen.rs
@@ -2,9 +2,9 @@
 
 #![allow(missing_docs, dead_code)]
 
-use cometlead::bookkeeping::amount::Amount;
-use cometlead::bookkeeping::ids::{Attempt, JobId, MachineId, Slice, TaskId};
-use cometlead::bookkeeping::time::Micros;
+use cometlead::storage::resources::Amount;
+use cometlead::storage::ids::{Attempt, JobId, MachineId, ShardId as Slice, TaskId};
+use cometlead::time::Micros;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,19 +1,19 @@
 //! Rules beyond scenarios: the example of `deploy/`, what is explained, and plans that must forget what they drop.
 
-use cometlead::bookkeeping::admission::{Admission, House, traits};
-use cometlead::bookkeeping::amount::Amount;
-use cometlead::bookkeeping::catalog::{Catalog, MachineType};
-use cometlead::bookkeeping::classes::Classes;
-use cometlead::bookkeeping::finished::Finished;
-use cometlead::bookkeeping::fleet::{self, Demand, Places, Pools};
-use cometlead::bookkeeping::ids::{JobId, MachineId};
-use cometlead::bookkeeping::job::{JobRecord, JobSpec};
-use cometlead::bookkeeping::pipeline::Stage;
-use cometlead::bookkeeping::placement::{Ask, Groups, Rules, Slot, plan};
-use cometlead::bookkeeping::time::Micros;
-use cometlead::bookkeeping::view::Job;
 use cometlead::explain::report;
 use cometlead::protocol::operator::OperatorSettings;
+use cometlead::scheduler::constraints::{JobConstraints, PlacementContext, traits};
+use cometlead::scheduler::placement::{Candidate, GroupAllowance, PlacementRequest, Rules, plan};
+use cometlead::scheduler::provisioning::{self, Demand, MachinePools, PlacementFilter};
+use cometlead::storage::catalog::{Catalog, MachineType};
+use cometlead::storage::cell_state::Job;
+use cometlead::storage::completion_bitmap::CompletionBitmap;
+use cometlead::storage::dependency_graph::DependencyState;
+use cometlead::storage::ids::{JobId, MachineId};
+use cometlead::storage::job::{JobRecord, JobSpec};
+use cometlead::storage::machine_classes::Classes;
+use cometlead::storage::resources::Amount;
+use cometlead::time::Micros;
 use cometlead_constraints::RuleSet;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -107,13 +107,13 @@
         serde_json::json!({"s": serde_json::to_value(&spec).unwrap(), "t": 1}),
     )
     .unwrap();
-    let stage = Stage::alone(&spec);
+    let dependency_state = DependencyState::alone(&spec);
     Job {
         record,
         mod_revision: 1,
         chunks: BTreeMap::new(),
-        ends: Finished::default(),
-        stage,
+        ends: CompletionBitmap::default(),
+        dependency_state,
     }
 }
 
@@ -137,7 +137,7 @@
 /// Machines of the second class and type only.
 struct SecondOnly;
 
-impl Places for SecondOnly {
+impl PlacementFilter for SecondOnly {
     fn class(&self, class: usize) -> bool {
         class == 1
     }
@@ -157,7 +157,7 @@
         types: vec![kind("first"), kind("second")],
     };
     let spec = spec("lane", 4, 8);
-    let mut pools = Pools::default();
+    let mut pools = MachinePools::default();
     pools.add(
         ("first", "a", false),
         &catalog,
@@ -166,7 +166,7 @@
         Some((Amount::default(), None)),
         0,
     );
-    let places: Box<dyn Places> = Box::new(SecondOnly);
+    let places: Box<dyn PlacementFilter> = Box::new(SecondOnly);
     let demand = Demand {
         spec: &spec,
         count: 4,
@@ -175,7 +175,7 @@
         price_limit: u64::MAX,
         places: Some(places),
     };
-    let hires = fleet::plan(&catalog, &[demand], &mut pools, &|_| true, &|o| {
+    let hires = provisioning::plan(&catalog, &[demand], &mut pools, &|_| true, &|o| {
         Some(usize::from(o.machine_type == "second"))
     });
     assert!(
@@ -209,19 +209,19 @@
     ]
     .into_iter()
     .collect();
-    let admissions: HashMap<JobId, Admission> = jobs
+    let job_constraints: HashMap<JobId, JobConstraints> = jobs
         .iter()
-        .filter_map(|(id, j)| Some((*id, Admission::of(j.spec(), &sets, &judged)?)))
+        .filter_map(|(id, j)| Some((*id, JobConstraints::of(j.spec(), &sets, &judged)?)))
         .collect();
-    assert!(admissions.contains_key(&JobId(2)) && !admissions.contains_key(&JobId(1)));
-    let house = House {
+    assert!(job_constraints.contains_key(&JobId(2)) && !job_constraints.contains_key(&JobId(1)));
+    let context = PlacementContext {
         jobs: &jobs,
-        admissions: &admissions,
-        beside: true,
+        job_constraints: &job_constraints,
+        colocated: true,
     };
-    let ask = |id: u64, whole: bool| {
+    let ask = |id: u64, all_or_nothing: bool| {
         let spec = jobs[&JobId(id)].spec();
-        Ask {
+        PlacementRequest {
             job: JobId(id),
             spec,
             priority: spec.priority,
@@ -233,18 +233,18 @@
             mine: true,
             preempts: false,
             guaranteed: false,
-            modest: true,
-            whole,
+            takes_leftovers: true,
+            all_or_nothing,
             avoid: &[],
             rules: Some(Rules {
-                house: &house,
-                admission: admissions.get(&JobId(id)),
-                insisted: 0,
+                context: &context,
+                constraints: job_constraints.get(&JobId(id)),
+                required_preferences: 0,
             }),
         }
     };
-    let placed = |whole: bool| {
-        let mut slots = [Slot {
+    let placed = |all_or_nothing: bool| {
+        let mut candidates = [Candidate {
             machine: MachineId(1),
             group: 0,
             owner: 0,
@@ -254,21 +254,21 @@
             price: 1,
             all: room,
             free: room,
-            kept: false,
+            reserved: false,
             images: &[],
             fetches: None,
             running: Vec::new(),
             class,
             there: Vec::new(),
-            guarded: false,
+            has_exclusions: false,
         }];
-        let mut groups = Groups {
+        let mut groups = GroupAllowance {
             open: vec![false],
             left: 5,
         };
         let claims = plan(
-            &mut slots,
-            &mut [ask(1, whole), ask(2, false)],
+            &mut candidates,
+            &mut [ask(1, all_or_nothing), ask(2, false)],
             &mut groups,
             100,
         );
--- a/tests/runner/check.rs
+++ b/tests/runner/check.rs
@@ -164,14 +164,14 @@
                     || asked.one_zone && zones.len() > 1
                     || asked.apart && zones.values().any(|n| *n > asked.pieces.div_ceil(2));
                 self.places.entry(t.0).or_default().push(info.clone());
-                let beside: BTreeSet<u64> = self.here[&machine]
+                let colocated: BTreeSet<u64> = self.here[&machine]
                     .iter()
                     .filter(|o| o.0 != t.0)
                     .map(|o| o.0)
                     .collect();
                 if let Some(rule) =
                     self.laws
-                        .broken(now, &self.asked, t.0, (machine, info), &beside)
+                        .broken(now, &self.asked, t.0, (machine, info), &colocated)
                 {
                     self.rule(
                         now,
--- a/tests/runner/effects.rs
+++ b/tests/runner/effects.rs
@@ -1,8 +1,8 @@
 //! A digest over everything that the controllers of a run decide, as bytes on the wire.
 
 use cometlead::coordination::Effect;
-use cometlead::protocol::user::UserAnswer;
-use cometlead::protocol::worker::{ReportAnswer, elsewhere_body, heartbeat_response_body};
+use cometlead::protocol::user::UserResponse;
+use cometlead::protocol::worker::{HeartbeatResponse, elsewhere_body, heartbeat_response_body};
 use cometlead::protocol::{cloud, state};
 
 /// FNV-1a with 64 bits: the same on every machine and in every version of Rust.
@@ -59,7 +59,7 @@
             Effect::Cloud(call, request, limit) => {
                 self.request(2, call.0, limit.0, cloud::http(request));
             }
-            Effect::Direct {
+            Effect::PushCommand {
                 call,
                 endpoint,
                 body,
@@ -69,7 +69,7 @@
                 self.request(3, call.0, limit.0, ("POST", path, body.clone()));
             }
             Effect::User(call, answer) => self.answer(4, call.0, user(answer)),
-            Effect::Report(call, answer) => self.answer(5, call.0, report(answer)),
+            Effect::Heartbeat(call, answer) => self.answer(5, call.0, report(answer)),
             Effect::Peers(hint) => {
                 self.digest.number(6);
                 self.digest.bytes(&rmp_serde::to_vec(hint).expect("a hint"));
@@ -106,25 +106,25 @@
 }
 
 /// Status, and the body or what it is made of.
-fn user(answer: &UserAnswer) -> (u64, Vec<u8>) {
+fn user(answer: &UserResponse) -> (u64, Vec<u8>) {
     match answer {
-        UserAnswer::Accepted(a) => (201, a.body()),
-        UserAnswer::Is(a) => (200, a.body()),
-        UserAnswer::Unknown => (404, Vec::new()),
-        UserAnswer::Never(why) => (422, why.as_bytes().to_vec()),
-        UserAnswer::Bad(why) => (400, why.as_bytes().to_vec()),
-        UserAnswer::Later(seconds) => (503, seconds.to_string().into_bytes()),
+        UserResponse::Accepted(a) => (201, a.body()),
+        UserResponse::Is(a) => (200, a.body()),
+        UserResponse::Unknown => (404, Vec::new()),
+        UserResponse::Never(why) => (422, why.as_bytes().to_vec()),
+        UserResponse::Bad(why) => (400, why.as_bytes().to_vec()),
+        UserResponse::RetryAfter(seconds) => (503, seconds.to_string().into_bytes()),
     }
 }
 
-fn report(answer: &ReportAnswer) -> (u64, Vec<u8>) {
+fn report(answer: &HeartbeatResponse) -> (u64, Vec<u8>) {
     match answer {
-        ReportAnswer::Orders {
+        HeartbeatResponse::Commands {
             fencing_token,
-            orders,
-        } => (200, heartbeat_response_body(*fencing_token, orders)),
-        ReportAnswer::Elsewhere(owner) => (421, elsewhere_body(owner.as_deref())),
-        ReportAnswer::Unavailable => (503, Vec::new()),
-        ReportAnswer::Malformed => (400, Vec::new()),
+            commands,
+        } => (200, heartbeat_response_body(*fencing_token, commands)),
+        HeartbeatResponse::Elsewhere(owner) => (421, elsewhere_body(owner.as_deref())),
+        HeartbeatResponse::Unavailable => (503, Vec::new()),
+        HeartbeatResponse::Malformed => (400, Vec::new()),
     }
 }
--- a/tests/runner/laws.rs
+++ b/tests/runner/laws.rs
@@ -19,7 +19,7 @@
 /// What a rule sees of a machine and of what is on it.
 struct Scene<'a> {
     traits: &'a BTreeMap<String, Value>,
-    beside: Vec<(u64, &'a Asked)>,
+    colocated: Vec<(u64, &'a Asked)>,
 }
 
 fn named(words: &Words, field: Field, job: u64, asked: &Asked) -> bool {
@@ -47,8 +47,8 @@
             .contains(&false),
         Expr::Not(e) => !meets(e, s)?,
         Expr::HoldsOwn | Expr::Holds(_) => return None,
-        Expr::Beside(field, words) => s
-            .beside
+        Expr::Colocated(field, words) => s
+            .colocated
             .iter()
             .any(|(job, asked)| named(words, *field, *job, asked)),
         Expr::Trait(name, test, _) => s.traits.get(name).is_some_and(|value| passes(value, test)),
@@ -183,7 +183,7 @@
         asked: &BTreeMap<u64, Asked>,
         job: u64,
         (machine, info): (u64, &MachineInfo),
-        beside: &BTreeSet<u64>,
+        colocated: &BTreeSet<u64>,
     ) -> Option<String> {
         let none = Value::Null;
         let held = self
@@ -196,7 +196,7 @@
             files.push(&none);
         }
         let others = |of: u64, and: Option<u64>| -> Vec<(u64, &Asked)> {
-            beside
+            colocated
                 .iter()
                 .copied()
                 .chain(and)
@@ -208,7 +208,7 @@
             let traits = self.traits(file, machine, info);
             let scene = Scene {
                 traits: &traits,
-                beside: others(job, None),
+                colocated: others(job, None),
             };
             if let Some((name, _)) = hard(file, asked.get(&job)?)
                 .iter()
@@ -216,16 +216,17 @@
             {
                 return Some(name.clone());
             }
-            for other in beside {
+            for other in colocated {
                 let Some(of) = asked.get(other) else { continue };
                 let scene = Scene {
                     traits: &traits,
-                    beside: others(*other, Some(job)),
+                    colocated: others(*other, Some(job)),
                 };
                 for (name, e) in hard(file, of) {
                     let mut about = false;
                     e.tests(&mut |t| {
-                        about |= matches!(t, Expr::Beside(f, w) if named(w, *f, job, &asked[&job]));
+                        about |=
+                            matches!(t, Expr::Colocated(f, w) if named(w, *f, job, &asked[&job]));
                     });
                     if about && meets(&e, &scene) == Some(false) {
                         return Some(format!("{name} of req-{other:06}"));
--- a/tests/runner/looks.rs
+++ b/tests/runner/looks.rs
@@ -2,8 +2,8 @@
 //! reports that are kept for the next owner.
 
 use super::{Happening, Message, World};
-use cometlead::bookkeeping::records::Key;
 use cometlead::protocol::state::{StateRequest, Txn};
+use cometlead::storage::records::Key;
 use serde_json::{Value, json};
 
 /// What a transaction is for, as scenarios name it.
@@ -25,7 +25,7 @@
         "opening"
     } else if writes(|k| matches!(k, Key::Group(..) | Key::Usage(_) | Key::Chunk(..))) {
         "round"
-    } else if writes(|k| matches!(k, Key::Own(_))) {
+    } else if writes(|k| matches!(k, Key::ShardLeader(_))) {
         "claim"
     } else if writes(|k| matches!(k, Key::Node(_))) {
         "node"
@@ -95,7 +95,7 @@
         let kept = std::mem::take(&mut self.kept_reports);
         let from = kept.len().saturating_sub(MOST);
         for (all, message) in kept.into_iter().skip(from) {
-            let Message::Report {
+            let Message::Heartbeat {
                 machine,
                 sent,
                 body,
@@ -108,7 +108,7 @@
                 for span in [1e6, 1e7] {
                     self.count("copies");
                     let at = self.now + (self.dice() * span) as u64;
-                    let copy = Message::Report {
+                    let copy = Message::Heartbeat {
                         machine,
                         node,
                         sent,
--- a/tests/runner/machines.rs
+++ b/tests/runner/machines.rs
@@ -113,7 +113,7 @@
             let (node, sent) = (w.node % nodes, now);
             message = Some((
                 node,
-                Message::Report {
+                Message::Heartbeat {
                     machine,
                     node,
                     sent,
--- a/tests/runner/mod.rs
+++ b/tests/runner/mod.rs
@@ -16,16 +16,18 @@
 mod waiting;
 
 use check::{Checker, MachineInfo};
-use cometlead::bookkeeping::records::{FIRST_LAYOUT, LAYOUT, is_ruled};
-use cometlead::bookkeeping::time::Micros;
 use cometlead::coordination::{CallId, Controller, Counters, Effect, Event, Now};
 use cometlead::protocol::cloud as cloud_wire;
 use cometlead::protocol::operator::OperatorSettings;
 use cometlead::protocol::settings::Settings;
 use cometlead::protocol::state as state_wire;
 use cometlead::protocol::state::{CallError, StateRequest};
-use cometlead::protocol::user::{JobAnswer, UserAnswer, UserRequest, parse_submission};
-use cometlead::protocol::worker::{Report, ReportAnswer, elsewhere_body, heartbeat_response_body};
+use cometlead::protocol::user::{JobStatusResponse, UserRequest, UserResponse, parse_submission};
+use cometlead::protocol::worker::{
+    Heartbeat, HeartbeatResponse, elsewhere_body, heartbeat_response_body,
+};
+use cometlead::storage::records::{FIRST_LAYOUT, LAYOUT, is_ruled};
+use cometlead::time::Micros;
 use cometlead_constraints::RuleSet;
 pub use cometlead_emulator::standins::{cloud, state, worker};
 use rand::rngs::StdRng;
@@ -65,7 +67,7 @@
         answer: Option<(u16, Vec<u8>)>,
     },
     /// A worker's report reaches a controller.
-    Report {
+    Heartbeat {
         machine: u64,
         node: usize,
         sent: u64,
@@ -210,7 +212,7 @@
     /// All that the controllers decided.
     pub decisions: effects::Decisions,
     counters: Counters,
-    takeovers: u64,
+    failovers: u64,
     lost_leases: u64,
     most_groups: u64,
     throttles: u64,
@@ -300,7 +302,7 @@
             check,
             decisions: effects::Decisions::default(),
             counters: Counters::default(),
-            takeovers: 0,
+            failovers: 0,
             lost_leases: 0,
             most_groups: 0,
             throttles: 0,
@@ -356,7 +358,7 @@
         self.lives += 1;
         let seed = self.rng.random();
         let operator = OperatorSettings {
-            slices: self.script.slices,
+            shards: self.script.slices,
             ..OperatorSettings::default()
         };
         let layout = if self.old.contains(&n) {
@@ -400,7 +402,7 @@
         if matches!(to, Party::Machine(m) if self.deaf.get(&m).is_some_and(|until| now < *until)) {
             return;
         }
-        if let (Party::Machine(m), Message::Report { .. }) = (&from, &message)
+        if let (Party::Machine(m), Message::Heartbeat { .. }) = (&from, &message)
             && self.mute.get(m).is_some_and(|until| now < *until)
         {
             return;
@@ -482,22 +484,22 @@
                 };
                 self.at(soon, Happening::Deliver(Box::new(none)));
             }
-            Message::Report { machine, sent, .. } | Message::Reply { machine, sent, .. } => {
+            Message::Heartbeat { machine, sent, .. } | Message::Reply { machine, sent, .. } => {
                 self.at(soon, Happening::WorkerTimeout(machine, sent));
             }
             _ => {}
         }
     }
 
-    fn event(&mut self, n: usize, event: Event) -> Option<ReportAnswer> {
+    fn event(&mut self, n: usize, event: Event) -> Option<HeartbeatResponse> {
         let now = self.time(n);
         let node = self.nodes[n].as_mut()?;
-        let before = node.controller.counters().takeovers;
+        let before = node.controller.counters().failovers;
         let effects = node.controller.handle(now, event);
         for effect in &effects {
             self.decisions.add(self.now, n, effect);
         }
-        let took_over = node.controller.counters().takeovers > before;
+        let took_over = node.controller.counters().failovers > before;
         let life = node.life;
         let wake = node.controller.wake().0;
         let wake = wake.max(self.now + 100);
@@ -517,7 +519,7 @@
                 Effect::Cloud(call, request, limit) => {
                     self.ask(n, life, call, Ask::Cloud(request), limit)
                 }
-                Effect::Direct {
+                Effect::PushCommand {
                     call,
                     endpoint,
                     body,
@@ -530,15 +532,15 @@
                         .expect("endpoint");
                     self.ask(n, life, call, Ask::Direct(machine, body), limit);
                 }
-                Effect::Report(_, answer) => report = Some(answer),
+                Effect::Heartbeat(_, answer) => report = Some(answer),
                 Effect::User(call, answer) => {
                     let wait = self.nodes[n].as_mut().and_then(|x| x.waits.remove(&call));
                     if let Some((user, attempt)) = wait {
                         let job = self.users[user].job;
-                        if let UserAnswer::Never(why) = &answer {
+                        if let UserResponse::Never(why) = &answer {
                             self.check.refusals.insert(job, why.to_string());
                         }
-                        if let UserAnswer::Is(JobAnswer {
+                        if let UserResponse::Is(JobStatusResponse {
                             reason: Some(why), ..
                         }) = &answer
                         {
@@ -549,12 +551,12 @@
                                 .insert(why.to_string());
                         }
                         let (status, state) = match answer {
-                            UserAnswer::Accepted(a) => (201, Some(a)),
-                            UserAnswer::Is(a) => (200, Some(a)),
-                            UserAnswer::Unknown => (404, None),
-                            UserAnswer::Never(_) => (422, None),
-                            UserAnswer::Bad(_) => (400, None),
-                            UserAnswer::Later(_) => (503, None),
+                            UserResponse::Accepted(a) => (201, Some(a)),
+                            UserResponse::Is(a) => (200, Some(a)),
+                            UserResponse::Unknown => (404, None),
+                            UserResponse::Never(_) => (422, None),
+                            UserResponse::Bad(_) => (400, None),
+                            UserResponse::RetryAfter(_) => (503, None),
                         };
                         let state = state.map(|a| {
                             let v: Value = serde_json::from_slice(&a.body()).expect("an answer");
@@ -596,14 +598,17 @@
 
     fn ask(&mut self, node: usize, life: u64, call: CallId, ask: Ask, limit: Micros) {
         let to = Self::party(&ask);
-        let give_up = Message::Answer {
+        let abandon_boots = Message::Answer {
             node,
             life,
             call,
             ask: ask.clone(),
             answer: None,
         };
-        self.at(self.now + limit.0, Happening::Deliver(Box::new(give_up)));
+        self.at(
+            self.now + limit.0,
+            Happening::Deliver(Box::new(abandon_boots)),
+        );
         self.send(
             Party::Node(node),
             to,
@@ -620,7 +625,7 @@
     fn deliver(&mut self, message: Message) {
         // A node that hangs takes nothing before it goes on.
         let to_node = match &message {
-            Message::Answer { node, .. } | Message::Report { node, .. } => Some(*node),
+            Message::Answer { node, .. } | Message::Heartbeat { node, .. } => Some(*node),
             Message::User { node, .. } | Message::Hint { node, .. } => Some(*node),
             _ => None,
         };
@@ -663,32 +668,32 @@
                             cloud_wire::parse(&r, s, &b)
                         }),
                     ),
-                    Ask::Direct(..) => Event::Direct(
+                    Ask::Direct(..) => Event::PushCommand(
                         call,
-                        answer.and_then(|(s, b)| Some((s == 200, Report::parse(&b)?))),
+                        answer.and_then(|(s, b)| Some((s == 200, Heartbeat::parse(&b)?))),
                     ),
                 };
                 self.event(node, event);
             }
-            Message::Report {
+            Message::Heartbeat {
                 machine,
                 node,
                 sent,
                 body,
             } => {
-                let report = Report::parse(&body).expect("a report");
-                let shift = report.session();
-                let Some(answer) = self.event(node, Event::Report(CallId(0), report)) else {
+                let report = Heartbeat::parse(&body).expect("a report");
+                let shift = report.incarnation();
+                let Some(answer) = self.event(node, Event::Heartbeat(CallId(0), report)) else {
                     return;
                 };
                 let (status, body) = match answer {
-                    ReportAnswer::Orders {
+                    HeartbeatResponse::Commands {
                         fencing_token,
-                        orders,
-                    } => (200, heartbeat_response_body(fencing_token, &orders)),
-                    ReportAnswer::Elsewhere(owner) => (421, elsewhere_body(owner.as_deref())),
-                    ReportAnswer::Unavailable => (503, Vec::new()),
-                    ReportAnswer::Malformed => panic!("a good report was refused"),
+                        commands,
+                    } => (200, heartbeat_response_body(fencing_token, &commands)),
+                    HeartbeatResponse::Elsewhere(owner) => (421, elsewhere_body(owner.as_deref())),
+                    HeartbeatResponse::Unavailable => (503, Vec::new()),
+                    HeartbeatResponse::Malformed => panic!("a good report was refused"),
                 };
                 let reply = Message::Reply {
                     machine,
@@ -716,7 +721,7 @@
                 let call = CallId(n.next_user);
                 n.next_user += 1;
                 n.waits.insert(call, (user, attempt));
-                let id = cometlead::bookkeeping::ids::JobId(job);
+                let id = cometlead::storage::ids::JobId(job);
                 let request = match kind {
                     "abort" => UserRequest::Abort(id),
                     "query" => UserRequest::Query(id),
@@ -885,8 +890,8 @@
     fn tally(&mut self, x: Counters) {
         self.counters.clashes += x.clashes;
         self.counters.commits += x.commits;
-        self.takeovers += x.takeovers;
-        self.counters.absences += x.absences;
+        self.failovers += x.failovers;
+        self.counters.stalls += x.stalls;
         self.counters.silenced += x.silenced;
         self.counters.unneeded += x.unneeded;
         self.counters.lost_with_zones += x.lost_with_zones;
--- a/tests/runner/verdict.rs
+++ b/tests/runner/verdict.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use super::script::Expect;
-use cometlead::bookkeeping::records::GroupRecord;
+use cometlead::storage::records::GroupRecord;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
     /// The machines that have a record. None may have two.
     pub(super) fn recorded(&mut self) -> BTreeSet<u64> {
         let mut all = BTreeSet::new();
-        let mut of_slice: BTreeMap<String, u64> = BTreeMap::new();
+        let mut of_shard: BTreeMap<String, u64> = BTreeMap::new();
         // Keys of the first layout had no part.
         for (key, value) in self
             .state
@@ -18,8 +18,8 @@
             .filter(|(k, _)| k.split('/').count() == 4)
         {
             let group: GroupRecord = serde_json::from_value(value.clone()).expect("a group");
-            let slice = key.split('/').nth(2).unwrap_or_default();
-            *of_slice.entry(slice.to_owned()).or_default() += 1;
+            let shard = key.split('/').nth(2).unwrap_or_default();
+            *of_shard.entry(shard.to_owned()).or_default() += 1;
             for m in group.machines.keys() {
                 if !all.insert(m.0) {
                     self.check
@@ -36,7 +36,7 @@
         self.known.clone_from(&all);
         self.most_groups = self
             .most_groups
-            .max(of_slice.into_values().max().unwrap_or(0));
+            .max(of_shard.into_values().max().unwrap_or(0));
         all
     }
 
@@ -107,8 +107,8 @@
                 Expect::Unknown(j) => !self.check.is_accepted(*j),
                 Expect::AllDone => self.check.open().is_empty(),
                 Expect::Clashes => self.counters.clashes > 0,
-                Expect::Takeovers(n) => self.takeovers >= *n,
-                Expect::FewTakeovers(n) => self.takeovers <= *n,
+                Expect::Takeovers(n) => self.failovers >= *n,
+                Expect::FewTakeovers(n) => self.failovers <= *n,
                 Expect::LostLeases(n) => self.lost_leases <= *n,
                 Expect::Groups(n) => self.most_groups >= *n,
                 Expect::AllRecorded => unrecorded == 0,
@@ -130,7 +130,7 @@
                         .collect();
                     all.len() >= *n
                 }
-                Expect::Absences(n) => self.counters.absences >= *n,
+                Expect::Absences(n) => self.counters.stalls >= *n,
                 Expect::FewReturned(zone, n) => {
                     self.cloud
                         .hosts
@@ -194,13 +194,13 @@
                     self.check.late_starts,
                     self.played,
                     self.counters.clashes,
-                    self.takeovers,
+                    self.failovers,
                     self.lost_leases,
                     self.cloud.hosts.len(),
                     self.most_groups,
                     self.in_vain(),
                     self.counters.lost_with_zones,
-                    (self.counters.absences, self.counters.silenced, self.counters.unneeded),
+                    (self.counters.stalls, self.counters.silenced, self.counters.unneeded),
                     self.state.refused,
                     self.state.largest(),
                     self.state.came,
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -1,8 +1,8 @@
 //! Submissions with a field that is missing, null, of the wrong type, negative or too large are malformed, whatever the rest of them
 //! is; fields that may be null may be missing.
 
-use cometlead::bookkeeping::ids::JobId;
 use cometlead::protocol::user::{TASK_COUNT_LIMIT, parse_submission};
+use cometlead::storage::ids::JobId;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{Map, Value, json};
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -1,9 +1,9 @@
 //! Real sockets: the server's answers before anything is known, the client's limits, the peer link.
 
-use cometlead::bookkeeping::time::Micros;
 use cometlead::coordination::Controller;
 use cometlead::protocol::operator::OperatorSettings;
 use cometlead::protocol::settings::Settings;
+use cometlead::time::Micros;
 use cometlead::transport::client::{HttpClient, NoAnswer};
 use cometlead::transport::node::Node;
 use cometlead::transport::{peers, server};
