--- /dev/null
+++ b/src/coordination/calls.rs
@@ -0,0 +1,175 @@
+//! Calls that wait for an answer, and the routing of the state store's answers to the component that asked.
+
+use super::events::{CallId, Effect};
+use super::{Controller, api, autoscaler, commit};
+use crate::protocol::state::{CallError, StateReply, StateRequest};
+use crate::storage::catalog::Catalog;
+use crate::storage::ids::{JobId, MachineId, ShardId};
+use crate::storage::records::{FleetRecord, ProvisionRecord};
+use crate::time::Micros;
+
+/// How long the state store may take to answer, beyond the time that a watch asks it to wait.
+const STATE_TIMEOUT: Micros = Micros::millis(1_500);
+
+/// Why a request was sent: decides which component handles its answer.
+#[derive(Debug)]
+pub(super) enum Purpose {
+    /// A long poll for changes of the cell's records.
+    Watch,
+    /// A read that must be newer than some request.
+    Barrier,
+    /// A page of a full read; `first` is the revision of the first page.
+    Page {
+        first: Option<u64>,
+    },
+    LeaseGrant,
+    LeaseKeepAlive,
+    /// A write of this controller's own record.
+    Node,
+    /// A write of what all controllers agree on: shards, teams and the record format.
+    Meta,
+    /// A claim of the leadership of these shards.
+    Claim(Vec<ShardId>),
+    /// A transaction of submissions.
+    Submit(Vec<api::PendingRequest>),
+    /// A cancellation.
+    Abort(api::PendingRequest),
+    /// A read of how a job ended, for a user.
+    Final(api::PendingRequest, JobId),
+    /// A read of how a dependency ended.
+    DependencyLookup(JobId),
+    /// A commit round.
+    Round(Box<commit::InFlight>),
+    /// A write of the machine types.
+    Types(Catalog),
+    /// A write of a set of rules.
+    Rules,
+    /// A write of the fleet record, with the provision requests that it adds.
+    Fleet(Box<(FleetRecord, Vec<ProvisionRecord>)>),
+    Cloud(autoscaler::CloudPurpose),
+    /// A command pushed to the agent of this machine.
+    PushCommand(MachineId),
+    /// A question whether an agent can be reached at all.
+    Probe,
+}
+
+/// Size of a transaction that was sent, to learn from its refusal.
+#[derive(Clone, Copy, Debug, Default)]
+struct TransactionSize {
+    changes: usize,
+    /// Bytes of the largest value.
+    largest_value: usize,
+}
+
+/// A call that waits for its answer.
+pub(super) struct Call {
+    pub(super) purpose: Purpose,
+    sent: Micros,
+    /// Set for transactions.
+    size: Option<TransactionSize>,
+}
+
+impl Controller {
+    /// Registers a call and returns its id.
+    pub(super) fn call(&mut self, purpose: Purpose) -> CallId {
+        let id = CallId(self.next_call);
+        self.next_call += 1;
+        let call = Call {
+            purpose,
+            sent: self.now.steady,
+            size: None,
+        };
+        self.calls.insert(id, call);
+        id
+    }
+
+    /// Sends a request to the state store. The caller has taken it from the rate budget.
+    pub(super) fn ask_state(&mut self, purpose: Purpose, request: StateRequest) -> CallId {
+        let timeout = match &request {
+            StateRequest::Changes { wait, .. } => *wait + STATE_TIMEOUT,
+            _ => STATE_TIMEOUT,
+        };
+        let id = self.call(purpose);
+        if let (StateRequest::Txn(txn), Some(call)) = (&request, self.calls.get_mut(&id)) {
+            call.size = Some(TransactionSize {
+                changes: txn.then.len(),
+                largest_value: txn.largest(),
+            });
+        }
+        self.effects.push(Effect::State(id, request, timeout));
+        id
+    }
+
+    /// Handles the state store's answer to a call.
+    pub(super) fn on_state(&mut self, id: CallId, result: Result<StateReply, CallError>) {
+        let Some(call) = self.calls.remove(&id) else {
+            return;
+        };
+        match &result {
+            Err(CallError::TooMany) => self.on_state_throttled(),
+            Err(CallError::Refused) => self.on_state_refused(&call),
+            _ => {}
+        }
+        self.route_state_reply(id, call, result);
+    }
+
+    /// Passes an answer on to the component that asked.
+    fn route_state_reply(&mut self, id: CallId, call: Call, result: Result<StateReply, CallError>) {
+        match call.purpose {
+            Purpose::Watch => self.on_changes(id, call.sent, true, result),
+            Purpose::Barrier => self.on_changes(id, call.sent, false, result),
+            Purpose::Page { first } => self.on_page(first, result),
+            Purpose::LeaseGrant => self.on_lease_granted(result),
+            Purpose::LeaseKeepAlive => self.on_lease_kept_alive(call.sent, result),
+            Purpose::Node => self.on_node_written(result),
+            Purpose::Meta => self.replica.want_barrier(),
+            Purpose::Claim(shards) => self.on_claimed(&shards, result),
+            Purpose::Submit(batch) => self.on_submitted(batch, result),
+            Purpose::Abort(request) => self.on_aborted(request, result),
+            Purpose::Final(request, job) => self.on_final(request, job, result),
+            Purpose::DependencyLookup(job) => self.on_dependency_lookup(job, result),
+            Purpose::Round(round) => self.on_round(*round, result),
+            Purpose::Rules => self.on_rules_written(),
+            Purpose::Types(types) => self.on_types_written(types, result),
+            Purpose::Fleet(record) => self.on_fleet_written(*record, result),
+            Purpose::Cloud(_) | Purpose::PushCommand(_) | Purpose::Probe => {}
+        }
+    }
+
+    /// The state store refused a request for its rate.
+    fn on_state_throttled(&mut self) {
+        self.counters.refused += 1;
+        self.budget.refused(self.now.steady);
+        if self.limits.throttled(self.now.steady) {
+            self.on_limits_lowered("rate refused");
+        }
+    }
+
+    /// The state store refused a request as invalid: of a transaction, its limits may be lower than expected.
+    fn on_state_refused(&mut self, call: &Call) {
+        let TransactionSize {
+            changes,
+            largest_value,
+        } = call.size.unwrap_or_default();
+        if self.limits.refused(changes, largest_value) {
+            self.on_limits_lowered("transaction refused");
+        } else {
+            tracing::info!(purpose = ?call.purpose, changes, largest_value, "state request refused as invalid");
+        }
+    }
+
+    /// The state store's announced lower limits are in force from now on.
+    fn on_limits_lowered(&mut self, reason: &'static str) {
+        let rate = self.limits.write_rps();
+        tracing::info!(
+            reason,
+            changes = self.limits.txn_ops(),
+            bytes = self.limits.taken_bytes(),
+            rate,
+            "state store limits lowered"
+        );
+        self.budget
+            .set_writes(rate / self.settings.controllers() as f64);
+        self.rounds.request();
+    }
+}
--- /dev/null
+++ b/src/coordination/counters.rs
@@ -0,0 +1,94 @@
+//! Counters of what a controller does, logged at a fixed interval.
+
+use super::Controller;
+use crate::time::Micros;
+
+/// Counts since the start of the process.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Counters {
+    /// Rounds committed.
+    pub commits: u64,
+    /// Rounds that failed because a record had another revision.
+    pub clashes: u64,
+    /// Rounds whose outcome is unknown, since they had no answer.
+    pub unknown: u64,
+    /// Claims dropped for a conflict and planned again.
+    pub dropped: u64,
+    /// Claims committed as assignments.
+    pub assigned: u64,
+    /// Assignments released.
+    pub released: u64,
+    /// Requests that the state store refused for their rate.
+    pub refused: u64,
+    /// Shards whose leadership was acquired.
+    pub failovers: u64,
+    /// Stalls of this process.
+    pub stalls: u64,
+    /// Agent incarnations declared over because their lease expired.
+    pub silenced: u64,
+    /// Machines selected for scale-in because they had no work.
+    pub unneeded: u64,
+    /// Machines marked unreachable together with their zones.
+    pub lost_with_zones: u64,
+    /// Assignments of jobs with preferences, and those of them whose machine meets the weightiest.
+    pub preferences: (u64, u64),
+    /// Changes of records that its rounds committed.
+    pub changes: ChangeCounters,
+}
+
+/// Committed changes by kind of record.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ChangeCounters {
+    /// Groups of machines.
+    pub groups: u64,
+    /// Usage of teams.
+    pub usage: u64,
+    /// Jobs, and further chunks of their completion bitmaps.
+    pub jobs: u64,
+    /// Ends of jobs.
+    pub ends: u64,
+}
+
+impl Controller {
+    /// Time between two lines of counters in the log.
+    const COUNTER_INTERVAL: Micros = Micros::secs(30);
+
+    /// Logs the counters when they are due.
+    pub(super) fn tick_counters(&mut self) {
+        if self.now.steady < self.next_count {
+            return;
+        }
+        self.next_count = self.now.steady + Self::COUNTER_INTERVAL;
+        self.log_counters();
+        self.log_served();
+    }
+
+    fn log_counters(&self) {
+        let counters = self.counters;
+        let polls = self.users.polls();
+        tracing::info!(
+            commits = counters.commits,
+            clashes = counters.clashes,
+            unknown = counters.unknown,
+            dropped = counters.dropped,
+            assigned = counters.assigned,
+            released = counters.released,
+            refused = counters.refused,
+            stalls = counters.stalls,
+            silenced = counters.silenced,
+            unneeded = counters.unneeded,
+            lost_with_zones = counters.lost_with_zones,
+            groups = counters.changes.groups,
+            usage = counters.changes.usage,
+            jobs = counters.changes.jobs,
+            ends = counters.changes.ends,
+            preferences = counters.preferences.0,
+            preferences_met = counters.preferences.1,
+            waiting = self.rounds.waiting(),
+            polls = polls.answered,
+            polls_delayed = polls.delayed,
+            polls_refused = polls.refused,
+            "counters"
+        );
+    }
+}
--- /dev/null
+++ b/src/coordination/events.rs
@@ -0,0 +1,71 @@
+//! The inputs and outputs of a controller: events, effects and the time.
+
+use crate::protocol::cloud::{CloudReply, CloudRequest};
+use crate::protocol::peer::PeerHint;
+use crate::protocol::state::{CallError, StateReply, StateRequest};
+use crate::protocol::user::{UserRequest, UserResponse};
+use crate::protocol::worker::{Heartbeat, HeartbeatResponse};
+use crate::storage::ids::JobId;
+use crate::time::Micros;
+use std::borrow::Cow;
+
+/// The current time on both clocks of the process.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Now {
+    /// Monotonic time since the start of the process.
+    pub steady: Micros,
+    /// Time of day; its error is bounded by a setting of the deploy file.
+    pub day: Micros,
+}
+
+/// Identifies a request that waits for its answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct CallId(pub u64);
+
+/// An input of the controller.
+#[derive(Debug)]
+pub enum Event {
+    /// The process started, or time passed.
+    Tick,
+    /// A user's request; the answer goes to this call.
+    User(CallId, UserRequest),
+    /// A malformed submission that names its job, with the reason for its refusal.
+    BadSubmission(CallId, JobId, Cow<'static, str>),
+    /// An agent's heartbeat; the answer goes to this call.
+    Heartbeat(CallId, Heartbeat),
+    /// The answer of the state store, or why there is none.
+    State(CallId, Result<StateReply, CallError>),
+    /// The answer of the cloud, or why there is none.
+    Cloud(CallId, Result<CloudReply, CallError>),
+    /// The answer of an agent to a pushed command: whether it was carried out, and the agent's
+    /// heartbeat. `None` if there was no answer.
+    PushCommand(CallId, Option<(bool, Heartbeat)>),
+    /// A hint from another controller.
+    Peer(PeerHint),
+}
+
+/// An action that the controller asks its driver to carry out.
+#[derive(Debug)]
+pub enum Effect {
+    /// Send a request to the state store and wait this long for the answer.
+    State(CallId, StateRequest, Micros),
+    /// Send a request to the cloud and wait this long for the answer.
+    Cloud(CallId, CloudRequest, Micros),
+    /// Push a command to an agent.
+    PushCommand {
+        /// The call that the answer belongs to.
+        call: CallId,
+        /// Address of the agent.
+        endpoint: String,
+        /// Body of the request.
+        body: Vec<u8>,
+        /// How long to wait for the answer.
+        limit: Micros,
+    },
+    /// Answer a user's request.
+    User(CallId, UserResponse),
+    /// Answer an agent's heartbeat.
+    Heartbeat(CallId, HeartbeatResponse),
+    /// Send a hint to all other controllers.
+    Peers(PeerHint),
+}
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,184 +1,58 @@
-//! The controller: events and the time go in, effects come out.
+//! The controller: a pure state machine that takes events and the time and returns effects.
 //!
 //! Nothing here does I/O or reads a clock, so the scenario runner can drive several controllers
-//! through any order of messages.
+//! through any order of messages. [`Controller`] routes events to its components, each of which has
+//! a folder of its own.
 
 mod agents;
 pub mod api;
 mod autoscaler;
+mod calls;
 mod commit;
 mod constraints;
+mod counters;
+mod events;
 mod health;
 mod leadership;
+mod peers;
 mod replication;
 mod throughput;
 
-use crate::protocol::cloud::{CloudReply, CloudRequest};
 use crate::protocol::operator::OperatorSettings;
 use crate::protocol::peer::PeerHint;
 use crate::protocol::settings::Settings;
-use crate::protocol::state::{CallError, StateReply, StateRequest};
-use crate::protocol::user::{UserRequest, UserResponse};
-use crate::protocol::worker::{Heartbeat, HeartbeatResponse};
-use crate::storage::catalog::Catalog;
+use crate::protocol::worker::Heartbeat;
 use crate::storage::cell_state::{CellChanges, CellState};
-use crate::storage::ids::{JobId, MachineId, ShardId};
-use crate::storage::records::{FleetRecord, Incarnation, LAYOUT, ProvisionRecord, TERSE};
+use crate::storage::ids::{MachineId, ShardId};
+use crate::storage::records::{Incarnation, LAYOUT, TERSE};
 use crate::time::Micros;
+use calls::{Call, Purpose};
 use commit::budget::Budget;
-use std::borrow::Cow;
+pub use counters::{ChangeCounters, Counters};
+pub use events::{CallId, Effect, Event, Now};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// The time: by the process's own steady clock, and of day.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Now {
-    /// Steady, from the start of the process.
-    pub steady: Micros,
-    /// Time of day; off by at most the bound in the settings.
-    pub day: Micros,
-}
-
-/// Names a request that waits for its answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CallId(pub u64);
-
-/// Something that happened.
-#[derive(Debug)]
-pub enum Event {
-    /// The process began, or time passed.
-    Tick,
-    /// A user asks; the answer goes to this call.
-    User(CallId, UserRequest),
-    /// A submission that is malformed but names its job.
-    BadSubmission(CallId, JobId, Cow<'static, str>),
-    /// A worker reports; the answer goes to this call.
-    Heartbeat(CallId, Heartbeat),
-    /// The state service answered, or did not.
-    State(CallId, Result<StateReply, CallError>),
-    /// The cloud answered, or did not.
-    Cloud(CallId, Result<CloudReply, CallError>),
-    /// A worker answered a direct command: its report if there was any answer, and whether the
-    /// command was carried out.
-    PushCommand(CallId, Option<(bool, Heartbeat)>),
-    /// A peer told of itself.
-    Peer(PeerHint),
-}
-
-/// Something to be done.
-#[derive(Debug)]
-pub enum Effect {
-    /// Ask the state service, for at most this long.
-    State(CallId, StateRequest, Micros),
-    /// Ask the cloud.
-    Cloud(CallId, CloudRequest, Micros),
-    /// Send a direct command to a worker.
-    PushCommand {
-        /// The call.
-        call: CallId,
-        /// The worker's address.
-        endpoint: String,
-        /// The command's body.
-        body: Vec<u8>,
-        /// How long to wait.
-        limit: Micros,
-    },
-    /// Answer a user.
-    User(CallId, UserResponse),
-    /// Answer a worker's report.
-    Heartbeat(CallId, HeartbeatResponse),
-    /// Tell all peers.
-    Peers(PeerHint),
-}
-
-/// Why a request was sent; what to do with its answer.
-#[derive(Debug)]
-enum Purpose {
-    Watch,
-    Barrier,
-    Page { first: Option<u64> },
-    LeaseGrant,
-    LeaseKeepAlive,
-    Node,
-    Meta,
-    Claim(Vec<ShardId>),
-    Submit(Vec<api::PendingRequest>),
-    Abort(api::PendingRequest),
-    Final(api::PendingRequest, JobId),
-    DependencyLookup(JobId),
-    Round(Box<commit::InFlight>),
-    Types(Catalog),
-    Rules,
-    Fleet(Box<(FleetRecord, Vec<ProvisionRecord>)>),
-    Cloud(autoscaler::CloudPurpose),
-    PushCommand(MachineId),
-    Probe,
-}
-
-struct Call {
-    purpose: Purpose,
-    sent: Micros,
-    /// Of a transaction: its changes, and bytes of the largest value.
-    size: Option<(usize, usize)>,
-}
-
-/// How a controller counts what it does, for its log.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Counters {
-    /// Rounds committed.
-    pub commits: u64,
-    /// Rounds that failed for a clash.
-    pub clashes: u64,
-    /// Rounds without an answer.
-    pub unknown: u64,
-    /// Claims dropped for a clash and planned again.
-    pub dropped: u64,
-    /// Claims committed.
-    pub assigned: u64,
-    /// Bookings cleared.
-    pub released: u64,
-    /// Requests that the state service refused for their rate.
-    pub refused: u64,
-    /// Slices taken over.
-    pub failovers: u64,
-    /// Times that this process itself did not run for a while.
-    pub stalls: u64,
-    /// Sessions declared over for their silence.
-    pub silenced: u64,
-    /// Machines that were to be returned for want of work.
-    pub unneeded: u64,
-    /// Machines marked as lost together with their zones.
-    pub lost_with_zones: u64,
-    /// Bookings of jobs with preferences, and those of them whose machines meet the weightiest.
-    pub preferences: (u64, u64),
-    /// Changes of groups, usage, jobs and their chunks, and ends of jobs in its rounds.
-    pub changes: ChangeCounters,
-}
-
-/// What rounds spent their changes on.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct ChangeCounters {
-    /// Groups of machines.
-    pub groups: u64,
-    /// Usage of teams.
-    pub usage: u64,
-    /// Jobs and their chunks.
-    pub jobs: u64,
-    /// Ends of jobs.
-    pub ends: u64,
-}
-
-/// One controller.
+/// One controller of a cell.
+///
+/// It places the jobs of the shards that it leads on its own replica of the whole cell's state and commits
+/// its claims to the state store by compare-and-swap.
 pub struct Controller {
+    /// The deploy file.
     settings: Arc<Settings>,
     operator_settings: OperatorSettings,
+    /// This run of the process.
     incarnation: Incarnation,
+    /// The time of the event that is being handled.
     now: Now,
+    /// Effects of the event that is being handled.
     effects: Vec<Effect>,
+    /// When the next tick is needed.
     next_wake: Micros,
     next_call: u64,
+    /// Calls that wait for an answer.
     calls: HashMap<CallId, Call>,
-    /// The latest layout of the records that it understands.
+    /// The latest record format that this process understands.
     layout: u32,
     limits: commit::limits::InForce,
     budget: Budget,
@@ -187,13 +61,13 @@
     replica: replication::Replica,
     leadership: leadership::Leadership,
     agents: BTreeMap<MachineId, agents::Agent>,
-    /// Since when jobs may have been called cancelled.
+    /// Since when jobs may have been reported as cancelled to their users.
     cancelled: agents::cancellations::Cancellations,
-    /// Machines whose workers may have to be sent a direct command.
+    /// Machines to whose agents a command may have to be pushed.
     agents_to_command: BTreeSet<MachineId>,
-    /// Machines that were removed lately: those of the highest numbers.
+    /// Recently removed machines, those with the highest numbers: late heartbeats must not bring them back.
     removed_machines: BTreeSet<MachineId>,
-    /// Most machines that this controller has answered at a time, as far as some were removed since.
+    /// Most machines that this controller has answered at a time; bounds what `removed_machines` keeps.
     largest_fleet: usize,
     connectivity: health::connectivity::Connectivity,
     rounds: commit::Rounds,
@@ -203,6 +77,7 @@
     rules: constraints::Rules,
     served: throughput::Served,
     zones: health::zones::Zones,
+    /// The last hint of each peer, and when it was received.
     peers: HashMap<String, (Micros, PeerHint)>,
     next_tick: Micros,
     next_hint: Micros,
@@ -211,7 +86,16 @@
 }
 
 impl Controller {
-    /// A controller that has just started. The seed also names this run of the process.
+    /// Time between two ticks of the periodic checks.
+    const TICK_INTERVAL: Micros = Micros::millis(500);
+    /// Age of the last contact to the state store from which a node may be unhealthy.
+    const CONTACT_LOST: Micros = Micros::secs(4);
+    /// Age from which a peer's hint says nothing about its contact to the state store.
+    const PEER_HINT_LIFETIME: Micros = Micros::secs(5);
+    /// How much newer a peer's contact must be to show that the state store can be reached.
+    const CONTACT_LEAD: Micros = Micros::secs(2);
+
+    /// A controller that has just started. The seed also identifies this run of the process.
     pub fn new(
         settings: Arc<Settings>,
         operator_settings: OperatorSettings,
@@ -258,8 +142,8 @@
         }
     }
 
-    /// The same controller, as it would be if it understood layouts of the records up to this one only. One
-    /// that understands no terse forms knows of no next limits either.
+    /// The same controller with support for record formats up to this one only, as in an earlier version.
+    /// A version without the compact encoding does not know of announced limits either.
     pub fn understanding(mut self, layout: u32) -> Controller {
         self.layout = layout;
         if layout < TERSE {
@@ -268,7 +152,7 @@
         self
     }
 
-    /// Takes an event and returns what is to be done about it.
+    /// Handles an event and returns the effects to carry out, in order.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Effect> {
         self.now = Now {
             steady: now.steady.max(self.now.steady),
@@ -276,10 +160,17 @@
         };
         self.cell.today = now.day;
         self.detect_stall();
+        self.dispatch(event);
+        self.drive();
+        std::mem::take(&mut self.effects)
+    }
+
+    /// Routes an event to the component that handles it.
+    fn dispatch(&mut self, event: Event) {
         match event {
             Event::Tick => {}
             Event::User(call, request) => self.on_user(call, request),
-            Event::BadSubmission(call, job, why) => self.on_bad_submission(call, job, why),
+            Event::BadSubmission(call, job, reason) => self.on_bad_submission(call, job, reason),
             Event::Heartbeat(call, heartbeat) => {
                 self.connectivity.heard(self.now.steady);
                 let answer = self.on_heartbeat(&heartbeat);
@@ -287,65 +178,69 @@
             }
             Event::State(call, result) => self.on_state(call, result),
             Event::Cloud(call, result) => self.on_cloud(call, result),
-            Event::PushCommand(call, result) => {
-                if result.is_some() {
-                    self.connectivity.heard(self.now.steady);
-                }
-                match self.calls.remove(&call).map(|c| c.purpose) {
-                    Some(Purpose::PushCommand(machine)) => {
-                        self.on_pushed_command(call, machine, result)
-                    }
-                    Some(Purpose::Probe) => self.on_probe_answer(result.is_some()),
-                    _ => {}
-                }
-            }
+            Event::PushCommand(call, answer) => self.on_agent_answer(call, answer),
             Event::Peer(hint) => self.on_hint(hint),
         }
-        self.drive();
-        std::mem::take(&mut self.effects)
     }
 
-    /// When the controller next wants a [`Event::Tick`].
+    /// An agent answered a pushed command or a probe, or did not.
+    fn on_agent_answer(&mut self, call: CallId, answer: Option<(bool, Heartbeat)>) {
+        if answer.is_some() {
+            self.connectivity.heard(self.now.steady);
+        }
+        match self.calls.remove(&call).map(|call| call.purpose) {
+            Some(Purpose::PushCommand(machine)) => self.on_pushed_command(call, machine, answer),
+            Some(Purpose::Probe) => self.on_probe_answer(answer.is_some()),
+            _ => {}
+        }
+    }
+
+    /// When the controller next needs a [`Event::Tick`], in monotonic time.
     pub fn wake(&self) -> Micros {
         self.next_wake
     }
 
     /// Whether the node can take requests.
+    ///
+    /// Only trouble of its own makes a node unhealthy: while the peers have no contact either, the state store
+    /// is away, and nodes that became unhealthy then would return later than it does.
     pub fn healthy(&self, now: Now) -> bool {
         if !self.replica.ready() {
             return false;
         }
-        let age = now.steady.since(self.replica.contact());
-        // Own trouble only: while the peers are without contact too, it is the state service's,
-        // and nodes that went unhealthy would come back one pause later than it does.
-        let blind = Micros::secs(4);
-        age < blind
-            || !self.peers.values().any(|(heard, hint)| {
-                let quiet = now.steady.since(*heard);
-                let theirs = hint.contact_ms.map(|ms| Micros::millis(ms) + quiet);
-                quiet < Micros::secs(5) && theirs.is_some_and(|t| t + Micros::secs(2) < age)
-            })
+        let contact_age = now.steady.since(self.replica.contact());
+        contact_age < Self::CONTACT_LOST || !self.peer_has_newer_contact(now, contact_age)
     }
 
-    /// Whether a peer has told of itself.
+    fn peer_has_newer_contact(&self, now: Now, contact_age: Micros) -> bool {
+        self.peers.values().any(|(received, hint)| {
+            let hint_age = now.steady.since(*received);
+            let peer_contact_age = hint.contact_ms.map(|ms| Micros::millis(ms) + hint_age);
+            hint_age < Self::PEER_HINT_LIFETIME
+                && peer_contact_age.is_some_and(|age| age + Self::CONTACT_LEAD < contact_age)
+        })
+    }
+
+    /// Whether a hint of this peer was received.
     pub fn knows_peer(&self, name: &str) -> bool {
         self.peers.contains_key(name)
     }
 
-    /// What it has counted.
+    /// Counts since the start of the process.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// The private copy.
+    /// The replica of the cell's state.
     pub fn cell(&self) -> &CellState {
         &self.cell
     }
 
+    /// Does what is due, in a fixed order: leadership before what rests on it, reads last.
     fn drive(&mut self) {
         self.next_wake = Micros::FOREVER;
         if self.now.steady >= self.next_tick {
-            self.next_tick = self.now.steady + Micros::millis(500);
+            self.next_tick = self.now.steady + Self::TICK_INTERVAL;
             self.tick();
         }
         self.wake_at(self.next_tick);
@@ -362,6 +257,8 @@
         self.drive_hints();
     }
 
+    /// Runs the periodic checks. Those that conclude something from silence or idleness wait until the replica
+    /// is up to date after a stall.
     fn tick(&mut self) {
         if !self.stall.in_doubt() {
             self.tick_connectivity();
@@ -372,230 +269,63 @@
         self.tick_starvation();
         self.tick_users();
         self.tick_rules();
-        if self.now.steady >= self.next_count {
-            self.next_count = self.now.steady + Micros::secs(30);
-            let c = self.counters;
-            let polls = self.users.polls();
-            tracing::info!(
-                commits = c.commits,
-                clashes = c.clashes,
-                unknown = c.unknown,
-                dropped = c.dropped,
-                assigned = c.assigned,
-                released = c.released,
-                refused = c.refused,
-                stalls = c.stalls,
-                silenced = c.silenced,
-                unneeded = c.unneeded,
-                lost_with_zones = c.lost_with_zones,
-                groups = c.changes.groups,
-                usage = c.changes.usage,
-                jobs = c.changes.jobs,
-                ends = c.changes.ends,
-                preferences = c.preferences.0,
-                wishes_met = c.preferences.1,
-                waiting = self.rounds.waiting(),
-                polls = polls.answered,
-                polls_delayed = polls.delayed,
-                polls_refused = polls.refused,
-                "counts so far"
-            );
-            self.log_served();
-        }
-    }
-
-    fn drive_hints(&mut self) {
-        if self.now.steady >= self.next_hint {
-            self.next_hint = self.now.steady + Micros::secs(1);
-            let contact = self.replica.ready().then(|| self.contact_age().as_millis());
-            let terms = (0..self.cell.leaders.len())
-                .map(|k| (self.cell.leaders[k].mod_revision, self.leads(k)))
-                .collect();
-            self.effects.push(Effect::Peers(PeerHint {
-                node: self.settings.node.clone(),
-                run: self.incarnation,
-                contact_ms: contact,
-                revision: self.cell.revision,
-                terms,
-                heard_ms: self.heard_ms(),
-                saturated: self.rounds.saturated(self.now.steady),
-                spends: (self.budget.spending(self.now.steady) * 1e3) as u64,
-            }));
-            let lately = |(heard, hint): &(Micros, PeerHint)| {
-                (self.now.steady.since(*heard) < Micros::secs(3))
-                    .then_some(hint.spends as f64 / 1e3)
-            };
-            let others = self
-                .settings
-                .others
-                .iter()
-                .map(|o| self.peers.get(&o.node).and_then(lately));
-            self.budget.lend(self.now.steady, others);
-        }
-        self.wake_at(self.next_hint);
-    }
-
-    fn on_hint(&mut self, hint: PeerHint) {
-        // A word of an earlier run that arrives late: its copy had not come as far as the record of a later run.
-        let later = self
-            .cell
-            .nodes
-            .get(&hint.node)
-            .is_some_and(|n| n.value.run != hint.run && n.mod_revision > hint.revision);
-        if later {
-            return;
-        }
-        for (k, (term, leads)) in hint.terms.iter().enumerate() {
-            if *leads && self.leads(k) && *term > self.cell.leaders[k].mod_revision {
-                tracing::info!(shard = k, term, peer = hint.node, "told of a newer term");
-                self.on_newer_term(k, *term);
-                self.replica.want_barrier();
-            }
-        }
-        self.peers
-            .insert(hint.node.clone(), (self.now.steady, hint));
+        self.tick_counters();
     }
 
+    /// Asks for a tick at this time at the latest.
     fn wake_at(&mut self, at: Micros) {
         self.next_wake = self.next_wake.min(at);
     }
 
-    fn call(&mut self, purpose: Purpose) -> CallId {
-        let id = CallId(self.next_call);
-        self.next_call += 1;
-        let sent = self.now.steady;
-        self.calls.insert(
-            id,
-            Call {
-                purpose,
-                sent,
-                size: None,
-            },
-        );
-        id
-    }
-
-    /// Sends a request to the state service. The caller has asked the budget.
-    fn ask_state(&mut self, purpose: Purpose, request: StateRequest) -> CallId {
-        let limit = match &request {
-            StateRequest::Changes { wait, .. } => *wait + Micros::millis(1_500),
-            _ => Micros::millis(1_500),
-        };
-        let id = self.call(purpose);
-        if let (StateRequest::Txn(txn), Some(call)) = (&request, self.calls.get_mut(&id)) {
-            call.size = Some((txn.then.len(), txn.largest()));
-        }
-        self.effects.push(Effect::State(id, request, limit));
-        id
-    }
-
+    /// Time since the last contact to the state store.
     fn contact_age(&self) -> Micros {
         self.now.steady.since(self.replica.contact())
     }
 
-    fn on_state(&mut self, id: CallId, result: Result<StateReply, CallError>) {
-        let Some(call) = self.calls.remove(&id) else {
-            return;
-        };
-        match &result {
-            Err(CallError::TooMany) => {
-                self.counters.refused += 1;
-                self.budget.refused(self.now.steady);
-                if self.limits.throttled(self.now.steady) {
-                    self.on_limits_fallen("it refuses for the rate");
-                }
-            }
-            Err(CallError::Refused) => {
-                let (changes, largest) = call.size.unwrap_or_default();
-                if self.limits.refused(changes, largest) {
-                    self.on_limits_fallen("it refused a transaction");
-                } else {
-                    tracing::info!(purpose = ?call.purpose, changes, largest, "refused as wrong");
-                }
-            }
-            _ => {}
-        }
-        match call.purpose {
-            Purpose::Watch => self.on_changes(id, call.sent, true, result),
-            Purpose::Barrier => self.on_changes(id, call.sent, false, result),
-            Purpose::Page { first } => self.on_page(first, result),
-            Purpose::LeaseGrant => self.on_lease_granted(result),
-            Purpose::LeaseKeepAlive => self.on_lease_kept_alive(call.sent, result),
-            Purpose::Node => self.on_node_written(result),
-            Purpose::Meta => self.replica.want_barrier(),
-            Purpose::Claim(shards) => self.on_claimed(&shards, result),
-            Purpose::Submit(batch) => self.on_submitted(batch, result),
-            Purpose::Abort(w) => self.on_aborted(w, result),
-            Purpose::Final(w, of) => self.on_final(w, of, result),
-            Purpose::DependencyLookup(id) => self.on_dependency_lookup(id, result),
-            Purpose::Round(round) => self.on_round(*round, result),
-            Purpose::Rules => self.on_rules_written(),
-            Purpose::Types(types) => self.on_types_written(types, result),
-            Purpose::Fleet(record) => self.on_fleet_written(*record, result),
-            Purpose::Cloud(_) | Purpose::PushCommand(_) | Purpose::Probe => {}
-        }
-    }
-
-    /// The state service's next limits hold from now on, for all that this process does.
-    fn on_limits_fallen(&mut self, why: &'static str) {
-        let (ops, bytes, rate) = (
-            self.limits.txn_ops(),
-            self.limits.taken_bytes(),
-            self.limits.write_rps(),
-        );
-        tracing::info!(
-            why,
-            ops,
-            bytes,
-            rate,
-            "the state service has lowered its limits"
-        );
-        self.budget
-            .set_writes(rate / self.settings.controllers() as f64);
-        self.rounds.request();
-    }
-
-    /// Acts on what changes brought.
-    fn on_cell_changed(&mut self, changes_seen: &CellChanges) {
-        for k in &changes_seen.leaders {
-            self.on_leader_changed(*k);
+    /// Tells the components what changes of the replica concern them.
+    fn on_cell_changed(&mut self, changes: &CellChanges) {
+        for shard in &changes.leaders {
+            self.on_leader_changed(*shard);
         }
         self.on_format_observed();
-        if changes_seen.nodes {
+        if changes.nodes {
             self.leadership.schedule_check();
             self.update_known_formats();
             self.note_declared();
         }
-        if changes_seen.rules {
+        if changes.rules {
             self.on_rules_changed();
         }
-        for m in &changes_seen.machines {
-            self.on_machine_changed(*m);
+        for machine in &changes.machines {
+            self.on_machine_changed(*machine);
         }
-        for ended in &changes_seen.ended {
+        for ended in &changes.ended {
             self.served.note(ended);
             self.on_job_gone(ended.job);
-            if let Some(f) = ended.how {
-                self.users.remember(ended.job, f);
+            if let Some(end) = ended.how {
+                self.users.remember(ended.job, end);
             }
         }
-        for j in &changes_seen.jobs {
-            self.users.appeared(*j);
-            self.note_rules_of(*j);
-            self.on_job_changed(*j);
+        for job in &changes.jobs {
+            self.users.appeared(*job);
+            self.note_rules_of(*job);
+            self.on_job_changed(*job);
         }
-        if changes_seen.usage
-            || !changes_seen.jobs.is_empty()
-            || !changes_seen.machines.is_empty()
-            || !changes_seen.leaders.is_empty()
-        {
+        if Self::affects_scheduling(changes) {
             self.rounds.request();
             self.autoscaler.schedule_check();
         }
     }
 
-    /// Whether this process owns the slice, as far as it knows.
-    fn leads(&self, k: ShardId) -> bool {
-        self.leadership.leader_term(k).is_some()
+    fn affects_scheduling(changes: &CellChanges) -> bool {
+        changes.usage
+            || !changes.jobs.is_empty()
+            || !changes.machines.is_empty()
+            || !changes.leaders.is_empty()
+    }
+
+    /// Whether this process leads the shard, as far as it knows.
+    fn leads(&self, shard: ShardId) -> bool {
+        self.leadership.leader_term(shard).is_some()
     }
 }
