--- a/crates/queues/src/counters.rs
+++ b/crates/queues/src/counters.rs
@@ -1,30 +1,30 @@
-//! What a front has counted since it started.
+//! Counters of the state machine. The fields have the names of the metrics.
 
-/// Counters; none of them ever falls.
+/// Counters since the start of the process; none of them ever falls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Deliveries.
     pub received: u64,
-    /// Deliveries that the broker calls repeated.
+    /// Deliveries that the broker marks as repeated.
     pub redelivered: u64,
-    /// Deliveries of a message that was in hand, or marked as answered: held back.
+    /// Deliveries of messages that were in hand or answered already.
     pub held_back: u64,
     /// Jobs that the controllers accepted, cancellations included.
     pub accepted: u64,
     /// Messages refused for good.
     pub refused: u64,
-    /// Times that the controllers asked to come back later.
+    /// Responses of overloaded controllers.
     pub delayed: u64,
-    /// Requests to the controllers without an answer.
+    /// Requests to the controllers without a usable response.
     pub unanswered: u64,
-    /// Polls.
+    /// Status queries.
     pub polls: u64,
-    /// Answers given, dead letters included.
+    /// Final answers and dead letters.
     pub answered: u64,
-    /// Answers that may have been given before.
+    /// Final answers that may be duplicates.
     pub repeated: u64,
     /// Transactions with the broker.
     pub commits: u64,
-    /// Seals of connections that are gone, settled by their receipts.
+    /// Claims of dead consumers that were taken over.
     pub settled: u64,
 }
--- a/crates/queues/src/lib.rs
+++ b/crates/queues/src/lib.rs
@@ -1,22 +1,60 @@
-//! AMQP work queues before cometlead's users' interface: one message, one final answer.
+//! AMQP work queues for cometlead: job requests come in as messages, and each message gets one final answer.
 //!
-//! The core is pure: events and the time go in, effects come out, and nothing in it does I/O or reads a clock.
-//! [`shell`] carries its effects out: AMQP 0-9-1 to the broker, HTTP to the controllers and to the state service.
-//! `docs/queues.md` says what was weighed and why it is done as it is.
+//! Several processes may serve the same queues. The core is pure: [`DeliveryStateMachine`] takes events and the time,
+//! and returns effects; it neither does I/O nor reads a clock. [`runtime`] carries the effects out over AMQP 0-9-1 and
+//! HTTP. The modules by task:
+//!
+//! | task | module |
+//! |---|---|
+//! | what a message asks for | [`message`] |
+//! | from a delivery to its answer | [`state_machine`] |
+//! | who may answer, and who has answered | [`progress`], [`replicated_log`] |
+//! | when controllers are asked | [`schedule`], [`rate_limiter`] |
+//! | what clients are told | [`reply`] |
+//! | forms that are sent and stored | [`wire`], `replicated_log::segment` |
+//! | settings | [`settings`], [`limits`] |
+//! | I/O | [`runtime`] |
+//!
+//! `docs/queues.md` explains the design, `docs/queues-operations.md` the operation.
+//!
+//! # Example
+//!
+//! Every delivery of a message is the same job, so a repeated submission changes nothing:
+//!
+//! ```
+//! use cometlead_queues::{JobRequest, Message};
+//!
+//! let message = Message {
+//!     queue: "work".to_owned(),
+//!     body: br#"{"nameId":"req-000041"}"#.to_vec(),
+//!     ..Message::default()
+//! };
+//! let redelivery = Message { redelivered: true, ..message.clone() };
+//! assert_eq!(message.key(), redelivery.key());
+//!
+//! let Ok(JobRequest::Submit { job, .. }) = message.job_request() else {
+//!     panic!("a valid request");
+//! };
+//! assert_eq!(job, "req-000041");
+//! ```
 
-pub mod answer;
 pub mod counters;
-mod estate;
-pub mod front;
-mod item;
-pub mod ledger;
-pub mod mark;
+pub mod limits;
 pub mod message;
+mod orphans;
+mod pending_message;
+pub mod progress;
+pub mod rate_limiter;
+pub mod replicated_log;
+pub mod reply;
+pub mod runtime;
 pub mod schedule;
 pub mod settings;
-pub mod shell;
+pub mod state_machine;
+pub mod time;
 pub mod wire;
 
-pub use front::{Effect, Event, Front, Limits};
-pub use mark::{Holder, Mark};
-pub use message::{Key, Message, Wish};
+pub use limits::Limits;
+pub use message::{JobRequest, Message, MessageKey};
+pub use progress::{ConsumerId, ProgressEntry};
+pub use state_machine::{DeliveryStateMachine, Effect, Event};
--- a/crates/queues/src/message.rs
+++ b/crates/queues/src/message.rs
@@ -1,166 +1,215 @@
-//! Messages, and what they ask for.
+//! Messages as the broker delivers them, their identity, and the request that they carry.
 
-use crate::front::Micros;
-use serde::{Deserialize, Serialize};
-use serde_json::{Value, json};
+use crate::time::{Micros, from_seconds};
+use serde_json::{Map, Value, json};
 use std::fmt;
 use std::str::FromStr;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
-/// Largest body, in bytes: as much as the users' interface takes.
+/// Largest body in bytes, the same limit as the controllers' user interface has.
 pub const BODY_LIMIT: usize = 64 * 1024;
-/// Longest guess of a run time that is made use of.
-const MOST_GUESS_S: f64 = 86_400.0;
+/// Upper bound on an expected duration, in seconds.
+const MAX_EXPECTED_DURATION_S: f64 = 86_400.0;
 
 /// A message as the broker delivers it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Message {
-    /// The queue that it came through.
+    /// The queue that it was consumed from.
     pub queue: String,
-    /// Its `message_id`, if its client gave one.
+    /// The property `message_id`.
     pub id: Option<String>,
-    /// Where to answer.
+    /// The property `reply_to`: the queue for answers.
     pub reply_to: Option<String>,
-    /// What the client tells its answers apart by.
-    pub correlation: Option<String>,
+    /// The property `correlation_id`, copied into answers.
+    pub correlation_id: Option<String>,
     /// The header `urgency`.
     pub urgency: Option<String>,
     /// The header `due_s`, in seconds from the submission.
     pub due_s: Option<f64>,
-    /// The header `awaits`: ids of jobs, divided by commas.
+    /// The header `awaits`: ids of jobs, separated by commas.
     pub awaits: Option<String>,
-    /// The header `cancel`: the job is to be cancelled.
+    /// The header `cancel`: the named job is to be cancelled.
     pub cancel: bool,
-    /// The header `interim`: the client wants to be told that its job is accepted or has to wait.
-    pub interim: bool,
-    /// Its headers, or more of its properties, could not be read.
-    pub unreadable: bool,
-    /// The broker has delivered it before, or says so.
+    /// The header `interim`: the client wants status updates before the final answer.
+    pub wants_status_updates: bool,
+    /// Its headers, or more of its properties, could not be decoded.
+    pub is_unreadable: bool,
+    /// The broker marked the delivery as repeated.
     pub redelivered: bool,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// Tells messages apart: the same for every delivery and every copy of one.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key(pub u128);
+/// Identity of a message: the same for every delivery and every copy of it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct MessageKey(pub u128);
 
-impl fmt::Display for Key {
+impl fmt::Display for MessageKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:032x}", self.0)
     }
 }
 
-impl FromStr for Key {
+impl FromStr for MessageKey {
     type Err = std::num::ParseIntError;
 
-    fn from_str(text: &str) -> Result<Key, Self::Err> {
-        u128::from_str_radix(text, 16).map(Key)
+    fn from_str(text: &str) -> Result<MessageKey, Self::Err> {
+        u128::from_str_radix(text, 16).map(MessageKey)
     }
 }
 
-/// What a message asks for.
+/// What a valid message asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wish {
-    /// To submit a job.
+pub enum JobRequest {
+    /// Submit a job.
     Submit {
         /// The job's id.
         job: String,
-        /// The body that is submitted.
+        /// The JSON body to submit.
         body: Vec<u8>,
-        /// How long its tasks run, as its owner guesses.
-        guess: Micros,
+        /// How long the owner expects the job to run; 0 if unknown.
+        expected_duration: Micros,
     },
-    /// To cancel this job.
-    Cancel(String),
-    /// Nothing that could be carried out, and why.
-    Refuse(&'static str),
+    /// Cancel the job with this id.
+    Cancel {
+        /// The job's id.
+        job: String,
+    },
+}
+
+impl JobRequest {
+    /// The job's id.
+    pub fn job(&self) -> &str {
+        match self {
+            JobRequest::Submit { job, .. } | JobRequest::Cancel { job } => job,
+        }
+    }
+}
+
+/// Why a message cannot be carried out. The texts are part of the answer to the client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidRequest {
+    /// Properties or headers could not be decoded.
+    #[error("the headers cannot be read")]
+    UnreadableHeaders,
+    /// The body is larger than [`BODY_LIMIT`].
+    #[error("the body is too large")]
+    BodyTooLarge,
+    /// The body is not a JSON object, or is nested too deeply.
+    #[error("the body is not a JSON object")]
+    NotAnObject,
+    /// A cancellation names no job.
+    #[error("nameId: missing")]
+    MissingJobName,
+    /// The job's name is not of the users' form.
+    #[error("nameId: invalid")]
+    InvalidJobName,
+    /// The due time is negative or not a number.
+    #[error("due_s: invalid")]
+    InvalidDueTime,
 }
 
 impl Message {
-    /// What tells it apart. Each part is written with its length, so no two messages have the same text.
-    pub fn key(&self) -> Key {
+    /// Identity of the message, from queue, id, reply address and correlation id; without an id also from the body.
+    pub fn key(&self) -> MessageKey {
         let mut text = Vec::new();
-        let mut part = |bytes: Option<&[u8]>| {
+        // Each part is prefixed with its length, so that different parts never give the same text.
+        let mut append = |bytes: Option<&[u8]>| {
             text.extend(bytes.map_or(u64::MAX, |b| b.len() as u64).to_be_bytes());
             text.extend(bytes.unwrap_or_default());
         };
-        part(Some(self.queue.as_bytes()));
-        part(self.id.as_deref().map(str::as_bytes));
-        part(self.reply_to.as_deref().map(str::as_bytes));
-        part(self.correlation.as_deref().map(str::as_bytes));
+        append(Some(self.queue.as_bytes()));
+        append(self.id.as_deref().map(str::as_bytes));
+        append(self.reply_to.as_deref().map(str::as_bytes));
+        append(self.correlation_id.as_deref().map(str::as_bytes));
         if self.id.is_none() {
-            part(Some(&self.body));
+            append(Some(&self.body));
+        }
+        MessageKey(xxh3_128(&text))
+    }
+
+    /// The request that the message carries.
+    ///
+    /// A job without a name gets one derived from the message, so that every delivery submits the same job and
+    /// repeated submissions are idempotent.
+    pub fn job_request(&self) -> Result<JobRequest, InvalidRequest> {
+        let mut fields = self.body_fields()?;
+        let job = self.job_name(&fields)?;
+        if self.cancel {
+            return Ok(JobRequest::Cancel { job });
+        }
+        if self.due_s.is_some_and(|s| !s.is_finite() || s < 0.0) {
+            return Err(InvalidRequest::InvalidDueTime);
         }
-        Key(xxh3_128(&text))
+        self.apply_headers(&mut fields, &job);
+        let expected_duration = expected_duration(&fields);
+        Ok(JobRequest::Submit {
+            job,
+            body: Value::Object(fields).to_string().into_bytes(),
+            expected_duration,
+        })
     }
 
-    /// What it asks for. A job without a name gets one that follows from the message, so that every delivery of
-    /// it is the same job.
-    pub fn wish(&self) -> Wish {
-        if self.unreadable {
-            return Wish::Refuse("the headers cannot be read");
+    fn body_fields(&self) -> Result<Map<String, Value>, InvalidRequest> {
+        if self.is_unreadable {
+            return Err(InvalidRequest::UnreadableHeaders);
         }
         if self.body.len() > BODY_LIMIT {
-            return Wish::Refuse("the body is too large");
+            return Err(InvalidRequest::BodyTooLarge);
         }
-        // Deep nesting is refused by the reader itself, before it takes much.
-        let Ok(Value::Object(mut fields)) = serde_json::from_slice::<Value>(&self.body) else {
-            return Wish::Refuse("the body is not a JSON object");
-        };
-        let job = match fields.get("nameId") {
-            None | Some(Value::Null) if self.cancel => return Wish::Refuse("nameId: missing"),
-            None | Some(Value::Null) => self.job(),
-            Some(Value::String(name)) if is_name(name) => name.clone(),
-            Some(_) => return Wish::Refuse("nameId: invalid"),
-        };
-        if self.cancel {
-            return Wish::Cancel(job);
+        // The parser limits the nesting depth by itself.
+        match serde_json::from_slice(&self.body) {
+            Ok(Value::Object(fields)) => Ok(fields),
+            _ => Err(InvalidRequest::NotAnObject),
         }
-        if self.due_s.is_some_and(|s| !s.is_finite() || s < 0.0) {
-            return Wish::Refuse("due_s: invalid");
+    }
+
+    fn job_name(&self, fields: &Map<String, Value>) -> Result<String, InvalidRequest> {
+        match fields.get("nameId") {
+            None | Some(Value::Null) if self.cancel => Err(InvalidRequest::MissingJobName),
+            None | Some(Value::Null) => Ok(self.derived_job_name()),
+            Some(Value::String(name)) if is_job_name(name) => Ok(name.clone()),
+            Some(_) => Err(InvalidRequest::InvalidJobName),
         }
+    }
+
+    /// Headers take precedence over fields of the body.
+    fn apply_headers(&self, fields: &mut Map<String, Value>, job: &str) {
         let mut set = |field: &str, value: Value| fields.insert(field.to_owned(), value);
         set("nameId", json!(job));
         if let Some(urgency) = &self.urgency {
             set("urgency", json!(urgency));
         }
-        if let Some(due) = self.due_s {
-            set("dueS", json!(due));
+        if let Some(due_s) = self.due_s {
+            set("dueS", json!(due_s));
         }
         if let Some(awaits) = &self.awaits {
-            let ids: Vec<&str> = awaits
-                .split(',')
-                .map(str::trim)
-                .filter(|id| !id.is_empty())
-                .collect();
-            set("awaits", json!(ids));
-        }
-        let guess = fields
-            .get("guessS")
-            .and_then(Value::as_f64)
-            .unwrap_or_default()
-            .clamp(0.0, MOST_GUESS_S);
-        let body = Value::Object(fields).to_string().into_bytes();
-        Wish::Submit {
-            job,
-            body,
-            guess: (guess * 1e6) as Micros,
+            let jobs = awaits.split(',').map(str::trim);
+            let jobs: Vec<&str> = jobs.filter(|job| !job.is_empty()).collect();
+            set("awaits", json!(jobs));
         }
     }
 
-    /// A name of the users' form that follows from the message: eighteen digits, the first of which is not 0.
-    fn job(&self) -> String {
-        const LEAST: u64 = 100_000_000_000_000_000;
-        format!(
-            "req-{}",
-            LEAST + xxh3_64(&self.key().0.to_be_bytes()) % (9 * LEAST)
-        )
+    /// A name of the users' form: `req-` and eighteen digits without a leading zero.
+    fn derived_job_name(&self) -> String {
+        const SMALLEST: u64 = 100_000_000_000_000_000;
+        let hash = xxh3_64(&self.key().0.to_be_bytes());
+        format!("req-{}", SMALLEST + hash % (9 * SMALLEST))
     }
 }
 
-fn is_name(name: &str) -> bool {
+fn expected_duration(fields: &Map<String, Value>) -> Micros {
+    let seconds = fields.get("guessS").and_then(Value::as_f64);
+    from_seconds(
+        seconds
+            .unwrap_or_default()
+            .clamp(0.0, MAX_EXPECTED_DURATION_S),
+    )
+}
+
+fn is_job_name(name: &str) -> bool {
     let digits = name.strip_prefix("req-").unwrap_or_default();
-    let plain = digits.len() == 6 || (7..=18).contains(&digits.len()) && !digits.starts_with('0');
-    plain && digits.bytes().all(|b| b.is_ascii_digit())
+    let has_valid_length =
+        digits.len() == 6 || (7..=18).contains(&digits.len()) && !digits.starts_with('0');
+    has_valid_length && digits.bytes().all(|b| b.is_ascii_digit())
 }
--- /dev/null
+++ b/crates/queues/src/replicated_log/batch.rs
@@ -0,0 +1,119 @@
+//! Collects changes into a batch that fits into one segment.
+
+use super::change::{Change, ChangeOutcome, ConsumerChange, EntryChange};
+use super::replica::Replica;
+use super::segment::{MAX_CLAIMANTS, Segment, SegmentEntry};
+use crate::message::MessageKey;
+use crate::progress::{ConsumerId, ConsumerState, VersionedEntry};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+
+/// Whether a change is still to be written.
+pub(super) enum Assessment {
+    /// Its condition holds.
+    Pending,
+    /// It was written already, or its condition can hold no more.
+    Settled(ChangeOutcome),
+}
+
+/// The log as it will be after the changes taken so far.
+pub(super) struct Preview<'a> {
+    replica: &'a Replica,
+    consumers: BTreeMap<ConsumerId, ConsumerState>,
+    entries: HashMap<MessageKey, VersionedEntry>,
+    claimants: BTreeSet<ConsumerId>,
+    /// Upper bound on the entries of the segment.
+    entry_count: usize,
+}
+
+impl<'a> Preview<'a> {
+    /// Begins with a segment that contains these entries.
+    pub fn new(replica: &'a Replica, segment: &[SegmentEntry]) -> Preview<'a> {
+        Preview {
+            replica,
+            consumers: replica.consumers().clone(),
+            entries: HashMap::new(),
+            claimants: segment.iter().filter_map(|e| e.entry.claimant()).collect(),
+            entry_count: segment.len(),
+        }
+    }
+
+    /// Whether the change is still to be written.
+    pub fn assess(&self, change: &Change) -> Assessment {
+        match change {
+            Change::Entry(change) => self.assess_entry(change),
+            Change::Consumer(change) => self.assess_consumer(change),
+        }
+    }
+
+    fn assess_entry(&self, change: &EntryChange) -> Assessment {
+        let previewed = self.entries.get(&change.key).copied();
+        let current = previewed.or_else(|| self.replica.entry(change.key));
+        let wanted = change.result();
+        let settled = |written_version| {
+            Assessment::Settled(ChangeOutcome::Entry {
+                key: change.key,
+                written_version,
+            })
+        };
+        match current {
+            Some(current)
+                if current.version == wanted.version
+                    && current.entry.has_same_meaning(wanted.entry) =>
+            {
+                settled(Some(current.version))
+            }
+            current if current.map_or(0, |c| c.version) == change.expected_version => {
+                Assessment::Pending
+            }
+            _ => settled(None),
+        }
+    }
+
+    fn assess_consumer(&self, change: &ConsumerChange) -> Assessment {
+        let current = self.consumers.get(&change.consumer).copied();
+        if current == change.from && current != change.to {
+            return Assessment::Pending;
+        }
+        Assessment::Settled(ChangeOutcome::Consumer {
+            consumer: change.consumer,
+            succeeded: current == change.to,
+        })
+    }
+
+    /// Makes the change in the preview.
+    pub fn apply(&mut self, change: &Change) {
+        match change {
+            Change::Entry(change) => {
+                self.claimants.extend(change.entry.claimant());
+                self.entries.insert(change.key, change.result());
+                self.entry_count += 1;
+            }
+            Change::Consumer(change) => change.apply(&mut self.consumers),
+        }
+    }
+
+    /// Whether the segment may be larger than a value at the state service.
+    pub fn is_overfull(&self, max_value_bytes: usize) -> bool {
+        let claimants = self.claimants.len();
+        let bytes = Segment::max_encoded_bytes(self.consumers.len(), claimants, self.entry_count);
+        bytes > max_value_bytes || claimants >= MAX_CLAIMANTS
+    }
+}
+
+/// Makes changes in a segment that is about to be written.
+pub(super) fn apply_to_segment(segment: &mut Segment, changes: &[Change]) {
+    for change in changes {
+        match change {
+            Change::Entry(change) => {
+                let VersionedEntry { entry, version } = change.result();
+                segment.entries.retain(|e| e.key != change.key);
+                segment.entries.push(SegmentEntry {
+                    key: change.key,
+                    version,
+                    entry,
+                });
+            }
+            Change::Consumer(change) => change.apply(&mut segment.consumers),
+        }
+    }
+}
--- /dev/null
+++ b/crates/queues/src/runtime/broker/session.rs
@@ -0,0 +1,319 @@
+//! One connection to the broker while it lasts.
+
+use super::closure::ClosureWatch;
+use super::{
+    BrokerCommand, BrokerEvent, Commands, ConnectionError, Events, SessionCommand, orphan_receipts,
+    with_timeout,
+};
+use crate::message::{Message, MessageKey};
+use crate::progress::ConsumerId;
+use crate::reply::Publication;
+use crate::runtime::own_receipts::OwnReceipts;
+use crate::settings::QueueSettings;
+use crate::state_machine::{BrokerTransaction, DeliveryTag, Event};
+use crate::wire::amqp::{
+    dead_letter_properties, decode_message, final_answer_body, receipt_properties,
+    reply_properties, status_update_body,
+};
+use crate::wire::receipts::{decode, encode, queue_name};
+use amqprs::BasicProperties;
+use amqprs::channel::{
+    BasicAckArguments, BasicConsumeArguments, BasicPublishArguments, BasicQosArguments, Channel,
+    ConsumerMessage, QueueDeclareArguments,
+};
+use amqprs::connection::Connection;
+use parking_lot::Mutex;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use tokio::sync::mpsc;
+use tokio::task::JoinSet;
+
+type Deliveries = mpsc::UnboundedReceiver<ConsumerMessage>;
+
+/// Who else may consume from a queue.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Access {
+    Shared,
+    Exclusive,
+}
+
+/// An unlimited prefetch count.
+const UNLIMITED_PREFETCH: u16 = 0;
+
+pub(super) struct Session<'a> {
+    settings: &'a QueueSettings,
+    connection: Connection,
+    /// The channel of all transactions.
+    channel: Channel,
+    /// Number of the connection.
+    number: u64,
+    events: Events,
+    tasks: &'a mut JoinSet<()>,
+    /// Known once the receipt queue is opened.
+    own_id: Option<ConsumerId>,
+    own_receipts: Arc<Mutex<OwnReceipts>>,
+    /// Channels that keep the receipts of other consumers from everybody else.
+    receipt_channels: Arc<Mutex<BTreeMap<ConsumerId, Channel>>>,
+}
+
+impl<'a> Session<'a> {
+    /// Serves a connection until it fails, or until the sender of commands is dropped.
+    pub async fn run(
+        settings: &'a QueueSettings,
+        connection: Connection,
+        number: u64,
+        tasks: &'a mut JoinSet<()>,
+        commands: &mut Commands,
+        events: &Events,
+    ) -> Result<(), ConnectionError> {
+        let watch = ClosureWatch::default();
+        with_timeout(connection.register_callback(watch.clone())).await?;
+        let channel = with_timeout(connection.open_channel(None)).await?;
+        with_timeout(channel.register_callback(watch.clone())).await?;
+        with_timeout(channel.tx_select()).await?;
+        let session = Session {
+            settings,
+            connection,
+            channel,
+            number,
+            events: events.clone(),
+            tasks,
+            own_id: None,
+            own_receipts: Arc::default(),
+            receipt_channels: Arc::default(),
+        };
+        session.send(Event::Connected { connection: number });
+        session.serve(&watch, commands).await
+    }
+
+    async fn serve(
+        mut self,
+        watch: &ClosureWatch,
+        commands: &mut Commands,
+    ) -> Result<(), ConnectionError> {
+        let connection = self.connection.clone();
+        loop {
+            let command = tokio::select! {
+                command = commands.recv() => command,
+                () = watch.closed() => return Err(watch.error()),
+                _ = connection.listen_network_io_failure() => return Err(ConnectionError::Lost),
+            };
+            let Some(SessionCommand {
+                connection,
+                command,
+            }) = command
+            else {
+                return Ok(());
+            };
+            // Commands for earlier connections are void.
+            if connection == self.number {
+                self.carry_out(command).await?;
+            }
+            if !self.channel.is_open() {
+                return Err(watch.error());
+            }
+            self.reap_tasks();
+        }
+    }
+
+    fn send(&self, event: Event) {
+        send(&self.events, self.number, event);
+    }
+
+    fn reap_tasks(&mut self) {
+        while let Some(result) = self.tasks.try_join_next() {
+            if let Err(error) = result {
+                tracing::error!(%error, "a task of the connection failed");
+            }
+        }
+    }
+
+    async fn carry_out(&mut self, command: BrokerCommand) -> Result<(), ConnectionError> {
+        match command {
+            BrokerCommand::OpenReceiptQueue(consumer) => {
+                self.open_receipt_queue(consumer).await?;
+            }
+            BrokerCommand::StartConsuming => self.start_consuming().await?,
+            BrokerCommand::Reconnect => return Err(ConnectionError::GivenUp),
+            BrokerCommand::Commit(transaction) => {
+                self.commit(transaction).await?;
+                self.send(Event::Committed);
+            }
+            BrokerCommand::ReadReceipts(consumer) => self.read_receipts(consumer),
+            BrokerCommand::ReleaseReceipts {
+                consumer,
+                delete_queue,
+            } => self.release_receipts(consumer, delete_queue),
+        }
+        Ok(())
+    }
+
+    async fn consume(
+        &self,
+        queue: &str,
+        prefetch: u16,
+        access: Access,
+    ) -> Result<Deliveries, ConnectionError> {
+        let qos = BasicQosArguments::new(0, prefetch, false);
+        with_timeout(self.channel.basic_qos(qos)).await?;
+        let arguments = BasicConsumeArguments::new(queue, queue)
+            .manual_ack(true)
+            .exclusive(access == Access::Exclusive)
+            .finish();
+        let (_, deliveries) = with_timeout(self.channel.basic_consume_rx(arguments)).await?;
+        Ok(deliveries)
+    }
+
+    async fn open_receipt_queue(&mut self, own_id: ConsumerId) -> Result<(), ConnectionError> {
+        let queue = queue_name(own_id);
+        let declared = QueueDeclareArguments::durable_client_named(&queue);
+        with_timeout(self.channel.queue_declare(declared)).await?;
+        let mut receipts = self
+            .consume(&queue, UNLIMITED_PREFETCH, Access::Exclusive)
+            .await?;
+        self.own_id = Some(own_id);
+        let own_receipts = Arc::clone(&self.own_receipts);
+        self.tasks.spawn(async move {
+            while let Some(delivery) = receipts.recv().await {
+                if let (Some(deliver), Some(body)) = (&delivery.deliver, &delivery.content) {
+                    let tag = deliver.delivery_tag();
+                    own_receipts.lock().add(tag, decode(body));
+                }
+            }
+        });
+        self.send(Event::ReceiptQueueOpened { succeeded: true });
+        Ok(())
+    }
+
+    async fn start_consuming(&mut self) -> Result<(), ConnectionError> {
+        for queue in &self.settings.queues {
+            let deliveries = self
+                .consume(&queue.name, queue.prefetch, Access::Shared)
+                .await?;
+            let (events, number, name) = (self.events.clone(), self.number, queue.name.clone());
+            self.tasks
+                .spawn(forward_deliveries(name, deliveries, events, number));
+        }
+        Ok(())
+    }
+
+    async fn commit(&self, transaction: BrokerTransaction) -> Result<(), ConnectionError> {
+        let answered: Vec<MessageKey> = transaction
+            .publications
+            .iter()
+            .map(Publication::message)
+            .collect();
+        let obsolete = self
+            .own_receipts
+            .lock()
+            .remove_obsolete(&transaction.obsolete_receipts);
+        for tag in transaction.acks.into_iter().chain(obsolete) {
+            let acknowledged = BasicAckArguments::new(tag, false);
+            with_timeout(self.channel.basic_ack(acknowledged)).await?;
+        }
+        for update in &transaction.status_updates {
+            let properties = reply_properties(update.message, update.correlation_id.as_deref());
+            self.publish(&update.reply_to, properties, status_update_body(update))
+                .await?;
+        }
+        for publication in &transaction.publications {
+            self.publish_final(publication).await?;
+        }
+        self.publish_receipt(&answered).await?;
+        with_timeout(self.channel.tx_commit()).await
+    }
+
+    async fn publish_final(&self, publication: &Publication) -> Result<(), ConnectionError> {
+        match publication {
+            Publication::Answer(answer) => {
+                let properties = reply_properties(answer.message, answer.correlation_id.as_deref());
+                self.publish(&answer.reply_to, properties, final_answer_body(answer))
+                    .await
+            }
+            Publication::DeadLetter(letter) => {
+                let properties = dead_letter_properties(letter);
+                self.publish(&letter.queue, properties, letter.body.clone())
+                    .await
+            }
+        }
+    }
+
+    async fn publish_receipt(&self, answered: &[MessageKey]) -> Result<(), ConnectionError> {
+        match self.own_id {
+            Some(own_id) if !answered.is_empty() => {
+                let queue = queue_name(own_id);
+                self.publish(&queue, receipt_properties(), encode(answered))
+                    .await
+            }
+            _ => Ok(()),
+        }
+    }
+
+    async fn publish(
+        &self,
+        queue: &str,
+        properties: BasicProperties,
+        body: Vec<u8>,
+    ) -> Result<(), ConnectionError> {
+        let arguments = BasicPublishArguments::new("", queue);
+        with_timeout(self.channel.basic_publish(properties, body, arguments)).await
+    }
+
+    /// Reads another consumer's receipts beside everything else.
+    fn read_receipts(&mut self, consumer: ConsumerId) {
+        let channels = Arc::clone(&self.receipt_channels);
+        let (connection, events, number) =
+            (self.connection.clone(), self.events.clone(), self.number);
+        self.tasks.spawn(async move {
+            let read = orphan_receipts::read(&connection, number, consumer).await;
+            if let Some(channel) = read.channel {
+                channels.lock().insert(consumer, channel);
+            }
+            send(
+                &events,
+                number,
+                Event::ReceiptsRead(consumer, read.response),
+            );
+        });
+    }
+
+    /// Lets others read a consumer's receipts again, or deletes them, beside everything else.
+    fn release_receipts(&mut self, consumer: ConsumerId, delete_queue: bool) {
+        let channel = self.receipt_channels.lock().remove(&consumer);
+        let (connection, events, number) =
+            (self.connection.clone(), self.events.clone(), self.number);
+        self.tasks.spawn(async move {
+            if orphan_receipts::release(&connection, channel, consumer, delete_queue).await {
+                send(&events, number, Event::ReceiptQueueDeleted(consumer));
+            }
+        });
+    }
+}
+
+fn send(events: &Events, connection: u64, event: Event) {
+    // Without a receiver the service has ended, and nobody needs the event.
+    let _ = events.send(BrokerEvent { connection, event });
+}
+
+async fn forward_deliveries(
+    queue: String,
+    mut deliveries: Deliveries,
+    events: Events,
+    connection: u64,
+) {
+    while let Some(delivery) = deliveries.recv().await {
+        if let Some((tag, message)) = decode_delivery(&queue, delivery) {
+            send(&events, connection, Event::Delivered(tag, message));
+        }
+    }
+}
+
+fn decode_delivery(queue: &str, delivery: ConsumerMessage) -> Option<(DeliveryTag, Message)> {
+    let (deliver, properties, body) = (
+        delivery.deliver?,
+        delivery.basic_properties?,
+        delivery.content?,
+    );
+    let message = decode_message(queue, &properties, body, deliver.redelivered());
+    Some((deliver.delivery_tag(), message))
+}
--- /dev/null
+++ b/crates/queues/src/runtime/event_loop.rs
@@ -0,0 +1,176 @@
+//! The task that owns the state machine.
+
+use super::broker::{BrokerCommand, BrokerEvent, SessionCommand};
+use super::clock::Clock;
+use super::controllers::ControllerClient;
+use super::metrics::{self, Gauges};
+use super::state_service::StateClient;
+use crate::state_machine::{DeliveryStateMachine, Effect, Event};
+use std::future::Future;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::task::{JoinError, JoinSet};
+use tokio::time::Instant;
+
+/// How often counters are written to the log. Also the longest time without a tick.
+const REPORT_INTERVAL: Duration = Duration::from_secs(60);
+/// How often the metrics are brought up to date.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
+/// Most events of the broker that are handled before timers are looked at again.
+const MAX_EVENT_BURST: usize = 256;
+
+/// Drives the state machine.
+pub(super) struct EventLoop {
+    machine: DeliveryStateMachine,
+    controllers: Arc<ControllerClient>,
+    state_service: Arc<StateClient>,
+    clock: Clock,
+    /// Number of the present connection; 0 before the first one.
+    connection: u64,
+    is_finished: bool,
+    /// HTTP requests in flight. All end with the event loop.
+    requests: JoinSet<Event>,
+    commands: mpsc::UnboundedSender<SessionCommand>,
+}
+
+impl EventLoop {
+    pub fn new(
+        machine: DeliveryStateMachine,
+        controllers: ControllerClient,
+        state_service: StateClient,
+        commands: mpsc::UnboundedSender<SessionCommand>,
+    ) -> EventLoop {
+        EventLoop {
+            machine,
+            controllers: Arc::new(controllers),
+            state_service: Arc::new(state_service),
+            clock: Clock::new(),
+            connection: 0,
+            is_finished: false,
+            requests: JoinSet::new(),
+            commands,
+        }
+    }
+
+    /// Runs until `stop` completes and the shutdown is finished, at most for `grace` after `stop`.
+    pub async fn run(
+        &mut self,
+        mut inbox: mpsc::UnboundedReceiver<BrokerEvent>,
+        stop: impl Future<Output = ()>,
+        gauges: &Gauges,
+        grace: Duration,
+    ) {
+        tokio::pin!(stop);
+        let mut deadline: Option<Instant> = None;
+        let mut snapshot = tokio::time::interval(SNAPSHOT_INTERVAL);
+        let mut report = tokio::time::interval(REPORT_INTERVAL);
+        while !self.is_finished {
+            let wait = self.clock.until(self.machine.next_wake());
+            tokio::select! {
+                Some(event) = inbox.recv() => self.handle_burst(event, &mut inbox),
+                Some(result) = self.requests.join_next() => self.handle_result(result),
+                () = tokio::time::sleep(wait.min(REPORT_INTERVAL)) => self.handle(Event::Tick),
+                _ = snapshot.tick() => gauges.set(&self.machine, self.clock.now()),
+                _ = report.tick() => metrics::report(&self.machine, self.clock.now()),
+                () = &mut stop, if deadline.is_none() => {
+                    tracing::info!(in_hand = self.machine.in_hand(), "stopping: finishing what was begun");
+                    deadline = Some(Instant::now() + grace);
+                    self.handle(Event::Stop);
+                }
+                () = passed(deadline) => {
+                    tracing::info!(in_hand = self.machine.in_hand(), "stopping: returning the rest to the broker");
+                    return;
+                }
+            }
+        }
+    }
+
+    fn handle_burst(
+        &mut self,
+        first: BrokerEvent,
+        inbox: &mut mpsc::UnboundedReceiver<BrokerEvent>,
+    ) {
+        self.handle_broker_event(first);
+        for _ in 0..MAX_EVENT_BURST {
+            let Ok(event) = inbox.try_recv() else { return };
+            self.handle_broker_event(event);
+        }
+    }
+
+    /// Handles an event of the present connection; those of earlier ones are discarded.
+    fn handle_broker_event(&mut self, broker_event: BrokerEvent) {
+        let BrokerEvent { connection, event } = broker_event;
+        if matches!(event, Event::Connected { .. }) {
+            self.connection = connection;
+        }
+        if connection == self.connection {
+            self.handle(event);
+        }
+    }
+
+    fn handle_result(&mut self, result: Result<Event, JoinError>) {
+        match result {
+            Ok(event) => self.handle(event),
+            Err(error) => tracing::error!(%error, "a request task failed"),
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        for effect in self.machine.handle(self.clock.now(), event) {
+            self.carry_out(effect);
+        }
+    }
+
+    fn carry_out(&mut self, effect: Effect) {
+        let controllers = Arc::clone(&self.controllers);
+        match effect {
+            Effect::Submit(request, body) => self
+                .spawn(async move { Event::Controller(request, controllers.submit(body).await) }),
+            Effect::QueryStatus(request, job) => self.spawn(async move {
+                Event::Controller(request, controllers.query_status(&job).await)
+            }),
+            Effect::Cancel(request, job) => self
+                .spawn(async move { Event::Controller(request, controllers.cancel(&job).await) }),
+            Effect::State(request) => {
+                let state_service = Arc::clone(&self.state_service);
+                self.spawn(async move { Event::State(state_service.send(&request).await) });
+            }
+            Effect::OpenReceiptQueue(consumer) => {
+                self.command(BrokerCommand::OpenReceiptQueue(consumer));
+            }
+            Effect::StartConsuming => self.command(BrokerCommand::StartConsuming),
+            Effect::Reconnect => self.command(BrokerCommand::Reconnect),
+            Effect::Commit(transaction) => self.command(BrokerCommand::Commit(transaction)),
+            Effect::ReadReceipts(consumer) => self.command(BrokerCommand::ReadReceipts(consumer)),
+            Effect::ReleaseReceipts {
+                consumer,
+                delete_queue,
+            } => self.command(BrokerCommand::ReleaseReceipts {
+                consumer,
+                delete_queue,
+            }),
+            Effect::Finished => self.is_finished = true,
+        }
+    }
+
+    fn spawn(&mut self, request: impl Future<Output = Event> + Send + 'static) {
+        self.requests.spawn(request);
+    }
+
+    fn command(&self, command: BrokerCommand) {
+        // The receiver exists for as long as this sender.
+        let _ = self.commands.send(SessionCommand {
+            connection: self.connection,
+            command,
+        });
+    }
+}
+
+/// Completes at the deadline, or never without one.
+async fn passed(deadline: Option<Instant>) {
+    match deadline {
+        Some(deadline) => tokio::time::sleep_until(deadline).await,
+        None => std::future::pending().await,
+    }
+}
--- /dev/null
+++ b/crates/queues/src/runtime/metrics.rs
@@ -0,0 +1,233 @@
+//! Counters and gauges, for the log and for Prometheus.
+
+use crate::counters::Counters;
+use crate::state_machine::DeliveryStateMachine;
+use crate::time::{Micros, SECOND};
+use parking_lot::Mutex;
+use prometheus_client::collector::Collector;
+use prometheus_client::encoding::text::encode;
+use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric};
+use prometheus_client::metrics::counter::ConstCounter;
+use prometheus_client::metrics::gauge::ConstGauge;
+use prometheus_client::registry::Registry;
+use salvo::prelude::*;
+use std::fmt;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Delay before a server that has ended is started again.
+const RESTART_DELAY: Duration = Duration::from_secs(5);
+/// Most connections to the server at once.
+const MAX_CONNECTIONS: usize = 16;
+const NAME_PREFIX: &str = "cometlead_queues_";
+
+/// All values at one time. The fields have the names of the metrics.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Snapshot {
+    /// Counters of the state machine.
+    pub counters: Counters,
+    /// Messages in hand.
+    pub in_hand: i64,
+    /// How long the oldest message is in hand, in seconds.
+    pub oldest_s: i64,
+    /// Entries in the replicated log.
+    pub marks: i64,
+    /// Batches of changes that were written to the log.
+    pub rounds: u64,
+    /// Batches that were refused because the log had changed.
+    pub clashes: u64,
+}
+
+impl Snapshot {
+    fn of(machine: &DeliveryStateMachine, now: Micros) -> Snapshot {
+        let log = machine.log();
+        let oldest_s = machine
+            .oldest_received_at()
+            .map_or(0, |at| now.saturating_sub(at) / SECOND);
+        Snapshot {
+            counters: machine.counters(),
+            in_hand: saturating_i64(machine.in_hand()),
+            oldest_s: i64::try_from(oldest_s).unwrap_or(i64::MAX),
+            marks: saturating_i64(log.len()),
+            rounds: log.applied_batches(),
+            clashes: log.conflicts(),
+        }
+    }
+
+    /// Name, help text and value of each counter.
+    fn counters(&self) -> [(&'static str, &'static str, u64); 14] {
+        let c = self.counters;
+        [
+            ("received", "deliveries", c.received),
+            (
+                "redelivered",
+                "deliveries that the broker calls repeated",
+                c.redelivered,
+            ),
+            (
+                "held_back",
+                "deliveries of messages in hand or answered before",
+                c.held_back,
+            ),
+            ("accepted", "jobs accepted by the controllers", c.accepted),
+            ("refused", "messages refused for good", c.refused),
+            (
+                "delayed",
+                "times that the controllers asked to come back later",
+                c.delayed,
+            ),
+            (
+                "unanswered",
+                "requests to the controllers without an answer",
+                c.unanswered,
+            ),
+            ("polls", "questions about jobs", c.polls),
+            ("answered", "answers and dead letters", c.answered),
+            (
+                "repeated",
+                "answers that may have been given before",
+                c.repeated,
+            ),
+            ("commits", "transactions with the broker", c.commits),
+            ("settled", "seals of dead connections settled", c.settled),
+            ("rounds", "rounds of marks carried out", self.rounds),
+            ("clashes", "rounds of marks that clashed", self.clashes),
+        ]
+    }
+
+    /// Name, help text and value of each gauge.
+    fn gauges(&self) -> [(&'static str, &'static str, i64); 3] {
+        [
+            ("in_hand", "messages in hand", self.in_hand),
+            (
+                "oldest_seconds",
+                "how long the oldest of them is in hand",
+                self.oldest_s,
+            ),
+            ("marks", "marks that are kept", self.marks),
+        ]
+    }
+}
+
+fn saturating_i64(n: usize) -> i64 {
+    i64::try_from(n).unwrap_or(i64::MAX)
+}
+
+/// Writes one line with all values to the log.
+pub(super) fn report(machine: &DeliveryStateMachine, now: Micros) {
+    let snapshot = Snapshot::of(machine, now);
+    let c = snapshot.counters;
+    tracing::info!(
+        received = c.received,
+        redelivered = c.redelivered,
+        held_back = c.held_back,
+        accepted = c.accepted,
+        refused = c.refused,
+        delayed = c.delayed,
+        unanswered = c.unanswered,
+        polls = c.polls,
+        answered = c.answered,
+        repeated = c.repeated,
+        commits = c.commits,
+        settled = c.settled,
+        in_hand = snapshot.in_hand,
+        oldest_s = snapshot.oldest_s,
+        marks = snapshot.marks,
+        rounds = snapshot.rounds,
+        clashes = snapshot.clashes,
+        "counters"
+    );
+}
+
+/// The newest values, shared between the state machine's task and the server.
+#[derive(Clone, Debug, Default)]
+pub struct Gauges(Arc<Mutex<Snapshot>>);
+
+impl Gauges {
+    /// Gauges that show this snapshot.
+    pub fn new(snapshot: Snapshot) -> Gauges {
+        Gauges(Arc::new(Mutex::new(snapshot)))
+    }
+
+    pub(super) fn set(&self, machine: &DeliveryStateMachine, now: Micros) {
+        *self.0.lock() = Snapshot::of(machine, now);
+    }
+}
+
+impl Collector for Gauges {
+    fn encode(&self, mut encoder: DescriptorEncoder) -> Result<(), fmt::Error> {
+        let snapshot = *self.0.lock();
+        for (name, help, value) in snapshot.counters() {
+            encode_metric(&mut encoder, name, help, &ConstCounter::new(value))?;
+        }
+        for (name, help, value) in snapshot.gauges() {
+            encode_metric(&mut encoder, name, help, &ConstGauge::new(value))?;
+        }
+        Ok(())
+    }
+}
+
+fn encode_metric(
+    encoder: &mut DescriptorEncoder,
+    name: &str,
+    help: &str,
+    metric: &impl EncodeMetric,
+) -> fmt::Result {
+    let name = format!("{NAME_PREFIX}{name}");
+    metric.encode(encoder.encode_descriptor(&name, help, None, metric.metric_type())?)
+}
+
+/// Renders the values in the Prometheus text format.
+///
+/// # Errors
+///
+/// [`fmt::Error`] if a value cannot be formatted.
+pub fn render(gauges: Gauges) -> Result<String, fmt::Error> {
+    let mut registry = Registry::default();
+    registry.register_collector(Box::new(gauges));
+    let mut text = String::new();
+    encode(&mut text, &registry)?;
+    Ok(text)
+}
+
+struct MetricsPage(Gauges);
+
+#[async_trait]
+impl Handler for MetricsPage {
+    async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
+        match render(self.0.clone()) {
+            Ok(text) => res.render(text),
+            Err(_) => {
+                res.status_code(StatusCode::INTERNAL_SERVER_ERROR);
+            }
+        }
+    }
+}
+
+struct HealthPage;
+
+#[async_trait]
+impl Handler for HealthPage {
+    async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
+        res.render("ok\n");
+    }
+}
+
+/// Serves `GET /metrics` and `GET /healthz` until its task is aborted.
+pub(super) async fn serve(address: String, gauges: Gauges) {
+    loop {
+        let router = Router::new()
+            .push(Router::with_path("metrics").get(MetricsPage(gauges.clone())))
+            .push(Router::with_path("healthz").get(HealthPage));
+        match TcpListener::new(address.clone()).try_bind().await {
+            Ok(acceptor) => {
+                let server = Server::new(acceptor).max_connections(MAX_CONNECTIONS);
+                if let Err(error) = server.try_serve(Service::new(router)).await {
+                    tracing::error!(%error, "metrics: the server ended, restarting it");
+                }
+            }
+            Err(error) => tracing::error!(%error, address, "metrics: cannot listen"),
+        }
+        tokio::time::sleep(RESTART_DELAY).await;
+    }
+}
--- a/crates/queues/src/schedule.rs
+++ b/crates/queues/src/schedule.rs
@@ -1,169 +1,124 @@
-//! When the controllers are asked, and about which job first.
+//! Which request to the controllers is sent when, and in which order.
 //!
-//! Whatever waits in the queues, there are never more than so many requests under way, nor more submissions and
-//! polls a second than the settings allow. Submissions go by the rank of their queue; polls by the end that is
-//! expected, so that the jobs that are probably over are looked at first. Where the controllers ask for patience,
-//! the rate of submissions falls at once and comes back slowly.
-
-use crate::front::Micros;
-use crate::message::Key;
+//! The number of requests under way and the rates of submissions and status queries are bounded whatever waits in the
+//! queues. Submissions are ordered by the rank of their queue. Status queries are ordered by the expected end of the
+//! job, so that jobs which are probably over come first. When the controllers report overload, the submission rate
+//! falls at once and recovers slowly.
+
+use crate::message::MessageKey;
+use crate::rate_limiter::RateLimiter;
+use crate::time::Micros;
 use std::collections::BTreeSet;
 
-const SECOND: Micros = 1_000_000;
-
-/// Lets so many pass a second, and a second's worth at once.
-#[derive(Clone, Copy, Debug)]
-pub struct Bucket {
-    step: Micros,
-    least: Micros,
-    free: Micros,
-    slowed: Micros,
-}
-
-impl Bucket {
-    /// Longest time between two that pass, however much patience is asked for.
-    const MOST: Micros = 4 * SECOND;
-
-    /// So many a second, at least 1 and at most a million.
-    pub fn new(per_s: u32) -> Bucket {
-        let step = SECOND / Micros::from(per_s.clamp(1, 1_000_000));
-        Bucket {
-            step,
-            least: step,
-            free: 0,
-            slowed: 0,
-        }
-    }
-
-    /// Whether one may pass now.
-    pub fn is_free(&self, now: Micros) -> bool {
-        self.at() <= now
-    }
-
-    /// When the next may pass.
-    pub fn at(&self) -> Micros {
-        self.free.saturating_sub(SECOND.saturating_sub(self.step))
-    }
-
-    /// One passes.
-    pub fn pass(&mut self, now: Micros) {
-        self.free = self.free.max(now) + self.step;
-    }
-
-    /// Patience is asked for: half the rate, once a second, since what was under way tells the same again.
-    pub fn slower(&mut self, now: Micros) {
-        if now < self.slowed + SECOND {
-            return;
-        }
-        self.slowed = now;
-        self.step = (self.step * 2).clamp(self.least, Self::MOST.max(self.least));
-        self.free = self.free.max(now + SECOND);
-    }
-
-    /// One was taken: a little more.
-    pub fn faster(&mut self) {
-        self.step = (self.step - self.step / 8).max(self.least);
-    }
-}
-
-/// What is to be asked about a message.
+/// A request to the controllers. The order of the values is the order of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Turn {
-    /// Its submission or cancellation: by the rank of its queue, then in the order of arrival.
-    Submit(u8, u64),
-    /// How its job is: by the end that is expected.
-    Poll(Micros),
+pub enum ScheduledRequest {
+    /// Submission or cancellation.
+    Submit {
+        /// Rank of the queue; lower ranks go first.
+        rank: u8,
+        /// Number of the message in the order of arrival.
+        arrival: u64,
+    },
+    /// Status query.
+    Query {
+        /// When the job is expected to end.
+        expected_end: Micros,
+    },
 }
 
-/// All that waits to be asked.
+/// Sorts after all submissions and before all status queries.
+const FIRST_QUERY: (ScheduledRequest, MessageKey) =
+    (ScheduledRequest::Query { expected_end: 0 }, MessageKey(0));
+
+/// All requests that wait to be sent.
 #[derive(Debug)]
-pub struct Schedule {
-    resting: BTreeSet<(Micros, Turn, Key)>,
-    ready: BTreeSet<(Turn, Key)>,
-    /// The rate of submissions.
-    pub submits: Bucket,
-    polls: Bucket,
+pub struct RequestSchedule {
+    delayed: BTreeSet<(Micros, ScheduledRequest, MessageKey)>,
+    ready: BTreeSet<(ScheduledRequest, MessageKey)>,
+    /// Rate of submissions.
+    pub submissions: RateLimiter,
+    queries: RateLimiter,
 }
 
-impl Schedule {
-    /// Nothing waits. Rates are per second.
-    pub fn new(submits: u32, polls: u32) -> Schedule {
-        Schedule {
-            resting: BTreeSet::new(),
+impl RequestSchedule {
+    /// An empty schedule with these rates per second.
+    pub fn new(submissions_per_s: u32, queries_per_s: u32) -> RequestSchedule {
+        RequestSchedule {
+            delayed: BTreeSet::new(),
             ready: BTreeSet::new(),
-            submits: Bucket::new(submits),
-            polls: Bucket::new(polls),
+            submissions: RateLimiter::new(submissions_per_s),
+            queries: RateLimiter::new(queries_per_s),
         }
     }
 
-    /// Forgets what waits; the rates stay as they are.
+    /// Discards everything that waits. The adapted rates stay.
     pub fn clear(&mut self) {
-        self.resting.clear();
+        self.delayed.clear();
         self.ready.clear();
     }
 
-    /// Something to be asked, not before `at`.
-    pub fn put(&mut self, at: Micros, turn: Turn, key: Key) {
-        self.resting.insert((at, turn, key));
+    /// Adds a request that is not sent before `at`.
+    pub fn add(&mut self, at: Micros, request: ScheduledRequest, key: MessageKey) {
+        self.delayed.insert((at, request, key));
     }
 
-    /// Takes what is to be asked now, at most so much.
-    pub fn take(&mut self, now: Micros, most: usize) -> Vec<Key> {
-        while let Some((at, turn, key)) =
-            self.resting.first().copied().filter(|(at, ..)| *at <= now)
-        {
-            self.resting.remove(&(at, turn, key));
-            self.ready.insert((turn, key));
-        }
+    /// Removes and returns up to `limit` messages whose requests are to be sent now.
+    pub fn take(&mut self, now: Micros, limit: usize) -> Vec<MessageKey> {
+        self.promote_due(now);
         let mut taken = Vec::new();
-        // Polls come after all submissions in their order, and have a rate of their own.
-        let (mut submit, mut poll) = (true, true);
-        while taken.len() < most && (submit || poll) {
-            submit &= self.submits.is_free(now);
-            poll &= self.polls.is_free(now);
-            let first_poll = (Turn::Poll(0), Key(0));
-            // They take turns where both may go: neither waits for the other's end.
-            let next = match (submit, poll) {
-                (true, true) if taken.len() % 2 == 0 => self
-                    .ready
-                    .first()
-                    .or_else(|| self.ready.range(first_poll..).next()),
-                (true, true) => self
-                    .ready
-                    .range(first_poll..)
-                    .next()
-                    .or_else(|| self.ready.first()),
-                (true, false) => self.ready.range(..first_poll).next(),
-                (false, true) => self.ready.range(first_poll..).next(),
-                (false, false) => None,
-            };
-            let Some((turn, key)) = next.copied() else {
+        while taken.len() < limit {
+            let Some((request, key)) = self.next_permitted(now, taken.len()) else {
                 break;
             };
-            self.ready.remove(&(turn, key));
-            match turn {
-                Turn::Submit(..) => self.submits.pass(now),
-                Turn::Poll(_) => self.polls.pass(now),
+            self.ready.remove(&(request, key));
+            match request {
+                ScheduledRequest::Submit { .. } => self.submissions.record(now),
+                ScheduledRequest::Query { .. } => self.queries.record(now),
             }
             taken.push(key);
         }
         taken
     }
 
-    /// When something may have to be asked next.
-    pub fn wake(&self) -> Micros {
-        let resting = self.resting.first().map_or(Micros::MAX, |(at, ..)| *at);
-        let first_poll = (Turn::Poll(0), Key(0));
-        let submits = self
-            .ready
-            .range(..first_poll)
-            .next()
-            .map_or(Micros::MAX, |_| self.submits.at());
-        let polls = self
-            .ready
-            .range(first_poll..)
-            .next()
-            .map_or(Micros::MAX, |_| self.polls.at());
-        resting.min(submits).min(polls)
+    fn promote_due(&mut self, now: Micros) {
+        while let Some(&(at, request, key)) = self.delayed.first()
+            && at <= now
+        {
+            self.delayed.remove(&(at, request, key));
+            self.ready.insert((request, key));
+        }
+    }
+
+    /// Submissions and queries alternate where both rates permit, so that neither starves the other.
+    fn next_permitted(&self, now: Micros, taken: usize) -> Option<(ScheduledRequest, MessageKey)> {
+        let submission = self
+            .next_submission()
+            .filter(|_| self.submissions.is_free(now));
+        let query = self.next_query().filter(|_| self.queries.is_free(now));
+        if taken.is_multiple_of(2) {
+            submission.or(query)
+        } else {
+            query.or(submission)
+        }
+    }
+
+    fn next_submission(&self) -> Option<(ScheduledRequest, MessageKey)> {
+        self.ready.range(..FIRST_QUERY).next().copied()
+    }
+
+    fn next_query(&self) -> Option<(ScheduledRequest, MessageKey)> {
+        self.ready.range(FIRST_QUERY..).next().copied()
+    }
+
+    /// When a request may be due next; [`Micros::MAX`] if none waits.
+    pub fn next_wake(&self) -> Micros {
+        let delayed = self.delayed.first().map(|(at, ..)| *at);
+        let submission = self
+            .next_submission()
+            .map(|_| self.submissions.next_free_at());
+        let query = self.next_query().map(|_| self.queries.next_free_at());
+        let all = [delayed, submission, query];
+        all.into_iter().flatten().min().unwrap_or(Micros::MAX)
     }
 }
--- /dev/null
+++ b/crates/queues/src/state_machine/connection.rs
@@ -0,0 +1,149 @@
+//! Lifecycle of the connection: registration in the log, and orderly shutdown.
+
+use super::{DeliveryStateMachine, Effect};
+use crate::pending_message::Stage;
+use crate::progress::ConsumerState;
+
+/// How far the present connection is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ConnectionPhase {
+    /// There is none.
+    Disconnected,
+    /// Its registration is being written to the log.
+    Registering,
+    /// Its receipt queue is being opened.
+    OpeningReceipts,
+    /// Its activation is being written to the log.
+    Activating,
+    /// It consumes messages.
+    Active,
+    /// Everything is answered, and that is being written to the log.
+    Draining,
+}
+
+impl DeliveryStateMachine {
+    pub(super) fn on_connected(&mut self, connection: u64) {
+        self.own_id.connection = connection;
+        self.connection = ConnectionPhase::Registering;
+        let registered = Some(ConsumerState::Registered);
+        self.log.change_consumer(self.own_id, None, registered);
+    }
+
+    pub(super) fn on_receipt_queue_opened(&mut self, succeeded: bool) {
+        if !succeeded {
+            self.effects.push(Effect::Reconnect);
+        } else if self.connection == ConnectionPhase::OpeningReceipts {
+            self.connection = ConnectionPhase::Activating;
+            self.log.change_consumer(
+                self.own_id,
+                Some(ConsumerState::Registered),
+                Some(ConsumerState::Active),
+            );
+        }
+    }
+
+    /// Forgets everything in hand: the broker delivers again what is not acknowledged, and receipts tell what became
+    /// of the transaction in flight.
+    pub(super) fn on_disconnected(&mut self) {
+        self.messages.clear();
+        self.schedule.clear();
+        self.requested.clear();
+        self.claimed.clear();
+        self.to_acknowledge.clear();
+        self.status_updates.clear();
+        self.transaction = None;
+        self.obsolete_receipts.clear();
+        self.orphans.clear();
+        self.log.abandon_changes();
+        self.connection = ConnectionPhase::Disconnected;
+    }
+
+    /// A change of the own state was written, or the log has another state.
+    pub(super) fn on_own_state(&mut self, succeeded: bool) {
+        match self.connection {
+            ConnectionPhase::Registering if succeeded => {
+                self.connection = ConnectionPhase::OpeningReceipts;
+                self.effects.push(Effect::OpenReceiptQueue(self.own_id));
+            }
+            ConnectionPhase::Activating if succeeded => {
+                self.connection = ConnectionPhase::Active;
+                tracing::info!(consumer = %self.own_id, "consuming messages");
+                self.effects.push(Effect::StartConsuming);
+            }
+            ConnectionPhase::Registering | ConnectionPhase::Activating => {
+                self.effects.push(Effect::Reconnect);
+            }
+            ConnectionPhase::Draining => self.on_drained(),
+            ConnectionPhase::Disconnected
+            | ConnectionPhase::OpeningReceipts
+            | ConnectionPhase::Active => {}
+        }
+    }
+
+    fn on_drained(&mut self) {
+        if self.log.consumer_state(self.own_id) == Some(ConsumerState::Drained) {
+            self.effects.push(Effect::ReleaseReceipts {
+                consumer: self.own_id,
+                delete_queue: true,
+            });
+        } else {
+            self.finish();
+        }
+    }
+
+    /// Reconnects if another process has declared this consumer dead: whatever its reason, this consumer must not
+    /// answer any more.
+    pub(super) fn check_own_state(&mut self) {
+        let is_active = self.log.consumer_state(self.own_id) == Some(ConsumerState::Active);
+        if self.connection == ConnectionPhase::Active && !is_active {
+            tracing::error!(consumer = %self.own_id, "another process has declared this consumer dead");
+            self.effects.push(Effect::Reconnect);
+        }
+    }
+
+    pub(super) fn begin_shutdown(&mut self) {
+        self.is_stopping = true;
+        self.schedule.clear();
+    }
+
+    /// Once everything that was begun is answered, takes the consumer off the log and deletes its receipt queue.
+    pub(super) fn advance_shutdown(&mut self) {
+        match self.connection {
+            ConnectionPhase::Active if self.is_busy() => {}
+            ConnectionPhase::Active => {
+                self.connection = ConnectionPhase::Draining;
+                self.log.change_consumer(
+                    self.own_id,
+                    Some(ConsumerState::Active),
+                    Some(ConsumerState::Drained),
+                );
+            }
+            ConnectionPhase::Draining => {}
+            _ => self.finish(),
+        }
+    }
+
+    fn is_busy(&self) -> bool {
+        let is_begun = |stage: Stage| {
+            matches!(
+                stage,
+                Stage::RequestInFlight(_)
+                    | Stage::Claiming
+                    | Stage::Claimed
+                    | Stage::Committing
+                    | Stage::Answered
+            )
+        };
+        self.transaction.is_some()
+            || !self.obsolete_receipts.is_empty()
+            || !self.status_updates.is_empty()
+            || !self.to_acknowledge.is_empty()
+            || self.messages.values().any(|m| is_begun(m.stage))
+    }
+
+    fn finish(&mut self) {
+        if !std::mem::replace(&mut self.is_finished, true) {
+            self.effects.push(Effect::Finished);
+        }
+    }
+}
--- a/crates/queues/src/wire/amqp.rs
+++ b/crates/queues/src/wire/amqp.rs
@@ -1,15 +1,14 @@
 //! AMQP message properties and bodies.
 
-use crate::answer::{Answer, DeadLetter, Notice, Outcome, Progress};
-use crate::message::{BODY_LIMIT, Key, Message};
+use crate::message::{BODY_LIMIT, Message, MessageKey};
+use crate::reply::{DeadLetter, FinalAnswer, Outcome, Progress, StatusUpdate};
+use crate::time::as_seconds;
 use amqprs::{BasicProperties, FieldTable, FieldValue};
 use serde_json::json;
 
 /// Header that replaces headers which the AMQP library cannot decode.
 pub const UNREADABLE_HEADER: &str = "cometlead-unreadable";
 
-const MICROS_PER_SECOND: f64 = 1e6;
-
 /// Converts a broker delivery into a [`Message`].
 ///
 /// Bodies above [`BODY_LIMIT`] are refused later; if the message has an id, the excess is dropped here already,
@@ -29,13 +28,13 @@
         queue: queue.to_owned(),
         id: properties.message_id().cloned(),
         reply_to: properties.reply_to().filter(|r| !r.is_empty()).cloned(),
-        correlation: properties.correlation_id().cloned(),
+        correlation_id: properties.correlation_id().cloned(),
         urgency: header(headers, "urgency").and_then(text),
         due_s: header(headers, "due_s").map(number),
         awaits: header(headers, "awaits").and_then(text),
         cancel: flag(header(headers, "cancel")),
-        interim: flag(header(headers, "interim")),
-        unreadable: flag(header(headers, UNREADABLE_HEADER)),
+        wants_status_updates: flag(header(headers, "interim")),
+        is_unreadable: flag(header(headers, UNREADABLE_HEADER)),
         redelivered,
         body,
     }
@@ -74,14 +73,14 @@
 }
 
 /// Properties of final answers and status updates: JSON, persistent, identified by the message they refer to.
-pub fn reply_properties(of: Key, correlation: Option<&str>) -> BasicProperties {
+pub fn reply_properties(message: MessageKey, correlation_id: Option<&str>) -> BasicProperties {
     let mut properties = BasicProperties::default();
     properties
         .with_content_type("application/json")
         .with_persistence(true)
-        .with_message_id(&of.to_string());
-    if let Some(correlation) = correlation {
-        properties.with_correlation_id(correlation);
+        .with_message_id(&message.to_string());
+    if let Some(correlation_id) = correlation_id {
+        properties.with_correlation_id(correlation_id);
     }
     properties
 }
@@ -103,13 +102,13 @@
     let mut properties = BasicProperties::default();
     properties
         .with_persistence(true)
-        .with_message_id(&letter.of.to_string())
+        .with_message_id(&letter.message.to_string())
         .with_headers(headers);
     properties
 }
 
 /// Body of the final answer.
-pub fn final_answer_body(answer: &Answer) -> Vec<u8> {
+pub fn final_answer_body(answer: &FinalAnswer) -> Vec<u8> {
     let (status, reason) = match &answer.outcome {
         Outcome::Done => ("done", None),
         Outcome::Cancelled => ("cancelled", None),
@@ -119,19 +118,19 @@
     if let Some(reason) = reason {
         body["reason"] = json!(reason);
     }
-    if answer.repeated {
+    if answer.maybe_duplicate {
         body["repeated"] = json!(true);
     }
     body.to_string().into_bytes()
 }
 
 /// Body of a status update before the final answer.
-pub fn status_update_body(update: &Notice) -> Vec<u8> {
+pub fn status_update_body(update: &StatusUpdate) -> Vec<u8> {
     let job = &update.job;
     let body = match update.progress {
         Progress::Accepted => json!({ "nameId": job, "status": "accepted", "final": false }),
         Progress::Delayed(retry_after) => {
-            let retry_after_s = retry_after as f64 / MICROS_PER_SECOND;
+            let retry_after_s = as_seconds(retry_after);
             json!({ "nameId": job, "status": "delayed", "retryAfterS": retry_after_s, "final": false })
         }
     };
--- a/crates/queues/src/wire/controllers.rs
+++ b/crates/queues/src/wire/controllers.rs
@@ -1,14 +1,14 @@
 //! The controllers' HTTP interface for users: paths and responses.
 
-use crate::answer::Outcome;
-use crate::front::{Micros, Reply};
+use crate::reply::Outcome;
+use crate::state_machine::ControllerResponse;
+use crate::time::{Micros, from_seconds};
 use serde::Deserialize;
 
 /// Longest `Retry-After` that is honoured, in seconds.
 const MAX_RETRY_AFTER_S: f64 = 30.0;
 /// Retry delay when a busy controller names none, in seconds.
 const DEFAULT_RETRY_AFTER_S: f64 = 1.0;
-const MICROS_PER_SECOND: f64 = 1e6;
 /// Longest refusal reason that is passed on to clients, in characters.
 const MAX_REASON_CHARS: usize = 1_000;
 
@@ -36,7 +36,7 @@
 
 /// A response as received.
 #[derive(Clone, Copy, Debug)]
-pub struct Response<'a> {
+pub struct HttpResponse<'a> {
     /// HTTP status code.
     pub status: u16,
     /// Value of `Retry-After`, in seconds.
@@ -55,20 +55,22 @@
     error: Option<String>,
 }
 
-/// Interprets a response. [`Reply::None`] and [`Reply::Later`] suggest that another controller be tried.
-pub fn decode_reply(kind: RequestKind, response: Response<'_>) -> Reply {
+/// Interprets a response. [`ControllerResponse::NoResponse`] and [`ControllerResponse::RetryAfter`] suggest that another controller be tried.
+pub fn decode_response(kind: RequestKind, response: HttpResponse<'_>) -> ControllerResponse {
     let body: JobBody = serde_json::from_slice(response.body).unwrap_or_default();
     match (response.status, body.status.as_str()) {
-        (200 | 201, "done") => Reply::Over(Outcome::Done),
-        (200 | 201, "cancelled") => Reply::Over(Outcome::Cancelled),
-        (200 | 201, "queued" | "running") => Reply::Live,
-        (400 | 422, _) => Reply::Over(Outcome::Refused(refusal_reason(response.status, body))),
+        (200 | 201, "done") => ControllerResponse::Ended(Outcome::Done),
+        (200 | 201, "cancelled") => ControllerResponse::Ended(Outcome::Cancelled),
+        (200 | 201, "queued" | "running") => ControllerResponse::Live,
+        (400 | 422, _) => {
+            ControllerResponse::Ended(Outcome::Refused(refusal_reason(response.status, body)))
+        }
         (404, _) if kind == RequestKind::Cancel => {
-            Reply::Over(Outcome::Refused("no such job".to_owned()))
+            ControllerResponse::Ended(Outcome::Refused("no such job".to_owned()))
         }
-        (404, _) => Reply::Unknown,
-        (429 | 503, _) => Reply::Later(retry_after(response.retry_after_s)),
-        _ => Reply::None,
+        (404, _) => ControllerResponse::UnknownJob,
+        (429 | 503, _) => ControllerResponse::RetryAfter(retry_after(response.retry_after_s)),
+        _ => ControllerResponse::NoResponse,
     }
 }
 
@@ -77,7 +79,7 @@
         .filter(|s| s.is_finite())
         .unwrap_or(DEFAULT_RETRY_AFTER_S)
         .clamp(0.0, MAX_RETRY_AFTER_S);
-    (seconds * MICROS_PER_SECOND) as Micros
+    from_seconds(seconds)
 }
 
 fn refusal_reason(status: u16, body: JobBody) -> String {
--- a/crates/queues/src/wire/state_service.rs
+++ b/crates/queues/src/wire/state_service.rs
@@ -1,5 +1,6 @@
 //! The state service's HTTP interface: key names, paths, compare-and-swap requests and responses.
 
+use crate::replicated_log::{ClosedSegment, CompareAndSwap, OpenSegment};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
@@ -101,25 +102,22 @@
     changes: Vec<Change>,
 }
 
-/// Encodes a compare-and-swap of the open segment: it must have `revision` (0: must not exist).
+/// Encodes a compare-and-swap of the open segment.
 pub fn compare_and_swap_body(
     keys: &LogKeys,
-    revision: u64,
-    open: &str,
-    close: Option<(u64, &str)>,
-    remove: Option<u64>,
+    request: &CompareAndSwap,
 ) -> Result<Vec<u8>, StateWireError> {
-    let mut changes = vec![write(keys.open(), open)?];
-    if let Some((segment, text)) = close {
-        changes.push(write(keys.closed(segment), text)?);
+    let mut changes = vec![write(keys.open(), &request.open)?];
+    if let Some(closed) = &request.close {
+        changes.push(write(keys.closed(closed.number), &closed.text)?);
     }
-    changes.extend(remove.map(|segment| Change::Remove {
+    changes.extend(request.remove.map(|segment| Change::Remove {
         key: keys.closed(segment),
     }));
     let transaction = Transaction {
         conditions: vec![Condition {
             key: keys.open(),
-            revision,
+            revision: request.expected_revision,
         }],
         changes,
     };
@@ -170,20 +168,38 @@
     move |source| StateWireError::MalformedResponse { request, source }
 }
 
-/// Reads one key: its value and revision.
-pub fn decode_key(body: &[u8]) -> Result<(String, u64), StateWireError> {
-    let key: KeyBody = serde_json::from_slice(body).map_err(malformed("a key"))?;
-    Ok((key.value.get().to_owned(), key.revision))
+/// A page of closed segments.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SegmentPage {
+    /// The segments in the order of their numbers.
+    pub segments: Vec<ClosedSegment>,
+    /// Whether more follow.
+    pub has_more: bool,
 }
 
-/// Reads a page of closed segments with their numbers, and whether more follow. Keys without a number are skipped.
-pub fn decode_page(body: &[u8]) -> Result<(Vec<(u64, String)>, bool), StateWireError> {
-    let page: PageBody = serde_json::from_slice(body).map_err(malformed("a page of keys"))?;
+/// Reads the open segment.
+pub fn decode_open_segment(body: &[u8]) -> Result<OpenSegment, StateWireError> {
+    let key: KeyBody = serde_json::from_slice(body).map_err(malformed("the open segment"))?;
+    Ok(OpenSegment {
+        text: key.value.get().to_owned(),
+        revision: key.revision,
+    })
+}
+
+/// Reads a page of closed segments. Keys without a number are skipped.
+pub fn decode_page(body: &[u8]) -> Result<SegmentPage, StateWireError> {
+    let page: PageBody = serde_json::from_slice(body).map_err(malformed("a page of segments"))?;
     let segment = |item: &PageItem| {
         let (_, number) = item.key.rsplit_once('/')?;
-        Some((number.parse().ok()?, item.value.get().to_owned()))
+        Some(ClosedSegment {
+            number: number.parse().ok()?,
+            text: item.value.get().to_owned(),
+        })
     };
-    Ok((page.items.iter().filter_map(segment).collect(), page.more))
+    Ok(SegmentPage {
+        segments: page.items.iter().filter_map(segment).collect(),
+        has_more: page.more,
+    })
 }
 
 /// Reads the revision at which a transaction was carried out.
--- a/crates/queues/tests/standin/server.rs
+++ b/crates/queues/tests/fakes/amqp_server.rs
@@ -1,7 +1,7 @@
-//! The stand-in broker on loopback: AMQP 0-9-1, framed by `amq-protocol`. It can end connections at any frame, before
-//! or after it was taken.
+//! A fake AMQP 0-9-1 server on loopback, framed by `amq-protocol`. It can drop connections at any frame, before or after
+//! the frame is handled.
 
-use super::broker::{Broker, ChanId, Conn, Refused};
+use super::broker::{ChannelId, ConnectionNumber, FakeBroker, Refusal};
 use amq_protocol::frame::{AMQPContentHeader, AMQPFrame, WriteContext, gen_frame, parse_frame};
 use amq_protocol::protocol::{AMQPClass, basic, channel, connection, queue, tx};
 use amq_protocol::types::{FieldTable, LongString, ShortString};
@@ -17,58 +17,58 @@
 
 pub use amq_protocol::protocol::basic::AMQPProperties;
 
-/// A message as it lies in a queue.
+/// A message in a queue.
 #[derive(Clone, Debug)]
-pub struct Letter {
+pub struct StoredMessage {
     pub properties: AMQPProperties,
     pub body: Vec<u8>,
 }
 
 struct Inner {
-    broker: Broker<Letter>,
-    conns: BTreeMap<Conn, mpsc::UnboundedSender<AMQPFrame>>,
-    next: Conn,
+    broker: FakeBroker<StoredMessage>,
+    connections: BTreeMap<ConnectionNumber, mpsc::UnboundedSender<AMQPFrame>>,
+    next: ConnectionNumber,
     rng: StdRng,
-    /// A connection ends at one frame out of so many; 0 for never.
+    /// A connection is dropped at one frame out of so many; 0 for never.
     drop_one_in: u32,
-    /// Connections whose broker keeps still, as one that hangs.
-    mute: BTreeSet<Conn>,
-    /// Clients that did not want to speak to it.
-    strangers: usize,
-    /// Connections that are open: before that a heartbeat may not be sent, and a client takes it for an error.
-    open: BTreeSet<Conn>,
+    /// Connections that get no response and no heartbeat.
+    hanging: BTreeSet<ConnectionNumber>,
+    /// Clients whose TLS handshake failed.
+    failed_handshakes: usize,
+    /// Connections whose handshake is complete. Clients take an earlier heartbeat for an error.
+    open: BTreeSet<ConnectionNumber>,
 }
 
 #[derive(Clone)]
-pub struct Server {
+pub struct AmqpServer {
     inner: Arc<Mutex<Inner>>,
     pub at: SocketAddr,
 }
 
-/// What is being published on a channel.
+/// A message that is being published on a channel.
 #[derive(Default)]
 struct Incoming {
     queue: String,
     left: u64,
-    letter: Option<Letter>,
+    message: Option<StoredMessage>,
 }
 
-impl Server {
-    pub async fn start(seed: u64, drop_one_in: u32, tls: Option<TlsAcceptor>) -> Server {
+impl AmqpServer {
+    pub async fn start(seed: u64, drop_one_in: u32, tls: Option<TlsAcceptor>) -> AmqpServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
         let rng = StdRng::seed_from_u64(seed);
-        let (conns, mute, open) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
+        let (connections, hanging, open) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
         let inner = Inner {
-            broker: Broker::new(),
-            conns,
+            broker: FakeBroker::new(),
+            connections,
             next: 0,
             rng,
             drop_one_in,
-            mute,
-            strangers: 0,
+            hanging,
+            failed_handshakes: 0,
             open,
         };
-        let server = Server {
+        let server = AmqpServer {
             inner: Arc::new(Mutex::new(inner)),
             at: listener.local_addr().expect("an address"),
         };
@@ -83,7 +83,7 @@
                     };
                     match tls.accept(stream).await {
                         Ok(stream) => server.serve(stream).await,
-                        Err(_) => server.with(|i| i.strangers += 1),
+                        Err(_) => server.with(|i| i.failed_handshakes += 1),
                     }
                 });
             }
@@ -104,17 +104,17 @@
         self.with(|i| {
             i.broker.enqueue(
                 queue,
-                Letter {
+                StoredMessage {
                     properties,
                     body: body.to_vec(),
                 },
             );
-            i.pump();
+            i.flush();
         });
     }
 
     /// A client reads all that is there.
-    pub fn read(&self, queue: &str) -> Vec<Letter> {
+    pub fn read(&self, queue: &str) -> Vec<StoredMessage> {
         self.with(|i| i.broker.drain(queue))
     }
 
@@ -134,26 +134,26 @@
         self.with(|i| i.drop_one_in = n);
     }
 
-    /// It restarts: all connections end; what is in the queues is durable.
+    /// Restarts: all connections end, and messages in queues stay.
     pub fn restart(&self) {
         self.with(|i| {
-            for c in i.conns.keys().copied().collect::<Vec<_>>() {
+            for c in i.connections.keys().copied().collect::<Vec<_>>() {
                 i.end(c);
             }
         });
     }
 
-    /// It hangs, as far as the present connections can tell.
+    /// Hangs, as far as the present connections can tell.
     pub fn hang(&self) {
-        self.with(|i| i.mute = i.conns.keys().copied().collect());
+        self.with(|i| i.hanging = i.connections.keys().copied().collect());
     }
 
-    pub fn strangers(&self) -> usize {
-        self.with(|i| i.strangers)
+    pub fn failed_handshakes(&self) -> usize {
+        self.with(|i| i.failed_handshakes)
     }
 
     pub fn connections(&self) -> usize {
-        self.with(|i| i.conns.len())
+        self.with(|i| i.connections.len())
     }
 
     async fn serve(&self, stream: impl AsyncRead + AsyncWrite + Send + 'static) {
@@ -161,7 +161,7 @@
         let (out, mut frames) = mpsc::unbounded_channel::<AMQPFrame>();
         let c = self.with(|i| {
             i.next += 1;
-            i.conns.insert(i.next, out.clone());
+            i.connections.insert(i.next, out.clone());
             i.next
         });
         let writer = tokio::spawn(async move {
@@ -182,21 +182,21 @@
             while let Ok((rest, frame)) = parse_frame(&buffer[..]) {
                 let used = buffer.len() - rest.len();
                 buffer.drain(..used);
-                let goes_on = self.with(|i| {
-                    if !i.conns.contains_key(&c) {
+                let continues = self.with(|i| {
+                    if !i.connections.contains_key(&c) {
                         return false;
                     }
-                    if i.mute.contains(&c) {
+                    if i.hanging.contains(&c) {
                         return true;
                     }
                     let end = i.drop_one_in > 0 && i.rng.random_range(0..i.drop_one_in) == 0;
                     // Half of them end before the frame is taken, half after.
                     let before = end && i.rng.random::<bool>();
-                    let goes_on = !before && i.take(c, frame, &out, &mut incoming) && !end;
-                    i.pump();
-                    goes_on
+                    let continues = !before && i.take(c, frame, &out, &mut incoming) && !end;
+                    i.flush();
+                    continues
                 });
-                if !goes_on {
+                if !continues {
                     break 'read;
                 }
             }
@@ -204,8 +204,8 @@
                 got = read.read_buf(&mut buffer) => if !matches!(got, Ok(1..)) { break },
                 _ = heartbeat.tick() => {
                     let known = self.with(|i| {
-                        let still = i.mute.contains(&c) || !i.open.contains(&c);
-                        i.conns.contains_key(&c) && (still || out.send(AMQPFrame::Heartbeat(0)).is_ok())
+                        let still = i.hanging.contains(&c) || !i.open.contains(&c);
+                        i.connections.contains_key(&c) && (still || out.send(AMQPFrame::Heartbeat(0)).is_ok())
                     });
                     if !known { break }
                 }
@@ -222,18 +222,22 @@
 }
 
 impl Inner {
-    fn end(&mut self, c: Conn) {
-        self.conns.remove(&c);
-        self.mute.remove(&c);
+    fn end(&mut self, c: ConnectionNumber) {
+        self.connections.remove(&c);
+        self.hanging.remove(&c);
         self.open.remove(&c);
         self.broker.close_all(c, false);
-        self.pump();
+        self.flush();
     }
 
-    fn pump(&mut self) {
+    fn flush(&mut self) {
         for d in self.broker.deliver() {
             let (conn, id) = d.to;
-            let Some(out) = self.conns.get(&conn).filter(|_| !self.mute.contains(&conn)) else {
+            let Some(out) = self
+                .connections
+                .get(&conn)
+                .filter(|_| !self.hanging.contains(&conn))
+            else {
                 continue;
             };
             let deliver = basic::Deliver {
@@ -262,7 +266,7 @@
     /// Takes a frame; whether the connection goes on.
     fn take(
         &mut self,
-        c: Conn,
+        c: ConnectionNumber,
         frame: AMQPFrame,
         out: &mpsc::UnboundedSender<AMQPFrame>,
         incoming: &mut BTreeMap<u16, Incoming>,
@@ -285,7 +289,7 @@
                     return false;
                 };
                 of.left = header.body_size;
-                of.letter = Some(Letter {
+                of.message = Some(StoredMessage {
                     properties: header.properties,
                     body: Vec::new(),
                 });
@@ -297,8 +301,8 @@
                     return false;
                 };
                 of.left = of.left.saturating_sub(bytes.len() as u64);
-                if let Some(letter) = &mut of.letter {
-                    letter.body.extend(bytes);
+                if let Some(message) = &mut of.message {
+                    message.body.extend(bytes);
                 }
                 self.arrived((c, id), of);
                 true
@@ -307,27 +311,27 @@
         }
     }
 
-    fn arrived(&mut self, chan: ChanId, of: &mut Incoming) {
+    fn arrived(&mut self, channel_id: ChannelId, of: &mut Incoming) {
         if of.left == 0
-            && let Some(letter) = of.letter.take()
+            && let Some(message) = of.message.take()
         {
-            self.broker.publish(chan, &of.queue.clone(), letter);
+            self.broker.publish(channel_id, &of.queue.clone(), message);
         }
     }
 
     fn method(
         &mut self,
-        chan: ChanId,
+        channel_id: ChannelId,
         method: AMQPClass,
         out: &mpsc::UnboundedSender<AMQPFrame>,
         incoming: &mut BTreeMap<u16, Incoming>,
     ) -> bool {
-        let id = chan.1;
-        let refused = |why: Refused| {
+        let id = channel_id.1;
+        let refused = |why: Refusal| {
             let (reply_code, text) = match why {
-                Refused::NoSuchQueue => (404, "NOT_FOUND"),
-                Refused::ReadByAnother => (403, "ACCESS_REFUSED"),
-                Refused::NoSuchDelivery => (406, "PRECONDITION_FAILED"),
+                Refusal::NoSuchQueue => (404, "NOT_FOUND"),
+                Refusal::ExclusivelyConsumed => (403, "ACCESS_REFUSED"),
+                Refusal::NoSuchDelivery => (406, "PRECONDITION_FAILED"),
             };
             let close = channel::Close {
                 reply_code,
@@ -347,7 +351,7 @@
                 AMQPClass::Connection(connection::AMQPMethod::Tune(tune))
             }
             AMQPClass::Connection(connection::AMQPMethod::Open(_)) => {
-                self.open.insert(chan.0);
+                self.open.insert(channel_id.0);
                 AMQPClass::Connection(connection::AMQPMethod::OpenOk(connection::OpenOk {}))
             }
             AMQPClass::Connection(connection::AMQPMethod::Close(_)) => {
@@ -357,11 +361,11 @@
                 return false;
             }
             AMQPClass::Channel(channel::AMQPMethod::Open(_)) => {
-                self.broker.open(chan);
+                self.broker.open(channel_id);
                 AMQPClass::Channel(channel::AMQPMethod::OpenOk(channel::OpenOk {}))
             }
             AMQPClass::Channel(channel::AMQPMethod::Close(_)) => {
-                self.broker.close(chan, false);
+                self.broker.close(channel_id, false);
                 AMQPClass::Channel(channel::AMQPMethod::CloseOk(channel::CloseOk {}))
             }
             AMQPClass::Queue(queue::AMQPMethod::Declare(d)) => {
@@ -377,7 +381,7 @@
                     };
                     AMQPClass::Queue(queue::AMQPMethod::DeclareOk(ok))
                 } else {
-                    refused(Refused::NoSuchQueue)
+                    refused(Refusal::NoSuchQueue)
                 }
             }
             AMQPClass::Queue(queue::AMQPMethod::Delete(d)) => {
@@ -387,12 +391,12 @@
                 }))
             }
             AMQPClass::Basic(basic::AMQPMethod::Qos(q)) => {
-                self.broker.qos(chan, q.prefetch_count.into());
+                self.broker.qos(channel_id, q.prefetch_count.into());
                 AMQPClass::Basic(basic::AMQPMethod::QosOk(basic::QosOk {}))
             }
             AMQPClass::Basic(basic::AMQPMethod::Consume(k)) => {
-                match self.broker.consume_as_set(
-                    chan,
+                match self.broker.consume_with_qos(
+                    channel_id,
                     k.queue.as_str(),
                     k.consumer_tag.as_str(),
                     k.exclusive,
@@ -418,23 +422,23 @@
                 return true;
             }
             AMQPClass::Basic(basic::AMQPMethod::Ack(a)) => {
-                match self.broker.ack(chan, a.delivery_tag) {
+                match self.broker.ack(channel_id, a.delivery_tag) {
                     Ok(()) => return true,
                     Err(why) => refused(why),
                 }
             }
             AMQPClass::Tx(tx::AMQPMethod::Select(_)) => {
-                self.broker.select(chan);
+                self.broker.select(channel_id);
                 AMQPClass::Tx(tx::AMQPMethod::SelectOk(tx::SelectOk {}))
             }
-            AMQPClass::Tx(tx::AMQPMethod::Commit(_)) => match self.broker.commit(chan) {
+            AMQPClass::Tx(tx::AMQPMethod::Commit(_)) => match self.broker.commit(channel_id) {
                 Ok(()) => AMQPClass::Tx(tx::AMQPMethod::CommitOk(tx::CommitOk {})),
                 Err(why) => refused(why),
             },
             _ => return true,
         };
         if let AMQPClass::Channel(channel::AMQPMethod::Close(_)) = &reply {
-            self.broker.close(chan, false);
+            self.broker.close(channel_id, false);
         }
         out.send(AMQPFrame::Method(id, reply)).is_ok()
     }
--- a/crates/queues/tests/standin/broker.rs
+++ b/crates/queues/tests/fakes/broker.rs
@@ -1,23 +1,22 @@
-//! A stand-in of a broker: queues, prefetch, acknowledgements, redelivery, exclusive readers, transactions. It
-//! knows neither time nor wire; the simulated days and the loopback server both play it, each a part of it.
-
-#![allow(dead_code, reason = "each test program plays a part of it")]
+//! A fake broker: queues, prefetch, acknowledgements, redelivery, exclusive consumers, transactions.
+//!
+//! It knows neither time nor network; simulations and the AMQP server both use it.
 
 use std::collections::BTreeMap;
 
-pub type Conn = u64;
-pub type ChanId = (Conn, u16);
+pub type ConnectionNumber = u64;
+pub type ChannelId = (ConnectionNumber, u16);
 
-/// Why something is refused.
+/// Why the broker refuses an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum Refusal {
     NoSuchQueue,
-    ReadByAnother,
+    ExclusivelyConsumed,
     NoSuchDelivery,
 }
 
 pub struct Delivery<M> {
-    pub to: ChanId,
+    pub to: ChannelId,
     pub consumer: String,
     pub queue: String,
     pub tag: u64,
@@ -26,11 +25,11 @@
 }
 
 struct Consumer {
-    chan: ChanId,
+    channel_id: ChannelId,
     name: String,
     prefetch: usize,
     exclusive: bool,
-    /// What it is sent counts as acknowledged.
+    /// Deliveries count as acknowledged.
     no_ack: bool,
 }
 
@@ -52,7 +51,7 @@
 
 struct Unacked<M> {
     queue: String,
-    place: u64,
+    position: u64,
     consumer: String,
     message: M,
 }
@@ -62,36 +61,36 @@
 
 struct Channel<M> {
     next: u64,
-    /// For the consumers that begin next.
+    /// For consumers that start from now on.
     prefetch: usize,
     unacked: BTreeMap<u64, Unacked<M>>,
-    /// What waits for the commit: publications and acknowledgements.
-    tx: Option<Transaction<M>>,
+    /// Present once the channel is transactional.
+    transaction: Option<Transaction<M>>,
 }
 
-pub struct Broker<M> {
+pub struct FakeBroker<M> {
     queues: BTreeMap<String, Queue<M>>,
-    channels: BTreeMap<ChanId, Channel<M>>,
-    place: u64,
+    channels: BTreeMap<ChannelId, Channel<M>>,
+    position: u64,
 }
 
-impl<M: Clone> Broker<M> {
-    pub fn new() -> Broker<M> {
-        Broker {
+impl<M: Clone> FakeBroker<M> {
+    pub fn new() -> FakeBroker<M> {
+        FakeBroker {
             queues: BTreeMap::new(),
             channels: BTreeMap::new(),
-            place: 0,
+            position: 0,
         }
     }
 
-    pub fn open(&mut self, chan: ChanId) {
+    pub fn open(&mut self, channel_id: ChannelId) {
         self.channels.insert(
-            chan,
+            channel_id,
             Channel {
                 next: 1,
                 prefetch: 0,
                 unacked: BTreeMap::new(),
-                tx: None,
+                transaction: None,
             },
         );
     }
@@ -112,7 +111,7 @@
         self.queues.get(queue).map_or(0, |q| q.ready.len())
     }
 
-    /// What is in a queue, or delivered from it and not acknowledged.
+    /// Number of messages in a queue, delivered and unacknowledged ones included.
     pub fn held(&self, queue: &str) -> usize {
         let unacked = self
             .channels
@@ -122,7 +121,7 @@
         self.ready(queue) + unacked.count()
     }
 
-    /// Takes all that is ready.
+    /// Removes and returns all ready messages.
     pub fn drain(&mut self, queue: &str) -> Vec<M> {
         let Some(q) = self.queues.get_mut(queue) else {
             return Vec::new();
@@ -135,18 +134,18 @@
 
     pub fn consume(
         &mut self,
-        chan: ChanId,
+        channel_id: ChannelId,
         queue: &str,
         name: &str,
         exclusive: bool,
         prefetch: usize,
-    ) -> Result<(), Refused> {
-        let q = self.queues.get_mut(queue).ok_or(Refused::NoSuchQueue)?;
+    ) -> Result<(), Refusal> {
+        let q = self.queues.get_mut(queue).ok_or(Refusal::NoSuchQueue)?;
         if q.consumers.iter().any(|c| c.exclusive) || exclusive && !q.consumers.is_empty() {
-            return Err(Refused::ReadByAnother);
+            return Err(Refusal::ExclusivelyConsumed);
         }
         q.consumers.push(Consumer {
-            chan,
+            channel_id,
             name: name.to_owned(),
             prefetch,
             exclusive,
@@ -155,25 +154,25 @@
         Ok(())
     }
 
-    pub fn qos(&mut self, chan: ChanId, prefetch: usize) {
-        if let Some(c) = self.channels.get_mut(&chan) {
+    pub fn qos(&mut self, channel_id: ChannelId, prefetch: usize) {
+        if let Some(c) = self.channels.get_mut(&channel_id) {
             c.prefetch = prefetch;
         }
     }
 
-    /// With the prefetch that the channel was given last.
-    pub fn consume_as_set(
+    /// Starts a consumer with the prefetch that the channel was given last.
+    pub fn consume_with_qos(
         &mut self,
-        chan: ChanId,
+        channel_id: ChannelId,
         queue: &str,
         name: &str,
         exclusive: bool,
-    ) -> Result<(), Refused> {
-        let prefetch = self.channels.get(&chan).map_or(0, |c| c.prefetch);
-        self.consume(chan, queue, name, exclusive, prefetch)
+    ) -> Result<(), Refusal> {
+        let prefetch = self.channels.get(&channel_id).map_or(0, |c| c.prefetch);
+        self.consume(channel_id, queue, name, exclusive, prefetch)
     }
 
-    /// The reader that came last acknowledges nothing.
+    /// The newest consumer of the queue acknowledges nothing.
     pub fn without_acks(&mut self, queue: &str) {
         if let Some(c) = self
             .queues
@@ -188,102 +187,111 @@
         self.queues.keys().cloned().collect()
     }
 
-    /// Without an exchange: into the queue of that name, or nowhere.
-    pub fn publish(&mut self, chan: ChanId, queue: &str, message: M) {
-        match self.channels.get_mut(&chan).and_then(|c| c.tx.as_mut()) {
-            Some((posts, _)) => posts.push((queue.to_owned(), message)),
+    /// Publishes through the default exchange: into the queue of that name, or nowhere.
+    pub fn publish(&mut self, channel_id: ChannelId, queue: &str, message: M) {
+        match self
+            .channels
+            .get_mut(&channel_id)
+            .and_then(|c| c.transaction.as_mut())
+        {
+            Some((publications, _)) => publications.push((queue.to_owned(), message)),
             None => self.enqueue(queue, message),
         }
     }
 
     pub fn enqueue(&mut self, queue: &str, message: M) {
-        self.place += 1;
+        self.position += 1;
         if let Some(q) = self.queues.get_mut(queue) {
-            q.ready.insert(self.place, (message, false));
+            q.ready.insert(self.position, (message, false));
         }
     }
 
-    pub fn ack(&mut self, chan: ChanId, tag: u64) -> Result<(), Refused> {
+    pub fn ack(&mut self, channel_id: ChannelId, tag: u64) -> Result<(), Refusal> {
         let channel = self
             .channels
-            .get_mut(&chan)
-            .ok_or(Refused::NoSuchDelivery)?;
-        match &mut channel.tx {
+            .get_mut(&channel_id)
+            .ok_or(Refusal::NoSuchDelivery)?;
+        match &mut channel.transaction {
             Some((_, acks)) => acks.push(tag),
             None => {
                 channel
                     .unacked
                     .remove(&tag)
-                    .ok_or(Refused::NoSuchDelivery)?;
+                    .ok_or(Refusal::NoSuchDelivery)?;
             }
         }
         Ok(())
     }
 
-    pub fn select(&mut self, chan: ChanId) {
-        if let Some(c) = self.channels.get_mut(&chan) {
-            c.tx = Some(Default::default());
+    pub fn select(&mut self, channel_id: ChannelId) {
+        if let Some(c) = self.channels.get_mut(&channel_id) {
+            c.transaction = Some(Default::default());
         }
     }
 
-    /// All of the transaction or, where it acknowledges what is not there, nothing.
-    pub fn commit(&mut self, chan: ChanId) -> Result<(), Refused> {
+    /// Carries out the whole transaction, or nothing if it acknowledges an unknown delivery.
+    pub fn commit(&mut self, channel_id: ChannelId) -> Result<(), Refusal> {
         let channel = self
             .channels
-            .get_mut(&chan)
-            .ok_or(Refused::NoSuchDelivery)?;
-        let (posts, acks) = channel.tx.replace(Default::default()).unwrap_or_default();
+            .get_mut(&channel_id)
+            .ok_or(Refusal::NoSuchDelivery)?;
+        let (publications, acks) = channel
+            .transaction
+            .replace(Default::default())
+            .unwrap_or_default();
         if acks.iter().any(|t| !channel.unacked.contains_key(t)) {
-            return Err(Refused::NoSuchDelivery);
+            return Err(Refusal::NoSuchDelivery);
         }
         for tag in acks {
             channel.unacked.remove(&tag);
         }
-        for (queue, message) in posts {
+        for (queue, message) in publications {
             self.enqueue(&queue, message);
         }
         Ok(())
     }
 
-    /// Its consumers go, and what it had comes back, in one step.
-    pub fn close(&mut self, chan: ChanId, lose: bool) -> Vec<M> {
-        let Some(channel) = self.channels.remove(&chan) else {
+    /// Closes a channel: its consumers end, and unacknowledged messages are requeued, or lost and returned.
+    pub fn close(&mut self, channel_id: ChannelId, lose_unacked: bool) -> Vec<M> {
+        let Some(channel) = self.channels.remove(&channel_id) else {
             return Vec::new();
         };
         self.queues
             .values_mut()
-            .for_each(|q| q.consumers.retain(|c| c.chan != chan));
+            .for_each(|q| q.consumers.retain(|c| c.channel_id != channel_id));
         let mut lost = Vec::new();
         for u in channel.unacked.into_values() {
-            if lose {
+            if lose_unacked {
                 lost.push(u.message);
             } else if let Some(q) = self.queues.get_mut(&u.queue) {
-                q.ready.insert(u.place, (u.message, true));
+                q.ready.insert(u.position, (u.message, true));
             }
         }
         lost
     }
 
-    pub fn close_all(&mut self, conn: Conn, lose: bool) -> Vec<M> {
-        let of: Vec<ChanId> = self
+    pub fn close_all(&mut self, conn: ConnectionNumber, lose_unacked: bool) -> Vec<M> {
+        let of: Vec<ChannelId> = self
             .channels
             .keys()
             .copied()
             .filter(|(c, _)| *c == conn)
             .collect();
-        of.into_iter().flat_map(|c| self.close(c, lose)).collect()
+        of.into_iter()
+            .flat_map(|c| self.close(c, lose_unacked))
+            .collect()
     }
 
-    /// What goes out now, to each reader in turn.
+    /// Delivers what is ready, to the consumers of each queue in turn.
     pub fn deliver(&mut self) -> Vec<Delivery<M>> {
         let mut out = Vec::new();
         for (name, q) in &mut self.queues {
-            let mut passed = 0;
-            while !q.ready.is_empty() && passed < q.consumers.len() {
+            let mut skipped = 0;
+            while !q.ready.is_empty() && skipped < q.consumers.len() {
                 q.next = (q.next + 1) % q.consumers.len();
                 let c = &q.consumers[q.next];
-                let Some(channel) = self.channels.get_mut(&c.chan) else {
-                    passed += 1;
+                let Some(channel) = self.channels.get_mut(&c.channel_id) else {
+                    skipped += 1;
                     continue;
                 };
                 let held = channel
@@ -292,11 +300,11 @@
                     .filter(|u| u.consumer == c.name)
                     .count();
                 if c.prefetch > 0 && held >= c.prefetch {
-                    passed += 1;
+                    skipped += 1;
                     continue;
                 }
-                passed = 0;
-                let Some((place, (message, redelivered))) = q.ready.pop_first() else {
+                skipped = 0;
+                let Some((position, (message, redelivered))) = q.ready.pop_first() else {
                     break;
                 };
                 let tag = channel.next;
@@ -304,12 +312,12 @@
                 let (queue, consumer) = (name.clone(), c.name.clone());
                 let unacked = Unacked {
                     queue: queue.clone(),
-                    place,
+                    position,
                     consumer: consumer.clone(),
                     message,
                 };
                 out.push(Delivery {
-                    to: c.chan,
+                    to: c.channel_id,
                     consumer,
                     queue,
                     tag,
--- a/crates/queues/tests/standin/service.rs
+++ b/crates/queues/tests/fakes/http_services.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the controllers' users' interface and of the state service, over HTTP on loopback.
+//! Fakes of the controllers' user interface and of the state service, over HTTP on loopback.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -11,29 +11,29 @@
 
 struct Inner {
     rng: StdRng,
-    /// One request out of so many is refused for now, or not answered; 0 for none.
-    trouble_one_in: u32,
+    /// One request out of so many is refused with 503, or gets no response; 0 for none.
+    fault_one_in: u32,
     /// Everything is refused.
-    out: bool,
+    is_out: bool,
     run: Duration,
     jobs: BTreeMap<String, (Instant, bool)>,
-    /// In the order in which they were taken.
-    taken: Vec<String>,
+    /// Job names in the order of their first submissions.
+    submitted: Vec<String>,
     kv: BTreeMap<String, (Value, u64)>,
     epoch: u64,
     writes: u64,
 }
 
 #[derive(Clone)]
-pub struct World {
+pub struct HttpServices {
     inner: Arc<Mutex<Inner>>,
     pub at: SocketAddr,
 }
 
-struct Serve(World);
+struct Endpoint(HttpServices);
 
 #[async_trait]
-impl Handler for Serve {
+impl Handler for Endpoint {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let path = req.uri().path().to_owned();
         let query = req.uri().query().unwrap_or_default().to_owned();
@@ -54,44 +54,44 @@
     }
 }
 
-impl World {
-    pub async fn start(seed: u64, trouble_one_in: u32, run: Duration) -> World {
+impl HttpServices {
+    pub async fn start(seed: u64, fault_one_in: u32, run: Duration) -> HttpServices {
         let acceptor = TcpListener::new("127.0.0.1:0").bind().await;
         let at = acceptor.local_addr().expect("an address");
         let inner = Inner {
             rng: StdRng::seed_from_u64(seed),
-            trouble_one_in,
-            out: false,
+            fault_one_in,
+            is_out: false,
             run,
             jobs: BTreeMap::new(),
-            taken: Vec::new(),
+            submitted: Vec::new(),
             kv: BTreeMap::new(),
             epoch: 0,
             writes: 0,
         };
-        let world = World {
+        let services = HttpServices {
             inner: Arc::new(Mutex::new(inner)),
             at,
         };
-        let router = Router::with_path("{**rest}").goal(Serve(world.clone()));
+        let router = Router::with_path("{**rest}").goal(Endpoint(services.clone()));
         tokio::spawn(async move { Server::new(acceptor).serve(router).await });
-        world
+        services
     }
 
     fn with<T>(&self, f: impl FnOnce(&mut Inner) -> T) -> T {
         f(&mut self.inner.lock().expect("no panic while it was held"))
     }
 
-    pub fn out(&self, out: bool) {
-        self.with(|i| i.out = out);
+    pub fn set_outage(&self, out: bool) {
+        self.with(|i| i.is_out = out);
     }
 
-    pub fn calm(&self) {
-        self.with(|i| i.trouble_one_in = 0);
+    pub fn stop_faults(&self) {
+        self.with(|i| i.fault_one_in = 0);
     }
 
-    pub fn taken(&self) -> Vec<String> {
-        self.with(|i| i.taken.clone())
+    pub fn submitted(&self) -> Vec<String> {
+        self.with(|i| i.submitted.clone())
     }
 
     /// Changes at the state service.
@@ -106,16 +106,16 @@
 
     fn answer(&self, post: bool, path: &str, query: &str, body: &[u8]) -> (u16, Value) {
         self.with(|i| {
-            let trouble = if i.trouble_one_in > 0 {
-                i.rng.random_range(0..i.trouble_one_in * 2)
+            let fault = if i.fault_one_in > 0 {
+                i.rng.random_range(0..i.fault_one_in * 2)
             } else {
                 2
             };
-            if i.out || trouble == 0 {
+            if i.is_out || fault == 0 {
                 return (503, json!({}));
             }
             let done = i.act(post, path, query, body);
-            if trouble == 1 { (0, json!({})) } else { done }
+            if fault == 1 { (0, json!({})) } else { done }
         })
     }
 }
@@ -156,7 +156,7 @@
                     201
                 };
                 if first == 201 {
-                    self.taken.push(name.clone());
+                    self.submitted.push(name.clone());
                     let span = self.run.mul_f64(0.5 + self.rng.random::<f64>());
                     self.jobs
                         .insert(name.clone(), (Instant::now() + span, false));
--- a/crates/queues/tests/golden.rs
+++ b/crates/queues/tests/golden.rs
@@ -5,27 +5,29 @@
 
 use amqp_serde::{from_bytes, to_bytes};
 use amqprs::{BasicProperties, FieldTable, FieldValue};
-use cometlead_queues::answer::{Answer, DeadLetter, Notice, Outcome, Progress};
 use cometlead_queues::counters::Counters;
-use cometlead_queues::front::Reply;
-use cometlead_queues::ledger::{Ledger, LedgerLimits, Request, Told};
-use cometlead_queues::mark::LinkState;
+use cometlead_queues::progress::{ConsumerState, VersionedEntry};
+use cometlead_queues::replicated_log::{
+    ClosedSegment, CompareAndSwap, LogLimits, OpenSegment, ReplicatedLog, StateRequest,
+    StateResponse,
+};
+use cometlead_queues::reply::{DeadLetter, FinalAnswer, Outcome, Progress, StatusUpdate};
+use cometlead_queues::runtime::metrics::{Gauges, Snapshot, render};
 use cometlead_queues::settings::QueueSettings;
-use cometlead_queues::shell::metrics::{Gauges, Snapshot, render};
+use cometlead_queues::state_machine::ControllerResponse;
+use cometlead_queues::time::SECOND;
 use cometlead_queues::wire::controllers::{
-    RequestKind, Response, SUBMIT_PATH, cancel_path, decode_reply, status_path,
+    HttpResponse, RequestKind, SUBMIT_PATH, cancel_path, decode_response, status_path,
 };
 use cometlead_queues::wire::state_service::{
-    LogKeys, TRANSACTION_PATH, compare_and_swap_body, decode_applied_revision, decode_key,
+    LogKeys, TRANSACTION_PATH, compare_and_swap_body, decode_applied_revision, decode_open_segment,
     decode_page,
 };
 use cometlead_queues::wire::{amqp, receipts};
-use cometlead_queues::{Holder, Key, Mark, Message, Wish};
+use cometlead_queues::{ConsumerId, JobRequest, Message, MessageKey, ProgressEntry};
 use serde_json::Value;
 use std::path::PathBuf;
 
-const SECOND: u64 = 1_000_000;
-
 fn golden_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
@@ -62,52 +64,61 @@
     assert_eq!(to_bytes(&decoded).expect("properties"), bytes, "{name}");
 }
 
-fn consumer(link: u64) -> Holder {
-    Holder {
-        run: 0x0123_4567_89ab_cdef,
-        link,
+fn consumer(connection: u64) -> ConsumerId {
+    ConsumerId {
+        process: 0x0123_4567_89ab_cdef,
+        connection,
     }
 }
 
-const LIMITS: LedgerLimits = LedgerLimits {
-    value_bytes: 700,
-    rounds_per_s: 1_000,
-    keep: 3_600 * SECOND,
+const LIMITS: LogLimits = LogLimits {
+    max_value_bytes: 700,
+    batches_per_s: 1_000,
+    retention: 3_600 * SECOND,
 };
 
 /// A log that has read an empty open segment.
-fn empty_log() -> Ledger {
-    let mut log = Ledger::new(LIMITS);
-    assert_eq!(log.ask(0), Some(Request::Open));
-    log.told(0, Told::Open(None));
+fn empty_log() -> ReplicatedLog {
+    let mut log = ReplicatedLog::new(LIMITS);
+    assert_eq!(log.next_request(0), Some(StateRequest::ReadOpenSegment));
+    log.handle_response(0, StateResponse::OpenSegment(None));
     log
 }
 
-fn claim(link: u64, at_s: u64) -> Mark {
-    Mark::Sealed(consumer(link), at_s)
+fn claim(connection: u64, at_s: u64) -> ProgressEntry {
+    ProgressEntry::Claimed {
+        by: consumer(connection),
+        at_s,
+    }
 }
 
 #[test]
 fn open_segment_with_every_entry_kind_is_encoded_as_golden() {
     let mut log = empty_log();
     let states = [
-        LinkState::Begun,
-        LinkState::Up,
-        LinkState::Told,
-        LinkState::Lost,
+        ConsumerState::Registered,
+        ConsumerState::Active,
+        ConsumerState::Drained,
+        ConsumerState::ReceiptsLost,
     ];
-    for (link, state) in (1..).zip(states) {
-        log.link(consumer(link), None, Some(state));
+    for (connection, state) in (1..).zip(states) {
+        log.change_consumer(consumer(connection), None, Some(state));
     }
-    log.write(Key(1), 0, claim(1, 1_700_000_000));
-    log.write(Key(u128::MAX), 0, claim(2, 1_700_000_001));
-    log.write(Key(3), 0, Mark::Answered(1_700_000_002));
-    let Some(Request::Round {
-        stamp: 0,
+    log.write_entry(MessageKey(1), 0, claim(1, 1_700_000_000));
+    log.write_entry(MessageKey(u128::MAX), 0, claim(2, 1_700_000_001));
+    log.write_entry(
+        MessageKey(3),
+        0,
+        ProgressEntry::Answered {
+            at_s: 1_700_000_002,
+        },
+    );
+    let Some(StateRequest::CompareAndSwap(CompareAndSwap {
+        expected_revision: 0,
         open,
         close: None,
         remove: None,
-    }) = log.ask(SECOND)
+    })) = log.next_request(SECOND)
     else {
         panic!("no compare-and-swap of the first open segment")
     };
@@ -116,65 +127,111 @@
 
 #[test]
 fn open_segment_of_golden_is_read_with_every_entry_kind() {
-    let mut log = Ledger::new(LIMITS);
-    assert_eq!(log.ask(0), Some(Request::Open));
+    let mut log = ReplicatedLog::new(LIMITS);
+    assert_eq!(log.next_request(0), Some(StateRequest::ReadOpenSegment));
     let text = golden_text("log-open-segment-v1.json");
-    log.told(0, Told::Open(Some((text, 7))));
+    log.handle_response(
+        0,
+        StateResponse::OpenSegment(Some(OpenSegment { text, revision: 7 })),
+    );
     let states = [
-        (consumer(1), LinkState::Begun),
-        (consumer(2), LinkState::Up),
-        (consumer(3), LinkState::Told),
-        (consumer(4), LinkState::Lost),
+        (consumer(1), ConsumerState::Registered),
+        (consumer(2), ConsumerState::Active),
+        (consumer(3), ConsumerState::Drained),
+        (consumer(4), ConsumerState::ReceiptsLost),
     ];
-    assert_eq!(log.links(), &states.into_iter().collect());
-    assert_eq!(log.mark(Key(1)), Some((claim(1, 1_700_000_000), 1)));
-    assert_eq!(log.mark(Key(u128::MAX)), Some((claim(2, 1_700_000_001), 1)));
-    assert_eq!(log.mark(Key(3)), Some((Mark::Answered(1_700_000_002), 1)));
+    assert_eq!(log.consumers(), &states.into_iter().collect());
+    assert_eq!(
+        log.entry(MessageKey(1)),
+        first_version(claim(1, 1_700_000_000))
+    );
+    assert_eq!(
+        log.entry(MessageKey(u128::MAX)),
+        first_version(claim(2, 1_700_000_001))
+    );
+    assert_eq!(
+        log.entry(MessageKey(3)),
+        first_version(ProgressEntry::Answered {
+            at_s: 1_700_000_002
+        })
+    );
 }
 
 #[test]
 fn segment_that_is_closed_is_encoded_and_read_as_golden() {
     let mut log = empty_log();
     for n in 0..30 {
-        log.write(Key(n), 0, claim(1 + n as u64 % 2, 1_700_000_000));
+        log.write_entry(MessageKey(n), 0, claim(1 + n as u64 % 2, 1_700_000_000));
     }
-    let Some(Request::Round { .. }) = log.ask(SECOND) else {
+    let Some(StateRequest::CompareAndSwap(_)) = log.next_request(SECOND) else {
         panic!("no first compare-and-swap")
     };
-    log.told(SECOND, Told::Applied(1));
-    let Some(Request::Round {
+    log.handle_response(SECOND, StateResponse::Applied { revision: 1 });
+    let Some(StateRequest::CompareAndSwap(CompareAndSwap {
         open,
-        close: Some((0, closed)),
+        close: Some(ClosedSegment {
+            number: 0,
+            text: closed,
+        }),
         ..
-    }) = log.ask(2 * SECOND)
+    })) = log.next_request(2 * SECOND)
     else {
         panic!("no compare-and-swap that closes the first segment")
     };
     assert_golden("log-closed-segment-v1.json", closed.as_bytes());
     assert_golden("log-open-segment-after-close-v1.json", open.as_bytes());
 
-    let mut reader = Ledger::new(LIMITS);
-    assert_eq!(reader.ask(0), Some(Request::Open));
+    let mut reader = ReplicatedLog::new(LIMITS);
+    assert_eq!(reader.next_request(0), Some(StateRequest::ReadOpenSegment));
     let open = golden_text("log-open-segment-after-close-v1.json");
-    reader.told(0, Told::Open(Some((open, 2))));
-    assert_eq!(reader.ask(1), Some(Request::Closed(0)));
+    reader.handle_response(
+        0,
+        StateResponse::OpenSegment(Some(OpenSegment {
+            text: open,
+            revision: 2,
+        })),
+    );
+    assert_eq!(
+        reader.next_request(1),
+        Some(StateRequest::ReadClosedSegments { from: 0 })
+    );
     let closed = golden_text("log-closed-segment-v1.json");
-    reader.told(1, Told::Closed(vec![(0, closed)], false));
+    reader.handle_response(
+        1,
+        StateResponse::ClosedSegments {
+            segments: vec![ClosedSegment {
+                number: 0,
+                text: closed,
+            }],
+            has_more: false,
+        },
+    );
     assert!(
-        (0..reader.len() as u128)
-            .all(|n| reader.mark(Key(n)) == Some((claim(1 + n as u64 % 2, 1_700_000_000), 1)))
+        (0..reader.len() as u128).all(|n| reader.entry(MessageKey(n))
+            == first_version(claim(1 + n as u64 % 2, 1_700_000_000)))
     );
     assert!(reader.len() > 20, "{} entries", reader.len());
 }
 
-fn final_answer(outcome: Outcome, repeated: bool) -> Answer {
-    Answer {
-        to: "answers".to_owned(),
-        correlation: Some("c1".to_owned()),
-        of: Key(0xabc),
+fn first_version(entry: ProgressEntry) -> Option<VersionedEntry> {
+    Some(VersionedEntry { entry, version: 1 })
+}
+
+fn closed_segment(number: u64, text: &str) -> ClosedSegment {
+    ClosedSegment {
+        number,
+        text: text.to_owned(),
+    }
+}
+
+fn final_answer(outcome: Outcome, maybe_duplicate: bool) -> FinalAnswer {
+    FinalAnswer {
+        reply_to: "answers".to_owned(),
+        correlation_id: Some("c1".to_owned()),
+        message: MessageKey(0xabc),
         job: Some("req-000041".to_owned()),
         outcome,
-        repeated,
+        maybe_duplicate,
     }
 }
 
@@ -189,7 +246,7 @@
     let refused = || Outcome::Refused("nameId: invalid".to_owned());
     assert_golden("amqp-answer-refused.json", &body(refused(), false));
     assert_golden("amqp-answer-refused-repeated.json", &body(refused(), true));
-    let nameless = Answer {
+    let nameless = FinalAnswer {
         job: None,
         ..final_answer(refused(), false)
     };
@@ -201,10 +258,10 @@
 
 #[test]
 fn status_updates_are_encoded_as_golden() {
-    let update = |progress| Notice {
-        to: "answers".to_owned(),
-        correlation: None,
-        of: Key(0xabc),
+    let update = |progress| StatusUpdate {
+        reply_to: "answers".to_owned(),
+        correlation_id: None,
+        message: MessageKey(0xabc),
         job: Some("req-000041".to_owned()),
         progress,
     };
@@ -216,13 +273,13 @@
 
 #[test]
 fn message_properties_are_encoded_as_golden() {
-    let reply = amqp::reply_properties(Key(0xabc), Some("c1"));
+    let reply = amqp::reply_properties(MessageKey(0xabc), Some("c1"));
     assert_golden_properties("amqp-reply-properties.bin", &reply);
-    let uncorrelated = amqp::reply_properties(Key(0xabc), None);
+    let uncorrelated = amqp::reply_properties(MessageKey(0xabc), None);
     assert_golden_properties("amqp-reply-properties-uncorrelated.bin", &uncorrelated);
     let dead = amqp::dead_letter_properties(&DeadLetter {
-        to: "dead".to_owned(),
-        of: Key(0xabc),
+        queue: "dead".to_owned(),
+        message: MessageKey(0xabc),
         reason: "the body is not a JSON object".to_owned(),
         body: b"[1]".to_vec(),
     });
@@ -232,7 +289,7 @@
 
 #[test]
 fn receipts_are_encoded_and_read_as_golden() {
-    let keys = [Key(0xabc), Key(u128::MAX)];
+    let keys = [MessageKey(0xabc), MessageKey(u128::MAX)];
     assert_golden("amqp-receipt.txt", &receipts::encode(&keys));
     assert_eq!(receipts::decode(&golden("amqp-receipt.txt")), keys);
     let queue = receipts::queue_name(consumer(12));
@@ -275,24 +332,32 @@
         queue: "work".to_owned(),
         id: Some("m1".to_owned()),
         reply_to: Some("answers".to_owned()),
-        correlation: Some("c1".to_owned()),
+        correlation_id: Some("c1".to_owned()),
         urgency: Some("high".to_owned()),
         due_s: Some(12.5),
         awaits: Some("req-000001, req-000002".to_owned()),
         cancel: false,
-        interim: true,
-        unreadable: false,
+        wants_status_updates: true,
+        is_unreadable: false,
         redelivered: true,
         body,
     };
     assert_eq!(message, expected);
     let key = message.key().to_string();
     assert_golden("message-key-with-id.txt", key.as_bytes());
-    let Wish::Submit { job, body, guess } = message.wish() else {
+    let Ok(JobRequest::Submit {
+        job,
+        body,
+        expected_duration,
+    }) = message.job_request()
+    else {
         panic!("no submission")
     };
     assert_golden("http-submission.json", &body);
-    assert_eq!((job.as_str(), guess), ("req-000041", 90 * SECOND));
+    assert_eq!(
+        (job.as_str(), expected_duration),
+        ("req-000041", 90 * SECOND)
+    );
 }
 
 #[test]
@@ -304,7 +369,7 @@
     };
     let key = message.key().to_string();
     assert_golden("message-key-without-id.txt", key.as_bytes());
-    let Wish::Submit { body, .. } = message.wish() else {
+    let Ok(JobRequest::Submit { body, .. }) = message.job_request() else {
         panic!("no submission")
     };
     assert_golden("http-submission-generated-name.json", &body);
@@ -331,19 +396,19 @@
             _ => RequestKind::SubmitOrQuery,
         };
         let body = case["body"].to_string();
-        let response = Response {
+        let response = HttpResponse {
             status: case["status"].as_u64().expect("a status") as u16,
             retry_after_s: case["retry_after"].as_f64(),
             body: body.as_bytes(),
         };
-        let reply = match decode_reply(kind, response) {
-            Reply::Live => "live".to_owned(),
-            Reply::Over(Outcome::Done) => "done".to_owned(),
-            Reply::Over(Outcome::Cancelled) => "cancelled".to_owned(),
-            Reply::Over(Outcome::Refused(reason)) => format!("refused: {reason}"),
-            Reply::Unknown => "unknown".to_owned(),
-            Reply::Later(micros) => format!("retry after {micros} us"),
-            Reply::None => "no answer".to_owned(),
+        let reply = match decode_response(kind, response) {
+            ControllerResponse::Live => "live".to_owned(),
+            ControllerResponse::Ended(Outcome::Done) => "done".to_owned(),
+            ControllerResponse::Ended(Outcome::Cancelled) => "cancelled".to_owned(),
+            ControllerResponse::Ended(Outcome::Refused(reason)) => format!("refused: {reason}"),
+            ControllerResponse::UnknownJob => "unknown".to_owned(),
+            ControllerResponse::RetryAfter(micros) => format!("retry after {micros} us"),
+            ControllerResponse::NoResponse => "no answer".to_owned(),
         };
         assert_eq!(case["reply"], reply, "{case}");
     }
@@ -359,23 +424,47 @@
         keys.closed_page_path(12),
     ];
     assert_golden("http-state-paths.txt", paths.join("\n").as_bytes());
-    let first = compare_and_swap_body(&keys, 0, r#"{"v":1}"#, None, None);
+    let cas = |expected_revision, open: &str, close, remove| {
+        let open = open.to_owned();
+        let request = CompareAndSwap {
+            expected_revision,
+            open,
+            close,
+            remove,
+        };
+        compare_and_swap_body(&keys, &request)
+    };
+    let first = cas(0, r#"{"v":1}"#, None, None);
     assert_golden("http-state-cas-first.json", &first.expect("a body"));
-    let full = compare_and_swap_body(&keys, 41, r#"{"v":1}"#, Some((7, r#"{"v":2}"#)), Some(3));
+    let full = cas(
+        41,
+        r#"{"v":1}"#,
+        Some(closed_segment(7, r#"{"v":2}"#)),
+        Some(3),
+    );
     assert_golden("http-state-cas-close-remove.json", &full.expect("a body"));
-    assert!(compare_and_swap_body(&keys, 0, "{", None, None).is_err());
+    assert!(cas(0, "{", None, None).is_err());
 }
 
 #[test]
 fn state_service_responses_of_golden_are_read() {
-    let open = decode_key(&golden("http-state-key-response.json")).expect("a key");
-    assert_eq!(open, (r#"{"v":1,"h":[],"e":""}"#.to_owned(), 41));
+    let open = decode_open_segment(&golden("http-state-key-response.json")).expect("a segment");
+    assert_eq!(
+        open,
+        OpenSegment {
+            text: r#"{"v":1,"h":[],"e":""}"#.to_owned(),
+            revision: 41
+        }
+    );
     let page = decode_page(&golden("http-state-page-response.json")).expect("a page");
-    let segments = vec![(7, r#"{"v":1}"#.to_owned()), (8, r#"{"v":2}"#.to_owned())];
-    assert_eq!(page, (segments, true));
+    let segments = vec![
+        closed_segment(7, r#"{"v":1}"#),
+        closed_segment(8, r#"{"v":2}"#),
+    ];
+    assert_eq!((page.segments, page.has_more), (segments, true));
     let applied = decode_applied_revision(&golden("http-state-cas-response.json"));
     assert_eq!(applied.expect("a revision"), 42);
-    assert!(decode_key(b"{}").is_err() && decode_page(b"{}").is_err());
+    assert!(decode_open_segment(b"{}").is_err() && decode_page(b"{}").is_err());
 }
 
 #[test]
--- a/crates/queues/tests/loopback.rs
+++ b/crates/queues/tests/loopback.rs
@@ -1,22 +1,17 @@
-//! The whole front over real connections on loopback: AMQP to a stand-in broker, HTTP to stand-ins of the controllers
-//! and the state service. `SEEDS=5000 cargo test -p cometlead-queues --release --test loopback` plays more.
+//! The whole service over real connections on loopback: AMQP to a fake broker, HTTP to fakes of the controllers and
+//! the state service. `SEEDS=5000 cargo test -p cometlead-queues --release --test loopback` plays more.
 
-#[path = "standin/broker.rs"]
-mod broker;
 #[path = "../examples/submit.rs"]
 mod example;
-#[path = "standin/server.rs"]
-mod server;
-#[path = "standin/service.rs"]
-mod service;
+mod fakes;
 
+use cometlead_queues::runtime::QueueService;
 use cometlead_queues::settings::QueueSettings;
-use cometlead_queues::shell::Queues;
+use fakes::amqp_server::{AMQPProperties, AmqpServer};
+use fakes::http_services::HttpServices;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
-use server::{AMQPProperties, Server};
-use service::World;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::Arc;
@@ -43,53 +38,53 @@
     None
 }
 
-struct Stage {
-    broker: Server,
-    world: World,
+struct TestBed {
+    broker: AmqpServer,
+    services: HttpServices,
     base: tempfile::TempDir,
 }
 
-fn settings(broker: &Server, world: &World) -> Value {
+fn settings(broker: &AmqpServer, services: &HttpServices) -> Value {
     json!({
         "broker": { "host": "127.0.0.1", "port": broker.at.port(), "credentials": "login", "heartbeat_s": 1 },
-        "controllers": [world.at.to_string()],
-        "state": { "address": world.at.to_string(), "rounds_per_s": 200 },
+        "controllers": [services.at.to_string()],
+        "state": { "address": services.at.to_string(), "rounds_per_s": 200 },
         "queues": [{ "name": "work", "prefetch": 20 }],
         "poll_s": 0.1, "polls_per_s": 1000, "submits_per_s": 1000, "calls": 16, "stop_s": 10,
     })
 }
 
-impl Stage {
-    async fn new(seed: u64, drop_one_in: u32, trouble_one_in: u32) -> Stage {
-        Stage::with(
-            Server::start(seed, drop_one_in, None).await,
+impl TestBed {
+    async fn new(seed: u64, drop_one_in: u32, fault_one_in: u32) -> TestBed {
+        TestBed::with(
+            AmqpServer::start(seed, drop_one_in, None).await,
             seed,
-            trouble_one_in,
+            fault_one_in,
         )
         .await
     }
 
-    async fn with(broker: Server, seed: u64, trouble_one_in: u32) -> Stage {
-        let world = World::start(seed, trouble_one_in, Duration::from_millis(60)).await;
+    async fn with(broker: AmqpServer, seed: u64, fault_one_in: u32) -> TestBed {
+        let services = HttpServices::start(seed, fault_one_in, Duration::from_millis(60)).await;
         for queue in ["work", "urgent", "answers", "dead"] {
             broker.declare(queue);
         }
         let base = tempfile::tempdir().expect("a folder");
         std::fs::write(base.path().join("login"), "clerk\nnotices\n").expect("a file");
-        Stage {
+        TestBed {
             broker,
-            world,
+            services,
             base,
         }
     }
 
     fn settings(&self) -> Value {
-        settings(&self.broker, &self.world)
+        settings(&self.broker, &self.services)
     }
 
-    fn front(&self, run: u64, settings: &Value) -> (JoinHandle<()>, Arc<Notify>) {
+    fn process(&self, run: u64, settings: &Value) -> (JoinHandle<()>, Arc<Notify>) {
         let settings = QueueSettings::parse(settings.to_string().as_bytes()).expect("settings");
-        let queues = Queues::new(settings, self.base.path()).expect("a login");
+        let queues = QueueService::new(settings, self.base.path()).expect("a login");
         let stop = Arc::new(Notify::new());
         let stopped = Arc::clone(&stop);
         (
@@ -122,8 +117,8 @@
     }
 }
 
-fn read(stage: &Stage, answers: &mut BTreeMap<String, Vec<Value>>) {
-    for letter in stage.broker.read("answers") {
+fn read(bed: &TestBed, answers: &mut BTreeMap<String, Vec<Value>>) {
+    for letter in bed.broker.read("answers") {
         let correlation = letter
             .properties
             .correlation_id()
@@ -158,14 +153,14 @@
     }
 }
 
-/// A seed: some messages, two fronts, connections that end at any frame, requests that fail, kills and restarts.
+/// A seed: some messages, two processes, connections that end at any frame, requests that fail, kills and restarts.
 async fn play(seed: u64) -> Vec<String> {
     const MESSAGES: usize = 12;
     let mut rng = StdRng::seed_from_u64(seed);
-    let stage = Stage::new(seed, 60, 12).await;
-    let settings = stage.settings();
-    let mut fronts: Vec<_> = (0..2)
-        .map(|_| stage.front(rng.random(), &settings))
+    let bed = TestBed::new(seed, 60, 12).await;
+    let settings = bed.settings();
+    let mut processes: Vec<_> = (0..2)
+        .map(|_| bed.process(rng.random(), &settings))
         .collect();
     for n in 0..MESSAGES {
         let body = match n % 6 {
@@ -174,54 +169,54 @@
             4 => r#"{"crew":"nobody"}"#.to_owned(),
             _ => format!(r#"{{"lane":"a","n":{n}}}"#),
         };
-        stage.send(n, "work", &body);
+        bed.send(n, "work", &body);
         if rng.random_range(0..4) == 0 {
-            stage.send(n, "work", &body);
+            bed.send(n, "work", &body);
         }
         tokio::time::sleep(Duration::from_millis(rng.random_range(0..40))).await;
         match rng.random_range(0..10) {
             0 => {
                 // Killed, as far as anybody else can tell, and started again.
-                let one = rng.random_range(0..fronts.len());
-                fronts[one].0.abort();
-                fronts[one] = stage.front(rng.random(), &settings);
+                let one = rng.random_range(0..processes.len());
+                processes[one].0.abort();
+                processes[one] = bed.process(rng.random(), &settings);
             }
-            1 => stage.broker.restart(),
-            2 => fronts[0].1.notify_one(),
+            1 => bed.broker.restart(),
+            2 => processes[0].1.notify_one(),
             _ => {}
         }
     }
     tokio::time::sleep(Duration::from_millis(rng.random_range(0..300))).await;
-    stage.broker.drop_one_in(0);
-    stage.world.calm();
-    fronts.push(stage.front(rng.random(), &settings));
-    let mut answers = stage.answers(MESSAGES).await;
+    bed.broker.drop_one_in(0);
+    bed.services.stop_faults();
+    processes.push(bed.process(rng.random(), &settings));
+    let mut answers = bed.answers(MESSAGES).await;
     // All is acknowledged, and nothing comes after it.
-    let last = fronts.pop().expect("a front");
-    for (front, stop) in &fronts {
+    let last = processes.pop().expect("a process");
+    for (process, stop) in &processes {
         stop.notify_one();
-        front.abort();
+        process.abort();
     }
     last.1.notify_one();
     let ended = patiently(last.0).await.is_some();
     wait("the end of all connections", || {
-        stage.broker.connections() == 0
+        bed.broker.connections() == 0
     })
     .await;
-    let left = stage.broker.ready("work");
-    read(&stage, &mut answers);
+    let left = bed.broker.ready("work");
+    read(&bed, &mut answers);
     let mut bad = Vec::new();
     if !ended {
-        bad.push("the last front does not end".to_owned());
+        bad.push("the last process does not end".to_owned());
     }
-    // What is left is a copy or two that the last one gave back; another front settles it without a word.
+    // What is left is a copy or two that the last one gave back; another process settles it without a word.
     if left > 0 {
-        let (front, stop) = stage.front(rng.random(), &settings);
-        wait("the rest", || stage.broker.ready("work") == 0).await;
+        let (process, stop) = bed.process(rng.random(), &settings);
+        wait("the rest", || bed.broker.ready("work") == 0).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         stop.notify_one();
-        let _ = patiently(front).await;
-        read(&stage, &mut answers);
+        let _ = patiently(process).await;
+        read(&bed, &mut answers);
     }
     for n in 0..MESSAGES {
         let of = answers.get(&format!("c{n}")).map_or(&[][..], Vec::as_slice);
@@ -236,7 +231,7 @@
         }
         for answer in of.iter().filter(|a| a["status"] == "done") {
             let job = answer["nameId"].as_str().unwrap_or_default();
-            if stage.world.ended(job) != Some("done") {
+            if bed.services.ended(job) != Some("done") {
                 bad.push(format!("message {n}: {job} is not done"));
             }
         }
@@ -271,8 +266,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn headers_interim_answers_and_cancellation() {
     use amq_protocol::types::{AMQPValue, FieldTable};
-    let stage = Stage::new(1, 0, 0).await;
-    stage.world.out(true);
+    let bed = TestBed::new(1, 0, 0).await;
+    bed.services.set_outage(true);
     let with = |n: usize, headers: &[(&str, AMQPValue)]| {
         let mut table = FieldTable::default();
         for (name, value) in headers {
@@ -283,42 +278,40 @@
     let yes = AMQPValue::Boolean(true);
     let text = |t: &str| AMQPValue::LongString(t.into());
     let long = br#"{"nameId":"req-000001","guessS":600}"#;
-    let (front, stop) = stage.front(1, &stage.settings());
+    let (process, stop) = bed.process(1, &bed.settings());
     // The state service is out as well: nothing begins before it is back.
     tokio::time::sleep(Duration::from_millis(200)).await;
-    stage.world.out(false);
+    bed.services.set_outage(false);
     wait("the connection", || {
-        stage
-            .broker
+        bed.broker
             .queues()
             .iter()
             .any(|q| q.starts_with("cometlead.receipts."))
     })
     .await;
     tokio::time::sleep(Duration::from_millis(200)).await;
-    stage.world.out(true);
-    stage.broker.publish(
+    bed.services.set_outage(true);
+    bed.broker.publish(
         "work",
         with(1, &[("interim", yes.clone()), ("urgency", text("high"))]),
         long,
     );
     let mut answers = BTreeMap::new();
     wait("an interim answer", || {
-        read(&stage, &mut answers);
+        read(&bed, &mut answers);
         answers.contains_key("c1")
     })
     .await;
     assert_eq!(answers["c1"][0]["status"], "delayed");
-    stage.world.out(false);
-    stage.broker.publish(
+    bed.services.set_outage(false);
+    bed.broker.publish(
         "work",
         with(2, &[("cancel", yes)]),
         br#"{"nameId":"req-999999"}"#,
     );
-    stage
-        .broker
+    bed.broker
         .publish("work", with(4, &[("due_s", text("soon"))]), b"{}");
-    let rest = stage.answers(3).await;
+    let rest = bed.answers(3).await;
     assert_eq!(rest["c1"].last().expect("an answer")["status"], "done");
     assert!(
         rest["c1"].iter().any(|a| a["status"] == "accepted"),
@@ -327,23 +320,22 @@
     assert_eq!(rest["c2"][0]["reason"], "no such job");
     assert_eq!(rest["c4"][0]["reason"], "due_s: invalid");
     stop.notify_one();
-    front.await.expect("no panic");
+    process.await.expect("no panic");
     // A clean end leaves no queue behind.
     assert!(
-        !stage
-            .broker
+        !bed.broker
             .queues()
             .iter()
             .any(|q| q.starts_with("cometlead.receipts."))
     );
-    assert_eq!(stage.broker.ready("work"), 0);
+    assert_eq!(bed.broker.ready("work"), 0);
 }
 
 /// Urgent queues first; what nobody can be told about goes to the dead letters; poison stops nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn ranks_dead_letters_and_poison() {
-    let stage = Stage::new(2, 0, 0).await;
-    let mut settings = stage.settings();
+    let bed = TestBed::new(2, 0, 0).await;
+    let mut settings = bed.settings();
     settings["queues"] = json!([
         { "name": "work", "rank": 9, "prefetch": 50, "dead_letter": "dead", "without_reply": "accepted" },
         { "name": "urgent", "rank": 1, "prefetch": 50 },
@@ -358,41 +350,38 @@
         b"null".to_vec(),
     ];
     for body in &poison {
-        stage.broker.publish("work", silent(), body);
+        bed.broker.publish("work", silent(), body);
     }
     for n in 0..3 {
-        stage.broker.publish(
+        bed.broker.publish(
             "work",
             silent(),
             format!(r#"{{"nameId":"req-00001{n}"}}"#).as_bytes(),
         );
-        stage.broker.publish(
+        bed.broker.publish(
             "urgent",
             silent(),
             format!(r#"{{"nameId":"req-00002{n}"}}"#).as_bytes(),
         );
     }
-    let (front, stop) = stage.front(1, &settings);
-    wait("all jobs", || stage.world.taken().len() == 6).await;
-    let taken = stage.world.taken();
+    let (process, stop) = bed.process(1, &settings);
+    wait("all jobs", || bed.services.submitted().len() == 6).await;
+    let taken = bed.services.submitted();
     // One may be asked for before the other queue has begun.
     assert!(
         taken[1..3].iter().all(|j| j.starts_with("req-00002")),
         "{taken:?}"
     );
-    wait("dead letters", || {
-        stage.broker.ready("dead") == poison.len()
-    })
-    .await;
-    let dead = stage.broker.read("dead");
+    wait("dead letters", || bed.broker.ready("dead") == poison.len()).await;
+    let dead = bed.broker.read("dead");
     assert!(
         dead.iter().all(|l| l.properties.headers().is_some()),
         "with the reason"
     );
     assert!(dead.iter().any(|l| l.body == [0xff, 0xfe]), "as they came");
     stop.notify_one();
-    front.await.expect("no panic");
-    assert_eq!(stage.broker.ready("work") + stage.broker.ready("urgent"), 0);
+    process.await.expect("no panic");
+    assert_eq!(bed.broker.ready("work") + bed.broker.ready("urgent"), 0);
 }
 
 /// Headers that the library cannot read end its connection. The next one goes on without them, and what stands behind
@@ -400,30 +389,28 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn headers_that_cannot_be_read() {
     use amq_protocol::types::{AMQPValue, FieldTable};
-    let stage = Stage::new(5, 0, 0).await;
-    let mut settings = stage.settings();
+    let bed = TestBed::new(5, 0, 0).await;
+    let mut settings = bed.settings();
     settings["queues"][0]["dead_letter"] = json!("dead");
     let mut table = FieldTable::default();
     table.insert(
         "owner".into(),
         AMQPValue::LongString([0xff, 0xfe].as_slice().into()),
     );
-    stage
-        .broker
+    bed.broker
         .publish("work", asks(1).with_headers(table.clone()), b"{}");
-    stage
-        .broker
+    bed.broker
         .publish("work", AMQPProperties::default().with_headers(table), b"{}");
-    stage.send(2, "work", r#"{"lane":"b"}"#);
-    let (front, stop) = stage.front(1, &settings);
-    let answers = stage.answers(2).await;
+    bed.send(2, "work", r#"{"lane":"b"}"#);
+    let (process, stop) = bed.process(1, &settings);
+    let answers = bed.answers(2).await;
     assert_eq!(answers["c1"][0]["reason"], "the headers cannot be read");
     assert_eq!(answers["c2"][0]["status"], "done");
-    wait("dead letters", || stage.broker.ready("dead") == 1).await;
+    wait("dead letters", || bed.broker.ready("dead") == 1).await;
     stop.notify_one();
-    front.await.expect("no panic");
+    process.await.expect("no panic");
     assert_eq!(
-        (stage.broker.ready("work"), stage.world.taken().len()),
+        (bed.broker.ready("work"), bed.services.submitted().len()),
         (0, 1)
     );
 }
@@ -431,19 +418,19 @@
 /// A broker that hangs is noticed by its heartbeat, and the next connection goes on.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broker_that_hangs() {
-    let stage = Stage::new(3, 0, 0).await;
-    let (front, stop) = stage.front(1, &stage.settings());
-    stage.send(1, "work", "{}");
-    stage.answers(1).await;
-    stage.broker.hang();
-    stage.send(2, "work", r#"{"lane":"b"}"#);
-    stage.answers(1).await;
+    let bed = TestBed::new(3, 0, 0).await;
+    let (process, stop) = bed.process(1, &bed.settings());
+    bed.send(1, "work", "{}");
+    bed.answers(1).await;
+    bed.broker.hang();
+    bed.send(2, "work", r#"{"lane":"b"}"#);
+    bed.answers(1).await;
     stop.notify_one();
-    front.await.expect("no panic");
+    process.await.expect("no panic");
 }
 
 /// A broker with a certificate, and the folder with its roots.
-async fn with_tls(names: &[&str]) -> Stage {
+async fn with_tls(names: &[&str]) -> TestBed {
     let names: Vec<String> = names.iter().map(|n| (*n).to_owned()).collect();
     let own = rcgen::generate_simple_self_signed(names).expect("a certificate");
     let key = PrivateKeyDer::from(PrivatePkcs8KeyDer::from(own.signing_key.serialize_der()));
@@ -451,65 +438,68 @@
         .with_no_client_auth()
         .with_single_cert(vec![own.cert.der().clone()], key);
     let acceptor = TlsAcceptor::from(Arc::new(config.expect("a key that fits")));
-    let stage = Stage::with(Server::start(4, 0, Some(acceptor)).await, 4, 0).await;
-    std::fs::write(stage.base.path().join("roots.pem"), own.cert.pem()).expect("a file");
-    stage
+    let bed = TestBed::with(AmqpServer::start(4, 0, Some(acceptor)).await, 4, 0).await;
+    std::fs::write(bed.base.path().join("roots.pem"), own.cert.pem()).expect("a file");
+    bed
 }
 
 /// Over TLS everything goes on as without, to the broker whose certificate is trusted under the name that is asked for.
 #[tokio::test(flavor = "multi_thread")]
 async fn over_tls() {
-    let stage = with_tls(&["mq.example.org"]).await;
-    let mut settings = stage.settings();
+    let bed = with_tls(&["mq.example.org"]).await;
+    let mut settings = bed.settings();
     settings["broker"]["tls"] = json!({ "roots": "roots.pem", "name": "mq.example.org" });
-    let (front, stop) = stage.front(1, &settings);
+    let (process, stop) = bed.process(1, &settings);
     for n in 0..20 {
         let body = format!(r#"{{"n":{n},"note":"{}"}}"#, "x".repeat(n * 2_000));
-        stage.send(n, "work", &body);
+        bed.send(n, "work", &body);
     }
-    let answers = stage.answers(20).await;
+    let answers = bed.answers(20).await;
     assert!(
         answers
             .values()
             .all(|a| a.len() == 1 && a[0]["status"] == "done"),
         "{answers:?}"
     );
-    stage.broker.restart();
-    stage.send(20, "work", "{}");
-    stage.answers(1).await;
+    bed.broker.restart();
+    bed.send(20, "work", "{}");
+    bed.answers(1).await;
     stop.notify_one();
-    front.await.expect("no panic");
-    assert_eq!(stage.broker.strangers(), 0);
+    process.await.expect("no panic");
+    assert_eq!(bed.broker.failed_handshakes(), 0);
 }
 
 /// A broker that cannot prove who it is reads neither credentials nor anything else, and nothing is taken from it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broker_that_is_not_trusted() {
-    let stage = with_tls(&["mq.example.org"]).await;
+    let bed = with_tls(&["mq.example.org"]).await;
     let other = rcgen::generate_simple_self_signed(vec!["mq.example.org".to_owned()])
         .expect("a certificate");
-    std::fs::write(stage.base.path().join("other.pem"), other.cert.pem()).expect("a file");
-    stage.send(1, "work", "{}");
+    std::fs::write(bed.base.path().join("other.pem"), other.cert.pem()).expect("a file");
+    bed.send(1, "work", "{}");
     let wrong = [
         json!({ "roots": "other.pem", "name": "mq.example.org" }),
         json!({ "roots": "roots.pem", "name": "x.org" }),
     ];
     for (n, tls) in wrong.into_iter().enumerate() {
-        let mut settings = stage.settings();
+        let mut settings = bed.settings();
         settings["broker"]["tls"] = tls;
-        let (front, stop) = stage.front(1, &settings);
-        wait("two attempts", || stage.broker.strangers() >= 2 * (n + 1)).await;
-        assert_eq!(stage.broker.connections(), 0);
+        let (process, stop) = bed.process(1, &settings);
+        wait("two attempts", || {
+            bed.broker.failed_handshakes() >= 2 * (n + 1)
+        })
+        .await;
+        assert_eq!(bed.broker.connections(), 0);
         stop.notify_one();
-        front.await.expect("no panic");
+        process.await.expect("no panic");
     }
     // Nor does it go on without TLS where the broker wants it, or the other way round.
-    let (front, stop) = stage.front(1, &stage.settings());
-    wait("an attempt", || stage.broker.strangers() >= 5).await;
+    let (process, stop) = bed.process(1, &bed.settings());
+    wait("an attempt", || bed.broker.failed_handshakes() >= 5).await;
     stop.notify_one();
-    front.await.expect("no panic");
+    process.await.expect("no panic");
     assert_eq!(
-        (stage.broker.ready("work"), stage.world.taken().len()),
+        (bed.broker.ready("work"), bed.services.submitted().len()),
         (1, 0)
     );
     // Files that cannot serve are named.
@@ -522,12 +512,12 @@
         ),
     ] {
         if let Some(text) = text {
-            std::fs::write(stage.base.path().join(file), text).expect("a file");
+            std::fs::write(bed.base.path().join(file), text).expect("a file");
         }
-        let mut settings = stage.settings();
+        let mut settings = bed.settings();
         settings["broker"]["tls"] = json!({ "roots": file });
         let settings = QueueSettings::parse(settings.to_string().as_bytes()).expect("settings");
-        let error = Queues::new(settings, stage.base.path())
+        let error = QueueService::new(settings, bed.base.path())
             .expect_err(file)
             .to_string();
         assert!(
@@ -542,11 +532,11 @@
 /// The client that the operators' page shows.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_example_client() {
-    let stage = Stage::new(4, 0, 0).await;
-    let (front, stop) = stage.front(1, &stage.settings());
+    let bed = TestBed::new(4, 0, 0).await;
+    let (process, stop) = bed.process(1, &bed.settings());
     let login = amqprs::connection::OpenConnectionArguments::new(
         "127.0.0.1",
-        stage.broker.at.port(),
+        bed.broker.at.port(),
         "a",
         "b",
     );
@@ -564,12 +554,12 @@
         .with_reply_to("my.answers".into())
         .with_message_id("notice-1".into());
     let again = again.with_correlation_id("1".into());
-    stage.broker.publish("work", again, job);
-    wait("its acknowledgement", || stage.broker.held("work") == 0).await;
+    bed.broker.publish("work", again, job);
+    wait("its acknowledgement", || bed.broker.held("work") == 0).await;
     stop.notify_one();
-    front.await.expect("no panic");
-    assert_eq!(stage.world.taken(), ["req-000412"]);
-    assert_eq!(stage.broker.ready("my.answers"), 0);
+    process.await.expect("no panic");
+    assert_eq!(bed.services.submitted(), ["req-000412"]);
+    assert_eq!(bed.broker.ready("my.answers"), 0);
 }
 
 /// What cannot be used is refused in one line that names it.
@@ -614,7 +604,7 @@
         );
     }
     let s = parse(&good).expect("settings");
-    let error = Queues::new(s, Path::new("/nowhere"))
+    let error = QueueService::new(s, Path::new("/nowhere"))
         .expect_err("no such file")
         .to_string();
     assert!(error.starts_with("broker.credentials: "), "{error}");
@@ -628,10 +618,10 @@
     const JOBS: usize = 20_000;
     const WAITING: usize = 100_000;
     let binary = std::env::var("COMETLEAD").expect("the path of the program");
-    let stage = Stage::new(1, 0, 0).await;
-    // By HTTP: as many at once as the queue's prefetch allows, as many requests as the front may have.
+    let bed = TestBed::new(1, 0, 0).await;
+    // By HTTP: as many at once as the queue's prefetch allows, as many requests as the process may have.
     let (client, http) = (reqwest::Client::new(), Arc::new(Semaphore::new(16)));
-    let (jobs, at) = (Arc::new(Semaphore::new(400)), stage.world.at);
+    let (jobs, at) = (Arc::new(Semaphore::new(400)), bed.services.at);
     let start = std::time::Instant::now();
     let mut plays = tokio::task::JoinSet::new();
     for n in 0..JOBS {
@@ -662,7 +652,7 @@
     plays.join_all().await;
     let direct = JOBS as f64 / start.elapsed().as_secs_f64();
     // By the queue.
-    let mut settings = stage.settings();
+    let mut settings = bed.settings();
     let number = |name: &str, usual: u32| {
         std::env::var(name).map_or(usual, |n| n.parse().expect("a number"))
     };
@@ -671,13 +661,13 @@
         settings[rate] = json!(10_000);
     }
     settings["state"]["rounds_per_s"] = json!(number("ROUNDS", 100));
-    let file = stage.base.path().join("queues.json");
+    let file = bed.base.path().join("queues.json");
     std::fs::write(&file, settings.to_string()).expect("a file");
     for n in 0..JOBS {
-        stage.send(n, "work", &format!(r#"{{"lane":"a","n":{n}}}"#));
+        bed.send(n, "work", &format!(r#"{{"lane":"a","n":{n}}}"#));
     }
-    let (start, writes) = (std::time::Instant::now(), stage.world.writes());
-    let mut front = std::process::Command::new(&binary)
+    let (start, writes) = (std::time::Instant::now(), bed.services.writes());
+    let mut process = std::process::Command::new(&binary)
         .args(["queues", "--settings"])
         .arg(&file)
         .env("LOG_LEVEL", "error")
@@ -691,7 +681,7 @@
             .unwrap_or_default()
             .to_owned()
     };
-    wait("all answers", || stage.broker.ready("answers") == JOBS).await;
+    wait("all answers", || bed.broker.ready("answers") == JOBS).await;
     let queued = JOBS as f64 / start.elapsed().as_secs_f64();
     println!(
         "by HTTP {direct:.0} a second, by the queue {queued:.0}: {:.2}",
@@ -699,12 +689,12 @@
     );
     println!(
         "{:.3} changes at the state service a message",
-        (stage.world.writes() - writes) as f64 / JOBS as f64
+        (bed.services.writes() - writes) as f64 / JOBS as f64
     );
-    println!("memory after {JOBS}: {}", memory(front.id()));
+    println!("memory after {JOBS}: {}", memory(process.id()));
     let body = "x".repeat(300);
     for n in JOBS..JOBS + WAITING {
-        stage.send(
+        bed.send(
             n,
             "work",
             &format!(r#"{{"lane":"a","n":{n},"note":"{body}"}}"#),
@@ -713,29 +703,26 @@
     tokio::time::sleep(Duration::from_secs(3)).await;
     println!(
         "memory with {} waiting: {}",
-        stage.broker.ready("work"),
-        memory(front.id())
+        bed.broker.ready("work"),
+        memory(process.id())
     );
     for _ in 0..3 {
-        stage.broker.restart();
-        let answers = stage.broker.ready("answers");
+        bed.broker.restart();
+        let answers = bed.broker.ready("answers");
         let start = std::time::Instant::now();
-        wait("an answer", || stage.broker.ready("answers") > answers).await;
+        wait("an answer", || bed.broker.ready("answers") > answers).await;
         println!(
             "first answer {:.2} s after a restart of the broker",
             start.elapsed().as_secs_f64()
         );
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
-    wait("half of them", || {
-        stage.broker.ready("answers") > WAITING / 4
-    })
-    .await;
+    wait("half of them", || bed.broker.ready("answers") > WAITING / 4).await;
     println!(
         "memory with {} answered: {}",
-        stage.broker.ready("answers"),
-        memory(front.id())
+        bed.broker.ready("answers"),
+        memory(process.id())
     );
-    front.kill().expect("a process");
-    front.wait().expect("its end");
+    process.kill().expect("a process");
+    process.wait().expect("its end");
 }
--- /dev/null
+++ b/crates/queues/tests/simulation/process.rs
@@ -0,0 +1,326 @@
+//! The processes of a simulation: their lives, connections and effects.
+
+use super::Simulation;
+use super::event::{
+    Command, ConnectionNumber, ProcessEvent, SimulatedConnection, SimulationEvent, Slot,
+};
+use cometlead_queues::replicated_log::{LogLimits, StateRequest, StateResponse};
+use cometlead_queues::state_machine::{ControllerResponse, RequestId};
+use cometlead_queues::time::{Micros, SECOND};
+use cometlead_queues::{DeliveryStateMachine, Effect, Event, Limits};
+use rand::RngExt;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Missing heartbeats for this long end a connection.
+const HEARTBEAT_TIMEOUT: Micros = 4 * SECOND;
+/// Longest delay between a process and the broker.
+const BROKER_DELAY: Micros = 5_000;
+/// Shortest time between two ticks.
+const MIN_TICK: Micros = 1_000;
+
+pub struct Process {
+    pub machine: DeliveryStateMachine,
+    pub incarnation: u64,
+    /// How often it has connected.
+    attempts: u64,
+    pub connection: Option<ConnectionNumber>,
+    hangs_until: Micros,
+    next_wake: Micros,
+    /// Events that arrived while it was hanging.
+    held_events: VecDeque<ProcessEvent>,
+    /// When its last command reaches the broker; commands keep their order.
+    pub last_command_at: Micros,
+}
+
+impl Simulation {
+    pub(super) fn start(&mut self, slot: Slot) {
+        if self.processes[slot].is_some() {
+            return;
+        }
+        self.last_incarnation += 1;
+        let incarnation = self.last_incarnation;
+        let limits = Limits {
+            max_requests: 4,
+            submissions_per_s: 20,
+            queries_per_s: 20,
+            query_interval: 2 * SECOND,
+            log: LogLimits {
+                max_value_bytes: self.config.max_value_bytes,
+                batches_per_s: 20,
+                retention: 3_600 * SECOND,
+            },
+            queues: BTreeMap::new(),
+        };
+        self.processes[slot] = Some(Process {
+            machine: DeliveryStateMachine::new(self.rng.random(), limits),
+            incarnation,
+            attempts: 0,
+            connection: None,
+            hangs_until: 0,
+            next_wake: 0,
+            held_events: VecDeque::new(),
+            last_command_at: 0,
+        });
+        let at = self.soon(SECOND);
+        self.connect(slot, incarnation, at);
+    }
+
+    pub(super) fn kill(&mut self, slot: Slot) {
+        let Some(process) = self.processes[slot].take() else {
+            return;
+        };
+        if let Some(connection) = process.connection {
+            let at = self.soon(2 * SECOND);
+            self.at(at, SimulationEvent::CloseConnection(connection));
+        }
+        let at = self.soon(5 * SECOND);
+        self.at(at, SimulationEvent::Start(slot));
+    }
+
+    pub(super) fn hang(&mut self, slot: Slot, span: Option<Micros>) {
+        let span = span.unwrap_or_else(|| 1 + self.below(15 * SECOND));
+        let now = self.now;
+        let Some(process) = self.processes[slot].as_mut() else {
+            return;
+        };
+        process.hangs_until = now + span;
+        let connection = process.connection;
+        self.at(now + span, SimulationEvent::Wake(slot));
+        if let Some(connection) = connection.filter(|_| span > HEARTBEAT_TIMEOUT) {
+            let at = now + HEARTBEAT_TIMEOUT;
+            self.at(at, SimulationEvent::CloseConnection(connection));
+            self.at(at, SimulationEvent::DropConnection(slot));
+        }
+    }
+
+    pub(super) fn shut_down(&mut self, slot: Slot) {
+        let is_running = |p: &Process| p.hangs_until <= self.now;
+        if self.processes[slot].as_ref().is_some_and(is_running) {
+            self.handle_in_process(slot, Event::Stop);
+        }
+    }
+
+    pub(super) fn wake(&mut self, slot: Slot) {
+        let now = self.now;
+        let process = self.processes[slot].as_mut();
+        let Some(process) = process.filter(|p| p.hangs_until <= now) else {
+            return;
+        };
+        for event in std::mem::take(&mut process.held_events) {
+            self.deliver_to_process(event);
+        }
+        self.handle_in_process(slot, Event::Tick);
+    }
+
+    /// The connection exists at once; the process learns of it at the given time.
+    fn connect(&mut self, slot: Slot, incarnation: u64, at: Micros) {
+        self.last_event_number += 1;
+        let number = self.last_event_number;
+        let Some(process) = self.processes[slot].as_mut() else {
+            return;
+        };
+        process.attempts += 1;
+        process.connection = Some(number);
+        process.last_command_at = at;
+        let connected = Event::Connected {
+            connection: process.attempts,
+        };
+        let connection = SimulatedConnection {
+            slot,
+            consumer: None,
+            receipts: Vec::new(),
+            obsolete: BTreeSet::new(),
+        };
+        self.connections.insert(number, connection);
+        self.broker.open((number, 1));
+        self.broker.select((number, 1));
+        let event = ProcessEvent {
+            slot,
+            incarnation,
+            connection: Some(number),
+            event: connected,
+        };
+        self.at(at, SimulationEvent::Deliver(event));
+    }
+
+    /// The process will learn that its connection is gone.
+    pub(super) fn report_disconnected(&mut self, slot: Slot, connection: ConnectionNumber) {
+        let process = self.processes[slot].as_ref();
+        let affected = process.filter(|p| p.connection == Some(connection));
+        if let Some(incarnation) = affected.map(|p| p.incarnation) {
+            let event = ProcessEvent {
+                slot,
+                incarnation,
+                connection: Some(connection),
+                event: Event::Disconnected,
+            };
+            let at = self.soon(1_000);
+            self.at(at, SimulationEvent::Deliver(event));
+        }
+    }
+
+    /// A process loses its connection; the broker notices later, and carries out what arrives until then.
+    pub(super) fn drop_connection(&mut self, slot: Slot) {
+        let process = self.processes[slot].as_ref();
+        if let Some(connection) = process.and_then(|p| p.connection) {
+            self.report_disconnected(slot, connection);
+            let at = self.soon(2 * SECOND);
+            self.at(at, SimulationEvent::CloseConnection(connection));
+        }
+    }
+
+    pub(super) fn deliver_to_process(&mut self, delivered: ProcessEvent) {
+        let (slot, incarnation, now) = (delivered.slot, delivered.incarnation, self.now);
+        let process = self.processes[slot].as_mut();
+        let Some(process) = process.filter(|p| p.incarnation == incarnation) else {
+            return;
+        };
+        if process.hangs_until > now {
+            process.held_events.push_back(delivered);
+            return;
+        }
+        if delivered.connection.is_some() && delivered.connection != process.connection {
+            return;
+        }
+        let is_disconnected = matches!(delivered.event, Event::Disconnected);
+        if is_disconnected {
+            process.connection = None;
+        }
+        self.handle_in_process(slot, delivered.event);
+        if is_disconnected {
+            let at = self.soon(3 * SECOND);
+            self.connect(slot, incarnation, at);
+        }
+    }
+
+    fn handle_in_process(&mut self, slot: Slot, event: Event) {
+        let now = self.now;
+        let Some(process) = self.processes[slot].as_mut() else {
+            return;
+        };
+        let effects = process.machine.handle(now, event);
+        let incarnation = process.incarnation;
+        let wake = process.machine.next_wake().max(now + MIN_TICK);
+        if wake < Micros::MAX && (wake < process.next_wake || process.next_wake <= now) {
+            process.next_wake = wake;
+            self.at(wake, SimulationEvent::Wake(slot));
+        }
+        for effect in effects {
+            self.carry_out_effect(slot, incarnation, effect);
+        }
+    }
+
+    fn carry_out_effect(&mut self, slot: Slot, incarnation: u64, effect: Effect) {
+        match effect {
+            Effect::Commit(transaction) => {
+                self.send_command(slot, Command::Commit(transaction));
+                if self.chance(self.config.drop_at_commit) {
+                    self.drop_connection(slot);
+                }
+            }
+            Effect::OpenReceiptQueue(consumer) => {
+                self.send_command(slot, Command::OpenReceiptQueue(consumer));
+            }
+            Effect::StartConsuming => self.send_command(slot, Command::StartConsuming),
+            Effect::ReadReceipts(consumer) => {
+                self.send_command(slot, Command::ReadReceipts(consumer));
+            }
+            Effect::ReleaseReceipts {
+                consumer,
+                delete_queue,
+            } => {
+                let command = Command::ReleaseReceipts {
+                    consumer,
+                    delete_queue,
+                };
+                self.send_command(slot, command);
+            }
+            Effect::Reconnect => self.drop_connection(slot),
+            // The process ends, and another one is started.
+            Effect::Finished => self.at(self.now, SimulationEvent::Kill(slot)),
+            Effect::State(request) => self.request_state(slot, incarnation, request),
+            Effect::Submit(request, body) => {
+                let response = self.submit(&body);
+                self.respond(slot, incarnation, request, response);
+            }
+            Effect::QueryStatus(request, job) => {
+                let response = self.controllers.query(self.now, &job);
+                self.respond(slot, incarnation, request, response);
+            }
+            Effect::Cancel(request, job) => {
+                let response = self.controllers.cancel(self.now, &job);
+                self.respond(slot, incarnation, request, response);
+            }
+        }
+    }
+
+    fn send_command(&mut self, slot: Slot, command: Command) {
+        let process = self.processes[slot].as_ref();
+        let Some(connection) = process.and_then(|p| p.connection) else {
+            return;
+        };
+        let arrives = self.soon(BROKER_DELAY);
+        let Some(process) = self.processes[slot].as_mut() else {
+            return;
+        };
+        process.last_command_at = arrives.max(process.last_command_at + 1);
+        let at = process.last_command_at;
+        self.at(at, SimulationEvent::Command(connection, command));
+    }
+
+    /// Requests and responses may get lost; requests may also be carried out late.
+    fn request_state(&mut self, slot: Slot, incarnation: u64, request: StateRequest) {
+        let response = if self.is_outage() {
+            StateResponse::NoResponse
+        } else if self.config.outages && self.chance(0.05) {
+            let at = self.soon(20 * SECOND);
+            self.at(at, SimulationEvent::LateRequest(request));
+            StateResponse::NoResponse
+        } else {
+            let response = self.state_service.respond(&request);
+            if self.chance(0.03) {
+                StateResponse::NoResponse
+            } else {
+                response
+            }
+        };
+        let at = self.soon(30_000);
+        let event = ProcessEvent {
+            slot,
+            incarnation,
+            connection: None,
+            event: Event::State(response),
+        };
+        self.at(at, SimulationEvent::Deliver(event));
+    }
+
+    fn submit(&mut self, body: &[u8]) -> ControllerResponse {
+        if self.is_outage() || self.chance(0.1) {
+            return ControllerResponse::RetryAfter(SECOND);
+        }
+        let ends_at = self.now + SECOND + self.below(20 * SECOND);
+        self.controllers.submit(self.now, body, ends_at)
+    }
+
+    fn respond(
+        &mut self,
+        slot: Slot,
+        incarnation: u64,
+        request: RequestId,
+        response: ControllerResponse,
+    ) {
+        let response = if self.is_outage() || self.chance(0.03) {
+            ControllerResponse::NoResponse
+        } else {
+            response
+        };
+        let at = self.soon(50_000);
+        let event = ProcessEvent {
+            slot,
+            incarnation,
+            connection: None,
+            event: Event::Controller(request, response),
+        };
+        self.at(at, SimulationEvent::Deliver(event));
+    }
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -312,7 +312,7 @@
     command: Option<&QueuesCommand>,
 ) -> Result<ExitCode, String> {
     use cometlead_queues::settings::QueueSettings;
-    use cometlead_queues::shell::Queues;
+    use cometlead_queues::runtime::QueueService;
     if let Some(QueuesCommand::Schema) = command {
         say(&QueueSettings::schema());
         return Ok(ExitCode::SUCCESS);
@@ -320,7 +320,7 @@
     let path = settings.ok_or("--settings FILE is missing; see queues --help")?;
     let bad = |e: &dyn std::fmt::Display| format!("{path}: {e}");
     let parsed = QueueSettings::parse(&read(path)?).map_err(|e| bad(&e))?;
-    let queues = Queues::new(parsed, folder_of(path)).map_err(|e| bad(&e))?;
+    let queues = QueueService::new(parsed, folder_of(path)).map_err(|e| bad(&e))?;
     if let Some(QueuesCommand::Check) = command {
         say("ok");
         return Ok(ExitCode::SUCCESS);
