--- a/crates/queues/src/counters.rs
+++ b/crates/queues/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of the state machine. The fields have the names of the metrics.
+//! Counters of the state machine. The metrics have names of their own, see `runtime::metrics`.
 
 /// Counters since the start of the process; none of them ever falls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -14,17 +14,17 @@
     /// Messages refused for good.
     pub refused: u64,
     /// Responses of overloaded controllers.
-    pub delayed: u64,
+    pub overload_responses: u64,
     /// Requests to the controllers without a usable response.
-    pub unanswered: u64,
+    pub lost_responses: u64,
     /// Status queries.
-    pub polls: u64,
+    pub status_queries: u64,
     /// Final answers and dead letters.
     pub answered: u64,
     /// Final answers that may be duplicates.
-    pub repeated: u64,
+    pub possible_duplicates: u64,
     /// Transactions with the broker.
     pub commits: u64,
     /// Claims of dead consumers that were taken over.
-    pub settled: u64,
+    pub claims_taken_over: u64,
 }
--- a/crates/queues/src/message.rs
+++ b/crates/queues/src/message.rs
@@ -8,8 +8,8 @@
 
 /// Largest body in bytes, the same limit as the controllers' user interface has.
 pub const BODY_LIMIT: usize = 64 * 1024;
-/// Upper bound on an expected duration, in seconds.
-const MAX_EXPECTED_DURATION_S: f64 = 86_400.0;
+/// Upper bound on the estimate of a job's runtime, in seconds.
+const MAX_ESTIMATED_RUNTIME_S: f64 = 86_400.0;
 
 /// A message as the broker delivers it.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -22,12 +22,12 @@
     pub reply_to: Option<String>,
     /// The property `correlation_id`, copied into answers.
     pub correlation_id: Option<String>,
-    /// The header `urgency`.
-    pub urgency: Option<String>,
-    /// The header `due_s`, in seconds from the submission.
-    pub due_s: Option<f64>,
-    /// The header `awaits`: ids of jobs, separated by commas.
-    pub awaits: Option<String>,
+    /// The header `urgency`: the job's priority.
+    pub priority: Option<String>,
+    /// The header `due_s`: the job's deadline, in seconds from the submission.
+    pub deadline_s: Option<f64>,
+    /// The header `awaits`: ids of jobs that have to end first, separated by commas.
+    pub dependencies: Option<String>,
     /// The header `cancel`: the named job is to be cancelled.
     pub cancel: bool,
     /// The header `interim`: the client wants status updates before the final answer.
@@ -67,8 +67,8 @@
         job: String,
         /// The JSON body to submit.
         body: Vec<u8>,
-        /// How long the owner expects the job to run; 0 if unknown.
-        expected_duration: Micros,
+        /// The owner's estimate of how long the job runs; 0 if unknown.
+        estimated_runtime: Micros,
     },
     /// Cancel the job with this id.
     Cancel {
@@ -104,9 +104,9 @@
     /// The job's name is not of the users' form.
     #[error("nameId: invalid")]
     InvalidJobName,
-    /// The due time is negative or not a number.
+    /// The deadline is negative or not a number.
     #[error("due_s: invalid")]
-    InvalidDueTime,
+    InvalidDeadline,
 }
 
 impl Message {
@@ -138,15 +138,15 @@
         if self.cancel {
             return Ok(JobRequest::Cancel { job });
         }
-        if self.due_s.is_some_and(|s| !s.is_finite() || s < 0.0) {
-            return Err(InvalidRequest::InvalidDueTime);
+        if self.deadline_s.is_some_and(|s| !s.is_finite() || s < 0.0) {
+            return Err(InvalidRequest::InvalidDeadline);
         }
         self.apply_headers(&mut fields, &job);
-        let expected_duration = expected_duration(&fields);
+        let estimated_runtime = estimated_runtime(&fields);
         Ok(JobRequest::Submit {
             job,
             body: Value::Object(fields).to_string().into_bytes(),
-            expected_duration,
+            estimated_runtime,
         })
     }
 
@@ -177,14 +177,14 @@
     fn apply_headers(&self, fields: &mut Map<String, Value>, job: &str) {
         let mut set = |field: &str, value: Value| fields.insert(field.to_owned(), value);
         set("nameId", json!(job));
-        if let Some(urgency) = &self.urgency {
-            set("urgency", json!(urgency));
+        if let Some(priority) = &self.priority {
+            set("urgency", json!(priority));
         }
-        if let Some(due_s) = self.due_s {
-            set("dueS", json!(due_s));
+        if let Some(deadline_s) = self.deadline_s {
+            set("dueS", json!(deadline_s));
         }
-        if let Some(awaits) = &self.awaits {
-            let jobs = awaits.split(',').map(str::trim);
+        if let Some(dependencies) = &self.dependencies {
+            let jobs = dependencies.split(',').map(str::trim);
             let jobs: Vec<&str> = jobs.filter(|job| !job.is_empty()).collect();
             set("awaits", json!(jobs));
         }
@@ -198,12 +198,12 @@
     }
 }
 
-fn expected_duration(fields: &Map<String, Value>) -> Micros {
+fn estimated_runtime(fields: &Map<String, Value>) -> Micros {
     let seconds = fields.get("guessS").and_then(Value::as_f64);
     from_seconds(
         seconds
             .unwrap_or_default()
-            .clamp(0.0, MAX_EXPECTED_DURATION_S),
+            .clamp(0.0, MAX_ESTIMATED_RUNTIME_S),
     )
 }
 
--- a/crates/queues/src/pending_message.rs
+++ b/crates/queues/src/pending_message.rs
@@ -115,11 +115,11 @@
     }
 
     /// How long the job is expected to run.
-    pub fn expected_duration(&self) -> Micros {
+    pub fn estimated_runtime(&self) -> Micros {
         match self.request {
             Ok(JobRequest::Submit {
-                expected_duration, ..
-            }) => expected_duration,
+                estimated_runtime, ..
+            }) => estimated_runtime,
             _ => 0,
         }
     }
--- a/crates/queues/src/runtime/endpoint.rs
+++ b/crates/queues/src/runtime/endpoint.rs
@@ -58,7 +58,7 @@
 }
 
 fn tls_identity(tls: &TlsSettings, host: &str, base: &Path) -> Result<TlsIdentity, SettingsError> {
-    let path = base.join(&tls.roots);
+    let path = base.join(&tls.root_certificates);
     let roots = load_roots(&path).map_err(|source| SettingsError::File {
         field: "broker.tls.roots",
         path,
--- a/crates/queues/src/runtime/metrics.rs
+++ b/crates/queues/src/runtime/metrics.rs
@@ -21,7 +21,7 @@
 const MAX_CONNECTIONS: usize = 16;
 const NAME_PREFIX: &str = "cometlead_queues_";
 
-/// All values at one time. The fields have the names of the metrics.
+/// All values at one time. The metrics have names of their own.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Snapshot {
     /// Counters of the state machine.
@@ -31,11 +31,11 @@
     /// How long the oldest message is in hand, in seconds.
     pub oldest_s: i64,
     /// Entries in the replicated log.
-    pub marks: i64,
+    pub log_entries: i64,
     /// Batches of changes that were written to the log.
-    pub rounds: u64,
+    pub applied_batches: u64,
     /// Batches that were refused because the log had changed.
-    pub clashes: u64,
+    pub log_conflicts: u64,
 }
 
 impl Snapshot {
@@ -48,9 +48,9 @@
             counters: machine.counters(),
             in_hand: saturating_i64(machine.in_hand()),
             oldest_s: i64::try_from(oldest_s).unwrap_or(i64::MAX),
-            marks: saturating_i64(log.len()),
-            rounds: log.applied_batches(),
-            clashes: log.conflicts(),
+            log_entries: saturating_i64(log.len()),
+            applied_batches: log.applied_batches(),
+            log_conflicts: log.conflicts(),
         }
     }
 
@@ -74,24 +74,36 @@
             (
                 "delayed",
                 "times that the controllers asked to come back later",
-                c.delayed,
+                c.overload_responses,
             ),
             (
                 "unanswered",
                 "requests to the controllers without an answer",
-                c.unanswered,
+                c.lost_responses,
             ),
-            ("polls", "questions about jobs", c.polls),
+            ("polls", "questions about jobs", c.status_queries),
             ("answered", "answers and dead letters", c.answered),
             (
                 "repeated",
                 "answers that may have been given before",
-                c.repeated,
+                c.possible_duplicates,
             ),
             ("commits", "transactions with the broker", c.commits),
-            ("settled", "seals of dead connections settled", c.settled),
-            ("rounds", "rounds of marks carried out", self.rounds),
-            ("clashes", "rounds of marks that clashed", self.clashes),
+            (
+                "settled",
+                "seals of dead connections settled",
+                c.claims_taken_over,
+            ),
+            (
+                "rounds",
+                "rounds of marks carried out",
+                self.applied_batches,
+            ),
+            (
+                "clashes",
+                "rounds of marks that clashed",
+                self.log_conflicts,
+            ),
         ]
     }
 
@@ -104,7 +116,7 @@
                 "how long the oldest of them is in hand",
                 self.oldest_s,
             ),
-            ("marks", "marks that are kept", self.marks),
+            ("marks", "marks that are kept", self.log_entries),
         ]
     }
 }
@@ -123,18 +135,18 @@
         held_back = c.held_back,
         accepted = c.accepted,
         refused = c.refused,
-        delayed = c.delayed,
-        unanswered = c.unanswered,
-        polls = c.polls,
+        delayed = c.overload_responses,
+        unanswered = c.lost_responses,
+        polls = c.status_queries,
         answered = c.answered,
-        repeated = c.repeated,
+        repeated = c.possible_duplicates,
         commits = c.commits,
-        settled = c.settled,
+        settled = c.claims_taken_over,
         in_hand = snapshot.in_hand,
         oldest_s = snapshot.oldest_s,
-        marks = snapshot.marks,
-        rounds = snapshot.rounds,
-        clashes = snapshot.clashes,
+        marks = snapshot.log_entries,
+        rounds = snapshot.applied_batches,
+        clashes = snapshot.log_conflicts,
         "counters"
     );
 }
--- a/crates/queues/src/runtime/mod.rs
+++ b/crates/queues/src/runtime/mod.rs
@@ -63,7 +63,7 @@
         let gauges = Gauges::default();
         let metrics = self
             .settings
-            .metrics
+            .metrics_address
             .clone()
             .map(|address| tokio::spawn(metrics::serve(address, gauges.clone())));
         tracing::info!(run = format!("{process:016x}"), "serving queues");
@@ -75,7 +75,7 @@
             commands,
         );
         let connection = tokio::spawn(self.broker.keep_connected(command_inbox, events));
-        let grace = Duration::from_secs(u64::from(self.settings.stop_s));
+        let grace = Duration::from_secs(u64::from(self.settings.shutdown_grace_s));
         event_loop.run(inbox, stop, &gauges, grace).await;
         // Without a sender of commands the connection closes.
         drop(event_loop);
@@ -99,7 +99,7 @@
         .no_proxy()
         .connect_timeout(HTTP_CONNECT_TIMEOUT)
         .pool_idle_timeout(HTTP_IDLE_TIMEOUT)
-        .pool_max_idle_per_host(settings.calls)
+        .pool_max_idle_per_host(settings.max_requests)
         .tcp_nodelay(true)
         .build()
         .unwrap_or_default()
--- a/crates/queues/src/runtime/state_service.rs
+++ b/crates/queues/src/runtime/state_service.rs
@@ -39,7 +39,7 @@
         StateClient {
             client,
             address: settings.address.clone(),
-            keys: LogKeys::new(settings.prefix.clone()),
+            keys: LogKeys::new(settings.key_prefix.clone()),
         }
     }
 
--- a/crates/queues/src/settings/credentials.rs
+++ b/crates/queues/src/settings/credentials.rs
@@ -30,7 +30,7 @@
     ///
     /// [`SettingsError::File`] if the file cannot be read or has not two lines.
     pub fn load(base: &Path, settings: &BrokerSettings) -> Result<Credentials, SettingsError> {
-        let path = base.join(&settings.credentials);
+        let path = base.join(&settings.credentials_file);
         Credentials::read(&path).map_err(|source| SettingsError::File {
             field: "broker.credentials",
             path,
--- a/crates/queues/src/settings/mod.rs
+++ b/crates/queues/src/settings/mod.rs
@@ -29,7 +29,8 @@
     #[schemars(length(min = 1))]
     #[serde(rename = "controllers")]
     pub controllers: Vec<String>,
-    /// Where marks are kept.
+    /// The state service that stores the replicated log.
+    #[schemars(description = "Where marks are kept.")]
     #[serde(rename = "state")]
     pub state: StateSettings,
     /// The queues that are served.
@@ -37,39 +38,37 @@
     #[serde(rename = "queues")]
     pub queues: Vec<ServedQueue>,
     /// Most requests to the controllers at once.
-    #[serde(default = "default_calls")]
+    #[serde(rename = "calls", default = "default_max_requests")]
     #[schemars(range(min = 1, max = 256))]
-    #[serde(rename = "calls")]
-    pub calls: usize,
+    pub max_requests: usize,
     /// Most submissions a second.
-    #[serde(default = "default_submits_per_s")]
+    #[serde(rename = "submits_per_s", default = "default_submissions_per_s")]
     #[schemars(range(min = 1, max = 10_000))]
-    #[serde(rename = "submits_per_s")]
-    pub submits_per_s: u32,
-    /// Most polls a second, over all jobs.
-    #[serde(default = "default_polls_per_s")]
+    pub submissions_per_s: u32,
+    /// Most status queries a second, over all jobs.
+    #[schemars(description = "Most polls a second, over all jobs.")]
+    #[serde(rename = "polls_per_s", default = "default_queries_per_s")]
     #[schemars(range(min = 1, max = 10_000))]
-    #[serde(rename = "polls_per_s")]
-    pub polls_per_s: u32,
-    /// Shortest time between two polls of one job, in seconds.
-    #[serde(default = "default_poll_s")]
+    pub queries_per_s: u32,
+    /// Shortest time between two status queries for one job, in seconds.
+    #[schemars(description = "Shortest time between two polls of one job, in seconds.")]
+    #[serde(rename = "poll_s", default = "default_query_interval_s")]
     #[schemars(range(min = 0.1, max = 300.0))]
-    #[serde(rename = "poll_s")]
-    pub poll_s: f64,
+    pub query_interval_s: f64,
     /// How long it is remembered that a message was answered, in days.
-    #[serde(default = "default_keep_days")]
+    #[serde(rename = "keep_days", default = "default_retention_days")]
     #[schemars(range(min = 1, max = 365))]
-    #[serde(rename = "keep_days")]
-    pub keep_days: u32,
-    /// On SIGTERM: how long what is certain may take to be answered, in seconds.
-    #[serde(default = "default_stop_s")]
+    pub retention_days: u32,
+    /// On shutdown: how long it may take to finish what was begun, in seconds.
+    #[schemars(
+        description = "On SIGTERM: how long what is certain may take to be answered, in seconds."
+    )]
+    #[serde(rename = "stop_s", default = "default_shutdown_grace_s")]
     #[schemars(range(min = 1, max = 300))]
-    #[serde(rename = "stop_s")]
-    pub stop_s: u32,
+    pub shutdown_grace_s: u32,
     /// An address for `GET /metrics` and `GET /healthz`. Absent: none.
-    #[serde(default)]
-    #[serde(rename = "metrics")]
-    pub metrics: Option<String>,
+    #[serde(rename = "metrics", default)]
+    pub metrics_address: Option<String>,
 }
 
 /// The AMQP broker.
@@ -81,27 +80,23 @@
     #[serde(rename = "host")]
     pub host: String,
     /// Its port.
-    #[serde(default = "default_port")]
+    #[serde(rename = "port", default = "default_port")]
     #[schemars(range(min = 1))]
-    #[serde(rename = "port")]
     pub port: u16,
     /// The virtual host.
-    #[serde(default = "default_vhost")]
-    #[serde(rename = "vhost")]
+    #[serde(rename = "vhost", default = "default_vhost")]
     pub vhost: String,
     /// A file with the user's name in its first line and the password in its second, beside the settings file unless
     /// its path is absolute.
     #[schemars(length(min = 1))]
     #[serde(rename = "credentials")]
-    pub credentials: PathBuf,
+    pub credentials_file: PathBuf,
     /// Time between heartbeats, in seconds; a broker that misses two is taken for dead.
-    #[serde(default = "default_heartbeat_s")]
+    #[serde(rename = "heartbeat_s", default = "default_heartbeat_s")]
     #[schemars(range(min = 1, max = 600))]
-    #[serde(rename = "heartbeat_s")]
     pub heartbeat_s: u16,
     /// TLS. Absent: none.
-    #[serde(default)]
-    #[serde(rename = "tls")]
+    #[serde(rename = "tls", default)]
     pub tls: Option<TlsSettings>,
 }
 
@@ -111,34 +106,35 @@
 pub struct TlsSettings {
     /// A PEM file with the certificates that are trusted, beside the settings file unless its path is absolute.
     #[serde(rename = "roots")]
-    pub roots: PathBuf,
+    pub root_certificates: PathBuf,
     /// The name that the broker's certificate must have. Absent: its host.
-    #[serde(default)]
-    #[serde(rename = "name")]
+    #[serde(rename = "name", default)]
     pub name: Option<String>,
 }
 
-/// Where marks are kept.
+/// The state service that stores the replicated log.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
+#[schemars(description = "Where marks are kept.")]
 #[serde(deny_unknown_fields)]
 pub struct StateSettings {
     /// The state service, `host:port`.
     #[serde(rename = "address")]
     pub address: String,
-    /// What the keys begin with; every front of the same queues has the same one.
-    #[serde(default = "default_prefix")]
-    #[serde(rename = "prefix")]
-    pub prefix: String,
-    /// Most rounds a second; each is one write, or two or three at times.
-    #[serde(default = "default_rounds_per_s")]
+    /// Prefix of the log's keys; all processes that serve the same queues have the same one.
+    #[schemars(
+        description = "What the keys begin with; every front of the same queues has the same one."
+    )]
+    #[serde(rename = "prefix", default = "default_key_prefix")]
+    pub key_prefix: String,
+    /// Most batches of log changes a second; a batch is one to three writes.
+    #[schemars(description = "Most rounds a second; each is one write, or two or three at times.")]
+    #[serde(rename = "rounds_per_s", default = "default_batches_per_s")]
     #[schemars(range(min = 1, max = 1_000))]
-    #[serde(rename = "rounds_per_s")]
-    pub rounds_per_s: u32,
+    pub batches_per_s: u32,
     /// Largest value, in bytes.
-    #[serde(default = "default_value_bytes")]
+    #[serde(rename = "value_bytes", default = "default_max_value_bytes")]
     #[schemars(range(min = 700, max = 60_000))]
-    #[serde(rename = "value_bytes")]
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
 }
 
 /// One queue that is served.
@@ -151,41 +147,37 @@
     #[serde(rename = "name")]
     pub name: String,
     /// Lower ranks are submitted first.
-    #[serde(default)]
-    #[serde(rename = "rank")]
+    #[serde(rename = "rank", default)]
     pub rank: u8,
     /// Most messages in hand, from the delivery until the answer is certain.
-    #[serde(default = "default_prefetch")]
+    #[serde(rename = "prefetch", default = "default_prefetch")]
     #[schemars(range(min = 1, max = 10_000))]
-    #[serde(rename = "prefetch")]
     pub prefetch: u16,
     /// When a message that asks for no answer is acknowledged.
-    #[serde(default)]
-    #[serde(rename = "without_reply")]
+    #[serde(rename = "without_reply", default)]
     pub without_reply: WithoutReply,
     /// The queue for refused messages that ask for no answer. Absent: they are dropped, with a line in the log.
-    #[serde(default)]
+    #[serde(rename = "dead_letter", default)]
     #[schemars(length(min = 1, max = 255))]
-    #[serde(rename = "dead_letter")]
     pub dead_letter: Option<String>,
 }
 
-fn default_calls() -> usize {
+fn default_max_requests() -> usize {
     16
 }
-fn default_submits_per_s() -> u32 {
+fn default_submissions_per_s() -> u32 {
     50
 }
-fn default_polls_per_s() -> u32 {
+fn default_queries_per_s() -> u32 {
     20
 }
-fn default_poll_s() -> f64 {
+fn default_query_interval_s() -> f64 {
     5.0
 }
-fn default_keep_days() -> u32 {
+fn default_retention_days() -> u32 {
     7
 }
-fn default_stop_s() -> u32 {
+fn default_shutdown_grace_s() -> u32 {
     20
 }
 fn default_port() -> u16 {
@@ -197,13 +189,13 @@
 fn default_heartbeat_s() -> u16 {
     10
 }
-fn default_prefix() -> String {
+fn default_key_prefix() -> String {
     "q/".to_owned()
 }
-fn default_rounds_per_s() -> u32 {
+fn default_batches_per_s() -> u32 {
     5
 }
-fn default_value_bytes() -> usize {
+fn default_max_value_bytes() -> usize {
     2_048
 }
 fn default_prefetch() -> u16 {
@@ -229,14 +221,14 @@
             .iter()
             .map(|queue| (queue.name.clone(), queue.rule()));
         Limits {
-            max_requests: self.calls,
-            submissions_per_s: self.submits_per_s,
-            queries_per_s: self.polls_per_s,
-            query_interval: from_seconds(self.poll_s),
+            max_requests: self.max_requests,
+            submissions_per_s: self.submissions_per_s,
+            queries_per_s: self.queries_per_s,
+            query_interval: from_seconds(self.query_interval_s),
             log: LogLimits {
-                max_value_bytes: self.state.value_bytes,
-                batches_per_s: self.state.rounds_per_s,
-                retention: u64::from(self.keep_days) * SECONDS_PER_DAY * SECOND,
+                max_value_bytes: self.state.max_value_bytes,
+                batches_per_s: self.state.batches_per_s,
+                retention: u64::from(self.retention_days) * SECONDS_PER_DAY * SECOND,
             },
             queues: queues.collect(),
         }
--- a/crates/queues/src/settings/validation.rs
+++ b/crates/queues/src/settings/validation.rs
@@ -59,7 +59,7 @@
     )?;
     require(
         "metrics",
-        settings.metrics.as_deref().is_none_or(is_address),
+        settings.metrics_address.as_deref().is_none_or(is_address),
         "host:port",
     )
 }
@@ -72,14 +72,14 @@
 fn validate_state(state: &StateSettings) -> Result<(), SettingsError> {
     require(
         "state.prefix",
-        is_prefix(&state.prefix),
+        is_prefix(&state.key_prefix),
         "a prefix of its own that ends with /",
     )?;
-    let rounds_per_s = state.rounds_per_s;
-    require_in("state.rounds_per_s", rounds_per_s, 1..=1_000, "1 to 1000")?;
+    let batches_per_s = state.batches_per_s;
+    require_in("state.rounds_per_s", batches_per_s, 1..=1_000, "1 to 1000")?;
     require_in(
         "state.value_bytes",
-        state.value_bytes,
+        state.max_value_bytes,
         700..=60_000,
         "700 to 60000",
     )
@@ -111,18 +111,23 @@
         1..=600,
         "1 to 600",
     )?;
-    let has_credentials = !broker.credentials.as_os_str().is_empty();
+    let has_credentials = !broker.credentials_file.as_os_str().is_empty();
     require("broker.credentials", has_credentials, "the path of a file")
 }
 
 fn validate_rates(settings: &QueueSettings) -> Result<(), SettingsError> {
-    let (submits, polls) = (settings.submits_per_s, settings.polls_per_s);
-    require_in("calls", settings.calls, 1..=256, "1 to 256")?;
-    require_in("submits_per_s", submits, 1..=10_000, "1 to 10000")?;
-    require_in("polls_per_s", polls, 1..=10_000, "1 to 10000")?;
-    require_in("poll_s", settings.poll_s, 0.1..=300.0, "0.1 to 300")?;
-    require_in("keep_days", settings.keep_days, 1..=365, "1 to 365")?;
-    require_in("stop_s", settings.stop_s, 1..=300, "1 to 300")
+    let (submissions, queries) = (settings.submissions_per_s, settings.queries_per_s);
+    require_in("calls", settings.max_requests, 1..=256, "1 to 256")?;
+    require_in("submits_per_s", submissions, 1..=10_000, "1 to 10000")?;
+    require_in("polls_per_s", queries, 1..=10_000, "1 to 10000")?;
+    require_in(
+        "poll_s",
+        settings.query_interval_s,
+        0.1..=300.0,
+        "0.1 to 300",
+    )?;
+    require_in("keep_days", settings.retention_days, 1..=365, "1 to 365")?;
+    require_in("stop_s", settings.shutdown_grace_s, 1..=300, "1 to 300")
 }
 
 fn validate_queues(queues: &[ServedQueue]) -> Result<(), SettingsError> {
--- a/crates/queues/src/state_machine/claims.rs
+++ b/crates/queues/src/state_machine/claims.rs
@@ -58,7 +58,7 @@
             return;
         }
         // The log contains all receipts of a consumer that is gone: it has not answered, unless they were lost.
-        self.counters.settled += 1;
+        self.counters.claims_taken_over += 1;
         if let Some(pending) = self.messages.get_mut(&key) {
             tracing::info!(job = pending.job(), message = %key, %claimant, "taking over the claim of a dead consumer");
             if state == Some(ConsumerState::ReceiptsLost) {
--- a/crates/queues/src/state_machine/commits.rs
+++ b/crates/queues/src/state_machine/commits.rs
@@ -81,7 +81,7 @@
             return;
         };
         self.counters.answered += 1;
-        self.counters.repeated += u64::from(pending.maybe_duplicate);
+        self.counters.possible_duplicates += u64::from(pending.maybe_duplicate);
         let took_ms = self.now.saturating_sub(pending.received_at) / 1_000;
         tracing::info!(job = pending.job(), message = %key, outcome = ?pending.outcome, took_ms, "answered");
         pending.stage = Stage::Answered;
--- a/crates/queues/src/state_machine/controllers.rs
+++ b/crates/queues/src/state_machine/controllers.rs
@@ -28,7 +28,7 @@
             let Some(effect) = request_effect(pending, request) else {
                 continue;
             };
-            self.counters.polls += u64::from(matches!(effect, Effect::QueryStatus(..)));
+            self.counters.status_queries += u64::from(matches!(effect, Effect::QueryStatus(..)));
             pending.stage = Stage::RequestInFlight(request);
             self.requested.insert(request, key);
             self.requests_in_flight.insert(request);
@@ -56,7 +56,7 @@
             }
             ControllerResponse::RetryAfter(delay) => self.on_overload(key, delay),
             ControllerResponse::NoResponse => {
-                self.counters.unanswered += 1;
+                self.counters.lost_responses += 1;
                 let repeated = repeated_request(pending);
                 self.retry(key, repeated, MIN_RETRY_DELAY);
             }
@@ -71,7 +71,7 @@
         pending.attempts = 0;
         let is_first = pending.accepted_at.is_none();
         let accepted_at = *pending.accepted_at.get_or_insert(now);
-        let expected_end = (accepted_at + pending.expected_duration())
+        let expected_end = (accepted_at + pending.estimated_runtime())
             .max(now + (now - accepted_at) / OVERDUE_DIVISOR);
         if is_first {
             self.counters.accepted += 1;
@@ -104,7 +104,7 @@
     }
 
     fn on_overload(&mut self, key: MessageKey, delay: Micros) {
-        self.counters.delayed += 1;
+        self.counters.overload_responses += 1;
         let Some(pending) = self.messages.get_mut(&key) else {
             return;
         };
--- a/crates/queues/tests/golden.rs
+++ b/crates/queues/tests/golden.rs
@@ -333,9 +333,9 @@
         id: Some("m1".to_owned()),
         reply_to: Some("answers".to_owned()),
         correlation_id: Some("c1".to_owned()),
-        urgency: Some("high".to_owned()),
-        due_s: Some(12.5),
-        awaits: Some("req-000001, req-000002".to_owned()),
+        priority: Some("high".to_owned()),
+        deadline_s: Some(12.5),
+        dependencies: Some("req-000001, req-000002".to_owned()),
         cancel: false,
         wants_status_updates: true,
         is_unreadable: false,
@@ -348,14 +348,14 @@
     let Ok(JobRequest::Submit {
         job,
         body,
-        expected_duration,
+        estimated_runtime,
     }) = message.job_request()
     else {
         panic!("no submission")
     };
     assert_golden("http-submission.json", &body);
     assert_eq!(
-        (job.as_str(), expected_duration),
+        (job.as_str(), estimated_runtime),
         ("req-000041", 90 * SECOND)
     );
 }
@@ -510,21 +510,21 @@
         held_back: 3,
         accepted: 4,
         refused: 5,
-        delayed: 6,
-        unanswered: 7,
-        polls: 8,
+        overload_responses: 6,
+        lost_responses: 7,
+        status_queries: 8,
         answered: 9,
-        repeated: 10,
+        possible_duplicates: 10,
         commits: 11,
-        settled: 12,
+        claims_taken_over: 12,
     };
     let snapshot = Snapshot {
         counters,
         in_hand: 13,
         oldest_s: 14,
-        marks: 15,
-        rounds: 16,
-        clashes: 17,
+        log_entries: 15,
+        applied_batches: 16,
+        log_conflicts: 17,
     };
     let page = render(Gauges::new(snapshot)).expect("a page");
     assert_golden("metrics.txt", page.as_bytes());
--- a/crates/queues/tests/job_requests.rs
+++ b/crates/queues/tests/job_requests.rs
@@ -48,12 +48,12 @@
 
 #[test]
 fn urgency_header_takes_precedence_over_the_body() {
-    let low = Message {
-        urgency: Some("low".into()),
+    let low_priority = Message {
+        priority: Some("low".into()),
         ..message(r#"{"urgency":"high"}"#)
     };
     assert!(
-        matches!(low.job_request(), Ok(JobRequest::Submit { body, .. }) if String::from_utf8_lossy(&body).contains(r#""urgency":"low""#))
+        matches!(low_priority.job_request(), Ok(JobRequest::Submit { body, .. }) if String::from_utf8_lossy(&body).contains(r#""urgency":"low""#))
     );
 }
 
--- a/crates/queues/tests/properties.rs
+++ b/crates/queues/tests/properties.rs
@@ -223,19 +223,19 @@
     #[test]
     fn any_message_is_read_or_refused_the_same_way_every_time(
         body in prop::collection::vec(any::<u8>(), 0..200),
-        due_s in any::<f64>(),
+        deadline_s in any::<f64>(),
         text in ".*",
         cancel in any::<bool>(),
         is_json in any::<bool>(),
     ) {
-        let json = || format!(r#"{{"nameId":{text:?},"guessS":{due_s:?}}}"#).into_bytes();
+        let json = || format!(r#"{{"nameId":{text:?},"guessS":{deadline_s:?}}}"#).into_bytes();
         let message = Message {
             queue: "q".into(),
             body: if is_json { json() } else { body },
             cancel,
-            due_s: Some(due_s),
-            awaits: Some(text.clone()),
-            urgency: Some(text),
+            deadline_s: Some(deadline_s),
+            dependencies: Some(text.clone()),
+            priority: Some(text),
             ..Message::default()
         };
         prop_assert_eq!(message.job_request(), message.clone().job_request());
