--- a/crates/queues/src/replicated_log/mod.rs
+++ b/crates/queues/src/replicated_log/mod.rs
@@ -15,6 +15,8 @@
 mod protocol;
 mod replica;
 mod segment;
+mod sync;
+mod writes;
 
 pub use change::ChangeOutcome;
 pub use protocol::{ClosedSegment, CompareAndSwap, OpenSegment, StateRequest, StateResponse};
@@ -24,16 +26,13 @@
 use crate::progress::{ConsumerId, ConsumerState, ProgressEntry, VersionedEntry};
 use crate::rate_limiter::RateLimiter;
 use crate::time::{Micros, SECOND};
-use batch::{Assessment, Preview};
 use change::{Change, ConsumerChange, EntryChange};
 use replica::Replica;
-use segment::{Segment, SegmentEntry, SegmentRole};
+use segment::Segment;
 use std::collections::{BTreeMap, VecDeque};
 
-const MIN_RETRY_DELAY: Micros = 200_000;
+/// Longest delay before a request is repeated.
 const MAX_RETRY_DELAY: Micros = 5 * SECOND;
-/// The retry delay is doubled at most this often.
-const MAX_RETRY_DOUBLINGS: u32 = 5;
 /// How often the copy is searched for segments that have expired.
 const EXPIRY_INTERVAL: Micros = 10 * SECOND;
 
@@ -269,224 +268,4 @@
             StateResponse::NoResponse => {}
         }
     }
-
-    fn update_backoff(&mut self, now: Micros, failed: bool) {
-        if !failed {
-            self.consecutive_failures = 0;
-            return;
-        }
-        let doublings = self.consecutive_failures.min(MAX_RETRY_DOUBLINGS);
-        self.consecutive_failures += 1;
-        self.not_before = now + (MIN_RETRY_DELAY << doublings).min(MAX_RETRY_DELAY);
-    }
-
-    /// Never overwrites what another version of the program wrote: reads it again from time to time.
-    fn on_unreadable_segment(&mut self, now: Micros, segment: &str, error: &SegmentError) {
-        tracing::error!(segment, %error, "cannot decode a log segment");
-        self.not_before = now + MAX_RETRY_DELAY;
-        self.phase = SyncPhase::Stale;
-    }
-
-    /// The batch was not written, or it is unknown whether it was: its changes are checked again after a read.
-    fn retry_batch(&mut self) {
-        if let Some(batch) = self.batch_in_flight.take() {
-            let is_retried = |change: &Change| !batch.is_abandoned || change.is_deregistration();
-            self.requeue(batch.changes.iter().copied().filter(is_retried));
-        }
-        self.phase = SyncPhase::Stale;
-    }
-
-    /// Puts changes back to the front of the queue, in their order.
-    fn requeue(&mut self, changes: impl DoubleEndedIterator<Item = Change>) {
-        for change in changes.rev() {
-            self.pending.push_front(change);
-        }
-    }
-
-    fn load_open(&mut self, open: Segment, revision: u64) {
-        if let Some(next) = self.replica.first_missing(&open) {
-            self.phase = SyncPhase::CatchingUp {
-                next,
-                open,
-                revision,
-            };
-            return;
-        }
-        self.replica.load_open(open, revision);
-        self.last_completed_read = self.reads_begun;
-        self.phase = SyncPhase::Current;
-    }
-
-    fn load_closed(&mut self, now: Micros, segments: Vec<ClosedSegment>, has_more: bool) {
-        let phase = std::mem::replace(&mut self.phase, SyncPhase::Stale);
-        let SyncPhase::CatchingUp {
-            mut next,
-            open,
-            revision,
-        } = phase
-        else {
-            self.phase = phase;
-            return;
-        };
-        for closed in segments {
-            // A gap means that a segment was removed meanwhile: the open segment has to be read again.
-            if closed.number != next || next >= open.number {
-                break;
-            }
-            match Segment::decode(&closed.text) {
-                Ok(segment) => self.replica.load_closed(next, segment),
-                Err(error) => return self.on_unreadable_segment(now, "closed", &error),
-            }
-            next += 1;
-        }
-        if next >= open.number {
-            self.load_open(open, revision);
-        } else if has_more {
-            self.phase = SyncPhase::CatchingUp {
-                next,
-                open,
-                revision,
-            };
-        }
-    }
-
-    /// Collects pending changes whose conditions still hold, as many as one segment has room for.
-    fn next_batch(&mut self, now: Micros) -> Option<CompareAndSwap> {
-        if !self.batch_rate.is_free(now) {
-            return None;
-        }
-        let removes = self.expired_segment(now);
-        if self.pending.is_empty() && removes.is_none() {
-            return None;
-        }
-        let open_entries = self.replica.open_entries();
-        let (mut changes, mut is_full) = self.collect_changes(&open_entries);
-        // What does not fit beside the entries of the open segment begins a new one.
-        let closes_segment = is_full && !open_entries.is_empty();
-        if closes_segment {
-            self.requeue(changes.into_iter());
-            (changes, is_full) = self.collect_changes(&[]);
-        }
-        if is_full && changes.is_empty() {
-            let consumers = self.consumers().len();
-            tracing::error!(
-                consumers,
-                "too many registered consumers for one log segment"
-            );
-            self.not_before = now + MAX_RETRY_DELAY;
-        }
-        if changes.is_empty() && removes.is_none() {
-            return None;
-        }
-        self.batch_rate.record(now);
-        let batch = BatchInFlight {
-            changes,
-            closes_segment,
-            removes,
-            is_abandoned: false,
-        };
-        let request = self.encode_batch(&batch, open_entries);
-        self.batch_in_flight = Some(batch);
-        Some(request)
-    }
-
-    /// Takes pending changes until a segment that begins with these entries is full; and whether it is.
-    fn collect_changes(&mut self, segment: &[SegmentEntry]) -> (Vec<Change>, bool) {
-        let mut preview = Preview::new(&self.replica, segment);
-        let mut changes = Vec::new();
-        while let Some(change) = self.pending.pop_front() {
-            if let Assessment::Settled(outcome) = preview.assess(&change) {
-                self.outcomes.push(outcome);
-                continue;
-            }
-            preview.apply(&change);
-            // Deregistrations make room, so they are never refused for lack of it.
-            let is_overfull = preview.is_overfull(self.limits.max_value_bytes);
-            if is_overfull && !change.is_deregistration() {
-                self.pending.push_front(change);
-                return (changes, true);
-            }
-            changes.push(change);
-        }
-        (changes, false)
-    }
-
-    fn encode_batch(
-        &self,
-        batch: &BatchInFlight,
-        open_entries: Vec<SegmentEntry>,
-    ) -> CompareAndSwap {
-        let number = self.replica.open_number();
-        let old = Segment {
-            entries: open_entries,
-            ..Segment::default()
-        };
-        let close = batch.closes_segment.then(|| ClosedSegment {
-            number,
-            text: old.encode(SegmentRole::Closed),
-        });
-        let mut open = Segment {
-            first_kept: batch.removes.map_or(self.replica.first_kept(), |r| r + 1),
-            number: number + u64::from(batch.closes_segment),
-            consumers: self.consumers().clone(),
-            entries: if batch.closes_segment {
-                Vec::new()
-            } else {
-                old.entries
-            },
-        };
-        batch::apply_to_segment(&mut open, &batch.changes);
-        CompareAndSwap {
-            expected_revision: self.replica.open_revision(),
-            open: open.encode(SegmentRole::Open),
-            close,
-            remove: batch.removes,
-        }
-    }
-
-    /// The oldest closed segment, if all its entries are expired and none can be settled any more.
-    fn expired_segment(&mut self, now: Micros) -> Option<u64> {
-        if now < self.last_expiry_check + EXPIRY_INTERVAL {
-            return None;
-        }
-        self.last_expiry_check = now;
-        let limit_s = now.saturating_sub(self.limits.retention) / SECOND;
-        let number = self.replica.oldest_segment_before(limit_s)?;
-        if self.replica.has_open_claims(number) {
-            return None;
-        }
-        // The next segment may have expired as well: check again at once.
-        self.last_expiry_check = now - EXPIRY_INTERVAL;
-        Some(number)
-    }
-
-    fn on_batch_applied(&mut self, revision: u64) {
-        self.applied_batches += 1;
-        let Some(batch) = self.batch_in_flight.take() else {
-            self.phase = SyncPhase::Stale;
-            return;
-        };
-        if batch.closes_segment {
-            self.replica.close_open_segment();
-        }
-        self.replica.apply(&batch.changes, revision);
-        self.outcomes
-            .extend(batch.changes.iter().map(written_outcome));
-        if let Some(number) = batch.removes {
-            self.replica.remove_segment(number);
-        }
-    }
-}
-
-fn written_outcome(change: &Change) -> ChangeOutcome {
-    match change {
-        Change::Entry(change) => ChangeOutcome::Entry {
-            key: change.key,
-            written_version: Some(change.result().version),
-        },
-        Change::Consumer(change) => ChangeOutcome::Consumer {
-            consumer: change.consumer,
-            succeeded: true,
-        },
-    }
 }
--- a/crates/queues/src/runtime/broker/mod.rs
+++ b/crates/queues/src/runtime/broker/mod.rs
@@ -117,6 +117,24 @@
         // The connection is given up whether or not the broker confirms that.
         let _ = tokio::time::timeout(limit, self.connection.clone().close()).await;
     }
+
+    /// Reports that the connection has failed, and closes it.
+    async fn fail(&self, number: u64, error: &ConnectionError, events: &Events) -> Next {
+        let filtered = self.filter.is_some();
+        tracing::error!(%error, connection = number, filtered, "connection to the broker lost");
+        let disconnected = BrokerEvent {
+            connection: number,
+            event: Event::Disconnected,
+        };
+        // Without a receiver the service has ended.
+        if events.send(disconnected).is_err() {
+            return Next::Stop;
+        }
+        self.close(FAILED_CLOSE_TIMEOUT).await;
+        Next::Reconnect {
+            through_filter: error.may_be_undecodable_header(),
+        }
+    }
 }
 
 /// What the supervision of connections does after one has ended.
@@ -189,35 +207,14 @@
     ) -> Next {
         let mut tasks = JoinSet::new();
         let connection = open.connection.clone();
-        let ended = Session::run(
-            &self.settings,
-            connection,
-            number,
-            &mut tasks,
-            commands,
-            events,
-        )
-        .await;
-        let next = match ended {
+        let settings = &self.settings;
+        let session = Session::run(settings, connection, number, &mut tasks, commands, events);
+        let next = match session.await {
             Ok(()) => {
                 open.close(SHUTDOWN_CLOSE_TIMEOUT).await;
                 Next::Stop
             }
-            Err(error) => {
-                let filtered = open.filter.is_some();
-                tracing::error!(%error, connection = number, filtered, "the connection to the broker is gone");
-                let disconnected = BrokerEvent {
-                    connection: number,
-                    event: Event::Disconnected,
-                };
-                if events.send(disconnected).is_err() {
-                    return Next::Stop;
-                }
-                open.close(FAILED_CLOSE_TIMEOUT).await;
-                Next::Reconnect {
-                    through_filter: error.may_be_undecodable_header(),
-                }
-            }
+            Err(error) => open.fail(number, &error, events).await,
         };
         tasks.shutdown().await;
         if let Some(filter) = open.filter {
--- a/crates/queues/src/runtime/metrics.rs
+++ b/crates/queues/src/runtime/metrics.rs
@@ -53,74 +53,80 @@
             log_conflicts: log.conflicts(),
         }
     }
+}
 
-    /// Name, help text and value of each counter.
-    fn counters(&self) -> [(&'static str, &'static str, u64); 14] {
-        let c = self.counters;
-        [
-            ("received", "deliveries", c.received),
-            (
-                "redelivered",
-                "deliveries that the broker calls repeated",
-                c.redelivered,
-            ),
-            (
-                "held_back",
-                "deliveries of messages in hand or answered before",
-                c.held_back,
-            ),
-            ("accepted", "jobs accepted by the controllers", c.accepted),
-            ("refused", "messages refused for good", c.refused),
-            (
-                "delayed",
-                "times that the controllers asked to come back later",
-                c.overload_responses,
-            ),
-            (
-                "unanswered",
-                "requests to the controllers without an answer",
-                c.lost_responses,
-            ),
-            ("polls", "questions about jobs", c.status_queries),
-            ("answered", "answers and dead letters", c.answered),
-            (
-                "repeated",
-                "answers that may have been given before",
-                c.possible_duplicates,
-            ),
-            ("commits", "transactions with the broker", c.commits),
-            (
-                "settled",
-                "seals of dead connections settled",
-                c.claims_taken_over,
-            ),
-            (
-                "rounds",
-                "rounds of marks carried out",
-                self.applied_batches,
-            ),
-            (
-                "clashes",
-                "rounds of marks that clashed",
-                self.log_conflicts,
-            ),
-        ]
-    }
+/// A metric: its name without the prefix, its help text, and its value in a snapshot.
+struct Metric<T> {
+    name: &'static str,
+    help: &'static str,
+    value: fn(&Snapshot) -> T,
+}
 
-    /// Name, help text and value of each gauge.
-    fn gauges(&self) -> [(&'static str, &'static str, i64); 3] {
-        [
-            ("in_hand", "messages in hand", self.in_hand),
-            (
-                "oldest_seconds",
-                "how long the oldest of them is in hand",
-                self.oldest_s,
-            ),
-            ("marks", "marks that are kept", self.log_entries),
-        ]
-    }
+const fn metric<T>(name: &'static str, help: &'static str, value: fn(&Snapshot) -> T) -> Metric<T> {
+    Metric { name, help, value }
 }
 
+const COUNTERS: [Metric<u64>; 14] = [
+    metric("received", "deliveries", |s| s.counters.received),
+    metric(
+        "redelivered",
+        "deliveries that the broker calls repeated",
+        |s| s.counters.redelivered,
+    ),
+    metric(
+        "held_back",
+        "deliveries of messages in hand or answered before",
+        |s| s.counters.held_back,
+    ),
+    metric("accepted", "jobs accepted by the controllers", |s| {
+        s.counters.accepted
+    }),
+    metric("refused", "messages refused for good", |s| {
+        s.counters.refused
+    }),
+    metric(
+        "delayed",
+        "times that the controllers asked to come back later",
+        |s| s.counters.overload_responses,
+    ),
+    metric(
+        "unanswered",
+        "requests to the controllers without an answer",
+        |s| s.counters.lost_responses,
+    ),
+    metric("polls", "questions about jobs", |s| {
+        s.counters.status_queries
+    }),
+    metric("answered", "answers and dead letters", |s| {
+        s.counters.answered
+    }),
+    metric("repeated", "answers that may have been given before", |s| {
+        s.counters.possible_duplicates
+    }),
+    metric("commits", "transactions with the broker", |s| {
+        s.counters.commits
+    }),
+    metric("settled", "seals of dead connections settled", |s| {
+        s.counters.claims_taken_over
+    }),
+    metric("rounds", "rounds of marks carried out", |s| {
+        s.applied_batches
+    }),
+    metric("clashes", "rounds of marks that clashed", |s| {
+        s.log_conflicts
+    }),
+];
+
+const GAUGES: [Metric<i64>; 3] = [
+    metric("in_hand", "messages in hand", |s| s.in_hand),
+    metric(
+        "oldest_seconds",
+        "how long the oldest of them is in hand",
+        |s| s.oldest_s,
+    ),
+    metric("marks", "marks that are kept", |s| s.log_entries),
+];
+
 fn saturating_i64(n: usize) -> i64 {
     i64::try_from(n).unwrap_or(i64::MAX)
 }
@@ -169,11 +175,13 @@
 impl Collector for Gauges {
     fn encode(&self, mut encoder: DescriptorEncoder) -> Result<(), fmt::Error> {
         let snapshot = *self.0.lock();
-        for (name, help, value) in snapshot.counters() {
-            encode_metric(&mut encoder, name, help, &ConstCounter::new(value))?;
+        for Metric { name, help, value } in COUNTERS {
+            let counter = ConstCounter::new(value(&snapshot));
+            encode_metric(&mut encoder, name, help, &counter)?;
         }
-        for (name, help, value) in snapshot.gauges() {
-            encode_metric(&mut encoder, name, help, &ConstGauge::new(value))?;
+        for Metric { name, help, value } in GAUGES {
+            let gauge = ConstGauge::new(value(&snapshot));
+            encode_metric(&mut encoder, name, help, &gauge)?;
         }
         Ok(())
     }
--- a/crates/queues/tests/fakes/broker.rs
+++ b/crates/queues/tests/fakes/broker.rs
@@ -5,8 +5,12 @@
 use std::collections::BTreeMap;
 
 pub type ConnectionNumber = u64;
+
+/// A connection and the number of a channel on it.
 pub type ChannelId = (ConnectionNumber, u16);
 
+pub type DeliveryTag = u64;
+
 /// Why the broker refuses an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
@@ -15,28 +19,38 @@
     NoSuchDelivery,
 }
 
+/// A message on its way to a consumer.
 pub struct Delivery<M> {
     pub to: ChannelId,
     pub consumer: String,
     pub queue: String,
-    pub tag: u64,
+    pub tag: DeliveryTag,
     pub redelivered: bool,
     pub message: M,
 }
 
+#[derive(Clone)]
 struct Consumer {
-    channel_id: ChannelId,
-    name: String,
+    channel: ChannelId,
+    tag: String,
+    /// Most unacknowledged messages; 0 for no limit.
     prefetch: usize,
-    exclusive: bool,
+    is_exclusive: bool,
     /// Deliveries count as acknowledged.
     no_ack: bool,
 }
 
+struct ReadyMessage<M> {
+    message: M,
+    redelivered: bool,
+}
+
 struct Queue<M> {
-    ready: BTreeMap<u64, (M, bool)>,
+    /// By position; requeued messages return to theirs.
+    ready: BTreeMap<u64, ReadyMessage<M>>,
     consumers: Vec<Consumer>,
-    next: usize,
+    /// Index of the consumer that was served last.
+    last_served: usize,
 }
 
 impl<M> Default for Queue<M> {
@@ -44,34 +58,68 @@
         Queue {
             ready: BTreeMap::new(),
             consumers: Vec::new(),
-            next: 0,
+            last_served: 0,
         }
     }
 }
 
-struct Unacked<M> {
+impl<M> Queue<M> {
+    /// The next consumer with room for a message, in turn.
+    fn next_consumer(&mut self, channels: &BTreeMap<ChannelId, Channel<M>>) -> Option<Consumer> {
+        let count = self.consumers.len();
+        let mut turns = (1..=count).map(|n| (self.last_served + n) % count);
+        let next = turns.find(|index| {
+            let consumer = &self.consumers[*index];
+            let channel = channels.get(&consumer.channel);
+            channel.is_some_and(|channel| channel.has_room_for(consumer))
+        })?;
+        self.last_served = next;
+        Some(self.consumers[next].clone())
+    }
+}
+
+struct Unacknowledged<M> {
     queue: String,
     position: u64,
     consumer: String,
     message: M,
 }
 
-/// Publications with their queues, and acknowledgements.
-type Transaction<M> = (Vec<(String, M)>, Vec<u64>);
+struct Transaction<M> {
+    publications: Vec<(String, M)>,
+    acks: Vec<DeliveryTag>,
+}
+
+impl<M> Transaction<M> {
+    fn new() -> Transaction<M> {
+        Transaction {
+            publications: Vec::new(),
+            acks: Vec::new(),
+        }
+    }
+}
 
 struct Channel<M> {
-    next: u64,
+    next_tag: DeliveryTag,
     /// For consumers that start from now on.
     prefetch: usize,
-    unacked: BTreeMap<u64, Unacked<M>>,
+    unacknowledged: BTreeMap<DeliveryTag, Unacknowledged<M>>,
     /// Present once the channel is transactional.
     transaction: Option<Transaction<M>>,
 }
 
+impl<M> Channel<M> {
+    fn has_room_for(&self, consumer: &Consumer) -> bool {
+        let unacknowledged = self.unacknowledged.values();
+        let held = unacknowledged.filter(|u| u.consumer == consumer.tag);
+        consumer.prefetch == 0 || held.count() < consumer.prefetch
+    }
+}
+
 pub struct FakeBroker<M> {
     queues: BTreeMap<String, Queue<M>>,
     channels: BTreeMap<ChannelId, Channel<M>>,
-    position: u64,
+    last_position: u64,
 }
 
 impl<M: Clone> FakeBroker<M> {
@@ -79,20 +127,19 @@
         FakeBroker {
             queues: BTreeMap::new(),
             channels: BTreeMap::new(),
-            position: 0,
+            last_position: 0,
         }
     }
 
-    pub fn open(&mut self, channel_id: ChannelId) {
-        self.channels.insert(
-            channel_id,
-            Channel {
-                next: 1,
-                prefetch: 0,
-                unacked: BTreeMap::new(),
-                transaction: None,
-            },
-        );
+    /// Opens a channel.
+    pub fn open(&mut self, channel: ChannelId) {
+        let opened = Channel {
+            next_tag: 1,
+            prefetch: 0,
+            unacknowledged: BTreeMap::new(),
+            transaction: None,
+        };
+        self.channels.insert(channel, opened);
     }
 
     pub fn declare(&mut self, queue: &str) {
@@ -107,143 +154,132 @@
         self.queues.remove(queue);
     }
 
+    pub fn names(&self) -> Vec<String> {
+        self.queues.keys().cloned().collect()
+    }
+
+    /// Number of ready messages in a queue.
     pub fn ready(&self, queue: &str) -> usize {
         self.queues.get(queue).map_or(0, |q| q.ready.len())
     }
 
-    /// Number of messages in a queue, delivered and unacknowledged ones included.
+    /// Number of messages in a queue, unacknowledged ones included.
     pub fn held(&self, queue: &str) -> usize {
-        let unacked = self
-            .channels
-            .values()
-            .flat_map(|c| c.unacked.values())
-            .filter(|u| u.queue == queue);
-        self.ready(queue) + unacked.count()
+        let channels = self.channels.values();
+        let unacknowledged = channels.flat_map(|channel| channel.unacknowledged.values());
+        self.ready(queue) + unacknowledged.filter(|u| u.queue == queue).count()
     }
 
     /// Removes and returns all ready messages.
     pub fn drain(&mut self, queue: &str) -> Vec<M> {
-        let Some(q) = self.queues.get_mut(queue) else {
+        let Some(queue) = self.queues.get_mut(queue) else {
             return Vec::new();
         };
-        std::mem::take(&mut q.ready)
-            .into_values()
-            .map(|(m, _)| m)
-            .collect()
+        let ready = std::mem::take(&mut queue.ready).into_values();
+        ready.map(|ready| ready.message).collect()
     }
 
+    /// Starts a consumer.
     pub fn consume(
         &mut self,
-        channel_id: ChannelId,
+        channel: ChannelId,
         queue: &str,
-        name: &str,
-        exclusive: bool,
+        tag: &str,
+        is_exclusive: bool,
         prefetch: usize,
     ) -> Result<(), Refusal> {
-        let q = self.queues.get_mut(queue).ok_or(Refusal::NoSuchQueue)?;
-        if q.consumers.iter().any(|c| c.exclusive) || exclusive && !q.consumers.is_empty() {
+        let queue = self.queues.get_mut(queue).ok_or(Refusal::NoSuchQueue)?;
+        let is_taken = queue.consumers.iter().any(|c| c.is_exclusive);
+        if is_taken || is_exclusive && !queue.consumers.is_empty() {
             return Err(Refusal::ExclusivelyConsumed);
         }
-        q.consumers.push(Consumer {
-            channel_id,
-            name: name.to_owned(),
+        queue.consumers.push(Consumer {
+            channel,
+            tag: tag.to_owned(),
             prefetch,
-            exclusive,
+            is_exclusive,
             no_ack: false,
         });
         Ok(())
     }
 
-    pub fn qos(&mut self, channel_id: ChannelId, prefetch: usize) {
-        if let Some(c) = self.channels.get_mut(&channel_id) {
-            c.prefetch = prefetch;
+    /// Sets the prefetch of consumers that the channel starts from now on.
+    pub fn qos(&mut self, channel: ChannelId, prefetch: usize) {
+        if let Some(channel) = self.channels.get_mut(&channel) {
+            channel.prefetch = prefetch;
         }
     }
 
     /// Starts a consumer with the prefetch that the channel was given last.
     pub fn consume_with_qos(
         &mut self,
-        channel_id: ChannelId,
+        channel: ChannelId,
         queue: &str,
-        name: &str,
-        exclusive: bool,
+        tag: &str,
+        is_exclusive: bool,
     ) -> Result<(), Refusal> {
-        let prefetch = self.channels.get(&channel_id).map_or(0, |c| c.prefetch);
-        self.consume(channel_id, queue, name, exclusive, prefetch)
+        let prefetch = self.channels.get(&channel).map_or(0, |c| c.prefetch);
+        self.consume(channel, queue, tag, is_exclusive, prefetch)
     }
 
     /// The newest consumer of the queue acknowledges nothing.
     pub fn without_acks(&mut self, queue: &str) {
-        if let Some(c) = self
-            .queues
-            .get_mut(queue)
-            .and_then(|q| q.consumers.last_mut())
-        {
-            c.no_ack = true;
+        let queue = self.queues.get_mut(queue);
+        if let Some(newest) = queue.and_then(|queue| queue.consumers.last_mut()) {
+            newest.no_ack = true;
         }
     }
 
-    pub fn names(&self) -> Vec<String> {
-        self.queues.keys().cloned().collect()
-    }
-
     /// Publishes through the default exchange: into the queue of that name, or nowhere.
-    pub fn publish(&mut self, channel_id: ChannelId, queue: &str, message: M) {
-        match self
-            .channels
-            .get_mut(&channel_id)
-            .and_then(|c| c.transaction.as_mut())
-        {
-            Some((publications, _)) => publications.push((queue.to_owned(), message)),
+    pub fn publish(&mut self, channel: ChannelId, queue: &str, message: M) {
+        let channel = self.channels.get_mut(&channel);
+        match channel.and_then(|channel| channel.transaction.as_mut()) {
+            Some(transaction) => transaction.publications.push((queue.to_owned(), message)),
             None => self.enqueue(queue, message),
         }
     }
 
     pub fn enqueue(&mut self, queue: &str, message: M) {
-        self.position += 1;
-        if let Some(q) = self.queues.get_mut(queue) {
-            q.ready.insert(self.position, (message, false));
+        self.last_position += 1;
+        if let Some(queue) = self.queues.get_mut(queue) {
+            let ready = ReadyMessage {
+                message,
+                redelivered: false,
+            };
+            queue.ready.insert(self.last_position, ready);
         }
     }
 
-    pub fn ack(&mut self, channel_id: ChannelId, tag: u64) -> Result<(), Refusal> {
-        let channel = self
-            .channels
-            .get_mut(&channel_id)
-            .ok_or(Refusal::NoSuchDelivery)?;
-        match &mut channel.transaction {
-            Some((_, acks)) => acks.push(tag),
-            None => {
-                channel
-                    .unacked
-                    .remove(&tag)
-                    .ok_or(Refusal::NoSuchDelivery)?;
-            }
+    pub fn ack(&mut self, channel: ChannelId, tag: DeliveryTag) -> Result<(), Refusal> {
+        let channel = self.channels.get_mut(&channel);
+        let channel = channel.ok_or(Refusal::NoSuchDelivery)?;
+        if let Some(transaction) = &mut channel.transaction {
+            transaction.acks.push(tag);
+            return Ok(());
         }
-        Ok(())
+        let removed = channel.unacknowledged.remove(&tag);
+        removed.map(|_| ()).ok_or(Refusal::NoSuchDelivery)
     }
 
-    pub fn select(&mut self, channel_id: ChannelId) {
-        if let Some(c) = self.channels.get_mut(&channel_id) {
-            c.transaction = Some(Default::default());
+    /// Makes a channel transactional.
+    pub fn select(&mut self, channel: ChannelId) {
+        if let Some(channel) = self.channels.get_mut(&channel) {
+            channel.transaction = Some(Transaction::new());
         }
     }
 
     /// Carries out the whole transaction, or nothing if it acknowledges an unknown delivery.
-    pub fn commit(&mut self, channel_id: ChannelId) -> Result<(), Refusal> {
-        let channel = self
-            .channels
-            .get_mut(&channel_id)
-            .ok_or(Refusal::NoSuchDelivery)?;
-        let (publications, acks) = channel
-            .transaction
-            .replace(Default::default())
-            .unwrap_or_default();
-        if acks.iter().any(|t| !channel.unacked.contains_key(t)) {
+    pub fn commit(&mut self, channel: ChannelId) -> Result<(), Refusal> {
+        let channel = self.channels.get_mut(&channel);
+        let channel = channel.ok_or(Refusal::NoSuchDelivery)?;
+        let committed = channel.transaction.replace(Transaction::new());
+        let Transaction { publications, acks } = committed.unwrap_or_else(Transaction::new);
+        let is_known = |tag: &DeliveryTag| channel.unacknowledged.contains_key(tag);
+        if !acks.iter().all(is_known) {
             return Err(Refusal::NoSuchDelivery);
         }
         for tag in acks {
-            channel.unacked.remove(&tag);
+            channel.unacknowledged.remove(&tag);
         }
         for (queue, message) in publications {
             self.enqueue(&queue, message);
@@ -252,83 +288,87 @@
     }
 
     /// Closes a channel: its consumers end, and unacknowledged messages are requeued, or lost and returned.
-    pub fn close(&mut self, channel_id: ChannelId, lose_unacked: bool) -> Vec<M> {
-        let Some(channel) = self.channels.remove(&channel_id) else {
+    pub fn close(&mut self, id: ChannelId, lose_unacknowledged: bool) -> Vec<M> {
+        let Some(channel) = self.channels.remove(&id) else {
             return Vec::new();
         };
-        self.queues
-            .values_mut()
-            .for_each(|q| q.consumers.retain(|c| c.channel_id != channel_id));
-        let mut lost = Vec::new();
-        for u in channel.unacked.into_values() {
-            if lose_unacked {
-                lost.push(u.message);
-            } else if let Some(q) = self.queues.get_mut(&u.queue) {
-                q.ready.insert(u.position, (u.message, true));
+        for queue in self.queues.values_mut() {
+            queue.consumers.retain(|consumer| consumer.channel != id);
+        }
+        let unacknowledged = channel.unacknowledged.into_values();
+        if lose_unacknowledged {
+            return unacknowledged.map(|u| u.message).collect();
+        }
+        for Unacknowledged {
+            queue,
+            position,
+            message,
+            ..
+        } in unacknowledged
+        {
+            if let Some(queue) = self.queues.get_mut(&queue) {
+                let ready = ReadyMessage {
+                    message,
+                    redelivered: true,
+                };
+                queue.ready.insert(position, ready);
             }
         }
-        lost
+        Vec::new()
     }
 
-    pub fn close_all(&mut self, conn: ConnectionNumber, lose_unacked: bool) -> Vec<M> {
-        let of: Vec<ChannelId> = self
-            .channels
-            .keys()
-            .copied()
-            .filter(|(c, _)| *c == conn)
-            .collect();
-        of.into_iter()
-            .flat_map(|c| self.close(c, lose_unacked))
-            .collect()
+    /// Closes all channels of a connection.
+    pub fn close_all(&mut self, connection: ConnectionNumber, lose_unacknowledged: bool) -> Vec<M> {
+        let open = self.channels.keys().copied();
+        let channels: Vec<ChannelId> = open.filter(|(c, _)| *c == connection).collect();
+        let lost = channels
+            .into_iter()
+            .map(|channel| self.close(channel, lose_unacknowledged));
+        lost.flatten().collect()
     }
 
     /// Delivers what is ready, to the consumers of each queue in turn.
     pub fn deliver(&mut self) -> Vec<Delivery<M>> {
-        let mut out = Vec::new();
-        for (name, q) in &mut self.queues {
-            let mut skipped = 0;
-            while !q.ready.is_empty() && skipped < q.consumers.len() {
-                q.next = (q.next + 1) % q.consumers.len();
-                let c = &q.consumers[q.next];
-                let Some(channel) = self.channels.get_mut(&c.channel_id) else {
-                    skipped += 1;
-                    continue;
-                };
-                let held = channel
-                    .unacked
-                    .values()
-                    .filter(|u| u.consumer == c.name)
-                    .count();
-                if c.prefetch > 0 && held >= c.prefetch {
-                    skipped += 1;
-                    continue;
-                }
-                skipped = 0;
-                let Some((position, (message, redelivered))) = q.ready.pop_first() else {
-                    break;
-                };
-                let tag = channel.next;
-                channel.next += 1;
-                let (queue, consumer) = (name.clone(), c.name.clone());
-                let unacked = Unacked {
-                    queue: queue.clone(),
-                    position,
-                    consumer: consumer.clone(),
-                    message,
-                };
-                out.push(Delivery {
-                    to: c.channel_id,
-                    consumer,
-                    queue,
-                    tag,
-                    redelivered,
-                    message: unacked.message.clone(),
-                });
-                if !c.no_ack {
-                    channel.unacked.insert(tag, unacked);
-                }
+        let mut deliveries = Vec::new();
+        for (name, queue) in &mut self.queues {
+            while !queue.ready.is_empty()
+                && let Some(consumer) = queue.next_consumer(&self.channels)
+                && let Some(channel) = self.channels.get_mut(&consumer.channel)
+                && let Some((position, ready)) = queue.ready.pop_first()
+            {
+                deliveries.push(channel.deliver(name, position, ready, consumer));
             }
         }
-        out
+        deliveries
+    }
+}
+
+impl<M: Clone> Channel<M> {
+    fn deliver(
+        &mut self,
+        queue: &str,
+        position: u64,
+        ready: ReadyMessage<M>,
+        consumer: Consumer,
+    ) -> Delivery<M> {
+        let tag = self.next_tag;
+        self.next_tag += 1;
+        if !consumer.no_ack {
+            let unacknowledged = Unacknowledged {
+                queue: queue.to_owned(),
+                position,
+                consumer: consumer.tag.clone(),
+                message: ready.message.clone(),
+            };
+            self.unacknowledged.insert(tag, unacknowledged);
+        }
+        Delivery {
+            to: consumer.channel,
+            consumer: consumer.tag,
+            queue: queue.to_owned(),
+            tag,
+            redelivered: ready.redelivered,
+            message: ready.message,
+        }
     }
 }
--- a/crates/queues/tests/loopback.rs
+++ b/crates/queues/tests/loopback.rs
@@ -27,17 +27,20 @@
     request_properties(n).with_headers(table)
 }
 
-#[tokio::test(flavor = "multi_thread")]
-async fn headers_status_updates_and_cancellations_are_honoured() {
-    let bed = TestBed::new(1, 0, 0).await;
-    bed.services.set_outage(true);
-    let service = bed.start_service(1, &bed.settings());
-    // Without the state service nothing begins.
+/// Without the state service nothing begins.
+async fn connect_after_outage(bed: &TestBed) {
     tokio::time::sleep(Duration::from_millis(200)).await;
     bed.services.set_outage(false);
     wait_until("the connection", || bed.has_receipt_queues()).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
+}
 
+#[tokio::test(flavor = "multi_thread")]
+async fn headers_status_updates_and_cancellations_are_honoured() {
+    let bed = TestBed::new(1, 0, 0).await;
+    bed.services.set_outage(true);
+    let service = bed.start_service(1, &bed.settings());
+    connect_after_outage(&bed).await;
     bed.services.set_outage(true);
     let yes = AMQPValue::Boolean(true);
     let headers = [("interim", yes.clone()), ("urgency", text("high"))];
@@ -72,9 +75,8 @@
     assert_eq!(bed.broker.ready("work"), 0);
 }
 
-#[tokio::test(flavor = "multi_thread")]
-async fn lower_ranks_go_first_and_invalid_messages_without_reply_become_dead_letters() {
-    let bed = TestBed::new(2, 0, 0).await;
+/// One request at a time from two queues.
+fn two_queue_settings(bed: &TestBed) -> Value {
     let mut settings = bed.settings();
     settings["queues"] = json!([
         { "name": "work", "rank": 9, "prefetch": 50, "dead_letter": "dead", "without_reply": "accepted" },
@@ -82,6 +84,12 @@
     ]);
     settings["calls"] = json!(1);
     settings["submits_per_s"] = json!(1);
+    settings
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn lower_ranks_go_first_and_invalid_messages_without_reply_become_dead_letters() {
+    let bed = TestBed::new(2, 0, 0).await;
     let without_reply = AMQPProperties::default;
     let invalid = [
         vec![b'['; 1 << 20],
@@ -99,7 +107,7 @@
         bed.broker
             .publish("urgent", without_reply(), urgent.as_bytes());
     }
-    let service = bed.start_service(1, &settings);
+    let service = bed.start_service(1, &two_queue_settings(&bed));
     wait_until("all jobs", || bed.services.submitted().len() == 6).await;
     let submitted = bed.services.submitted();
     // One may be submitted before the other queue is consumed from.
--- a/crates/queues/tests/simulation/process.rs
+++ b/crates/queues/tests/simulation/process.rs
@@ -212,29 +212,6 @@
 
     fn carry_out_effect(&mut self, slot: Slot, incarnation: u64, effect: Effect) {
         match effect {
-            Effect::Commit(transaction) => {
-                self.send_command(slot, Command::Commit(transaction));
-                if self.chance(self.config.drop_at_commit) {
-                    self.drop_connection(slot);
-                }
-            }
-            Effect::OpenReceiptQueue(consumer) => {
-                self.send_command(slot, Command::OpenReceiptQueue(consumer));
-            }
-            Effect::StartConsuming => self.send_command(slot, Command::StartConsuming),
-            Effect::ReadReceipts(consumer) => {
-                self.send_command(slot, Command::ReadReceipts(consumer));
-            }
-            Effect::ReleaseReceipts {
-                consumer,
-                delete_queue,
-            } => {
-                let command = Command::ReleaseReceipts {
-                    consumer,
-                    delete_queue,
-                };
-                self.send_command(slot, command);
-            }
             Effect::Reconnect => self.drop_connection(slot),
             // The process ends, and another one is started.
             Effect::Finished => self.at(self.now, SimulationEvent::Kill(slot)),
@@ -251,6 +228,18 @@
                 let response = self.controllers.cancel(self.now, &job);
                 self.respond(slot, incarnation, request, response);
             }
+            effect => self.carry_out_broker_effect(slot, effect),
+        }
+    }
+
+    fn carry_out_broker_effect(&mut self, slot: Slot, effect: Effect) {
+        let Some(command) = broker_command(effect) else {
+            return;
+        };
+        let is_commit = matches!(command, Command::Commit(_));
+        self.send_command(slot, command);
+        if is_commit && self.chance(self.config.drop_at_commit) {
+            self.drop_connection(slot);
         }
     }
 
@@ -324,3 +313,27 @@
         self.at(at, SimulationEvent::Deliver(event));
     }
 }
+
+/// The command that carries out an effect; `None` for effects that are not about the broker.
+fn broker_command(effect: Effect) -> Option<Command> {
+    let command = match effect {
+        Effect::Commit(transaction) => Command::Commit(transaction),
+        Effect::OpenReceiptQueue(consumer) => Command::OpenReceiptQueue(consumer),
+        Effect::StartConsuming => Command::StartConsuming,
+        Effect::ReadReceipts(consumer) => Command::ReadReceipts(consumer),
+        Effect::ReleaseReceipts {
+            consumer,
+            delete_queue,
+        } => Command::ReleaseReceipts {
+            consumer,
+            delete_queue,
+        },
+        Effect::Reconnect
+        | Effect::Finished
+        | Effect::State(_)
+        | Effect::Submit(..)
+        | Effect::QueryStatus(..)
+        | Effect::Cancel(..) => return None,
+    };
+    Some(command)
+}
