--- a/crates/queues/src/runtime/broker/closure.rs
+++ b/crates/queues/src/runtime/broker/closure.rs
@@ -67,14 +67,11 @@
     }
 
     async fn blocked(&mut self, _: &Connection, reason: String) {
-        tracing::error!(
-            reason,
-            "the broker is short of memory or disk, and accepts no messages for now"
-        );
+        tracing::error!(reason, "broker blocked publishing: memory or disk is low");
     }
 
     async fn unblocked(&mut self, _: &Connection) {
-        tracing::info!("the broker accepts messages again");
+        tracing::info!("broker unblocked publishing");
     }
 
     async fn secret_updated(&mut self, _: &Connection) {}
--- a/crates/queues/src/runtime/broker/mod.rs
+++ b/crates/queues/src/runtime/broker/mod.rs
@@ -10,9 +10,8 @@
 
 use super::endpoint::Endpoint;
 use super::header_filter::HeaderFilter;
-use crate::progress::ConsumerId;
 use crate::settings::{Credentials, QueueSettings, SettingsError};
-use crate::state_machine::{BrokerTransaction, Event};
+use crate::state_machine::{BrokerCommand, Event};
 use amqprs::connection::{Connection, OpenConnectionArguments};
 use amqprs::tls::TlsAdaptor;
 use session::Session;
@@ -43,20 +42,6 @@
     pub event: Event,
 }
 
-/// What the state machine wants of the present connection.
-#[derive(Debug)]
-pub(super) enum BrokerCommand {
-    OpenReceiptQueue(ConsumerId),
-    StartConsuming,
-    Reconnect,
-    Commit(BrokerTransaction),
-    ReadReceipts(ConsumerId),
-    ReleaseReceipts {
-        consumer: ConsumerId,
-        delete_queue: bool,
-    },
-}
-
 /// A command for a certain connection; others ignore it.
 #[derive(Debug)]
 pub(super) struct SessionCommand {
--- a/crates/queues/src/runtime/broker/orphan_receipts.rs
+++ b/crates/queues/src/runtime/broker/orphan_receipts.rs
@@ -68,8 +68,8 @@
             ReceiptsResponse::Busy
         }));
     };
-    let end_mark = publish_end_mark(&channel, &queue, number).await?;
-    let Some(keys) = read_until(&mut receipts, &end_mark).await else {
+    let sentinel = publish_sentinel(&channel, &queue, number).await?;
+    let Some(keys) = read_until(&mut receipts, &sentinel).await else {
         // The receipts are busy whether or not the channel closes.
         let _ = with_timeout(channel.close()).await;
         return Ok(ReceiptsRead::without_channel(ReceiptsResponse::Busy));
@@ -81,31 +81,31 @@
 }
 
 /// Publishes a message behind all receipts in the queue, and returns its body.
-async fn publish_end_mark(
+async fn publish_sentinel(
     channel: &Channel,
     queue: &str,
     number: u64,
 ) -> Result<Vec<u8>, ConnectionError> {
-    let end_mark = format!("end {number} {}", std::process::id()).into_bytes();
+    let sentinel = format!("end {number} {}", std::process::id()).into_bytes();
     let published = channel.basic_publish(
         BasicProperties::default(),
-        end_mark.clone(),
+        sentinel.clone(),
         BasicPublishArguments::new("", queue),
     );
     with_timeout(published).await?;
-    Ok(end_mark)
+    Ok(sentinel)
 }
 
-/// Collects the messages of all receipts before the end mark. `None` if that does not arrive in time.
+/// Collects the messages of all receipts before the sentinel. `None` if that does not arrive in time.
 async fn read_until(
     receipts: &mut mpsc::UnboundedReceiver<ConsumerMessage>,
-    end_mark: &[u8],
+    sentinel: &[u8],
 ) -> Option<BTreeSet<MessageKey>> {
     let mut keys = BTreeSet::new();
     loop {
         let received = tokio::time::timeout(OPERATION_TIMEOUT, receipts.recv()).await;
         let body = received.ok()??.content.unwrap_or_default();
-        if body == end_mark {
+        if body == sentinel {
             return Some(keys);
         }
         keys.extend(decode(&body));
--- a/crates/queues/src/runtime/broker/session.rs
+++ b/crates/queues/src/runtime/broker/session.rs
@@ -2,15 +2,14 @@
 
 use super::closure::ClosureWatch;
 use super::{
-    BrokerCommand, BrokerEvent, Commands, ConnectionError, Events, SessionCommand, orphan_receipts,
-    with_timeout,
+    BrokerEvent, Commands, ConnectionError, Events, SessionCommand, orphan_receipts, with_timeout,
 };
 use crate::message::{Message, MessageKey};
 use crate::progress::ConsumerId;
 use crate::reply::Publication;
 use crate::runtime::own_receipts::OwnReceipts;
 use crate::settings::QueueSettings;
-use crate::state_machine::{BrokerTransaction, DeliveryTag, Event};
+use crate::state_machine::{BrokerCommand, BrokerTransaction, DeliveryTag, Event};
 use crate::wire::amqp::{
     dead_letter_properties, decode_message, final_answer_body, receipt_properties,
     reply_properties, status_update_body,
@@ -123,7 +122,7 @@
     fn reap_tasks(&mut self) {
         while let Some(result) = self.tasks.try_join_next() {
             if let Err(error) = result {
-                tracing::error!(%error, "a task of the connection failed");
+                tracing::error!(%error, "connection task failed");
             }
         }
     }
--- a/crates/queues/src/runtime/event_loop.rs
+++ b/crates/queues/src/runtime/event_loop.rs
@@ -1,11 +1,11 @@
 //! The task that owns the state machine.
 
-use super::broker::{BrokerCommand, BrokerEvent, SessionCommand};
+use super::broker::{BrokerEvent, SessionCommand};
 use super::clock::Clock;
 use super::controllers::ControllerClient;
 use super::metrics::{self, Gauges};
 use super::state_service::StateClient;
-use crate::state_machine::{DeliveryStateMachine, Effect, Event};
+use crate::state_machine::{BrokerCommand, DeliveryStateMachine, Effect, Event};
 use std::future::Future;
 use std::sync::Arc;
 use std::time::Duration;
@@ -112,7 +112,7 @@
     fn handle_result(&mut self, result: Result<Event, JoinError>) {
         match result {
             Ok(event) => self.handle(event),
-            Err(error) => tracing::error!(%error, "a request task failed"),
+            Err(error) => tracing::error!(%error, "request task failed"),
         }
     }
 
@@ -136,20 +136,7 @@
                 let state_service = Arc::clone(&self.state_service);
                 self.spawn(async move { Event::State(state_service.send(&request).await) });
             }
-            Effect::OpenReceiptQueue(consumer) => {
-                self.command(BrokerCommand::OpenReceiptQueue(consumer));
-            }
-            Effect::StartConsuming => self.command(BrokerCommand::StartConsuming),
-            Effect::Reconnect => self.command(BrokerCommand::Reconnect),
-            Effect::Commit(transaction) => self.command(BrokerCommand::Commit(transaction)),
-            Effect::ReadReceipts(consumer) => self.command(BrokerCommand::ReadReceipts(consumer)),
-            Effect::ReleaseReceipts {
-                consumer,
-                delete_queue,
-            } => self.command(BrokerCommand::ReleaseReceipts {
-                consumer,
-                delete_queue,
-            }),
+            Effect::Broker(command) => self.command(command),
             Effect::Finished => self.is_finished = true,
         }
     }
--- a/crates/queues/src/runtime/header_filter/mod.rs
+++ b/crates/queues/src/runtime/header_filter/mod.rs
@@ -3,7 +3,7 @@
 //! A content header that cannot be decoded (a text that is not UTF-8, an unknown field type) ends an `amqprs`
 //! connection. Its message is not acknowledged, so it is delivered again and ends the next connection as well: one
 //! message would stop its queue. So the connection after a lost one goes through this proxy, over loopback within the
-//! process. An undecodable header is replaced by one with the reply address and the mark
+//! process. An undecodable header is replaced by one with the reply address and the header
 //! [`UNREADABLE_HEADER`]; everything else passes unchanged.
 
 #[cfg(test)]
@@ -27,7 +27,7 @@
 const LENGTH_BYTES: usize = 4;
 /// Frame type, channel and length, before the payload.
 const FRAME_HEADER_BYTES: usize = 7;
-/// The end mark after the payload.
+/// The end octet after the payload.
 const FRAME_END_BYTES: usize = 1;
 /// The type of a frame with a content header.
 const CONTENT_HEADER: u8 = 2;
@@ -53,7 +53,7 @@
         let address = listener.local_addr()?;
         let task = tokio::spawn(async move {
             if let Err(error) = serve(broker, listener).await {
-                tracing::debug!(%error, "the header filter ended");
+                tracing::debug!(%error, "header filter ended");
             }
         });
         Ok(HeaderFilter { address, task })
--- a/crates/queues/src/runtime/mod.rs
+++ b/crates/queues/src/runtime/mod.rs
@@ -66,7 +66,7 @@
             .metrics_address
             .clone()
             .map(|address| tokio::spawn(metrics::serve(address, gauges.clone())));
-        tracing::info!(run = format!("{process:016x}"), "serving queues");
+        tracing::info!(process = format!("{process:016x}"), "serving queues");
         let client = http_client(&self.settings);
         let mut event_loop = EventLoop::new(
             DeliveryStateMachine::new(process, self.settings.limits()),
--- a/crates/queues/src/runtime/state_service.rs
+++ b/crates/queues/src/runtime/state_service.rs
@@ -98,7 +98,7 @@
             (409, _) => Ok(StateResponse::Conflict),
             (400, body) => {
                 let answer = String::from_utf8_lossy(&body);
-                tracing::error!(%answer, "the state service refuses a transaction");
+                tracing::error!(%answer, "state service refused a transaction");
                 Err(StateServiceError::UnexpectedStatus(400))
             }
             (status, _) => Err(StateServiceError::UnexpectedStatus(status)),
--- a/crates/queues/src/state_machine/commits.rs
+++ b/crates/queues/src/state_machine/commits.rs
@@ -1,6 +1,6 @@
 //! Transactions with the broker: answers together with acknowledgements and a receipt.
 
-use super::{BrokerTransaction, DeliveryStateMachine, DeliveryTag, Effect};
+use super::{BrokerCommand, BrokerTransaction, DeliveryStateMachine, DeliveryTag};
 use crate::message::MessageKey;
 use crate::pending_message::{PendingMessage, Stage};
 
@@ -22,7 +22,7 @@
         if transaction != BrokerTransaction::default() {
             self.counters.commits += 1;
             self.transaction = Some(messages);
-            self.effects.push(Effect::Commit(transaction));
+            self.command(BrokerCommand::Commit(transaction));
         }
     }
 
--- a/crates/queues/src/state_machine/connection.rs
+++ b/crates/queues/src/state_machine/connection.rs
@@ -1,6 +1,6 @@
 //! Lifecycle of the connection: registration in the log, and orderly shutdown.
 
-use super::{DeliveryStateMachine, Effect};
+use super::{BrokerCommand, DeliveryStateMachine, Effect};
 use crate::pending_message::Stage;
 use crate::progress::ConsumerState;
 
@@ -31,7 +31,7 @@
 
     pub(super) fn on_receipt_queue_opened(&mut self, succeeded: bool) {
         if !succeeded {
-            self.effects.push(Effect::Reconnect);
+            self.command(BrokerCommand::Reconnect);
         } else if self.connection == ConnectionPhase::OpeningReceipts {
             self.connection = ConnectionPhase::Activating;
             self.log.change_consumer(
@@ -63,15 +63,15 @@
         match self.connection {
             ConnectionPhase::Registering if succeeded => {
                 self.connection = ConnectionPhase::OpeningReceipts;
-                self.effects.push(Effect::OpenReceiptQueue(self.own_id));
+                self.command(BrokerCommand::OpenReceiptQueue(self.own_id));
             }
             ConnectionPhase::Activating if succeeded => {
                 self.connection = ConnectionPhase::Active;
                 tracing::info!(consumer = %self.own_id, "consuming messages");
-                self.effects.push(Effect::StartConsuming);
+                self.command(BrokerCommand::StartConsuming);
             }
             ConnectionPhase::Registering | ConnectionPhase::Activating => {
-                self.effects.push(Effect::Reconnect);
+                self.command(BrokerCommand::Reconnect);
             }
             ConnectionPhase::Draining => self.on_drained(),
             ConnectionPhase::Disconnected
@@ -82,7 +82,7 @@
 
     fn on_drained(&mut self) {
         if self.log.consumer_state(self.own_id) == Some(ConsumerState::Drained) {
-            self.effects.push(Effect::ReleaseReceipts {
+            self.command(BrokerCommand::ReleaseReceipts {
                 consumer: self.own_id,
                 delete_queue: true,
             });
@@ -97,7 +97,7 @@
         let is_active = self.log.consumer_state(self.own_id) == Some(ConsumerState::Active);
         if self.connection == ConnectionPhase::Active && !is_active {
             tracing::error!(consumer = %self.own_id, "another process has declared this consumer dead");
-            self.effects.push(Effect::Reconnect);
+            self.command(BrokerCommand::Reconnect);
         }
     }
 
--- a/crates/queues/src/state_machine/event.rs
+++ b/crates/queues/src/state_machine/event.rs
@@ -83,6 +83,15 @@
     Cancel(RequestId, String),
     /// Send a request to the state service.
     State(StateRequest),
+    /// Send a command over the connection to the broker.
+    Broker(BrokerCommand),
+    /// Shutdown is complete: what was begun is answered, and nothing of this process is left behind.
+    Finished,
+}
+
+/// What the connection to the broker has to do.
+#[derive(Clone, Debug)]
+pub enum BrokerCommand {
     /// Declare the consumer's receipt queue, and become its exclusive consumer.
     OpenReceiptQueue(ConsumerId),
     /// Start to consume from the work queues.
@@ -100,8 +109,6 @@
         /// Whether their queue is to be deleted.
         delete_queue: bool,
     },
-    /// Shutdown is complete: what was begun is answered, and nothing of this process is left behind.
-    Finished,
 }
 
 /// One transaction with the broker.
--- a/crates/queues/src/state_machine/failover.rs
+++ b/crates/queues/src/state_machine/failover.rs
@@ -1,6 +1,6 @@
 //! Failover: recovers what gone consumers have answered, and removes what they have left behind.
 
-use super::{DeliveryStateMachine, Effect, MIN_RETRY_DELAY, ReceiptsResponse};
+use super::{BrokerCommand, DeliveryStateMachine, MIN_RETRY_DELAY, ReceiptsResponse};
 use crate::message::MessageKey;
 use crate::orphans::DrainedConsumer;
 use crate::pending_message::Stage;
@@ -72,7 +72,7 @@
             self.log.consumer_state(consumer),
             Some(ConsumerState::Drained | ConsumerState::ReceiptsLost)
         );
-        self.effects.push(Effect::ReleaseReceipts {
+        self.command(BrokerCommand::ReleaseReceipts {
             consumer,
             delete_queue: succeeded && is_final,
         });
@@ -118,7 +118,7 @@
         if let Some(state) = self.log.consumer_state(consumer)
             && self.orphans.begin_read(consumer, state)
         {
-            self.effects.push(Effect::ReadReceipts(consumer));
+            self.command(BrokerCommand::ReadReceipts(consumer));
         }
     }
 
@@ -138,7 +138,7 @@
         } else {
             ConsumerState::Drained
         };
-        tracing::info!(%consumer, ?final_state, "a consumer is gone");
+        tracing::info!(%consumer, ?final_state, "consumer is gone");
         self.log.change_consumer(consumer, state, Some(final_state));
     }
 
@@ -160,7 +160,7 @@
     fn check_consumer(&mut self, consumer: ConsumerId, state: ConsumerState) {
         match state {
             ConsumerState::Registered | ConsumerState::Active => self.read_receipts(consumer),
-            ConsumerState::Drained => self.effects.push(Effect::ReleaseReceipts {
+            ConsumerState::Drained => self.command(BrokerCommand::ReleaseReceipts {
                 consumer,
                 delete_queue: true,
             }),
--- a/crates/queues/src/state_machine/mod.rs
+++ b/crates/queues/src/state_machine/mod.rs
@@ -13,7 +13,8 @@
 mod failover;
 
 pub use event::{
-    BrokerTransaction, ControllerResponse, DeliveryTag, Effect, Event, ReceiptsResponse, RequestId,
+    BrokerCommand, BrokerTransaction, ControllerResponse, DeliveryTag, Effect, Event,
+    ReceiptsResponse, RequestId,
 };
 
 use crate::counters::Counters;
@@ -231,6 +232,10 @@
         }
     }
 
+    fn command(&mut self, command: BrokerCommand) {
+        self.effects.push(Effect::Broker(command));
+    }
+
     /// The time for log entries, in seconds since the Unix epoch.
     fn now_s(&self) -> u64 {
         self.now / SECOND
--- a/crates/queues/tests/simulation/broker_side.rs
+++ b/crates/queues/tests/simulation/broker_side.rs
@@ -1,10 +1,10 @@
 //! What the fake broker does with commands, connections and queued messages.
 
-use super::event::{Command, ConnectionNumber, ProcessEvent, QueuedMessage, SimulationEvent};
+use super::event::{ConnectionNumber, ProcessEvent, QueuedMessage, SimulationEvent};
 use super::{Simulation, WORK_QUEUE};
 use crate::fakes::broker::{ChannelId, Refusal};
 use cometlead_queues::reply::Publication;
-use cometlead_queues::state_machine::{BrokerTransaction, ReceiptsResponse};
+use cometlead_queues::state_machine::{BrokerCommand, BrokerTransaction, ReceiptsResponse};
 use cometlead_queues::{ConsumerId, Event, Message, MessageKey};
 
 /// Most messages of the work queue that a process has in hand.
@@ -136,19 +136,21 @@
     }
 
     /// Carries out a command, if its connection still exists.
-    pub(super) fn carry_out(&mut self, number: ConnectionNumber, command: Command) {
+    pub(super) fn carry_out(&mut self, number: ConnectionNumber, command: BrokerCommand) {
         if !self.connections.contains_key(&number) {
             return;
         }
         match command {
-            Command::OpenReceiptQueue(consumer) => self.open_receipt_queue(number, consumer),
-            Command::StartConsuming => self
+            BrokerCommand::OpenReceiptQueue(consumer) => self.open_receipt_queue(number, consumer),
+            BrokerCommand::StartConsuming => self
                 .broker
                 .consume((number, 1), WORK_QUEUE, "work", false, PREFETCH)
                 .expect("the work queue"),
-            Command::Commit(transaction) => self.commit(number, transaction),
-            Command::ReadReceipts(consumer) => self.read_receipts(number, consumer),
-            Command::ReleaseReceipts {
+            BrokerCommand::Commit(transaction) => self.commit(number, transaction),
+            // A process that gives its connection up sends no command.
+            BrokerCommand::Reconnect => {}
+            BrokerCommand::ReadReceipts(consumer) => self.read_receipts(number, consumer),
+            BrokerCommand::ReleaseReceipts {
                 consumer,
                 delete_queue,
             } => self.release_receipts(number, consumer, delete_queue),
--- a/crates/queues/tests/simulation/event.rs
+++ b/crates/queues/tests/simulation/event.rs
@@ -2,7 +2,7 @@
 
 use cometlead_queues::replicated_log::StateRequest;
 use cometlead_queues::reply::FinalAnswer;
-use cometlead_queues::state_machine::{BrokerTransaction, DeliveryTag};
+use cometlead_queues::state_machine::{BrokerCommand, DeliveryTag};
 use cometlead_queues::time::Micros;
 use cometlead_queues::{ConsumerId, Event, Message, MessageKey};
 use std::collections::BTreeSet;
@@ -13,19 +13,6 @@
 /// Number of a connection in the whole simulation.
 pub type ConnectionNumber = u64;
 
-/// A command of a process on its way to the broker.
-#[derive(Clone, Debug)]
-pub enum Command {
-    OpenReceiptQueue(ConsumerId),
-    StartConsuming,
-    Commit(BrokerTransaction),
-    ReadReceipts(ConsumerId),
-    ReleaseReceipts {
-        consumer: ConsumerId,
-        delete_queue: bool,
-    },
-}
-
 /// A message in a queue of the fake broker.
 #[derive(Clone, Debug)]
 pub enum QueuedMessage {
@@ -62,7 +49,7 @@
     ShutDown(Slot),
     Wake(Slot),
     /// A command reaches the broker.
-    Command(ConnectionNumber, Command),
+    Command(ConnectionNumber, BrokerCommand),
     /// The broker notices that a connection is gone.
     CloseConnection(ConnectionNumber),
     /// An event reaches a process.
--- a/crates/queues/tests/simulation/process.rs
+++ b/crates/queues/tests/simulation/process.rs
@@ -1,11 +1,9 @@
 //! The processes of a simulation: their lives, connections and effects.
 
 use super::Simulation;
-use super::event::{
-    Command, ConnectionNumber, ProcessEvent, SimulatedConnection, SimulationEvent, Slot,
-};
+use super::event::{ConnectionNumber, ProcessEvent, SimulatedConnection, SimulationEvent, Slot};
 use cometlead_queues::replicated_log::{LogLimits, StateRequest, StateResponse};
-use cometlead_queues::state_machine::{ControllerResponse, RequestId};
+use cometlead_queues::state_machine::{BrokerCommand, ControllerResponse, RequestId};
 use cometlead_queues::time::{Micros, SECOND};
 use cometlead_queues::{DeliveryStateMachine, Effect, Event, Limits};
 use rand::RngExt;
@@ -212,7 +210,6 @@
 
     fn carry_out_effect(&mut self, slot: Slot, incarnation: u64, effect: Effect) {
         match effect {
-            Effect::Reconnect => self.drop_connection(slot),
             // The process ends, and another one is started.
             Effect::Finished => self.at(self.now, SimulationEvent::Kill(slot)),
             Effect::State(request) => self.request_state(slot, incarnation, request),
@@ -228,22 +225,20 @@
                 let response = self.controllers.cancel(self.now, &job);
                 self.respond(slot, incarnation, request, response);
             }
-            effect => self.carry_out_broker_effect(slot, effect),
+            Effect::Broker(BrokerCommand::Reconnect) => self.drop_connection(slot),
+            Effect::Broker(command) => self.carry_out_command(slot, command),
         }
     }
 
-    fn carry_out_broker_effect(&mut self, slot: Slot, effect: Effect) {
-        let Some(command) = broker_command(effect) else {
-            return;
-        };
-        let is_commit = matches!(command, Command::Commit(_));
+    fn carry_out_command(&mut self, slot: Slot, command: BrokerCommand) {
+        let is_commit = matches!(command, BrokerCommand::Commit(_));
         self.send_command(slot, command);
         if is_commit && self.chance(self.config.drop_at_commit) {
             self.drop_connection(slot);
         }
     }
 
-    fn send_command(&mut self, slot: Slot, command: Command) {
+    fn send_command(&mut self, slot: Slot, command: BrokerCommand) {
         let process = self.processes[slot].as_ref();
         let Some(connection) = process.and_then(|p| p.connection) else {
             return;
@@ -313,27 +308,3 @@
         self.at(at, SimulationEvent::Deliver(event));
     }
 }
-
-/// The command that carries out an effect; `None` for effects that are not about the broker.
-fn broker_command(effect: Effect) -> Option<Command> {
-    let command = match effect {
-        Effect::Commit(transaction) => Command::Commit(transaction),
-        Effect::OpenReceiptQueue(consumer) => Command::OpenReceiptQueue(consumer),
-        Effect::StartConsuming => Command::StartConsuming,
-        Effect::ReadReceipts(consumer) => Command::ReadReceipts(consumer),
-        Effect::ReleaseReceipts {
-            consumer,
-            delete_queue,
-        } => Command::ReleaseReceipts {
-            consumer,
-            delete_queue,
-        },
-        Effect::Reconnect
-        | Effect::Finished
-        | Effect::State(_)
-        | Effect::Submit(..)
-        | Effect::QueryStatus(..)
-        | Effect::Cancel(..) => return None,
-    };
-    Some(command)
-}
--- a/crates/queues/tests/simulation/scenario.rs
+++ b/crates/queues/tests/simulation/scenario.rs
@@ -153,12 +153,12 @@
         let Expectation { message, outcomes } = expectation;
         let key = self.named[message].key();
         let answers = simulation.answers_to(key).into_iter();
-        let told: Vec<&str> = answers.map(|a| outcome_name(&a.outcome)).collect();
-        let is_expected = match told.as_slice() {
+        let received: Vec<&str> = answers.map(|a| outcome_name(&a.outcome)).collect();
+        let is_expected = match received.as_slice() {
             [one] => outcomes.split('|').any(|outcome| outcome == *one),
             _ => false,
         };
-        (!is_expected).then(|| format!("{message}: {told:?} instead of {outcomes}"))
+        (!is_expected).then(|| format!("{message}: {received:?} instead of {outcomes}"))
     }
 }
 
--- a/crates/queues/tests/simulation/verdict.rs
+++ b/crates/queues/tests/simulation/verdict.rs
@@ -59,8 +59,10 @@
             Outcome::Refused(_) => true,
         };
         if !agrees {
-            let told = &answer.outcome;
-            complaints.push(format!("{key}: told {told:?}, and it was {job:?}"));
+            let outcome = &answer.outcome;
+            complaints.push(format!(
+                "{key}: answered {outcome:?}, and the job is {job:?}"
+            ));
         }
     }
 
