--- /dev/null
+++ b/src/coordination/leadership/claims.rs
@@ -0,0 +1,316 @@
+//! Claims of shards: when they are considered, which shards are claimed and why, and the transactions.
+
+use super::shard_distribution::ShardDistribution;
+use crate::coordination::{Controller, Purpose};
+use crate::protocol::state::{CallError, Put, StateReply, StateRequest, Txn, encode};
+use crate::storage::ids::ShardId;
+use crate::storage::records::Key;
+use crate::time::Micros;
+
+/// Time between two checks where nothing calls for an earlier one.
+const CHECK_INTERVAL: Micros = Micros::millis(1_000);
+
+/// Time until the next check while other controllers are starting.
+const STARTUP_CHECK_INTERVAL: Micros = Micros::millis(100);
+
+/// Time until the check after the answer to a claim.
+const CHECK_AFTER_CLAIM: Micros = Micros::millis(200);
+
+/// Longest wait for the other controllers when no shard has ever had a leader.
+const FIRST_START_WAIT: Micros = Micros::secs(2);
+
+/// Time after the start in which a controller claims no more than its even share while others are missing.
+const EVEN_SHARE_PERIOD: Micros = Micros::millis(400);
+
+/// Time after the start before shards are taken from live leaders.
+const REBALANCE_DELAY: Micros = Micros::secs(2);
+
+/// Shortest time between two shards taken from live leaders.
+const REBALANCE_INTERVAL: Micros = Micros::millis(2_500);
+
+/// Difference in shards from which a live leader hands one over.
+const REBALANCE_DIFFERENCE: usize = 2;
+
+/// Time that an assignment may be unsettled before a new term is claimed for it.
+const UNSETTLED_BEFORE_NEW_TERM: Micros = Micros::secs(3);
+
+/// When claims are considered, and what is known for them.
+#[derive(Debug, Default)]
+pub(super) struct ClaimSchedule {
+    claim_in_flight: bool,
+    next_check: Micros,
+    next_rebalance: Micros,
+    /// When the replica was first complete and consistent.
+    replica_ready_since: Option<Micros>,
+    /// Shards led by this process that need a new term.
+    new_terms: Vec<ShardId>,
+}
+
+impl ClaimSchedule {
+    pub(super) fn schedule(&mut self, at: Micros) {
+        self.next_check = at;
+    }
+
+    pub(super) fn on_replica_ready(&mut self, now: Micros) {
+        self.replica_ready_since.get_or_insert(now);
+    }
+
+    pub(super) fn request_new_term(
+        &mut self,
+        shard: ShardId,
+        unsettled_since: Micros,
+        now: Micros,
+    ) {
+        let overdue = now.since(unsettled_since) > UNSETTLED_BEFORE_NEW_TERM;
+        if overdue && !self.new_terms.contains(&shard) {
+            self.new_terms.push(shard);
+        }
+    }
+
+    fn is_due(&self, now: Micros) -> bool {
+        now >= self.next_check && !self.claim_in_flight
+    }
+
+    /// Time since the replica was first ready.
+    fn running_for(&self, now: Micros) -> Micros {
+        now.since(self.replica_ready_since.unwrap_or(now))
+    }
+}
+
+/// Shards to claim in one transaction.
+#[derive(Debug)]
+struct Claim {
+    shards: Vec<ShardId>,
+    reason: ClaimReason,
+}
+
+/// Why shards are claimed.
+#[derive(Clone, Copy, Debug)]
+enum ClaimReason {
+    /// Assignments without an answer from the agent can be settled under a new term only.
+    UnsettledAssignments,
+    /// The record names this process, but its leadership was interrupted.
+    InterruptedTerm,
+    /// No live leader; all controllers are starting, and each claims its even share.
+    EvenShare,
+    /// No live leader.
+    NoLiveLeader,
+    /// Another controller leads more shards.
+    Rebalance,
+}
+
+impl ClaimReason {
+    fn as_str(self) -> &'static str {
+        match self {
+            ClaimReason::UnsettledAssignments => "unsettled assignments",
+            ClaimReason::InterruptedTerm => "interrupted term",
+            ClaimReason::EvenShare => "no live leader, even share",
+            ClaimReason::NoLiveLeader => "no live leader",
+            ClaimReason::Rebalance => "rebalance",
+        }
+    }
+}
+
+impl Controller {
+    /// Claims shards if a check is due.
+    pub(super) fn drive_claims(&mut self) {
+        let now = self.now.steady;
+        if self.leadership.claims.is_due(now) {
+            self.check_claims();
+        }
+        // While a claim is in flight the check may be overdue: its answer wakes the controller.
+        let next_check = self.leadership.claims.next_check;
+        self.wake_at(next_check.max(now + Micros::millis(1)));
+    }
+
+    fn check_claims(&mut self) {
+        let now = self.now.steady;
+        self.leadership.claims.schedule(now + CHECK_INTERVAL);
+        if self.stall.in_doubt() || !self.is_registered() || self.connectivity.is_withdrawn() {
+            return;
+        }
+        if self.is_first_start() {
+            let next_check = now + STARTUP_CHECK_INTERVAL;
+            self.leadership.claims.schedule(next_check);
+            return;
+        }
+        let Some(mut claim) = self.shards_to_claim() else {
+            return;
+        };
+        self.schedule_after(claim.reason);
+        claim.shards.truncate(self.limits.txn_ops());
+        if !claim.shards.is_empty() {
+            self.send_claim(claim);
+        }
+    }
+
+    /// Whether no shard has ever had a leader and the other controllers are about to appear.
+    fn is_first_start(&self) -> bool {
+        let none_led = self
+            .cell
+            .leaders
+            .iter()
+            .all(|leader| leader.value.is_none());
+        none_led
+            && self.cell.nodes.len() < self.settings.controllers()
+            && self.leadership.claims.running_for(self.now.steady) < FIRST_START_WAIT
+    }
+
+    fn schedule_after(&mut self, reason: ClaimReason) {
+        let now = self.now.steady;
+        let claims = &mut self.leadership.claims;
+        match reason {
+            ClaimReason::EvenShare => claims.next_check = now + STARTUP_CHECK_INTERVAL,
+            ClaimReason::Rebalance => claims.next_rebalance = now + REBALANCE_INTERVAL,
+            _ => {}
+        }
+    }
+
+    /// Sends the claim. It is conditional on the node's own record, so a node that is taken for dead claims nothing.
+    fn send_claim(&mut self, claim: Claim) {
+        let node = self.node_key();
+        let leader_record = self.leader_record();
+        let mut transaction = Txn {
+            when: vec![(node.clone(), self.cell.mod_revision(&node))],
+            then: Vec::new(),
+        };
+        for shard in &claim.shards {
+            let key = Key::ShardLeader(*shard);
+            let revision = self.cell.leaders[*shard].mod_revision;
+            transaction.when.push((key.clone(), revision));
+            transaction.then.push(Put {
+                key,
+                value: encode(&leader_record),
+                lease_id: None,
+            });
+        }
+        let shards = claim.shards;
+        tracing::info!(?shards, reason = claim.reason.as_str(), "claiming shards");
+        self.leadership.claims.claim_in_flight = true;
+        self.budget.force(self.now.steady, shards.len());
+        self.ask_state(Purpose::Claim(shards), StateRequest::Txn(transaction));
+    }
+
+    pub(in crate::coordination) fn on_claimed(
+        &mut self,
+        shards: &[ShardId],
+        result: Result<StateReply, CallError>,
+    ) {
+        let claims = &mut self.leadership.claims;
+        claims.claim_in_flight = false;
+        claims.schedule(self.now.steady + CHECK_AFTER_CLAIM);
+        // The replica learns of the claim by a read, so that it holds all changes up to the claim too.
+        self.replica.want_barrier();
+        if !matches!(result, Ok(StateReply::Applied(_))) {
+            tracing::info!(?shards, ?result, "shard claim failed");
+        }
+    }
+
+    /// Shards that this process should claim now, for the first reason that applies.
+    fn shards_to_claim(&mut self) -> Option<Claim> {
+        if let Some(claim) = self.claim_for_new_terms() {
+            return Some(claim);
+        }
+        self.update_unsteady_controllers();
+        let mut distribution = ShardDistribution::of(&self.cell, |controller| {
+            !self.leadership.unsteady_controllers.contains(controller)
+        });
+        if let Some(claim) = self.claim_for_interrupted_terms(&distribution) {
+            return Some(claim);
+        }
+        if self.are_others_starting() {
+            return self.claim_even_share(distribution);
+        }
+        self.claim_without_leader(&mut distribution)
+            .or_else(|| self.claim_for_rebalance(&distribution))
+    }
+
+    fn claim_for_new_terms(&mut self) -> Option<Claim> {
+        let mut shards = std::mem::take(&mut self.leadership.claims.new_terms);
+        shards.retain(|shard| self.leads(*shard));
+        (!shards.is_empty()).then_some(Claim {
+            shards,
+            reason: ClaimReason::UnsettledAssignments,
+        })
+    }
+
+    /// Shards whose record names this process though it does not lead them, and a claim would begin a term now.
+    fn claim_for_interrupted_terms(&self, distribution: &ShardDistribution) -> Option<Claim> {
+        let terms = &self.leadership.terms;
+        let interrupted =
+            |shard: &ShardId| !self.leads(*shard) && self.cell.revision >= terms.lost_at(*shard);
+        let shards: Vec<ShardId> = distribution
+            .led_by(&self.settings.node)
+            .filter(interrupted)
+            .collect();
+        (!shards.is_empty()).then_some(Claim {
+            shards,
+            reason: ClaimReason::InterruptedTerm,
+        })
+    }
+
+    /// Whether this process has just started and other controllers are missing.
+    fn are_others_starting(&self) -> bool {
+        self.leadership.claims.running_for(self.now.steady) < EVEN_SHARE_PERIOD
+            && self.cell.nodes.len() < self.settings.controllers()
+    }
+
+    /// This controller's even share of the shards without a live leader. When all controllers start at once the others
+    /// are about to claim as well: otherwise one would answer every agent at first and hand the shards over again.
+    fn claim_even_share(&self, distribution: ShardDistribution) -> Option<Claim> {
+        let node = &self.settings.node;
+        if !distribution.may_claim(node) {
+            return None;
+        }
+        let others = self.settings.others.iter();
+        let position = others.filter(|other| other.node < *node).count();
+        let mut shards = distribution.without_leader;
+        shards.retain(|shard| shard % self.settings.controllers() == position);
+        Some(Claim {
+            shards,
+            reason: ClaimReason::EvenShare,
+        })
+    }
+
+    /// The part of the shards without a live leader that falls to this controller.
+    fn claim_without_leader(&self, distribution: &mut ShardDistribution) -> Option<Claim> {
+        let mut shards = Vec::new();
+        for shard in std::mem::take(&mut distribution.without_leader) {
+            let Some(controller) = distribution.add_to_least_loaded() else {
+                break;
+            };
+            if controller == self.settings.node {
+                shards.push(shard);
+            }
+        }
+        (!shards.is_empty()).then_some(Claim {
+            shards,
+            reason: ClaimReason::NoLiveLeader,
+        })
+    }
+
+    /// A shard of the controller with the most, if this one has the fewest. Only one shard is taken at a time, and by
+    /// one controller: several would claim the same shard, and one that has some would get more before another has any.
+    fn claim_for_rebalance(&self, distribution: &ShardDistribution) -> Option<Claim> {
+        let now = self.now.steady;
+        let claims = &self.leadership.claims;
+        let most = distribution.most_loaded()?;
+        let fewest = distribution.least_loaded()?;
+        if fewest.controller != self.settings.node
+            || most.shards < fewest.shards + REBALANCE_DIFFERENCE
+            || now < claims.next_rebalance
+            || claims.running_for(now) <= REBALANCE_DELAY
+        {
+            return None;
+        }
+        // The last shard first: the leader of shard 0 runs the autoscaler, whose state would be lost.
+        let shard = (0..self.cell.shards()).rev().find(|shard| {
+            let leader = self.cell.leaders[*shard].value.as_ref();
+            leader.is_some_and(|leader| leader.node == most.controller)
+        })?;
+        Some(Claim {
+            shards: vec![shard],
+            reason: ClaimReason::Rebalance,
+        })
+    }
+}
--- /dev/null
+++ b/src/coordination/leadership/metadata.rs
@@ -0,0 +1,91 @@
+//! The cell's metadata record: its creation, and the spacing of all writes of it.
+
+use crate::coordination::{Controller, Purpose};
+use crate::protocol::state::{Put, StateRequest, Txn, encode};
+use crate::storage::ids::ShardId;
+use crate::storage::records::{FIRST_LAYOUT, Key, MetaRecord};
+use crate::time::Micros;
+use serde_json::value::RawValue;
+use std::collections::BTreeMap;
+
+/// Shortest time between two writes.
+const WRITE_SPACING: Micros = Micros::millis(500);
+
+/// Most shards that a cell gets unless the operator sets another number. Each shard is one more record in many commit
+/// rounds, so there are no more than spread the work.
+const MAX_DEFAULT_SHARDS: usize = 64;
+
+/// When the metadata record may be written again.
+#[derive(Debug, Default)]
+pub(super) struct MetadataWriter {
+    next_write: Micros,
+}
+
+impl MetadataWriter {
+    /// The time from which a write is allowed, if that is later than `now`.
+    pub(super) fn not_before(&self, now: Micros) -> Option<Micros> {
+        (now < self.next_write).then_some(self.next_write)
+    }
+
+    /// Notes an attempt to write now.
+    pub(super) fn on_attempt(&mut self, now: Micros) {
+        self.next_write = now + WRITE_SPACING;
+    }
+}
+
+impl Controller {
+    /// Creates the metadata record of an empty state store.
+    pub(super) fn drive_metadata(&mut self) {
+        let now = self.now.steady;
+        if let Some(due) = self.leadership.metadata.not_before(now) {
+            self.wake_at(due);
+            return;
+        }
+        self.leadership.metadata.on_attempt(now);
+        let record = self.initial_metadata();
+        self.write_metadata(vec![(Key::Meta, 0)], encode(&record));
+    }
+
+    fn initial_metadata(&self) -> MetaRecord {
+        let teams: Vec<&str> = self
+            .settings
+            .teams
+            .iter()
+            .filter(|team| team.has_share())
+            .map(|team| team.name.as_str())
+            .collect();
+        let default_shards = self.settings.controllers().max(teams.len());
+        let shards = self
+            .operator_settings
+            .shards
+            .unwrap_or(default_shards.clamp(1, MAX_DEFAULT_SHARDS));
+        let teams: BTreeMap<String, ShardId> = teams
+            .into_iter()
+            .enumerate()
+            .map(|(index, team)| (team.to_owned(), index % shards))
+            .collect();
+        MetaRecord {
+            layout: FIRST_LAYOUT,
+            shards,
+            teams,
+        }
+    }
+
+    /// Writes the metadata record under these conditions: keys and the revisions that they must have.
+    pub(super) fn write_metadata(
+        &mut self,
+        conditions: Vec<(Key, u64)>,
+        value: Option<Box<RawValue>>,
+    ) {
+        let transaction = Txn {
+            when: conditions,
+            then: vec![Put {
+                key: Key::Meta,
+                value,
+                lease_id: None,
+            }],
+        };
+        self.budget.force(self.now.steady, 1);
+        self.ask_state(Purpose::Meta, StateRequest::Txn(transaction));
+    }
+}
--- /dev/null
+++ b/src/coordination/leadership/node_record.rs
@@ -0,0 +1,122 @@
+//! The node's own record, by which all controllers know that this process is alive.
+
+use crate::coordination::{Controller, Purpose};
+use crate::protocol::state::{CallError, Put, StateReply, StateRequest, Txn, encode};
+use crate::storage::records::{FIRST_LAYOUT, Key, NodeRecord};
+use crate::storage::restart_history::RestartHistory;
+use crate::time::Micros;
+
+/// Shortest time between an answer to a write and the next write.
+const WRITE_SPACING: Micros = Micros::millis(400);
+
+/// When and with what restart history the node record is written.
+#[derive(Debug, Default)]
+pub(super) struct NodeRecordWriter {
+    write_in_flight: bool,
+    next_write: Micros,
+    /// Recent starts of this controller with this one, once the record of an earlier run has been read.
+    restart_history: Option<RestartHistory>,
+}
+
+impl NodeRecordWriter {
+    /// Makes the next write due at this time.
+    pub(super) fn schedule(&mut self, at: Micros) {
+        self.next_write = at;
+    }
+}
+
+impl Controller {
+    pub(super) fn node_key(&self) -> Key {
+        Key::Node(self.settings.node.clone())
+    }
+
+    /// Whether the node's record is the one of this process.
+    pub(super) fn is_registered(&self) -> bool {
+        let own = self.cell.nodes.get(&self.settings.node);
+        own.is_some_and(|node| node.value.run == self.incarnation)
+    }
+
+    /// Writes the node's record if it is missing or of an earlier run, and removes it while the node is withdrawn.
+    pub(super) fn drive_node_record(&mut self) {
+        let now = self.now.steady;
+        let Some(lease) = self.leadership.lease.id() else {
+            return;
+        };
+        let withdrawn = self.connectivity.is_withdrawn();
+        let key = self.node_key();
+        let mod_revision = self.cell.mod_revision(&key);
+        let up_to_date = if withdrawn {
+            mod_revision == 0
+        } else {
+            self.is_registered()
+        };
+        if self.leadership.node_record.write_in_flight || up_to_date {
+            return;
+        }
+        if now < self.leadership.node_record.next_write {
+            self.wake_at(self.leadership.node_record.next_write);
+            return;
+        }
+        let put = if withdrawn {
+            Put {
+                key: key.clone(),
+                value: None,
+                lease_id: None,
+            }
+        } else {
+            Put {
+                key: key.clone(),
+                value: encode(&self.new_node_record()),
+                lease_id: Some(lease),
+            }
+        };
+        let transaction = Txn {
+            when: vec![(key, mod_revision)],
+            then: vec![put],
+        };
+        self.leadership.node_record.write_in_flight = true;
+        self.budget.force(now, 1);
+        self.ask_state(Purpose::Node, StateRequest::Txn(transaction));
+    }
+
+    fn new_node_record(&mut self) -> NodeRecord {
+        let layout = self.wanted_layout();
+        NodeRecord {
+            run: self.incarnation,
+            layout: (layout > FIRST_LAYOUT).then_some(layout),
+            rules: self.rules.digest(),
+            restart_history: self.restart_history(),
+        }
+    }
+
+    /// The restart history of the earlier run's record with this start. It is built once: later on the record read is
+    /// the one of this process.
+    fn restart_history(&mut self) -> RestartHistory {
+        let earlier = self
+            .cell
+            .nodes
+            .get(&self.settings.node)
+            .map(|node| node.value.restart_history.clone())
+            .unwrap_or_default();
+        let day = self.now.day;
+        self.leadership
+            .node_record
+            .restart_history
+            .get_or_insert_with(|| earlier.and(day))
+            .clone()
+    }
+
+    pub(in crate::coordination) fn on_node_written(
+        &mut self,
+        result: Result<StateReply, CallError>,
+    ) {
+        let now = self.now.steady;
+        let writer = &mut self.leadership.node_record;
+        writer.write_in_flight = false;
+        writer.next_write = now + WRITE_SPACING;
+        self.replica.want_barrier();
+        if matches!(result, Ok(StateReply::NoLease)) {
+            self.leadership.lease.on_expired(now);
+        }
+    }
+}
