--- /dev/null
+++ b/src/coordination/commit/assignment.rs
@@ -0,0 +1,233 @@
+//! Assignment: pending tasks are placed on the machines as the transaction would leave them, and
+//! assigned as far as the transaction has room.
+
+use super::PlannedAssignment;
+use super::candidates::Candidates;
+use super::fair_shares::FairShares;
+use crate::coordination::Controller;
+use crate::coordination::commit::transaction::{MachineAttempt, TransactionBuilder};
+use crate::scheduler::constraints::PlacementContext;
+use crate::scheduler::placement::{
+    Claim, GroupAllowance, PlacementRequest, Preemption, plan, preempt,
+};
+use crate::storage::cell_state::Job;
+use crate::storage::ids::{JobId, MachineId};
+use std::collections::BTreeSet;
+
+/// How often starved jobs are planned in one round: where a team's limit has room for one task more,
+/// one that finds no machine must not hold it from the next.
+const STARVED_JOB_PASSES: usize = 6;
+
+/// The plan of one round: the machines, and what is claimed of them so far.
+struct AssignmentPlan<'a> {
+    candidates: Candidates<'a>,
+    groups: GroupAllowance,
+    /// Claims of free room.
+    claims: Vec<Claim>,
+    /// All claims, with those that preempt others.
+    all_claims: Vec<Claim>,
+    /// Jobs of which all tasks are assigned or none.
+    all_or_nothing: BTreeSet<JobId>,
+}
+
+impl<'a> AssignmentPlan<'a> {
+    fn claims_left(&self) -> usize {
+        Controller::MAX_CLAIMS.saturating_sub(self.claims.len())
+    }
+
+    /// Claims free room for the requests; returns the new claims.
+    fn place(&mut self, requests: &mut [PlacementRequest<'a>]) -> Vec<Claim> {
+        let claims_left = self.claims_left();
+        let new = plan(
+            &mut self.candidates.usable,
+            requests,
+            &mut self.groups,
+            claims_left,
+        );
+        let all_or_nothing = requests.iter().filter(|request| request.all_or_nothing);
+        self.all_or_nothing
+            .extend(all_or_nothing.map(|request| request.job));
+        self.claims.extend(&new);
+        self.all_claims.extend(&new);
+        new
+    }
+
+    /// Claims the room of tasks that may be preempted.
+    fn preempt(
+        &mut self,
+        requests: &[PlacementRequest<'a>],
+        running: &dyn Fn(MachineId) -> Vec<crate::scheduler::placement::Running>,
+    ) -> Vec<Preemption> {
+        let preemptions = preempt(
+            &mut self.candidates.usable,
+            requests,
+            &self.claims,
+            Controller::MAX_PREEMPTIONS,
+            running,
+        );
+        for preemption in &preemptions {
+            self.all_claims.extend(&preemption.claims);
+        }
+        preemptions
+    }
+}
+
+impl Controller {
+    /// Plans on the replica as the transaction would leave it, and assigns what the transaction has
+    /// room for; of the own jobs, if `urgent_only`, only those that must start at once.
+    pub(super) fn assign(
+        &self,
+        transaction: &mut TransactionBuilder<'_>,
+        urgent_only: bool,
+    ) -> Vec<PlannedAssignment> {
+        let (turns, fair_shares) = self.jobs_in_order();
+        if !turns.iter().any(|turn| self.leads_job(turn.id, turn.job)) {
+            return Vec::new();
+        }
+        let context = self.rules.active().then(|| self.context());
+        let context = context.as_ref();
+        let starved: Vec<(JobId, &Job)> = turns
+            .iter()
+            .map(|turn| (turn.id, turn.job))
+            .filter(|(id, _)| self.is_job_starved(*id))
+            .collect();
+        let mut requests = self.requests(turns, None, transaction, context);
+        if urgent_only {
+            for request in &mut requests {
+                request.mine &= self.starts_at_once(request.spec);
+            }
+        }
+        let owners = self.owner_numbers();
+        let mut groups = GroupAllowance::default();
+        let candidates = self.candidates(transaction, context, &owners, &mut groups, &starved);
+        groups.left = self.group_allowance(transaction, &requests);
+        for request in &mut requests {
+            request.owner = owners[request.owner];
+        }
+        let mut plan = AssignmentPlan {
+            candidates,
+            groups,
+            claims: Vec::new(),
+            all_claims: Vec::new(),
+            all_or_nothing: BTreeSet::new(),
+        };
+        plan.place(&mut requests);
+        let mut assigned = self.assign_preempting(&mut plan, &requests, transaction, &fair_shares);
+        if !urgent_only && !starved.is_empty() && plan.claims_left() > 0 {
+            self.place_starved_jobs(&mut plan, &starved, transaction, context, &owners);
+        }
+        assigned.extend(self.assign_claims(&plan, transaction));
+        assigned
+    }
+
+    /// Assigns tasks in the room of others that are preempted for them.
+    fn assign_preempting<'a>(
+        &'a self,
+        plan: &mut AssignmentPlan<'a>,
+        requests: &[PlacementRequest<'a>],
+        transaction: &mut TransactionBuilder<'_>,
+        fair_shares: &FairShares<'_>,
+    ) -> Vec<PlannedAssignment> {
+        if !requests
+            .iter()
+            .any(|request| request.mine && request.preempts)
+        {
+            return Vec::new();
+        }
+        let running = |machine| {
+            self.cell.machine(machine).map_or(Vec::new(), |record| {
+                self.running(record, transaction.machine(machine), fair_shares)
+            })
+        };
+        let preemptions = plan.preempt(requests, &running);
+        let mut assigned = Vec::new();
+        for preemption in preemptions {
+            let planned = self.planned(&preemption.claims);
+            let attempts: Vec<_> = planned.iter().map(PlannedAssignment::attempt).collect();
+            if !transaction.assign_preempting(preemption.machine, &preemption.victims, &attempts) {
+                continue;
+            }
+            for victim in &preemption.victims {
+                tracing::info!(
+                    task = %victim.attempt(),
+                    machine = %preemption.machine,
+                    by = %preemption.claims[0].job,
+                    "task preempted"
+                );
+            }
+            assigned.extend(planned);
+        }
+        assigned
+    }
+
+    /// Places tasks of starved jobs on what is left, whatever it is kept for.
+    fn place_starved_jobs<'a>(
+        &'a self,
+        plan: &mut AssignmentPlan<'a>,
+        starved: &[(JobId, &'a Job)],
+        transaction: &TransactionBuilder<'_>,
+        context: Option<&'a PlacementContext<'a>>,
+        owners: &[usize],
+    ) {
+        plan.candidates.open_to_starved_jobs();
+        let mut unplaceable = BTreeSet::new();
+        for _ in 0..STARVED_JOB_PASSES {
+            let turns = starved.iter().filter(|(id, _)| !unplaceable.contains(id));
+            let mut requests =
+                self.requests_of_starved_jobs(turns, &plan.all_claims, transaction, context);
+            for request in &mut requests {
+                request.owner = owners[request.owner];
+            }
+            let new = plan.place(&mut requests);
+            // What of its team's limit was set aside for a job that finds no room is for others again.
+            unplaceable.extend(
+                requests
+                    .iter()
+                    .map(|request| request.job)
+                    .filter(|id| new.iter().all(|claim| claim.job != *id)),
+            );
+            if requests.is_empty() || plan.claims_left() == 0 {
+                break;
+            }
+        }
+    }
+
+    /// Assigns what was claimed of free room.
+    fn assign_claims(
+        &self,
+        plan: &AssignmentPlan<'_>,
+        transaction: &mut TransactionBuilder<'_>,
+    ) -> Vec<PlannedAssignment> {
+        let mut assigned = Vec::new();
+        for claims in plan.claims.chunk_by(|a, b| a.job == b.job) {
+            let planned = self.planned(claims);
+            if !plan.all_or_nothing.contains(&claims[0].job) {
+                assigned.extend(planned.into_iter().filter(|assignment| {
+                    transaction.assign(assignment.claim.machine, assignment.attempt())
+                }));
+                continue;
+            }
+            let set: Vec<MachineAttempt> = planned
+                .iter()
+                .map(|assignment| MachineAttempt {
+                    machine: assignment.claim.machine,
+                    attempt: assignment.attempt(),
+                })
+                .collect();
+            if transaction.assign_all(&set) {
+                assigned.extend(planned);
+            }
+        }
+        assigned
+    }
+
+    fn planned(&self, claims: &[Claim]) -> Vec<PlannedAssignment> {
+        claims
+            .iter()
+            .map(|claim| PlannedAssignment {
+                claim: *claim,
+                attempt_number: self.cell.latest,
+            })
+            .collect()
+    }
+}
--- /dev/null
+++ b/src/coordination/commit/candidates.rs
@@ -0,0 +1,183 @@
+//! Machines that a round may assign tasks to, and how many groups it may write for them.
+
+use crate::coordination::Controller;
+use crate::coordination::commit::transaction::TransactionBuilder;
+use crate::coordination::constraints::jobs_there;
+use crate::scheduler::constraints::PlacementContext;
+use crate::scheduler::placement::{Candidate, GroupAllowance, PlacementRequest};
+use crate::scheduler::provisioning::core_price;
+use crate::storage::cell_state::Job;
+use crate::storage::ids::{GroupIndex, JobId, MachineId, ShardId};
+use crate::storage::records::MachineHealth;
+use crate::storage::resources::Amount;
+use std::collections::BTreeMap;
+
+/// One in so many of the changes left is for groups, however many usage records are to be written.
+const GROUPS_PART: usize = 3;
+
+/// Machines that tasks may be assigned to.
+pub(super) struct Candidates<'a> {
+    pub usable: Vec<Candidate<'a>>,
+    /// Machines of zones that are recovering, or that other controllers reach though this one does
+    /// not: only for starved jobs.
+    recovering: Vec<Candidate<'a>>,
+}
+
+impl Candidates<'_> {
+    /// Opens to starved jobs what is kept from others, and what is reserved for others.
+    pub fn open_to_starved_jobs(&mut self) {
+        self.usable.append(&mut self.recovering);
+        for candidate in &mut self.usable {
+            candidate.reserved = false;
+        }
+    }
+}
+
+/// A schedulable machine as the transaction would leave it.
+#[derive(Clone, Copy)]
+struct FreeMachine {
+    machine: MachineId,
+    shard: ShardId,
+    /// Number of its group in the [`GroupAllowance`].
+    group: usize,
+    free: Amount,
+}
+
+impl Controller {
+    /// Machines that take work. Numbers their groups in `groups`; `owners`: see
+    /// [`Controller::owner_numbers`].
+    pub(super) fn candidates<'a>(
+        &'a self,
+        transaction: &TransactionBuilder<'_>,
+        context: Option<&'a PlacementContext<'a>>,
+        owners: &[usize],
+        groups: &mut GroupAllowance,
+        starved: &[(JobId, &Job)],
+    ) -> Candidates<'a> {
+        let mut candidates = Candidates {
+            usable: Vec::new(),
+            recovering: Vec::new(),
+        };
+        for machine in self.free_machines(transaction, groups) {
+            // A machine that the transaction adds is planned on in the next round.
+            let Some(record) = self.cell.machine(machine.machine) else {
+                continue;
+            };
+            let now = self.now.steady;
+            let takes_work = self.zones.takes_work(&record.zone, machine.machine, now);
+            if !takes_work && starved.is_empty() {
+                continue;
+            }
+            let Some(candidate) = self.candidate(machine, transaction, context, owners) else {
+                continue;
+            };
+            if takes_work {
+                candidates.usable.push(candidate);
+            } else {
+                candidates.recovering.push(candidate);
+            }
+        }
+        candidates
+    }
+
+    fn free_machines(
+        &self,
+        transaction: &TransactionBuilder<'_>,
+        groups: &mut GroupAllowance,
+    ) -> Vec<FreeMachine> {
+        let mut numbers: BTreeMap<(ShardId, GroupIndex), usize> = BTreeMap::new();
+        transaction
+            .machines()
+            .filter(|(_, _, record)| record.health == MachineHealth::Schedulable)
+            .map(|(group, machine, record)| FreeMachine {
+                machine,
+                shard: group.0,
+                group: *numbers.entry(group).or_insert_with(|| {
+                    groups.open.push(transaction.writes_group(group));
+                    groups.open.len() - 1
+                }),
+                free: self.cell.free(record),
+            })
+            .collect()
+    }
+
+    fn candidate<'a>(
+        &'a self,
+        machine: FreeMachine,
+        transaction: &TransactionBuilder<'_>,
+        context: Option<&'a PlacementContext<'a>>,
+        owners: &[usize],
+    ) -> Option<Candidate<'a>> {
+        let record = self.cell.machine(machine.machine)?;
+        let machine_type = self.cell.machine_type(&record.machine_type)?;
+        let there = match context {
+            Some(context) if context.colocated => transaction
+                .machine(machine.machine)
+                .map_or(Vec::new(), |record| jobs_there(&record.tasks)),
+            _ => Vec::new(),
+        };
+        let has_exclusions =
+            context.is_some_and(|context| there.iter().any(|job| context.excludes_newcomers(*job)));
+        Some(Candidate {
+            machine: machine.machine,
+            group: machine.group,
+            owner: owners[machine.shard],
+            machine_type: &record.machine_type,
+            zone: &record.zone,
+            spot: record.spot,
+            price: core_price(machine_type, record.spot),
+            all: machine_type.room,
+            free: machine.free,
+            reserved: false,
+            images: &record.images,
+            fetches: None,
+            running: Vec::new(),
+            class: context
+                .and_then(|_| self.cell.classes.of(machine.machine))
+                .unwrap_or_default(),
+            there,
+            has_exclusions,
+        })
+    }
+
+    /// How many more groups the transaction may write beside the usage records of the own requests.
+    /// Teams of more shards may wait than a transaction has changes: some of these stay for groups,
+    /// or nothing at all would be assigned. Requests that find no change left wait for the next round.
+    pub(super) fn group_allowance(
+        &self,
+        transaction: &TransactionBuilder<'_>,
+        requests: &[PlacementRequest<'_>],
+    ) -> usize {
+        let mut shards: Vec<ShardId> = requests
+            .iter()
+            .filter(|request| request.mine)
+            .map(|request| request.owner)
+            .collect();
+        shards.sort_unstable();
+        shards.dedup();
+        let new_usage_records = shards
+            .iter()
+            .filter(|shard| !transaction.writes_usage(**shard))
+            .count();
+        let changes_left = transaction.ops_left();
+        let reserved = (changes_left / GROUPS_PART).max(1).min(changes_left);
+        changes_left.saturating_sub(new_usage_records).max(reserved)
+    }
+
+    /// A number for each shard that is the same for all shards of one leader.
+    pub(super) fn owner_numbers(&self) -> Vec<usize> {
+        let leader = |shard: ShardId| {
+            self.cell.leaders[shard]
+                .value
+                .as_ref()
+                .map(|record| &record.node)
+        };
+        (0..self.cell.leaders.len())
+            .map(|shard| {
+                (0..shard)
+                    .find(|other| leader(*other).is_some() && leader(*other) == leader(shard))
+                    .unwrap_or(shard)
+            })
+            .collect()
+    }
+}
--- /dev/null
+++ b/src/coordination/commit/compaction_round.rs
@@ -0,0 +1,67 @@
+//! Rounds that compact records which are larger than the next limits of the state store allow.
+
+use super::PlannedRound;
+use crate::coordination::Controller;
+use crate::coordination::commit::transaction::compaction::too_large;
+use crate::coordination::commit::transaction::{Limits, TransactionBuilder};
+use crate::storage::records::Key;
+
+impl Controller {
+    /// Looks for own records that are larger than the next limits allow. Once all controllers have
+    /// this version none is written any more, so this runs at that time, and after takeovers.
+    pub(in crate::coordination) fn find_large(&mut self) {
+        if !self.cell.terse() {
+            return;
+        }
+        let value_bytes = self.limits.value_bytes();
+        for shard in 0..self.cell.leaders.len() {
+            if !self.leads(shard) {
+                continue;
+            }
+            let groups = self.cell.groups[shard].keys();
+            let oversized = groups
+                .map(|group| Key::Group(shard, *group))
+                .chain([Key::Usage(shard)])
+                .filter(|key| too_large(&self.cell, key, value_bytes));
+            self.rounds.add_oversized(oversized);
+        }
+        if !self.rounds.oversized().is_empty() {
+            tracing::info!(
+                records = ?self.rounds.oversized(),
+                limit = value_bytes,
+                "oversized records found"
+            );
+            self.rounds.request();
+        }
+    }
+
+    /// A step that compacts an oversized record, groups first.
+    pub(super) fn plan_compaction_round(&mut self, limits: Limits) -> Option<PlannedRound> {
+        let leads = |key: &Key| match key {
+            Key::Group(shard, _) | Key::Usage(shard) => {
+                self.leadership.leader_term(*shard).is_some()
+            }
+            _ => false,
+        };
+        self.rounds
+            .retain_oversized(|key| leads(key) && too_large(&self.cell, key, limits.value_bytes));
+        if self.rounds.oversized().is_empty() {
+            return None;
+        }
+        let full_sizes = self.full_sizes();
+        let full_size = |machine_type: &str| full_sizes.get(machine_type).copied().unwrap_or(0);
+        let leader_record = self.leader_record();
+        for key in self.rounds.oversized() {
+            let mut transaction = TransactionBuilder::new(&self.cell, limits);
+            if transaction.compact(key, &leader_record, &full_size) {
+                tracing::info!(record = %key, "record compaction planned");
+                return Some(PlannedRound {
+                    commit: transaction.commit(),
+                    assigned: Vec::new(),
+                    released: 0,
+                });
+            }
+        }
+        None
+    }
+}
--- /dev/null
+++ b/src/coordination/commit/job_order.rs
@@ -0,0 +1,119 @@
+//! The order in which jobs with pending tasks take their turn in a plan.
+
+use super::fair_shares::FairShares;
+use crate::coordination::Controller;
+use crate::storage::cell_state::Job;
+use crate::storage::ids::{JobId, ShardId};
+use crate::storage::job::Priority;
+use crate::time::Micros;
+
+/// Where a job stands in the order, the most significant criterion first; lesser values go first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Precedence {
+    /// Suspect jobs go last.
+    suspect: bool,
+    /// Work within its team's guarantee goes before work beyond it.
+    borrows: bool,
+    priority: Priority,
+    /// What must start soonest goes first.
+    latest_start: Micros,
+    /// Then the oldest.
+    submitted: Micros,
+}
+
+/// A job's turn in the order.
+pub(super) struct Turn<'a> {
+    pub id: JobId,
+    pub job: &'a Job,
+    /// Most of its tasks that may be placed in this turn.
+    pub max_tasks: u64,
+    /// It goes ahead of others because its class or team is behind its fair share.
+    pub ahead: bool,
+}
+
+impl Controller {
+    /// All jobs with tasks to place, the most pressing first, and the fair shares that classes and
+    /// teams are behind. What is behind its fair share goes ahead of the precedence.
+    pub(super) fn jobs_in_order(&self) -> (Vec<Turn<'_>>, FairShares<'_>) {
+        let jobs = self.jobs_by_precedence();
+        let fair_shares = self.fair_shares(&jobs);
+        let mut shares_left = fair_shares.clone();
+        let (mut ahead, mut in_order) = (Vec::new(), Vec::new());
+        for (id, job) in jobs {
+            let tasks_ahead = if self.rounds.is_suspect(id) {
+                0
+            } else {
+                shares_left.take(job, self.cell.pending_count(id, job).into())
+            };
+            if tasks_ahead > 0 {
+                ahead.push(Turn {
+                    id,
+                    job,
+                    max_tasks: tasks_ahead,
+                    ahead: true,
+                });
+            } else {
+                in_order.push(Turn {
+                    id,
+                    job,
+                    max_tasks: u64::MAX,
+                    ahead: false,
+                });
+            }
+        }
+        ahead.extend(in_order);
+        (ahead, fair_shares)
+    }
+
+    fn jobs_by_precedence(&self) -> Vec<(JobId, &Job)> {
+        let mut jobs: Vec<(Precedence, JobId, &Job)> = self
+            .cell
+            .jobs
+            .iter()
+            .filter(|(id, job)| self.is_placeable(**id, job))
+            .map(|(id, job)| (self.precedence(*id, job), *id, job))
+            .collect();
+        jobs.sort_unstable_by_key(|(precedence, id, _)| (*precedence, *id));
+        jobs.into_iter().map(|(_, id, job)| (id, job)).collect()
+    }
+
+    /// Whether a job has tasks to place, and nothing holds it back.
+    fn is_placeable(&self, id: JobId, job: &Job) -> bool {
+        job.ready()
+            && self.cell.pending_count(id, job) > 0
+            // A job that fails on every machine is retried ever more seldom, until its user ends it.
+            && !self.rounds.is_backing_off(id, self.now.steady)
+            && !self.belongs_to_team_without_shard(job)
+            && !self.rules.is_unschedulable(id)
+    }
+
+    fn precedence(&self, id: JobId, job: &Job) -> Precedence {
+        Precedence {
+            suspect: self.rounds.is_suspect(id),
+            borrows: self.borrows(job, self.cell.shard_of_job(id, job.spec())),
+            priority: job.priority(),
+            latest_start: self.latest_start(job),
+            submitted: job.record.submitted,
+        }
+    }
+
+    /// Whether one more task of the job is beyond its team's guarantee.
+    pub(super) fn borrows(&self, job: &Job, shard: ShardId) -> bool {
+        let spec = job.spec();
+        self.settings.team(&spec.team).is_some_and(|team| {
+            let (cores, accelerators) = self.cell.used(shard, &spec.team);
+            let (cores_guarantee, accelerators_guarantee) = team.guarantee;
+            // A team without a guarantee is always beyond it.
+            cores + spec.need.cores > cores_guarantee
+                || spec.need.accelerators > 0
+                    && accelerators + spec.need.accelerators > accelerators_guarantee
+        })
+    }
+
+    /// Whether a job's team has no shard yet, see [`Controller::has_no_shard`].
+    pub(in crate::coordination) fn belongs_to_team_without_shard(&self, job: &Job) -> bool {
+        self.settings
+            .team(&job.spec().team)
+            .is_some_and(|team| self.has_no_shard(team))
+    }
+}
--- a/src/coordination/commit/ordering.rs
+++ b/src/coordination/commit/ordering.rs
@@ -1,127 +1,90 @@
-//! When a job has to start, and what its machines may cost.
+//! When a job has to start.
 
 use crate::coordination::Controller;
 use crate::protocol::settings::ObjectiveKind;
-use crate::scheduler::provisioning::{core_price, price_limit};
 use crate::storage::cell_state::Job;
 use crate::storage::dependency_graph::expected_run;
-use crate::storage::ids::JobId;
 use crate::storage::job::JobSpec;
 use crate::time::Micros;
-use std::collections::BTreeSet;
 
 impl Controller {
-    /// The time of day by which a job's tasks should start to end as they should: an estimate is
+    /// The time of day by which a job's tasks should start in order to end in time: an estimate is
     /// often wrong, of many tasks some run longer, and the image may have to be fetched.
     pub(in crate::coordination) fn latest_start(&self, job: &Job) -> Micros {
         let spec = job.spec();
         // Deadlines count from the submission, everything else from when the job could begin.
-        let ready = job.record.submitted.max(job.dependency_state.ready_at);
-        let due = spec.deadline.map_or_else(
-            || ready + self.finish_aim(spec),
-            |d| job.record.submitted + d,
+        let ready_at = job.record.submitted.max(job.dependency_state.ready_at);
+        let own_due = spec.deadline.map_or_else(
+            || ready_at + self.finish_objective(spec),
+            |deadline| job.record.submitted + deadline,
         );
-        let due = job.dependency_state.wanted_by.map_or(due, |by| by.min(due));
-        let types = self.cell.machine_types();
-        let fetch = types
-            .filter(|t| spec.need.fits(&t.room))
-            .map(|t| t.fetch_time(spec.size))
-            .min();
-        let start = due - (expected_run(spec) + fetch.unwrap_or_default());
-        let aim = self
-            .start_aim(spec)
-            .filter(|aim| *aim >= self.shortest_boot());
-        aim.map_or(start, |aim| start.min(ready + aim))
+        let due = job
+            .dependency_state
+            .wanted_by
+            .map_or(own_due, |wanted_by| wanted_by.min(own_due));
+        let latest_start = due - (expected_run(spec) + self.shortest_fetch(spec));
+        let start_objective = self
+            .start_objective(spec)
+            .filter(|objective| *objective >= self.shortest_boot());
+        start_objective.map_or(latest_start, |objective| {
+            latest_start.min(ready_at + objective)
+        })
     }
 
-    /// Most that a core may cost for a job: what is dear is for those that would be late, or have
-    /// to start at once.
-    pub(in crate::coordination) fn price_limit(&self, job: &Job) -> u64 {
-        let spec = job.spec();
-        let margin = Micros::secs(10) + Micros(spec.estimated_runtime.0 / 4);
-
-        if self.starts_at_once(spec) || self.latest_start(job) < self.now.day + margin {
-            u64::MAX
-        } else {
-            self.fair_price(spec)
-        }
-    }
-
-    /// The same for placing: where nothing but what is dear is up, waiting for better would leave
-    /// it idle, and paid for.
-    pub(super) fn price_limit_among(
-        &self,
-        id: JobId,
-        job: &Job,
-        kinds: &BTreeSet<(&str, &str, bool)>,
-    ) -> u64 {
-        let spec = job.spec();
-        if self.is_job_starved(id) {
-            return u64::MAX;
-        }
-        let limit = self.price_limit(job);
-        let cheap = |(machine_type, zone, spot): &(&str, &str, bool)| {
-            self.cell.machine_type(machine_type).is_some_and(|t| {
-                spec.need.fits(&t.room)
-                    && spec.allows(machine_type, zone, *spot)
-                    && core_price(t, *spot) <= limit
-                    && self.may_provision(id, machine_type, zone, *spot)
-            })
-        };
-        if limit < u64::MAX && !kinds.iter().any(cheap) {
-            u64::MAX
-        } else {
-            limit
-        }
-    }
-
-    pub(super) fn fair_price(&self, spec: &JobSpec) -> u64 {
-        let allows =
-            |machine_type: &str, zone: &str, spot: bool| spec.allows(machine_type, zone, spot);
+    /// The least time that a machine with room for a task takes to fetch its image.
+    fn shortest_fetch(&self, spec: &JobSpec) -> Micros {
         self.cell
-            .types
-            .value
-            .as_ref()
-            .map_or(u64::MAX, |catalog| price_limit(catalog, spec, &allows))
+            .machine_types()
+            .filter(|machine_type| spec.need.fits(&machine_type.room))
+            .map(|machine_type| machine_type.fetch_time(spec.size))
+            .min()
+            .unwrap_or_default()
     }
 
-    /// Whether the objectives want tasks of this class started at once.
+    /// Whether the objectives require tasks of this class to start sooner than a machine boots.
     pub(super) fn starts_at_once(&self, spec: &JobSpec) -> bool {
-        self.start_aim(spec)
-            .is_some_and(|aim| aim < self.shortest_boot())
+        self.start_objective(spec)
+            .is_some_and(|objective| objective < self.shortest_boot())
     }
 
-    /// Within what time the objectives want tasks of this class started.
-    fn start_aim(&self, spec: &JobSpec) -> Option<Micros> {
-        let aims = self.objectives(spec).filter_map(|o| match o {
-            ObjectiveKind::Wait(t) => Some(t),
-            _ => None,
-        });
-        aims.min()
+    /// Within what time the objectives require tasks of this class to start.
+    fn start_objective(&self, spec: &JobSpec) -> Option<Micros> {
+        self.objectives(spec)
+            .filter_map(|objective| match objective {
+                ObjectiveKind::Wait(within) => Some(within),
+                _ => None,
+            })
+            .min()
     }
 
-    /// The least time that a machine takes to come up: what may start later than that has time.
-    fn shortest_boot(&self) -> Micros {
-        let types = self.cell.machine_types();
-        types.map(|t| t.boot).min().unwrap_or(Micros::FOREVER)
+    /// Within what time a job without a deadline should be done: as the objectives require it, or
+    /// some time that is long for it.
+    fn finish_objective(&self, spec: &JobSpec) -> Micros {
+        const DEFAULT_RUNTIMES: u64 = 2;
+        const DEFAULT_DELAY: Micros = Micros::secs(300);
+        let objective = self.objectives(spec).find_map(|objective| match objective {
+            ObjectiveKind::Finished(within) => Some(within),
+            _ => None,
+        });
+        objective.unwrap_or(spec.estimated_runtime * DEFAULT_RUNTIMES + DEFAULT_DELAY)
     }
 
     fn objectives<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = ObjectiveKind> + 'a {
-        let of_class = |class: &Option<String>| class.as_ref().is_none_or(|c| *c == spec.job_class);
+        let is_for_class =
+            |class: &Option<String>| class.as_ref().is_none_or(|class| *class == spec.job_class);
         self.settings
             .objectives
             .iter()
-            .filter(move |o| of_class(&o.class))
-            .map(|o| o.kind)
+            .filter(move |objective| is_for_class(&objective.class))
+            .map(|objective| objective.kind)
     }
 
-    /// Within what time a job without a deadline should be done: as the objectives want it, or
-    /// some time that is long for it.
-    fn finish_aim(&self, spec: &JobSpec) -> Micros {
-        let aim = self.objectives(spec).find_map(|o| match o {
-            ObjectiveKind::Finished(t) => Some(t),
-            _ => None,
-        });
-        aim.unwrap_or(spec.estimated_runtime * 2 + Micros::secs(300))
+    /// The least time that a machine takes to boot: what may start later than that has time.
+    fn shortest_boot(&self) -> Micros {
+        self.cell
+            .machine_types()
+            .map(|machine_type| machine_type.boot)
+            .min()
+            .unwrap_or(Micros::FOREVER)
     }
 }
--- /dev/null
+++ b/src/coordination/commit/preemption.rs
@@ -0,0 +1,68 @@
+//! Which jobs may preempt others, and which tasks may be preempted.
+
+use super::fair_shares::FairShares;
+use crate::coordination::Controller;
+use crate::scheduler::placement::Running;
+use crate::storage::cell_state::Job;
+use crate::storage::records::{Assignment, MachineRecord};
+use crate::time::Micros;
+
+/// How long before its latest start a job may preempt others.
+const PREEMPTION_LEAD: Micros = Micros::secs(5);
+
+impl Controller {
+    /// Tasks on a machine that may be preempted, the latest started last. `planned`: the machine as
+    /// the transaction would leave it.
+    pub(super) fn running(
+        &self,
+        record: &MachineRecord,
+        planned: Option<&MachineRecord>,
+        fair_shares: &FairShares<'_>,
+    ) -> Vec<Running> {
+        let stays = |assignment: &Assignment| {
+            planned.is_some_and(|planned| planned.tasks.contains(assignment))
+        };
+        let mut running: Vec<Running> = record
+            .tasks
+            .iter()
+            .filter(|assignment| !record.preempted.contains(assignment) && stays(assignment))
+            .filter_map(|assignment| self.running_task(assignment, fair_shares))
+            .collect();
+        // More urgent tasks are never reached; of the rest the latest have the least to lose.
+        running.sort_by_key(|task| (task.priority, task.assignment.2));
+        running
+    }
+
+    fn running_task(
+        &self,
+        assignment: &Assignment,
+        fair_shares: &FairShares<'_>,
+    ) -> Option<Running> {
+        let id = assignment.attempt().task.job;
+        let job = self.cell.jobs.get(&id)?;
+        if fair_shares.protects(id) {
+            return None;
+        }
+        let spec = job.spec();
+        let shard = self.cell.shard_of_job(id, spec);
+        let borrowed = self.settings.team(&spec.team).is_some_and(|team| {
+            let (cores, _) = self.cell.used(shard, &spec.team);
+            cores > team.guarantee.0 + spec.need.cores
+        });
+        Some(Running {
+            assignment: *assignment,
+            need: spec.need,
+            priority: job.priority(),
+            borrowed,
+        })
+    }
+
+    /// Whether a job may preempt others: its class must start at once, or it is about to be late.
+    pub(super) fn preempts(&self, job: &Job) -> bool {
+        let now = self.now.day;
+        let latest_start = self.latest_start(job);
+        let is_about_to_be_late = latest_start < now + PREEMPTION_LEAD
+            && now < latest_start + job.spec().estimated_runtime;
+        self.starts_at_once(job.spec()) || is_about_to_be_late
+    }
+}
--- a/src/coordination/commit/starvation.rs
+++ b/src/coordination/commit/starvation.rs
@@ -53,18 +53,14 @@
             .map(|(id, j)| (*id, cell.pending_count(*id, j)))
             .filter(|(_, n)| *n > 0);
         let now = self.now.steady;
-        self.rounds.starvation.note(now, waiting);
-        if cell
-            .jobs
-            .keys()
-            .any(|id| self.rounds.starvation.is_starved(*id, now))
-        {
+        self.rounds.note_waiting(now, waiting);
+        if cell.jobs.keys().any(|id| self.rounds.is_starved(*id, now)) {
             self.rounds.request();
         }
     }
 
     /// Whether a job has waited so long that only room, rules and limits count.
     pub(super) fn is_job_starved(&self, id: JobId) -> bool {
-        self.rounds.starvation.is_starved(id, self.now.steady)
+        self.rounds.is_starved(id, self.now.steady)
     }
 }
--- a/src/coordination/commit/transaction/assignments.rs
+++ b/src/coordination/commit/transaction/assignments.rs
@@ -1,6 +1,6 @@
 //! Machines and bookings in a draft.
 
-use super::{Needs, SPARE_BYTES, TransactionBuilder};
+use super::{MachineAttempt, Needs, SPARE_BYTES, TransactionBuilder};
 use crate::coordination::agents::HealthChange;
 use crate::storage::ids::{Attempt, MachineId, ShardId};
 use crate::storage::records::{Assignment, GroupRecord, Key, MachineHealth, MachineRecord};
@@ -159,9 +159,11 @@
     }
 
     /// Books all of an indivisible set, or nothing.
-    pub fn assign_all(&mut self, set: &[(MachineId, Attempt)]) -> bool {
+    pub fn assign_all(&mut self, set: &[MachineAttempt]) -> bool {
         let mut trial = self.clone();
-        let all = set.iter().all(|(m, a)| trial.assign(*m, *a));
+        let all = set
+            .iter()
+            .all(|assignment| trial.assign(assignment.machine, assignment.attempt));
         if all {
             *self = trial;
         }
--- a/src/coordination/commit/transaction/mod.rs
+++ b/src/coordination/commit/transaction/mod.rs
@@ -121,6 +121,15 @@
     pub ended: Vec<(JobId, FinalRecord)>,
 }
 
+/// An attempt of a task, and the machine that it is assigned to.
+#[derive(Clone, Copy, Debug)]
+pub struct MachineAttempt {
+    /// The machine.
+    pub machine: MachineId,
+    /// The attempt.
+    pub attempt: Attempt,
+}
+
 /// Records that an edit needs.
 #[derive(Clone, Copy, Debug, Default)]
 struct Needs<'a> {
--- /dev/null
+++ b/src/coordination/commit/urgent_round.rs
@@ -0,0 +1,70 @@
+//! Rounds for work that must start at once.
+
+use super::PlannedRound;
+use crate::coordination::Controller;
+use crate::coordination::commit::transaction::{Limits, TransactionBuilder};
+use crate::storage::cell_state::Job;
+use crate::storage::ids::JobId;
+
+impl Controller {
+    /// A round for what must start at once, and for the releases that write the same records. The
+    /// fewer records a round writes the less it conflicts, and the sooner there may be another. None
+    /// if there is no urgent work, or if it needs the room that other releases give back.
+    pub(super) fn plan_urgent_round(&self, limits: Limits) -> Option<PlannedRound> {
+        let pending: u32 = self
+            .urgent_jobs()
+            .map(|(id, job)| self.cell.pending_count(id, job))
+            .sum();
+        if pending == 0 {
+            return None;
+        }
+        let mut transaction = TransactionBuilder::new(&self.cell, limits);
+        let assigned = self.assign(&mut transaction, true);
+        if assigned.len() < pending as usize {
+            return None;
+        }
+        let released = self.release_covered(&mut transaction);
+        Some(PlannedRound {
+            commit: transaction.commit(),
+            assigned,
+            released,
+        })
+    }
+
+    /// Releases assignments that write no further record; how many.
+    fn release_covered(&self, transaction: &mut TransactionBuilder<'_>) -> usize {
+        self.rounds
+            .releases_in_order(&self.cell, self.now.steady)
+            .iter()
+            .filter(|release| {
+                let shard = self.cell.shard_of_machine(release.machine);
+                transaction.covers(release.machine, release.attempt)
+                    && transaction.release(release.machine, release.attempt, release.outcome, shard)
+            })
+            .count()
+    }
+
+    /// Whether tasks wait that must start at once.
+    pub(super) fn has_urgent_work(&self) -> bool {
+        self.urgent_jobs()
+            .any(|(id, job)| self.cell.pending_count(id, job) > 0)
+    }
+
+    /// Own jobs that must start at once.
+    fn urgent_jobs(&self) -> impl Iterator<Item = (JobId, &Job)> {
+        self.cell
+            .jobs
+            .iter()
+            .filter(|(id, job)| self.is_urgent(**id, job))
+            .map(|(id, job)| (*id, job))
+    }
+
+    fn is_urgent(&self, id: JobId, job: &Job) -> bool {
+        self.starts_at_once(job.spec())
+            && job.ready()
+            && self.leads_job(id, job)
+            && !self.rounds.is_suspect(id)
+            && !self.belongs_to_team_without_shard(job)
+            && !self.rules.is_unschedulable(id)
+    }
+}
