--- a/src/coordination/commit/candidates.rs
+++ b/src/coordination/commit/candidates.rs
@@ -159,7 +159,7 @@
             .iter()
             .filter(|shard| !transaction.writes_usage(**shard))
             .count();
-        let changes_left = transaction.ops_left();
+        let changes_left = transaction.changes_left();
         let reserved = (changes_left / GROUPS_PART).max(1).min(changes_left);
         changes_left.saturating_sub(new_usage_records).max(reserved)
     }
--- a/src/coordination/commit/compaction_round.rs
+++ b/src/coordination/commit/compaction_round.rs
@@ -3,7 +3,7 @@
 use super::PlannedRound;
 use crate::coordination::Controller;
 use crate::coordination::commit::transaction::compaction::too_large;
-use crate::coordination::commit::transaction::{Limits, TransactionBuilder};
+use crate::coordination::commit::transaction::{TransactionBuilder, TransactionLimits};
 use crate::storage::records::Key;
 
 impl Controller {
@@ -36,7 +36,10 @@
     }
 
     /// A step that compacts an oversized record, groups first.
-    pub(super) fn plan_compaction_round(&mut self, limits: Limits) -> Option<PlannedRound> {
+    pub(super) fn plan_compaction_round(
+        &mut self,
+        limits: TransactionLimits,
+    ) -> Option<PlannedRound> {
         let leads = |key: &Key| match key {
             Key::Group(shard, _) | Key::Usage(shard) => {
                 self.leadership.leader_term(*shard).is_some()
--- a/src/coordination/commit/mod.rs
+++ b/src/coordination/commit/mod.rs
@@ -23,7 +23,7 @@
 
 pub use pending::Rounds;
 
-use crate::coordination::commit::transaction::{Limits, PlannedTransaction};
+use crate::coordination::commit::transaction::{PlannedTransaction, TransactionLimits};
 use crate::coordination::{Controller, Purpose};
 use crate::protocol::state::StateRequest;
 use crate::scheduler::placement::Claim;
@@ -142,19 +142,19 @@
         None
     }
 
-    fn transaction_limits(&self) -> Limits {
-        let ops = self.limits.txn_ops();
-        Limits {
-            ops,
-            conditions: ops * Self::CONDITIONS_PER_CHANGE,
+    fn transaction_limits(&self) -> TransactionLimits {
+        let changes = self.limits.txn_ops();
+        TransactionLimits {
+            changes,
+            conditions: changes * Self::CONDITIONS_PER_CHANGE,
             value_bytes: self.limits.value_bytes(),
-            taken_bytes: self.limits.taken_bytes(),
-            large_grow: !self.cell.terse(),
-            part_bytes: self.part_bytes(),
+            stored_value_bytes: self.limits.taken_bytes(),
+            oversized_may_grow: !self.cell.terse(),
+            group_bytes: self.part_bytes(),
         }
     }
 
-    fn send_round(&mut self, planned: PlannedRound, limits: Limits) {
+    fn send_round(&mut self, planned: PlannedRound, limits: TransactionLimits) {
         let PlannedRound {
             commit,
             assigned,
@@ -164,7 +164,7 @@
         let changes = commit.txn.then.len();
         self.budget.force(now, changes);
         // The end of a job takes two more changes, so a full round of many may be a little short.
-        let full = changes + (limits.ops / 6).min(2) >= limits.ops;
+        let full = changes + (limits.changes / 6).min(2) >= limits.changes;
         self.rounds.on_sent(now, full);
         let in_flight = InFlight {
             changes: commit.changes,
--- a/src/coordination/commit/placement_requests.rs
+++ b/src/coordination/commit/placement_requests.rs
@@ -2,7 +2,7 @@
 
 use super::job_order::Turn;
 use crate::coordination::Controller;
-use crate::coordination::commit::transaction::TransactionBuilder;
+use crate::coordination::commit::transaction::{TeamUsage, TransactionBuilder};
 use crate::protocol::settings::Team;
 use crate::scheduler::constraints::PlacementContext;
 use crate::scheduler::placement::{Claim, PlacementRequest};
@@ -20,13 +20,6 @@
     pub spot: bool,
 }
 
-/// Cores and accelerators of a team.
-#[derive(Clone, Copy, Debug)]
-struct TeamUsage {
-    cores: u64,
-    accelerators: u64,
-}
-
 /// Builds the requests of one plan, and counts what they take of their teams' limits.
 struct RequestPlanner<'a, 't> {
     controller: &'a Controller,
@@ -116,15 +109,15 @@
     /// What a team uses, with what is claimed and requested in this plan.
     fn usage_of_team(&mut self, shard: ShardId, team: &'a str) -> TeamUsage {
         *self.usage.entry(team).or_insert_with(|| {
-            let (cores, accelerators) = self.transaction.used(shard, team);
+            let used = self.transaction.used(shard, team);
             let claimed = self
                 .claimed
                 .and_then(|claimed| claimed.get(team))
                 .copied()
                 .unwrap_or_default();
             TeamUsage {
-                cores: cores + claimed.cores,
-                accelerators: accelerators + claimed.accelerators,
+                cores: used.cores + claimed.cores,
+                accelerators: used.accelerators + claimed.accelerators,
             }
         })
     }
@@ -150,8 +143,7 @@
     /// Counts requested tasks to their team's usage.
     fn count(&mut self, spec: &JobSpec, tasks: u64) {
         if let Some(usage) = self.usage.get_mut(spec.team.as_str()) {
-            usage.cores += tasks * spec.need.cores;
-            usage.accelerators += tasks * spec.need.accelerators;
+            usage.add(spec, tasks);
         }
     }
 }
--- a/src/coordination/commit/round.rs
+++ b/src/coordination/commit/round.rs
@@ -4,7 +4,7 @@
 use super::PlannedRound;
 use crate::coordination::Controller;
 use crate::coordination::agents::{HealthChange, Outcome};
-use crate::coordination::commit::transaction::{Limits, TransactionBuilder};
+use crate::coordination::commit::transaction::{TransactionBuilder, TransactionLimits};
 use crate::storage::cell_state::Job;
 use crate::storage::ids::{JobId, ShardId};
 use crate::storage::records::{GroupRecord, MachineHealth};
@@ -15,7 +15,11 @@
 
 impl Controller {
     /// Plans the next round; none if there is nothing to write.
-    pub(super) fn plan_round(&mut self, limits: Limits, urgent_only: bool) -> Option<PlannedRound> {
+    pub(super) fn plan_round(
+        &mut self,
+        limits: TransactionLimits,
+        urgent_only: bool,
+    ) -> Option<PlannedRound> {
         self.rounds.drop_applied(&self.cell);
         // Every other round at most: urgent work may arrive without end.
         if !self.rounds.set_urgent(false)
@@ -38,7 +42,7 @@
         self.plan_full_round(limits)
     }
 
-    fn plan_full_round(&mut self, limits: Limits) -> Option<PlannedRound> {
+    fn plan_full_round(&mut self, limits: TransactionLimits) -> Option<PlannedRound> {
         // Where a transaction holds few changes, releases would leave no room for assignments for as
         // long as tasks end, and the other way round: they take turns.
         let assignments_first = self.rounds.set_assignments_first(false);
@@ -49,7 +53,7 @@
             assigned = self.assign(&mut transaction, false);
         }
         released += self.release_assignments(&mut transaction);
-        let filled = transaction.ops_left() == 0;
+        let filled = transaction.changes_left() == 0;
         self.change_health(&mut transaction);
         self.add_machines(&mut transaction);
         self.decommission_machines(&mut transaction);
--- a/src/coordination/commit/transaction/assignments.rs
+++ b/src/coordination/commit/transaction/assignments.rs
@@ -1,194 +1,92 @@
-//! Machines and bookings in a draft.
+//! Assignments in a transaction.
 
-use super::{MachineAttempt, Needs, SPARE_BYTES, TransactionBuilder};
-use crate::coordination::agents::HealthChange;
-use crate::storage::ids::{Attempt, MachineId, ShardId};
-use crate::storage::records::{Assignment, GroupRecord, Key, MachineHealth, MachineRecord};
+use super::limits::SPARE_BYTES;
+use super::reservation::Needs;
+use super::{MachineAttempt, TransactionBuilder};
+use crate::storage::ids::{Attempt, MachineId};
+use crate::storage::job::JobSpec;
+use crate::storage::records::{Assignment, GroupRecord, Key};
 
 impl<'a> TransactionBuilder<'a> {
-    /// Adds a machine that was heard for the first time, to the first of the slice's groups that
-    /// will still have room when all of its machines are full, else to a new one. `full`: bytes
-    /// that a machine of a type takes then.
-    ///
-    /// Every addition writes the slice's first group, which is never removed. So an addition with
-    /// unknown outcome cannot succeed beside a later one of the same machine to another group; one
-    /// of an earlier owner fails for its term.
-    pub fn add(
-        &mut self,
-        k: ShardId,
-        m: MachineId,
-        record: MachineRecord,
-        full: &dyn Fn(&str) -> usize,
-    ) -> bool {
-        let size = GroupRecord::machine_bytes(m, &record);
-        let expected = full(&record.machine_type).max(size);
-        for n in 0.. {
-            let at = (k, n);
-            let group = match self.groups.get(&at) {
-                Some(g) => Some(&g.record),
-                None => self.cell.groups[k].get(&n).map(|g| &g.value),
-            };
-            let exists = group.is_some();
-            let before = *self.expected.entry(at).or_insert_with(|| {
-                group.map_or(64, |g| {
-                    g.machines.values().map(|r| full(&r.machine_type)).sum()
-                })
-            });
-            // A group with a single machine may be larger than a group should be.
-            let fits = before + expected <= self.limits.part_bytes
-                || group.is_none_or(|g| g.machines.is_empty());
-            if !fits {
-                continue;
-            }
-            let both = [(k, 0), at];
-            let groups = if n == 0 { &both[..1] } else { &both };
-            if !self.reserve(Needs {
-                groups,
-                conditions: &[Key::ShardLeader(k)],
-                ..Needs::default()
-            }) {
-                return false;
-            }
-            if !self.grow(at, size, SPARE_BYTES) {
-                if exists {
-                    continue;
-                }
-                return false;
-            }
-            if let Some(g) = self.groups.get_mut(&at) {
-                g.record.machines.insert(m, record);
-            }
-            self.added.insert(m, at);
-            self.expected.insert(at, before + expected);
-            return true;
-        }
-        false
-    }
-
-    /// Sets a machine's fitness and the sessions that are over. `by`: the slice whose owner decides.
-    pub fn set_health(&mut self, m: MachineId, set_health: HealthChange, by: ShardId) -> bool {
-        let (Some(now), Some(at)) = (self.machine(m), self.home(m)) else {
-            return true;
-        };
-        // A machine that may have been released is unusable for ever.
-        let health = if now.health == MachineHealth::Decommissioning {
-            MachineHealth::Decommissioning
-        } else {
-            set_health.health
+    /// Assigns an attempt of a task to a machine.
+    pub fn assign(&mut self, machine: MachineId, attempt: Attempt) -> bool {
+        let id = attempt.task.job;
+        let cell = self.cell;
+        let (Some(job), Some(group)) = (cell.jobs.get(&id), self.home(machine)) else {
+            return false;
         };
-        let fenced_incarnation = now.fenced_incarnation.max(set_health.fenced_incarnation);
-        if (now.health, now.fenced_incarnation) == (health, fenced_incarnation) {
-            return true;
-        }
-        let more = usize::from(fenced_incarnation > now.fenced_incarnation) * 6;
-        if !self.reserve(Needs {
-            groups: &[at],
-            conditions: &[Key::ShardLeader(by)],
+        let spec = job.spec();
+        let shard = cell.shard_of_job(id, spec);
+        let needs = Needs {
+            groups: &[group],
+            usage: Some(shard),
+            conditions: &[Key::ShardLeader(shard), Key::Job(id), Key::Meta],
             ..Needs::default()
-        }) || !self.grow(at, more, 0)
-        {
+        };
+        let growth = GroupRecord::assignment_bytes(&attempt, &spec.image, spec.size);
+        if !self.reserve(needs) || !self.grow(group, growth, SPARE_BYTES) {
             return false;
         }
-        if let Some(r) = self.machine_mut(m) {
-            r.health = health;
-            r.fenced_incarnation = fenced_incarnation;
+        if !self.push_assignment(machine, attempt, spec) {
+            return false;
         }
+        self.add_usage(shard, spec);
         true
     }
 
-    /// Books a task.
-    pub fn assign(&mut self, m: MachineId, a: Attempt) -> bool {
-        let id = a.task.job;
+    /// Adds the assignment to the machine's record; false if the group doesn't hold the machine.
+    fn push_assignment(&mut self, machine: MachineId, attempt: Attempt, spec: &JobSpec) -> bool {
         let cell = self.cell;
-        let (Some(job), Some(at)) = (cell.jobs.get(&id), self.home(m)) else {
+        let Some(record) = self.machine_mut(machine) else {
             return false;
         };
-        let spec = job.spec();
-        let k = cell.shard_of_job(id, spec);
-        let conditions = &[Key::ShardLeader(k), Key::Job(id), Key::Meta];
-        let size = GroupRecord::assignment_bytes(&a, &spec.image, spec.size);
-        if !self.reserve(Needs {
-            groups: &[at],
-            usage: Some(k),
-            conditions,
-            ..Needs::default()
-        }) || !self.grow(at, size, SPARE_BYTES)
-        {
-            return false;
-        }
-        let Some(r) = self.machine_mut(m) else {
-            return false;
-        };
-        r.tasks.push(Assignment::of(a));
-        let cache = cell.machine_type(&r.machine_type).map_or(0, |t| t.cache);
-        r.use_image(&spec.image, spec.size, cache);
-        if let Some(u) = self.usage.get_mut(&k).filter(|_| !self.fenced) {
-            u.record
-                .add(&spec.team, spec.need.cores, spec.need.accelerators);
-        }
-        let [more, _] = self.moved.entry(&spec.team).or_default();
-        *more = (more.0 + spec.need.cores, more.1 + spec.need.accelerators);
+        record.tasks.push(Assignment::of(attempt));
+        let cache_bytes = cell
+            .machine_type(&record.machine_type)
+            .map_or(0, |machine_type| machine_type.cache);
+        record.use_image(&spec.image, spec.size, cache_bytes);
         true
     }
 
-    /// Books tasks on a machine in the room of others that are to be stopped there: all or nothing,
-    /// since without the others' room the machine would be booked beyond what it has.
+    /// Assigns tasks to a machine in the room of others that are preempted there: all or nothing,
+    /// since without the others' room the machine would be assigned more than it has.
     pub fn assign_preempting(
         &mut self,
-        m: MachineId,
+        machine: MachineId,
         victims: &[Assignment],
         tasks: &[Attempt],
     ) -> bool {
         let mut trial = self.clone();
-        let Some(at) = self.home(m) else { return false };
-        let size = GroupRecord::PREEMPTED_BYTES * victims.len();
-        if !tasks.iter().all(|a| trial.assign(m, *a)) || !trial.grow(at, size, SPARE_BYTES) {
+        let Some(group) = self.home(machine) else {
+            return false;
+        };
+        let growth = GroupRecord::PREEMPTED_BYTES * victims.len();
+        let assigns_all = tasks.iter().all(|attempt| trial.assign(machine, *attempt));
+        if !assigns_all || !trial.grow(group, growth, SPARE_BYTES) {
             return false;
         }
-        let Some(r) = trial.machine_mut(m) else {
+        let Some(record) = trial.machine_mut(machine) else {
             return false;
         };
-        for v in victims {
-            if !r.tasks.contains(v) || r.preempted.contains(v) {
+        for victim in victims {
+            if !record.tasks.contains(victim) || record.preempted.contains(victim) {
                 return false;
             }
-            r.preempted.push(*v);
+            record.preempted.push(*victim);
         }
         *self = trial;
         true
     }
 
-    /// Books all of an indivisible set, or nothing.
+    /// Assigns all of an indivisible set, or nothing.
     pub fn assign_all(&mut self, set: &[MachineAttempt]) -> bool {
         let mut trial = self.clone();
-        let all = set
+        let assigns_all = set
             .iter()
             .all(|assignment| trial.assign(assignment.machine, assignment.attempt));
-        if all {
+        if assigns_all {
             *self = trial;
         }
-        all
-    }
-
-    /// Removes a machine that is gone for ever; what was booked on it must have been cleared.
-    pub fn remove(&mut self, m: MachineId) -> bool {
-        match self.machine(m) {
-            None => return true,
-            Some(_) if self.cell.is_stale(m) => return false,
-            Some(r) if !r.tasks.is_empty() => return false,
-            Some(_) => {}
-        }
-        let Some(at) = self.home(m) else { return true };
-        if !self.reserve(Needs {
-            groups: &[at],
-            conditions: &[Key::ShardLeader(0)],
-            ..Needs::default()
-        }) {
-            return false;
-        }
-        if let Some(g) = self.groups.get_mut(&at) {
-            g.record.machines.remove(&m);
-        }
-        true
+        assigns_all
     }
 }
--- a/src/coordination/commit/transaction/compaction/tests.rs
+++ b/src/coordination/commit/transaction/compaction/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `compaction`.
 
 use super::super::tests::{apply, holds, machine, view_of};
-use super::super::{Limits, PlannedTransaction};
+use super::super::{PlannedTransaction, TransactionLimits};
 use super::*;
 use crate::coordination::agents::Outcome;
 use crate::protocol::state::encode;
@@ -14,15 +14,15 @@
 
 const MOST: usize = 2_048;
 
-fn limits(taken_bytes: usize) -> Limits {
-    let (ops, part_bytes) = (4, MOST - 128);
-    Limits {
-        ops,
-        conditions: 4 * ops,
+fn limits(taken_bytes: usize) -> TransactionLimits {
+    let (changes, group_bytes) = (4, MOST - 128);
+    TransactionLimits {
+        changes,
+        conditions: 4 * changes,
         value_bytes: MOST,
-        taken_bytes,
-        large_grow: false,
-        part_bytes,
+        stored_value_bytes: taken_bytes,
+        oversized_may_grow: false,
+        group_bytes,
     }
 }
 
--- /dev/null
+++ b/src/coordination/commit/transaction/edits.rs
@@ -0,0 +1,133 @@
+//! Edited copies of records.
+
+use super::limits::{PRUNED_IMAGES, SPARE_BYTES};
+use crate::protocol::state::encode;
+use crate::storage::cell_state::Job;
+use crate::storage::completion_bitmap::{CHUNK, CompletionBitmap};
+use crate::storage::job::{FinalRecord, JobRecord};
+use crate::storage::records::{GroupRecord, UsageRecord};
+use std::collections::BTreeMap;
+
+/// Bytes of a value as it is written.
+pub(super) fn size_of<T: serde::Serialize>(value: &T) -> usize {
+    encode(value).map_or(0, |encoded| encoded.get().len())
+}
+
+/// A group of machines.
+#[derive(Clone, Debug)]
+pub(super) struct GroupEdit {
+    pub record: GroupRecord,
+    /// Upper bound of the record's bytes.
+    pub bytes: usize,
+    /// Most bytes that the record may have.
+    max_bytes: usize,
+    /// All but a few images of its machines were dropped.
+    pruned: bool,
+}
+
+impl GroupEdit {
+    /// An edit of a record that has so many bytes.
+    pub fn new(record: GroupRecord, bytes: usize, max_bytes: usize) -> GroupEdit {
+        GroupEdit {
+            record,
+            bytes,
+            max_bytes,
+            pruned: false,
+        }
+    }
+
+    /// Makes sure that the record may grow by `growth` bytes and still leaves `spare`, of a small
+    /// record less. `may_prune`: images may be dropped for it.
+    pub fn make_room(&mut self, growth: usize, spare: usize, may_prune: bool) -> bool {
+        let needed = growth + spare.min(self.max_bytes / 16);
+        if self.bytes + needed > self.max_bytes {
+            // The sum consists of upper bounds; near the limit the exact size is needed.
+            self.bytes = size_of(&self.record);
+        }
+        if self.bytes + needed > self.max_bytes && may_prune && !self.pruned {
+            self.prune_images();
+        }
+        self.bytes + needed <= self.max_bytes
+    }
+
+    /// Fetching an image again costs less than a machine without work.
+    fn prune_images(&mut self) {
+        self.pruned = true;
+        for machine in self.record.machines.values_mut() {
+            machine.forget_images(PRUNED_IMAGES);
+        }
+        self.bytes = size_of(&self.record);
+    }
+}
+
+/// The usage record of a shard.
+#[derive(Clone, Debug)]
+pub(super) struct UsageEdit {
+    pub record: UsageRecord,
+    /// Upper bound of the record's bytes, with [`SPARE_BYTES`].
+    pub bytes: usize,
+}
+
+impl UsageEdit {
+    pub fn new(record: UsageRecord) -> UsageEdit {
+        let bytes = size_of(&record) + SPARE_BYTES;
+        UsageEdit { record, bytes }
+    }
+
+    /// Bytes of the record when it was opened, without those kept free.
+    pub fn record_bytes(&self) -> usize {
+        self.bytes - SPARE_BYTES
+    }
+}
+
+/// A job's record, with the chunks of its completions.
+#[derive(Clone, Debug)]
+pub(super) struct JobEdit {
+    pub record: JobRecord,
+    pub chunks: BTreeMap<u32, CompletionBitmap>,
+    /// How the job ends with this transaction, if it does.
+    pub ended: Option<FinalRecord>,
+}
+
+impl JobEdit {
+    pub fn new(record: JobRecord) -> JobEdit {
+        JobEdit {
+            record,
+            chunks: BTreeMap::new(),
+            ended: None,
+        }
+    }
+
+    /// Changes of the transaction that it takes. The end of a job takes two: its record is removed,
+    /// and its final record is written.
+    pub fn changes(&self) -> usize {
+        self.chunks.len() + 1 + usize::from(self.ended.is_some())
+    }
+    /// Completes a task. `job`: as it was before the transaction.
+    pub fn complete(&mut self, index: u32, job: &Job) {
+        let chunk_index = index / CHUNK;
+        if chunk_index == 0 {
+            self.record.finished.insert(index);
+        } else if self.record.full >> chunk_index & 1 == 0 {
+            self.complete_in_chunk(chunk_index, index % CHUNK, job);
+        }
+    }
+
+    /// Completes a task in a further chunk. A complete chunk needs no record, so that the end of a
+    /// large job is a small change.
+    fn complete_in_chunk(&mut self, chunk_index: u32, index: u32, job: &Job) {
+        let chunk = self.chunks.entry(chunk_index).or_insert_with(|| {
+            job.chunks
+                .get(&chunk_index)
+                .map(|chunk| chunk.value.clone())
+                .unwrap_or_default()
+        });
+        if chunk.insert(index) {
+            self.record.more += 1;
+            let size = CHUNK.min(self.record.spec.task_count - chunk_index * CHUNK);
+            if chunk.count() == size {
+                self.record.full |= 1 << chunk_index;
+            }
+        }
+    }
+}
--- a/src/coordination/commit/transaction/model.rs
+++ b/src/coordination/commit/transaction/model.rs
@@ -1,7 +1,7 @@
 //! All interleavings of a small case: two controllers, two tasks of a team that may have one booked at a time, a
 //! transaction that is carried out late, a crash with its takeover. What the store holds is judged after every step.
 
-use super::{Limits, PlannedTransaction, TransactionBuilder};
+use super::{PlannedTransaction, TransactionBuilder, TransactionLimits};
 use crate::coordination::agents::Outcome;
 use crate::storage::cell_state::{CellChanges, CellState, Change, Content};
 use crate::storage::completion_bitmap::CompletionBitmap;
@@ -53,14 +53,14 @@
     failures: u32,
 }
 
-fn limits() -> Limits {
-    Limits {
-        ops: 12,
+fn limits() -> TransactionLimits {
+    TransactionLimits {
+        changes: 12,
         conditions: 48,
         value_bytes: 4_096,
-        taken_bytes: 4_096,
-        large_grow: false,
-        part_bytes: 2_048,
+        stored_value_bytes: 4_096,
+        oversized_may_grow: false,
+        group_bytes: 2_048,
     }
 }
 
@@ -261,7 +261,7 @@
                 .flat_map(|i| MACHINES.map(|m| (i, m)))
             {
                 let mut draft = TransactionBuilder::new(&cell, limits());
-                let used = draft.used(0, "red").0;
+                let used = draft.used(0, "red").cores;
                 let attempt = Attempt {
                     task: TaskId { job: JOB, index },
                     number: cell.latest,
--- /dev/null
+++ b/src/coordination/commit/transaction/output.rs
@@ -0,0 +1,144 @@
+//! The transaction as it is sent, and the changes that it makes to the replica.
+
+use super::edits::{GroupEdit, JobEdit};
+use super::{GroupId, PlannedTransaction, TransactionBuilder};
+use crate::protocol::state::{Put, Txn, encode};
+use crate::storage::cell_state::{CellState, Change, Content};
+use crate::storage::ids::JobId;
+use crate::storage::job::FinalRecord;
+use crate::storage::records::Key;
+use std::collections::BTreeSet;
+
+/// Collects the writes of a transaction; the key of each is a condition as well.
+struct Output<'a> {
+    cell: &'a CellState,
+    conditions: BTreeSet<Key>,
+    writes: Vec<Put>,
+    changes: Vec<Change>,
+    ended: Vec<(JobId, FinalRecord)>,
+}
+
+impl Output<'_> {
+    /// Writes a record, or removes it.
+    fn put(&mut self, key: Key, content: Option<Content>) {
+        let value = match &content {
+            Some(Content::Group(group)) => encode(group),
+            Some(Content::Usage(usage)) => encode(usage),
+            Some(Content::Job(job)) => encode(&**job),
+            Some(Content::Chunk(chunk)) => encode(chunk),
+            Some(Content::ShardLeader(leader)) => encode(leader),
+            _ => None,
+        };
+        self.conditions.insert(key.clone());
+        self.writes.push(Put {
+            key: key.clone(),
+            value,
+            lease_id: None,
+        });
+        self.changes.push(Change {
+            key,
+            content,
+            mod_revision: 0,
+        });
+    }
+
+    /// A group without machines is removed, but for the first of a shard, see
+    /// [`TransactionBuilder::add`].
+    fn put_group(&mut self, (shard, index): GroupId, edit: GroupEdit) {
+        let stays = index == 0 || !edit.record.machines.is_empty();
+        self.put(
+            Key::Group(shard, index),
+            stays.then_some(Content::Group(edit.record)),
+        );
+    }
+
+    fn put_job(&mut self, id: JobId, mut edit: JobEdit, compact_form: bool) {
+        edit.record.finished.terse(compact_form);
+        for (index, mut chunk) in edit.chunks {
+            chunk.terse(compact_form);
+            let key = Key::Chunk(id, index);
+            let is_complete = edit.record.full >> index & 1 == 1;
+            let exists = self.cell.mod_revision(&key) > 0;
+            if !is_complete {
+                self.put(key, Some(Content::Chunk(chunk)));
+            } else if exists {
+                self.put(key, None);
+            }
+        }
+        match edit.ended {
+            None => self.put(Key::Job(id), Some(Content::Job(Box::new(edit.record)))),
+            Some(end) => {
+                self.put(Key::Job(id), None);
+                self.ended.push((id, end));
+            }
+        }
+    }
+
+    /// Writes the final records of jobs that end. The replica does not hold them.
+    fn put_final_records(&mut self) {
+        for (id, end) in &self.ended {
+            let key = Key::Final(*id);
+            self.conditions.insert(key.clone());
+            self.writes.push(Put {
+                key,
+                value: encode(end),
+                lease_id: None,
+            });
+        }
+    }
+
+    fn finish(mut self) -> PlannedTransaction {
+        self.put_final_records();
+        let conditions = self
+            .conditions
+            .into_iter()
+            .map(|key| {
+                let mod_revision = self.cell.mod_revision(&key);
+                (key, mod_revision)
+            })
+            .collect();
+        PlannedTransaction {
+            txn: Txn {
+                when: conditions,
+                then: self.writes,
+            },
+            changes: self.changes,
+            ended: self.ended,
+        }
+    }
+}
+
+impl TransactionBuilder<'_> {
+    /// The transaction: every record that it writes is a condition.
+    pub fn commit(self) -> PlannedTransaction {
+        let mut output = Output {
+            cell: self.cell,
+            conditions: self.conditions,
+            writes: Vec::new(),
+            changes: Vec::new(),
+            ended: Vec::new(),
+        };
+        for (group, edit) in self.groups {
+            output.put_group(group, edit);
+        }
+        for (shard, mut edit) in self.usage {
+            for ends in edit.record.ends.values_mut() {
+                ends.terse(self.compact_form);
+            }
+            output.put(Key::Usage(shard), Some(Content::Usage(edit.record)));
+        }
+        if let Some(update) = self.term_update {
+            output.put(
+                Key::ShardLeader(update.shard),
+                Some(Content::ShardLeader(update.record)),
+            );
+        }
+        for (id, index) in self.removed_chunks {
+            output.put(Key::Chunk(id, index), None);
+        }
+        for (id, edit) in self.jobs {
+            output.put_job(id, edit, self.compact_form);
+        }
+        output.finish()
+    }
+}
--- /dev/null
+++ b/src/coordination/commit/transaction/releases.rs
@@ -0,0 +1,242 @@
+//! Releases of assignments in a transaction, with their outcomes.
+
+use super::edits::size_of;
+use super::limits::{MAX_TASKS_IN_USAGE, SPARE_BYTES, USAGE_ENTRY_BYTES};
+use super::reservation::{JobNeed, Needs};
+use super::{GroupId, TransactionBuilder};
+use crate::coordination::agents::Outcome;
+use crate::storage::cell_state::Job;
+use crate::storage::completion_bitmap::{CHUNK, CompletionBitmap};
+use crate::storage::ids::{Attempt, JobId, MachineId, ShardId};
+use crate::storage::job::FinalRecord;
+use crate::storage::records::{Assignment, Key};
+
+/// Where the outcome of an attempt is recorded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum OutcomeRecord {
+    /// Nowhere: the task runs again, or its job is cancelled.
+    None,
+    /// In the usage record of the shard, until the job's own is written.
+    Usage,
+    /// In the job's own record.
+    Job,
+}
+
+/// An assignment that is to be released.
+struct Release<'a> {
+    attempt: Attempt,
+    outcome: Outcome,
+    group: GroupId,
+    job: &'a Job,
+    /// The shard whose leader decides.
+    by: ShardId,
+    /// The shard of the job.
+    job_shard: ShardId,
+    /// The shard whose usage record is written.
+    usage_shard: ShardId,
+    record: OutcomeRecord,
+}
+
+/// Whether, and how much of, the records for a release could be opened.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ReleaseRoom {
+    None,
+    /// The end of the job has no room in the same transaction.
+    WithoutJobEnd,
+    All,
+}
+
+impl<'a> TransactionBuilder<'a> {
+    /// Releases an assignment: its outcome, its room and its team's usage in one. `by`: the shard
+    /// whose leader decides.
+    pub fn release(
+        &mut self,
+        machine: MachineId,
+        attempt: Attempt,
+        outcome: Outcome,
+        by: ShardId,
+    ) -> bool {
+        let Some(release) = self.plan_release(machine, attempt, outcome, by) else {
+            return true;
+        };
+        let room = self.reserve_release(&release);
+        if room == ReleaseRoom::None {
+            return false;
+        }
+        self.subtract_usage(release.job_shard, release.job.spec());
+        let assignment = Assignment::of(attempt);
+        if let Some(record) = self.machine_mut(machine) {
+            record.tasks.retain(|task| *task != assignment);
+            record.preempted.retain(|task| *task != assignment);
+        }
+        match (release.record, outcome) {
+            (OutcomeRecord::None, _) => {}
+            (OutcomeRecord::Usage, _) => self.complete_in_usage(&release),
+            (OutcomeRecord::Job, Outcome::Done) => self.complete_in_job(&release, room),
+            (OutcomeRecord::Job, _) => {
+                if let Some(edit) = self.jobs.get_mut(&attempt.task.job) {
+                    edit.record.failed_on(machine);
+                }
+            }
+        }
+        true
+    }
+
+    /// What a release takes; none if there is nothing to release.
+    fn plan_release(
+        &self,
+        machine: MachineId,
+        attempt: Attempt,
+        outcome: Outcome,
+        by: ShardId,
+    ) -> Option<Release<'a>> {
+        let cell = self.cell;
+        let group = self.home(machine)?;
+        let is_assigned = self
+            .machine(machine)?
+            .tasks
+            .contains(&Assignment::of(attempt));
+        if !is_assigned {
+            return None;
+        }
+        let id = attempt.task.job;
+        let job = cell.jobs.get(&id)?;
+        let job_shard = cell.shard_of_job(id, job.spec());
+        let usage_shard = if self.usage_from_groups {
+            by
+        } else {
+            job_shard
+        };
+        let record = if outcome == Outcome::Again || job.cancelled() {
+            OutcomeRecord::None
+        } else if outcome == Outcome::Done && self.is_kept_in_usage(job, attempt, usage_shard) {
+            OutcomeRecord::Usage
+        } else {
+            OutcomeRecord::Job
+        };
+        Some(Release {
+            attempt,
+            outcome,
+            group,
+            job,
+            by,
+            job_shard,
+            usage_shard,
+            record,
+        })
+    }
+
+    /// Opens the records that a release writes. Where the end of the job has no room in the same
+    /// transaction it is written later: see [`TransactionBuilder::end_done`].
+    fn reserve_release(&mut self, release: &Release<'_>) -> ReleaseRoom {
+        let writes_usage = release.record == OutcomeRecord::Usage || !self.usage_from_groups;
+        let writes_job = release.record == OutcomeRecord::Job;
+        let (groups, conditions) = ([release.group], [Key::ShardLeader(release.by)]);
+        let needs = |more_changes| Needs {
+            groups: &groups,
+            usage: writes_usage.then_some(release.usage_shard),
+            job: writes_job.then_some(JobNeed {
+                id: release.attempt.task.job,
+                more_changes,
+            }),
+            conditions: &conditions,
+        };
+        let more_changes = if writes_job && release.outcome == Outcome::Done {
+            self.completion_changes(release.job, release.attempt)
+        } else {
+            0
+        };
+        if self.reserve(needs(more_changes)) {
+            ReleaseRoom::All
+        } else if more_changes >= 2 && self.compact_form && self.reserve(needs(more_changes - 1)) {
+            ReleaseRoom::WithoutJobEnd
+        } else {
+            ReleaseRoom::None
+        }
+    }
+
+    /// Whether a completion is kept in this shard's usage record: its job is small, goes on after it,
+    /// is not written for another reason, and there is room.
+    fn is_kept_in_usage(&self, job: &Job, attempt: Attempt, shard: ShardId) -> bool {
+        let id = attempt.task.job;
+        let task_count = job.spec().task_count;
+        if task_count > MAX_TASKS_IN_USAGE || self.jobs.contains_key(&id) {
+            return false;
+        }
+        let ends = self.ends_in_usage(id, job);
+        let index = attempt.task.index;
+        let is_known = ends.has(index) || job.record.finished.has(index);
+        let completed = job.record.finished.count_with(&ends) + u32::from(!is_known);
+        let bytes = self.usage.get(&shard).map_or_else(
+            || size_of(&self.cell.usage[shard].value) + SPARE_BYTES,
+            |edit| edit.bytes,
+        );
+        let bitmap_bytes = (MAX_TASKS_IN_USAGE / 4) as usize;
+        let max_bytes = self.limits.group_bytes.min(self.limits.value_bytes);
+        completed < task_count
+            && bytes + USAGE_ENTRY_BYTES + bitmap_bytes + SPARE_BYTES <= max_bytes
+    }
+
+    /// Completions of a job that usage records would keep.
+    fn ends_in_usage(&self, id: JobId, job: &Job) -> CompletionBitmap {
+        let mut ends = job.ends.clone();
+        self.usage
+            .values()
+            .filter_map(|edit| edit.record.ends.get(&id))
+            .for_each(|more| ends.merge(more));
+        ends
+    }
+
+    /// Changes that a completion takes beyond those of its group, its team's usage and its job's
+    /// record: a further chunk, and the end of the job.
+    fn completion_changes(&self, job: &Job, attempt: Attempt) -> usize {
+        let id = attempt.task.job;
+        let edit = self.jobs.get(&id);
+        let chunk = attempt.task.index / CHUNK;
+        let opens_chunk = chunk > 0 && edit.is_none_or(|edit| !edit.chunks.contains_key(&chunk));
+        let completed = edit.map_or_else(
+            || {
+                let ends = self.ends_in_usage(id, job);
+                job.record.finished.count_with(&ends) + job.record.more
+            },
+            |edit| edit.record.done(),
+        );
+        let ends_job = completed + 1 >= job.spec().task_count;
+        usize::from(opens_chunk) + usize::from(ends_job)
+    }
+
+    fn complete_in_usage(&mut self, release: &Release<'_>) {
+        let Some(edit) = self.usage.get_mut(&release.usage_shard) else {
+            return;
+        };
+        let task = release.attempt.task;
+        let ends = &mut edit.record.ends;
+        let bytes_before = ends.get(&task.job).map_or(0, CompletionBitmap::bytes);
+        let completions = ends.entry(task.job).or_default();
+        completions.insert(task.index);
+        let entry_bytes = if bytes_before == 0 {
+            USAGE_ENTRY_BYTES
+        } else {
+            0
+        };
+        let growth = completions.bytes() - bytes_before + entry_bytes;
+        edit.bytes += growth;
+        self.bytes += growth;
+    }
+
+    /// Completes a task in its job's record, and ends the job with the last one if there is room.
+    fn complete_in_job(&mut self, release: &Release<'_>, room: ReleaseRoom) {
+        let Some(edit) = self.jobs.get_mut(&release.attempt.task.job) else {
+            return;
+        };
+        edit.complete(release.attempt.task.index, release.job);
+        let completed = edit.record.done();
+        if room == ReleaseRoom::All && completed >= edit.record.spec.task_count {
+            edit.ended = Some(FinalRecord {
+                cancelled: false,
+                done: completed,
+                at: self.cell.today,
+            });
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/commit/transaction/reservation.rs
@@ -0,0 +1,224 @@
+//! Reservation: records are opened for an edit only if the whole edit is within the limits.
+
+use super::edits::{GroupEdit, JobEdit, UsageEdit, size_of};
+use super::limits::MAX_TRANSACTION_BYTES;
+use super::{GroupId, TransactionBuilder};
+use crate::storage::cell_state::Job;
+use crate::storage::completion_bitmap::{CHUNK, CompletionBitmap};
+use crate::storage::ids::{JobId, ShardId};
+use crate::storage::records::{GroupRecord, Key};
+
+/// A job that an edit needs.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct JobNeed {
+    pub id: JobId,
+    /// Changes that the edit takes beyond that of the job's record.
+    pub more_changes: usize,
+}
+
+/// Records that an edit needs.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct Needs<'a> {
+    pub groups: &'a [GroupId],
+    pub usage: Option<ShardId>,
+    pub job: Option<JobNeed>,
+    pub conditions: &'a [Key],
+}
+
+impl Needs<'_> {
+    /// Keys that must not have changed. While machines of a shard are being copied from an oversized
+    /// group, the shard's term changes with every step: a plan on an earlier replica then fails.
+    fn all_conditions(&self) -> Vec<Key> {
+        let leaders = self
+            .groups
+            .iter()
+            .map(|(shard, _)| Key::ShardLeader(*shard));
+        self.conditions.iter().cloned().chain(leaders).collect()
+    }
+}
+
+/// Records that an edit needs and the transaction does not write yet.
+struct MissingRecords {
+    groups: Vec<GroupId>,
+    usage: Option<ShardId>,
+    /// Changes that the edit adds.
+    changes: usize,
+    /// Upper bound of the bytes that the edit adds for its job.
+    job_bytes: usize,
+}
+
+/// Copies of records that are opened together.
+struct OpenedRecords {
+    groups: Vec<(GroupId, GroupEdit)>,
+    usage: Option<(ShardId, UsageEdit)>,
+}
+
+impl OpenedRecords {
+    fn bytes(&self) -> usize {
+        let groups: usize = self.groups.iter().map(|(_, edit)| edit.bytes).sum();
+        groups + self.usage.as_ref().map_or(0, |(_, edit)| edit.bytes)
+    }
+
+    fn has_larger_than(&self, max_bytes: usize) -> bool {
+        let is_larger = |bytes: usize| bytes > max_bytes;
+        self.groups.iter().any(|(_, edit)| is_larger(edit.bytes))
+            || self
+                .usage
+                .as_ref()
+                .is_some_and(|(_, edit)| is_larger(edit.record_bytes()))
+    }
+}
+
+impl TransactionBuilder<'_> {
+    /// Makes sure that the records can be edited within the limits; changes nothing otherwise.
+    pub(super) fn reserve(&mut self, needs: Needs<'_>) -> bool {
+        let missing = self.missing_records(&needs);
+        let conditions = needs.all_conditions();
+        if !self.is_within_counts(missing.changes, &conditions) {
+            return false;
+        }
+        let opened = self.open_records(&missing);
+        if opened.has_larger_than(self.limits.stored_value_bytes) {
+            return false;
+        }
+        let bytes = self.bytes + opened.bytes() + missing.job_bytes;
+        if bytes > MAX_TRANSACTION_BYTES {
+            return false;
+        }
+        self.bytes = bytes;
+        self.groups.extend(opened.groups);
+        self.usage.extend(opened.usage);
+        if let Some(job) = needs.job {
+            self.open_job(job.id);
+        }
+        self.conditions.extend(conditions);
+        true
+    }
+
+    fn missing_records(&self, needs: &Needs<'_>) -> MissingRecords {
+        let groups: Vec<GroupId> = needs
+            .groups
+            .iter()
+            .copied()
+            .filter(|group| !self.groups.contains_key(group))
+            .collect();
+        let usage = needs.usage.filter(|shard| !self.usage.contains_key(shard));
+        let mut missing = MissingRecords {
+            changes: groups.len() + usize::from(usage.is_some()),
+            groups,
+            usage,
+            job_bytes: 0,
+        };
+        if let Some(need) = needs.job
+            && let Some(job) = self.cell.jobs.get(&need.id)
+        {
+            missing.changes += need.more_changes;
+            if !self.jobs.contains_key(&need.id) {
+                missing.changes += 1;
+                missing.job_bytes = max_job_bytes(job);
+            }
+        }
+        missing
+    }
+
+    /// Whether the limits allow so many more changes and these conditions.
+    fn is_within_counts(&self, more_changes: usize, conditions: &[Key]) -> bool {
+        let changes = self.changes() + more_changes;
+        let new_conditions = conditions
+            .iter()
+            .filter(|key| !self.conditions.contains(key))
+            .count();
+        // Everything written is a condition as well.
+        let all_conditions = changes + self.conditions.len() + new_conditions;
+        changes <= self.limits.changes && all_conditions <= self.limits.conditions
+    }
+
+    fn open_records(&self, missing: &MissingRecords) -> OpenedRecords {
+        OpenedRecords {
+            groups: missing
+                .groups
+                .iter()
+                .map(|group| (*group, self.open_group(*group)))
+                .collect(),
+            usage: missing.usage.map(|shard| (shard, self.open_usage(shard))),
+        }
+    }
+
+    fn open_group(&self, (shard, index): GroupId) -> GroupEdit {
+        let record = self.cell.groups[shard]
+            .get(&index)
+            .map(|group| group.value.clone())
+            .unwrap_or_default();
+        let record = GroupRecord {
+            terse: self.compact_form,
+            ..record
+        };
+        let bytes = size_of(&record);
+        GroupEdit::new(record, bytes, self.limits.max_bytes(bytes))
+    }
+
+    fn open_usage(&self, shard: ShardId) -> UsageEdit {
+        let mut record = self.cell.usage[shard].value.clone();
+        record.ends.retain(|id, ends| self.is_needed(*id, ends));
+        for ends in record.ends.values_mut() {
+            ends.terse(self.compact_form);
+        }
+        if self.usage_from_groups {
+            record.teams.clear();
+        }
+        UsageEdit::new(record)
+    }
+
+    /// Whether completions that are kept beside their job's record still say something: not those of
+    /// a job that has ended itself, and not those that its record has.
+    fn is_needed(&self, id: JobId, ends: &CompletionBitmap) -> bool {
+        self.cell
+            .jobs
+            .get(&id)
+            .is_some_and(|job| !job.record.finished.covers(ends))
+    }
+
+    /// Opens a job's record if it is not open. A record that is written takes what usage records keep
+    /// for it; usage records that are not written with it drop that when they are next written.
+    fn open_job(&mut self, id: JobId) {
+        let Some(job) = self.cell.jobs.get(&id) else {
+            return;
+        };
+        if self.jobs.contains_key(&id) {
+            return;
+        }
+        let mut record = job.record.clone();
+        record.finished.merge(&job.ends);
+        for edit in self.usage.values_mut() {
+            if let Some(ends) = edit.record.ends.remove(&id) {
+                record.finished.merge(&ends);
+            }
+        }
+        self.jobs.insert(id, JobEdit::new(record));
+    }
+
+    /// Makes sure that a group may grow by some bytes, and still leaves `spare`.
+    pub(super) fn grow(&mut self, group: GroupId, growth: usize, spare: usize) -> bool {
+        let Some(edit) = self.groups.get_mut(&group) else {
+            return false;
+        };
+        if !edit.make_room(growth, spare, self.compact_form)
+            || self.bytes + growth > MAX_TRANSACTION_BYTES
+        {
+            return false;
+        }
+        edit.bytes += growth;
+        self.bytes += growth;
+        true
+    }
+}
+
+/// Upper bound of the bytes that the edit of a job takes. The bitmaps, which may be full already, are
+/// two hexadecimal digits a byte.
+fn max_job_bytes(job: &Job) -> usize {
+    const OVERHEAD_BYTES: usize = 512;
+    const BITMAP_OVERHEAD_BYTES: usize = 16;
+    let bitmap_bytes = job.spec().task_count.min(CHUNK) as usize / 4 + BITMAP_OVERHEAD_BYTES;
+    let bitmaps = 1 + job.spec().extra_chunks().min(1) as usize;
+    size_of(&job.record) + OVERHEAD_BYTES + bitmap_bytes * bitmaps
+}
--- a/src/coordination/commit/transaction/tests.rs
+++ b/src/coordination/commit/transaction/tests.rs
@@ -1,6 +1,6 @@
 //! Drafts: machines, groups, ends of large jobs.
 
-use super::{Limits, PlannedTransaction, TransactionBuilder};
+use super::{PlannedTransaction, TransactionBuilder, TransactionLimits};
 use crate::coordination::agents::Outcome;
 use crate::storage::cell_state::CellChanges;
 use crate::storage::cell_state::{CellState, Change, Content};
@@ -27,13 +27,13 @@
 
 fn drafted(cell: &CellState, work: impl FnOnce(&mut TransactionBuilder<'_>)) -> PlannedTransaction {
     // Groups have room for two machines.
-    let limits = Limits {
-        ops: 12,
+    let limits = TransactionLimits {
+        changes: 12,
         conditions: 48,
         value_bytes: 4_096,
-        taken_bytes: 4_096,
-        large_grow: false,
-        part_bytes: 500,
+        stored_value_bytes: 4_096,
+        oversized_may_grow: false,
+        group_bytes: 500,
     };
     let mut draft = TransactionBuilder::new(cell, limits);
     work(&mut draft);
@@ -153,13 +153,13 @@
         &mut CellChanges::default(),
     );
     cell.advance(2);
-    let limits = Limits {
-        ops: 4,
+    let limits = TransactionLimits {
+        changes: 4,
         conditions: 16,
         value_bytes: 2_048,
-        taken_bytes: 2_048,
-        large_grow: false,
-        part_bytes: 1_920,
+        stored_value_bytes: 2_048,
+        oversized_may_grow: false,
+        group_bytes: 1_920,
     };
     let mut draft = TransactionBuilder::new(&cell, limits);
     assert!(
--- a/src/coordination/commit/urgent_round.rs
+++ b/src/coordination/commit/urgent_round.rs
@@ -2,7 +2,7 @@
 
 use super::PlannedRound;
 use crate::coordination::Controller;
-use crate::coordination::commit::transaction::{Limits, TransactionBuilder};
+use crate::coordination::commit::transaction::{TransactionBuilder, TransactionLimits};
 use crate::storage::cell_state::Job;
 use crate::storage::ids::JobId;
 
@@ -10,7 +10,7 @@
     /// A round for what must start at once, and for the releases that write the same records. The
     /// fewer records a round writes the less it conflicts, and the sooner there may be another. None
     /// if there is no urgent work, or if it needs the room that other releases give back.
-    pub(super) fn plan_urgent_round(&self, limits: Limits) -> Option<PlannedRound> {
+    pub(super) fn plan_urgent_round(&self, limits: TransactionLimits) -> Option<PlannedRound> {
         let pending: u32 = self
             .urgent_jobs()
             .map(|(id, job)| self.cell.pending_count(id, job))
