--- a/src/coordination/commit/fair_shares.rs
+++ b/src/coordination/commit/fair_shares.rs
@@ -1,5 +1,5 @@
-//! Classes and teams that a lasting shortage would leave behind, as this copy shows them: see
-//! [`crate::scheduler::fair_shares`]. All controllers work it out alike.
+//! Classes and teams that are behind their fair share in a lasting shortage, by this replica: see
+//! [`crate::scheduler::fair_shares`]. All controllers compute it alike.
 
 use crate::coordination::Controller;
 use crate::scheduler::fair_shares::{Deficit, Share, deficits};
@@ -18,6 +18,7 @@
 }
 
 impl<'a> ShareOwner<'a> {
+    /// The class and the team of a job.
     fn of(job: &'a Job) -> [ShareOwner<'a>; 2] {
         [
             ShareOwner::Class(&job.spec().job_class),
@@ -26,137 +27,169 @@
     }
 }
 
-/// What classes and teams are due under a lasting shortage, in thousandths of a core; nothing for all others.
+/// The shares of all classes and teams that have jobs.
+type Shares<'a> = BTreeMap<ShareOwner<'a>, Share>;
+
+/// What classes and teams are due under a lasting shortage, in thousandths of a core; nothing for all
+/// others.
 #[derive(Clone, Debug, Default)]
 pub struct FairShares<'a> {
     deficits: BTreeMap<ShareOwner<'a>, Deficit>,
-    /// Jobs whose tasks are not stopped for others: they are late, and their class or team has too little.
+    /// Jobs that are not preempted: they are late, and their class or team is behind its share.
     protected: HashSet<JobId>,
 }
 
 impl<'a> FairShares<'a> {
-    /// How many tasks of this job, each taking so much, may go ahead of their turn. They are counted.
+    /// The deficits by these shares. `room`: cores of all machines; `late`: jobs that are late.
+    fn new(room: u64, shares: Shares<'a>, late: &[(JobId, &'a Job)]) -> FairShares<'a> {
+        let (classes, teams): (Vec<_>, Vec<_>) = shares
+            .into_iter()
+            .partition(|(owner, _)| matches!(owner, ShareOwner::Class(_)));
+        let mut fair_shares = FairShares::default();
+        for kind in [classes, teams] {
+            fair_shares.add_deficits(room, kind);
+        }
+        fair_shares.protected = late
+            .iter()
+            .filter(|(_, job)| fair_shares.is_owner_protected(job))
+            .map(|(id, _)| *id)
+            .collect();
+        fair_shares
+    }
+
+    fn add_deficits(&mut self, room: u64, shares: Vec<(ShareOwner<'a>, Share)>) {
+        let (owners, shares): (Vec<ShareOwner<'a>>, Vec<Share>) = shares.into_iter().unzip();
+        let with_deficit = owners
+            .into_iter()
+            .zip(deficits(room, &shares))
+            .filter(|(_, deficit)| *deficit != Deficit::default());
+        self.deficits.extend(with_deficit);
+    }
+
+    fn is_owner_protected(&self, job: &Job) -> bool {
+        ShareOwner::of(job).iter().any(|owner| {
+            self.deficits
+                .get(owner)
+                .is_some_and(|deficit| deficit.protected)
+        })
+    }
+
+    /// Takes from the deficits what tasks of this job may go ahead of their turn; how many tasks.
     pub fn take(&mut self, job: &'a Job, tasks: u64) -> u64 {
         if self.deficits.is_empty() {
             return 0;
         }
-        let each = job.spec().need.cores.max(1);
-        let most = ShareOwner::of(job)
+        let cores_per_task = job.spec().need.cores.max(1);
+        let cores_ahead = ShareOwner::of(job)
             .iter()
-            .filter_map(|k| self.deficits.get(k))
-            .map(|d| d.ahead)
+            .filter_map(|owner| self.deficits.get(owner))
+            .map(|deficit| deficit.ahead)
             .max()
             .unwrap_or(0);
-        // One more than fits, or what is smaller than a task would never be made up.
-        let n = tasks.min(most.div_ceil(each));
-        for k in ShareOwner::of(job) {
-            if let Some(deficit) = self.deficits.get_mut(&k) {
-                deficit.ahead = deficit.ahead.saturating_sub(n * each);
+        // One more than fits, or a deficit smaller than a task would never be made up.
+        let tasks_ahead = tasks.min(cores_ahead.div_ceil(cores_per_task));
+        for owner in ShareOwner::of(job) {
+            if let Some(deficit) = self.deficits.get_mut(&owner) {
+                deficit.ahead = deficit.ahead.saturating_sub(tasks_ahead * cores_per_task);
             }
         }
-        n
+        tasks_ahead
     }
 
-    /// Whether a job's tasks are not stopped for others.
+    /// Whether a job's tasks are not preempted.
     pub fn protects(&self, id: JobId) -> bool {
         self.protected.contains(&id)
     }
 }
 
 impl Controller {
-    /// Classes and teams that are left behind, with the whole cores that they lack to half of their part.
+    /// Classes and teams that are behind their fair share, with the whole cores that they lack to half
+    /// of it.
     pub(in crate::coordination) fn starved_classes_and_teams(&self) -> Vec<(String, u64)> {
         let (_, fair_shares) = self.jobs_in_order();
-        let starved_classes_and_teams = fair_shares
+        fair_shares
             .deficits
             .iter()
-            .filter(|(_, deficit)| deficit.ahead > 0);
-        starved_classes_and_teams
-            .map(
-                |(ShareOwner::Class(name) | ShareOwner::Team(name), deficit)| {
-                    ((*name).to_owned(), deficit.ahead / 1_000)
-                },
-            )
+            .filter(|(_, deficit)| deficit.ahead > 0)
+            .map(|(owner, deficit)| {
+                let (ShareOwner::Class(name) | ShareOwner::Team(name)) = owner;
+                ((*name).to_owned(), deficit.ahead / 1_000)
+            })
             .collect()
     }
 
-    /// Who is left behind now, by the jobs with tasks to place.
+    /// Which classes and teams are behind their fair share now. `waiting`: jobs with tasks to place.
     pub(super) fn fair_shares<'a>(&'a self, waiting: &[(JobId, &'a Job)]) -> FairShares<'a> {
-        let mut fair_shares = FairShares::default();
-        // A job that should have started before this is so late that machines hired for it would be up: the shortage
-        // lasts. What is late and all booked counts as well: were it stopped, it would be late and wait again.
-        let types = self.cell.machine_types();
-        let long_ago = self
-            .now
-            .day
-            .since(types.map(|t| t.boot).max().unwrap_or(Micros::FOREVER));
-        let is_late = |id: &JobId, j: &Job| {
-            j.ready() && self.latest_start(j) < long_ago && !self.rounds.is_suspect(*id)
-        };
-        let late: Vec<(JobId, &Job)> = self
+        let late = self.late_jobs();
+        if late.is_empty() {
+            return FairShares::default();
+        }
+        let mut shares = Shares::new();
+        self.add_assigned(&mut shares);
+        self.add_waiting(&mut shares, waiting);
+        for owner in late.iter().flat_map(|(_, job)| ShareOwner::of(job)) {
+            shares.entry(owner).or_default().late = true;
+        }
+        self.cap_by_limits(&mut shares);
+        let room = self
+            .cell
+            .machines_up()
+            .filter_map(|(_, record)| self.cell.machine_type(&record.machine_type))
+            .map(|machine_type| machine_type.room.cores)
+            .sum();
+        FairShares::new(room, shares, &late)
+    }
+
+    /// Jobs that are so late that machines provisioned for them would be up: the shortage lasts. Jobs
+    /// whose tasks are all assigned count as well: were they preempted, they would be late and wait
+    /// again.
+    fn late_jobs(&self) -> Vec<(JobId, &Job)> {
+        let longest_boot = self
             .cell
+            .machine_types()
+            .map(|machine_type| machine_type.boot)
+            .max()
+            .unwrap_or(Micros::FOREVER);
+        let late_before = self.now.day.since(longest_boot);
+        self.cell
             .jobs
             .iter()
-            .filter(|(id, j)| is_late(id, j))
-            .map(|(id, j)| (*id, j))
-            .collect();
-        if late.is_empty() {
-            return fair_shares;
-        }
-        let mut shares: BTreeMap<ShareOwner<'a>, Share> = BTreeMap::new();
+            .filter(|(id, job)| {
+                job.ready() && self.latest_start(job) < late_before && !self.rounds.is_suspect(**id)
+            })
+            .map(|(id, job)| (*id, job))
+            .collect()
+    }
+
+    fn add_assigned<'a>(&'a self, shares: &mut Shares<'a>) {
         for (id, job) in &self.cell.jobs {
-            let assigned = u64::from(self.cell.assigned_count(*id)) * job.spec().need.cores;
-            for k in ShareOwner::of(job) {
-                shares.entry(k).or_default().assigned += assigned;
+            let cores = u64::from(self.cell.assigned_count(*id)) * job.spec().need.cores;
+            for owner in ShareOwner::of(job) {
+                shares.entry(owner).or_default().assigned += cores;
             }
         }
-        for (id, job) in waiting
-            .iter()
-            .filter(|(id, _)| !self.rounds.is_suspect(*id))
-        {
-            let wants = u64::from(self.cell.pending_count(*id, job)) * job.spec().need.cores;
-            for k in ShareOwner::of(job) {
-                shares.entry(k).or_default().waiting += wants;
+    }
+
+    fn add_waiting<'a>(&self, shares: &mut Shares<'a>, waiting: &[(JobId, &'a Job)]) {
+        for (id, job) in waiting {
+            if self.rounds.is_suspect(*id) {
+                continue;
+            }
+            let cores = u64::from(self.cell.pending_count(*id, job)) * job.spec().need.cores;
+            for owner in ShareOwner::of(job) {
+                shares.entry(owner).or_default().waiting += cores;
             }
         }
-        for k in late.iter().flat_map(|(_, job)| ShareOwner::of(job)) {
-            shares.entry(k).or_default().late = true;
-        }
-        for (k, share) in &mut shares {
-            if let ShareOwner::Team(name) = k
-                && let Some(limit) = self.settings.team(name).and_then(|t| t.cores_limit)
+    }
+
+    /// What a team waits for beyond its limit does not count.
+    fn cap_by_limits(&self, shares: &mut Shares<'_>) {
+        for (owner, share) in shares {
+            if let ShareOwner::Team(name) = owner
+                && let Some(limit) = self.settings.team(name).and_then(|team| team.cores_limit)
             {
                 share.waiting = share.waiting.min(limit.saturating_sub(share.assigned));
             }
         }
-        let room = self
-            .cell
-            .machines_up()
-            .filter_map(|(_, r)| self.cell.machine_type(&r.machine_type))
-            .map(|t| t.room.cores)
-            .sum();
-        let (classes, teams): (Vec<_>, Vec<_>) = shares
-            .into_iter()
-            .partition(|(k, _)| matches!(k, ShareOwner::Class(_)));
-        for kind in [classes, teams] {
-            let (owners, shares): (Vec<ShareOwner<'a>>, Vec<Share>) = kind.into_iter().unzip();
-            fair_shares.deficits.extend(
-                owners
-                    .into_iter()
-                    .zip(deficits(room, &shares))
-                    .filter(|(_, deficit)| *deficit != Deficit::default()),
-            );
-        }
-        let protects = |job: &Job| {
-            ShareOwner::of(job)
-                .iter()
-                .any(|k| fair_shares.deficits.get(k).is_some_and(|d| d.protected))
-        };
-        fair_shares.protected = late
-            .into_iter()
-            .filter(|(_, job)| protects(job))
-            .map(|(id, _)| id)
-            .collect();
-        fair_shares
     }
 }
--- a/src/coordination/commit/limits.rs
+++ b/src/coordination/commit/limits.rs
@@ -1,41 +1,43 @@
-//! The state service's limits in force: those of the settings, until it turns out that the next ones hold.
+//! The state store's limits in force: the current ones of the settings, until refusals show that the
+//! next ones hold.
 
 use crate::protocol::settings::{Settings, StateLimits};
 use crate::time::Micros;
 use std::collections::VecDeque;
 
-/// What holds now, as far as this process has learned.
+/// The limits that hold, as far as this process has learned.
 #[derive(Debug)]
 pub struct InForce {
-    now: StateLimits,
+    current: StateLimits,
     next: StateLimits,
-    /// A transaction was refused as only the next limits explain.
-    sizes_fell: bool,
+    /// A transaction was refused that the current limits allow and the next ones do not.
+    next_sizes_hold: bool,
     /// The rate of changes was found to be the next one.
-    rate_fell: bool,
-    /// Refusals for the rate lately.
-    refusals: VecDeque<Micros>,
+    next_rate_holds: bool,
+    /// Recent refusals for the rate.
+    rate_refusals: VecDeque<Micros>,
 }
 
 impl InForce {
-    /// How long refusals for the rate are looked back on, and how many within that time are more than
-    /// clocks that differ and rates that were lent explain.
-    const WINDOW: Micros = Micros::secs(15);
-    const REFUSALS: usize = 12;
+    /// How long refusals for the rate count.
+    const REFUSAL_WINDOW: Micros = Micros::secs(15);
 
-    /// The limits of the settings.
+    /// Refusals within the window that show a lower rate: more than clocks that differ and rates that
+    /// were lent explain.
+    const MIN_REFUSALS: usize = 12;
+
+    /// The limits of the settings, the current and the next.
     pub fn new(settings: &Settings) -> InForce {
-        let (now, next) = (settings.limits, settings.next_limits);
         InForce {
-            now,
-            next,
-            sizes_fell: false,
-            rate_fell: false,
-            refusals: VecDeque::new(),
+            current: settings.limits,
+            next: settings.next_limits,
+            next_sizes_hold: false,
+            next_rate_holds: false,
+            rate_refusals: VecDeque::new(),
         }
     }
 
-    /// The limits of the settings as they are now, for ever.
+    /// The current limits of the settings alone: as a controller behaves that knows of no others.
     pub fn unaware(settings: &Settings) -> InForce {
         InForce {
             next: settings.limits,
@@ -43,62 +45,69 @@
         }
     }
 
-    /// Most changes of one transaction.
-    pub fn txn_ops(&self) -> usize {
-        if self.sizes_fell {
-            self.next.txn_ops
+    /// The limits of sizes that hold.
+    fn sizes(&self) -> &StateLimits {
+        if self.next_sizes_hold {
+            &self.next
         } else {
-            self.now.txn_ops
+            &self.current
         }
     }
 
-    /// Bytes that a value may have that is written anew, whichever limits hold.
+    /// The next rate holds by itself, or along with the next sizes.
+    fn is_next_rate(&self) -> bool {
+        self.next_rate_holds || self.next_sizes_hold
+    }
+
+    /// Most changes of one transaction.
+    pub fn txn_ops(&self) -> usize {
+        self.sizes().txn_ops
+    }
+
+    /// Bytes that a newly written value may have, whichever limits hold.
     pub fn value_bytes(&self) -> usize {
-        self.now.value_bytes.min(self.next.value_bytes)
+        self.current.value_bytes.min(self.next.value_bytes)
     }
 
-    /// Bytes of the largest value that the service takes.
+    /// Bytes of the largest value that the store takes.
     pub fn taken_bytes(&self) -> usize {
-        if self.sizes_fell {
-            self.next.value_bytes
-        } else {
-            self.now.value_bytes
-        }
+        self.sizes().value_bytes
     }
 
-    /// Changes a second that it takes from all controllers together.
+    /// Changes a second that the store takes from all controllers together.
     pub fn write_rps(&self) -> f64 {
-        if self.rate_fell || self.sizes_fell {
+        if self.is_next_rate() {
             self.next.write_rps
         } else {
-            self.now.write_rps
+            self.current.write_rps
         }
     }
 
-    /// A transaction of this many changes, the largest value of so many bytes, was refused as wrong.
-    /// Whether that shows that the next limits hold from now on.
-    pub fn refused(&mut self, changes: usize, largest: usize) -> bool {
-        let allowed = changes <= self.now.txn_ops && largest <= self.now.value_bytes;
-        let then = changes <= self.next.txn_ops && largest <= self.next.value_bytes;
-        let fell = !self.sizes_fell && allowed && !then;
-        self.sizes_fell |= fell;
-        fell
+    /// The store refused a transaction of this many changes, the largest value of so many bytes, as
+    /// invalid. Whether that shows that the next limits hold from now on.
+    pub fn refused(&mut self, changes: usize, largest_value: usize) -> bool {
+        let is_within =
+            |limits: &StateLimits| changes <= limits.txn_ops && largest_value <= limits.value_bytes;
+        let is_proof = !self.next_sizes_hold && is_within(&self.current) && !is_within(&self.next);
+        self.next_sizes_hold |= is_proof;
+        is_proof
     }
 
-    /// A request was refused for its rate. Whether that shows that the next rate holds from now on.
+    /// The store refused a request for its rate. Whether that shows that the next rate holds from now
+    /// on.
     pub fn throttled(&mut self, now: Micros) -> bool {
-        if self.rate_fell || self.sizes_fell || self.next.write_rps >= self.now.write_rps {
+        if self.is_next_rate() || self.next.write_rps >= self.current.write_rps {
             return false;
         }
-        self.refusals.push_back(now);
+        self.rate_refusals.push_back(now);
         while self
-            .refusals
+            .rate_refusals
             .front()
-            .is_some_and(|t| now.since(*t) > Self::WINDOW)
+            .is_some_and(|refused_at| now.since(*refused_at) > Self::REFUSAL_WINDOW)
         {
-            self.refusals.pop_front();
+            self.rate_refusals.pop_front();
         }
-        self.rate_fell = self.refusals.len() >= Self::REFUSALS;
-        self.rate_fell
+        self.next_rate_holds = self.rate_refusals.len() >= Self::MIN_REFUSALS;
+        self.next_rate_holds
     }
 }
--- a/src/coordination/commit/starvation.rs
+++ b/src/coordination/commit/starvation.rs
@@ -1,9 +1,11 @@
-//! How long jobs have waited: what only orders, saves or suspects may hold a job from a machine that fits for a bounded time.
+//! Starvation prevention: a bound for how long a job may be held from a machine that fits.
 //!
-//! Price limits, room that is kept for what comes first, limits of a team that are saved for a set that does not fit yet,
-//! and the growing share of a zone that has come back each hold work back for a good reason, and none of them has an end by
-//! itself. So whoever has waited for [`StarvationPrevention::THRESHOLD`] without a single booking is placed beside all that: one task, on what is left,
-//! within its team's limit. The next one waits as long again, so what comes first loses little by it.
+//! Price limits, room that is reserved for what comes first, limits of a team that are saved for a set
+//! that does not fit yet, and the growing share of a recovering zone each hold work back for a good
+//! reason, and none of them ends by itself. So a job that has waited for
+//! [`StarvationPrevention::THRESHOLD`] without a single assignment is placed regardless of them: one
+//! task, on what is left, within its team's limit. The next task waits as long again, so what comes
+//! first loses little by it.
 
 use crate::coordination::Controller;
 use crate::storage::ids::JobId;
@@ -13,46 +15,59 @@
 #[cfg(test)]
 mod tests;
 
-/// Since when each job has had tasks to place and none was booked, and how many there were.
+/// How long a job has had tasks to place without an assignment.
+#[derive(Clone, Copy, Debug)]
+struct Waiting {
+    since: Micros,
+    /// How many tasks it had to place at the last look.
+    tasks: u32,
+}
+
+/// How long each job with tasks to place has waited for an assignment.
 #[derive(Debug, Default)]
 pub struct StarvationPrevention {
-    since: HashMap<JobId, (Micros, u32)>,
+    waiting: HashMap<JobId, Waiting>,
 }
 
 impl StarvationPrevention {
-    /// After so long without a booking only room, rules and limits count. With what a suspect job waits besides, and a round, this stays below
-    /// what users take for left behind.
+    /// After so long without an assignment only room, rules and limits count. With the back-off of a
+    /// suspect job, and a round, this stays below what users take for starvation.
     pub const THRESHOLD: Micros = Micros::secs(45);
 
     /// Takes which jobs have how many tasks to place now.
     pub fn note(&mut self, now: Micros, waiting: impl Iterator<Item = (JobId, u32)>) {
-        let before = std::mem::take(&mut self.since);
-        self.since = waiting
-            .map(|(id, tasks)| match before.get(&id) {
-                // More may wait than before: some were lost with their machines.
-                Some((since, had)) if tasks >= *had => (id, (*since, tasks)),
-                _ => (id, (now, tasks)),
+        let before = std::mem::take(&mut self.waiting);
+        self.waiting = waiting
+            .map(|(id, tasks)| {
+                let since = match before.get(&id) {
+                    // More may wait than before: some were lost with their machines.
+                    Some(known) if tasks >= known.tasks => known.since,
+                    _ => now,
+                };
+                (id, Waiting { since, tasks })
             })
             .collect();
     }
 
-    /// Whether a job has waited for long.
+    /// Whether a job has waited for longer than the threshold.
     pub fn is_starved(&self, id: JobId, now: Micros) -> bool {
-        self.since
+        self.waiting
             .get(&id)
-            .is_some_and(|(since, _)| now.since(*since) > Self::THRESHOLD)
+            .is_some_and(|waiting| now.since(waiting.since) > Self::THRESHOLD)
     }
 }
 
 impl Controller {
-    /// Looks who waits.
+    /// Notes which jobs wait, and requests a round if one is starved.
     pub(in crate::coordination) fn tick_starvation(&mut self) {
         let cell = &self.cell;
-        let waiting = cell.jobs.iter().filter(|(_, j)| j.ready());
-        let waiting = waiting
-            .map(|(id, j)| (*id, cell.pending_count(*id, j)))
-            .filter(|(_, n)| *n > 0);
         let now = self.now.steady;
+        let waiting = cell
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.ready())
+            .map(|(id, job)| (*id, cell.pending_count(*id, job)))
+            .filter(|(_, pending)| *pending > 0);
         self.rounds.note_waiting(now, waiting);
         if cell.jobs.keys().any(|id| self.rounds.is_starved(*id, now)) {
             self.rounds.request();
--- a/src/coordination/commit/starvation/tests.rs
+++ b/src/coordination/commit/starvation/tests.rs
@@ -1,23 +1,30 @@
-//! Whoever gets nothing for long is told from whoever gets something now and then.
+//! Tests of `starvation`.
 
 use super::*;
 
 #[test]
-fn a_booking_begins_the_wait_anew_and_a_loss_does_not() {
-    let (a, b) = (JobId(1), JobId(2));
-    let mut p = StarvationPrevention::default();
-    let long = StarvationPrevention::THRESHOLD.as_millis() / 1_000;
-    p.note(Micros::secs(10), [(a, 5), (b, 5)].into_iter());
-    // Of the second job a task is booked, of the first one a booking is lost with its machine.
-    p.note(Micros::secs(30), [(a, 6), (b, 4)].into_iter());
-    assert!(!p.is_starved(a, Micros::secs(10 + long)));
-    assert!(p.is_starved(a, Micros::secs(11 + long)));
-    assert!(!p.is_starved(b, Micros::secs(11 + long)));
-    assert!(p.is_starved(b, Micros::secs(31 + long)));
-    // What was lost counts as had: once it is booked again the wait begins anew.
-    p.note(Micros::secs(11 + long), [(a, 5), (b, 4)].into_iter());
-    assert!(!p.is_starved(a, Micros::secs(12 + long)));
-    // Who has nothing to place waits for nothing.
-    p.note(Micros::secs(40 + long), [(a, 5)].into_iter());
-    assert!(!p.is_starved(b, Micros::secs(400)));
+fn an_assignment_restarts_the_wait_and_a_loss_does_not() {
+    let (loses_task, gets_task) = (JobId(1), JobId(2));
+    let mut prevention = StarvationPrevention::default();
+    let threshold = StarvationPrevention::THRESHOLD.as_millis() / 1_000;
+    let after = |secs: u64| Micros::secs(secs + threshold);
+    prevention.note(
+        Micros::secs(10),
+        [(loses_task, 5), (gets_task, 5)].into_iter(),
+    );
+    // Of the second job a task is assigned, of the first one an assignment is lost with its machine.
+    prevention.note(
+        Micros::secs(30),
+        [(loses_task, 6), (gets_task, 4)].into_iter(),
+    );
+    assert!(!prevention.is_starved(loses_task, after(10)));
+    assert!(prevention.is_starved(loses_task, after(11)));
+    assert!(!prevention.is_starved(gets_task, after(11)));
+    assert!(prevention.is_starved(gets_task, after(31)));
+    // The lost task counts as pending: once it is assigned again the wait restarts.
+    prevention.note(after(11), [(loses_task, 5), (gets_task, 4)].into_iter());
+    assert!(!prevention.is_starved(loses_task, after(12)));
+    // A job with nothing to place does not wait.
+    prevention.note(after(40), [(loses_task, 5)].into_iter());
+    assert!(!prevention.is_starved(gets_task, Micros::secs(400)));
 }
