--- a/src/coordination/agents/cancellations/tests.rs
+++ b/src/coordination/agents/cancellations/tests.rs
@@ -1,10 +1,10 @@
-//! Since when jobs may have been called cancelled.
+//! The earliest times at which jobs may have been reported as cancelled.
 
 use super::*;
 use crate::storage::ids::TaskId;
 
 #[test]
-fn the_first_time_counts_and_the_earliest_of_all_launches() {
+fn the_earliest_cancellation_of_the_launches_is_found_until_it_is_forgotten() {
     let launch = |job| Attempt {
         task: TaskId {
             job: JobId(job),
@@ -12,22 +12,22 @@
         },
         number: 7,
     };
-    let mut c = Cancellations::default();
-    c.note(JobId(1), Micros::secs(5));
-    c.note(JobId(1), Micros::secs(9));
-    c.note(JobId(2), Micros::secs(4));
+    let mut cancellations = Cancellations::default();
+    cancellations.note(JobId(1), Micros::secs(5));
+    cancellations.note(JobId(1), Micros::secs(9));
+    cancellations.note(JobId(2), Micros::secs(4));
     assert_eq!(
-        c.earliest([launch(1), launch(3)].iter()),
+        cancellations.earliest([launch(1), launch(3)].iter()),
         Some(Micros::secs(5))
     );
     assert_eq!(
-        c.earliest([launch(1), launch(2)].iter()),
+        cancellations.earliest([launch(1), launch(2)].iter()),
         Some(Micros::secs(4))
     );
-    assert_eq!(c.earliest([launch(3)].iter()), None);
-    c.forget(Micros::secs(5));
+    assert_eq!(cancellations.earliest([launch(3)].iter()), None);
+    cancellations.forget(Micros::secs(5));
     assert_eq!(
-        c.earliest([launch(1), launch(2)].iter()),
+        cancellations.earliest([launch(1), launch(2)].iter()),
         Some(Micros::secs(5))
     );
 }
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -1,318 +1,288 @@
-//! What workers are told: orders in answers to their reports, and direct commands.
+//! The commands in the answer to a heartbeat, and what the heartbeat proves about assignments.
+//!
+//! What is proved is handed to the next commit round.
 
-use super::{Outcome, PushedCommand};
-use crate::coordination::constraints::log_forbidden;
-use crate::coordination::{CallId, Controller, Effect, Purpose};
+use super::Outcome;
+use super::agent::Agent;
+use super::launch_policy::{PreemptionWindow, beyond_limit, grace_period};
+use crate::coordination::Controller;
+use crate::coordination::commit::Rounds;
+use crate::coordination::constraints::{Rules, log_forbidden};
+use crate::coordination::leadership::Leadership;
 use crate::protocol::settings::Settings;
-use crate::protocol::worker::{Command, Ended, Heartbeat, TaskState, command_body};
+use crate::protocol::worker::{Command, Ended, TaskState};
 use crate::storage::cell_state::{CellState, Job};
-use crate::storage::ids::{Attempt, JobId, MachineId, ShardId};
-use crate::storage::records::{Assignment, MachineHealth};
+use crate::storage::ids::{Attempt, MachineId, ShardId};
+use crate::storage::records::{Assignment, MachineHealth, MachineRecord};
 use crate::time::Micros;
 
-/// The time that a task of this job is given to save when it is stopped.
-fn grace_period(job: Option<&Job>) -> Micros {
-    let spec = job.map(Job::spec);
-    spec.filter(|s| s.checkpoint_interval > Micros::ZERO)
-        .map_or(Micros::ZERO, |s| s.checkpoint_duration.with_drift())
+/// How the commands that are built relate to the agent's newest heartbeat.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Delivery {
+    /// In the answer to the agent's newest heartbeat.
+    InAnswer,
+    /// Not as the answer to its newest heartbeat: the answer to another one may still be on its way.
+    OutOfOrder,
 }
 
-/// Whether more is booked for a job's team than it may have. Nobody books that who knows the limit, so it was booked
-/// before a later deploy file brought it: what has not begun of it is not launched any more, but given back.
-fn beyond_limit(cell: &CellState, settings: &Settings, job: JobId) -> bool {
-    let Some(spec) = cell.jobs.get(&job).map(Job::spec) else {
-        return false;
-    };
-    let Some(team) = settings.team(&spec.team) else {
-        return false;
-    };
-    if team.cores_limit.is_none() && team.accelerators_limit.is_none() {
-        return false;
-    }
-    let used = cell.used(cell.shard_of_job(job, spec), &spec.team);
-    team.cores_limit.is_some_and(|most| used.0 > most)
-        || team.accelerators_limit.is_some_and(|most| used.1 > most)
+/// Why an assignment that the agent does not report is not launched.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum LaunchRefusal {
+    /// The rules of its job or machine forbid the launch.
+    Forbidden,
+    /// Its team is beyond its quota.
+    BeyondQuota,
+    /// Its job is cancelled, it is preempted, or its machine takes no more work.
+    Unwanted,
 }
 
-impl Controller {
-    /// What the worker must be told, by its newest report and the copy. What the report proves is
-    /// handed to the next round. `in_answer`: to a report; otherwise an earlier answer may still be
-    /// on its way.
-    pub(super) fn commands(
-        &mut self,
-        k: ShardId,
-        machine: MachineId,
-        in_answer: bool,
-    ) -> Vec<Command> {
-        let mut commands = Vec::new();
-        let now = self.now.steady;
-        let Some(s) = self.agents.get_mut(&machine) else {
-            return commands;
-        };
-        let record = self.cell.machine(machine);
-        let assigned = record.map_or(&[][..], |r| &r.tasks);
-        let preempted = record.map_or(&[][..], |r| &r.preempted);
-        let health = record.map_or(MachineHealth::Schedulable, |r| r.health);
-        for (a, state) in &s.seen {
-            let is_assigned = assigned.contains(&Assignment::of(*a));
-            match (is_assigned, state) {
-                (true, TaskState::Exited(ended)) => {
-                    // A report of an earlier term proves nothing about who commands the worker.
-                    if !s.heard {
-                        continue;
-                    }
-                    let outcome = match ended {
-                        Ended::Done => Outcome::Done,
-                        Ended::Error => Outcome::Failed,
-                        _ => Outcome::Again,
-                    };
-                    if self.rounds.release(machine, *a, outcome, now) {
-                        tracing::info!(task = %a, machine = %machine, ?ended, "exited");
-                        match outcome {
-                            // That a suspect job fails says nothing about the machine.
-                            Outcome::Failed if self.rounds.is_suspect(a.task.job) => {}
-                            Outcome::Failed => {
-                                s.failed_jobs.insert(a.task.job);
-                                // One job that fails may be to blame itself; two point at the machine.
-                                if s.failed_jobs.len() >= 2 && !s.quarantined {
-                                    tracing::info!(machine = %machine, "faulty, will be left");
-                                    s.quarantined = true;
-                                }
-                            }
-                            Outcome::Done => s.failed_jobs.clear(),
-                            Outcome::Again => {}
-                        }
-                    }
-                }
-                (true, state) => {
-                    let job = self.cell.jobs.get(&a.task.job);
-                    if job.is_none_or(Job::cancelled) {
-                        commands.push(Command::Stop(*a, Micros::ZERO));
-                    } else if preempted.contains(&Assignment::of(*a)) {
-                        commands.push(Command::Stop(*a, grace_period(job)));
-                    } else if *state == TaskState::Fetching
-                        && self.rules.forbid_start(&self.cell, machine, a.task.job)
-                    {
-                        log_forbidden(a.task, machine);
-                        commands.push(Command::Stop(*a, Micros::ZERO));
-                    } else if let (Some(at), Some(job), TaskState::Running) =
-                        (s.reclaimed_at, job, state)
-                    {
-                        let spec = job.spec();
-                        let left = at.since(now);
-                        let ran = s.started.get(a).map_or(Micros::ZERO, |t| now.since(*t));
-                        let saves = spec.checkpoint_interval > Micros::ZERO;
-                        if saves
-                            && left
-                                < spec.checkpoint_duration + self.settings.heartbeat_interval * 2
-                        {
-                            commands.push(Command::Stop(*a, spec.checkpoint_duration.with_drift()));
-                        } else if !saves && spec.estimated_runtime.since(ran) > left * 2 {
-                            commands.push(Command::Stop(*a, Micros::ZERO));
-                        }
-                    }
-                }
-                // Cleared, so the outcome is kept. Forgotten only when no launch of it can come
-                // any more: it would run again.
-                (false, TaskState::Exited(_)) => {
-                    if s.heard && s.settled(a) {
-                        commands.push(Command::Forget(*a));
-                    } else if s.heard && !s.unsettled.is_empty() {
-                        self.leadership.request_new_term(k, s.unsettled_since, now);
-                    }
-                }
-                (false, _) => commands.push(Command::Stop(*a, Micros::ZERO)),
+/// Builds the commands for one agent from its newest heartbeat and the cell state.
+struct CommandBuilder<'a> {
+    cell: &'a CellState,
+    settings: &'a Settings,
+    rules: &'a Rules,
+    rounds: &'a mut Rounds,
+    leadership: &'a mut Leadership,
+    agent: &'a mut Agent,
+    now: Micros,
+    shard: ShardId,
+    machine: MachineId,
+    record: Option<&'a MachineRecord>,
+    commands: Vec<Command>,
+    /// A launch is left to a pushed command.
+    push_wanted: bool,
+}
+
+impl CommandBuilder<'_> {
+    fn for_reported_tasks(&mut self) {
+        for index in 0..self.agent.reported_tasks().len() {
+            let (attempt, state) = self.agent.reported_tasks()[index];
+            match (self.is_assigned(&attempt), state) {
+                (true, TaskState::Exited(ended)) => self.on_exited(attempt, ended),
+                (true, state) => self.stop_if_unwanted(attempt, state),
+                (false, TaskState::Exited(_)) => self.forget_if_settled(attempt),
+                (false, _) => self.commands.push(Command::Stop(attempt, Micros::ZERO)),
             }
         }
-        for b in assigned {
-            let a = b.attempt();
-            // What is being cleared is never launched again in this tenure: the commit may be applied
-            // at any time, and the task be booked elsewhere. A session may end in between.
-            if s.sees(&a).is_some() || self.rounds.is_being_released(machine, a) {
-                continue;
-            }
-            let job = self.cell.jobs.get(&a.task.job);
-            let forbidden = record
-                .is_some_and(|r| self.rules.forbid_launch(&self.cell, machine, r, a.task.job));
-            let beyond = beyond_limit(&self.cell, &self.settings, a.task.job);
-            let unwanted = job.is_none_or(Job::cancelled)
-                || health != MachineHealth::Schedulable
-                || s.reclaimed_at.is_some()
-                || preempted.contains(b)
-                || beyond
-                || forbidden;
-            if !unwanted && !s.has_room(&self.cell, record, &a) {
-                continue;
-            }
-            if !unwanted {
-                s.launched.insert(a);
-                if in_answer {
-                    commands.push(Command::Launch(a));
-                } else {
-                    self.agents_to_command.insert(machine);
-                    s.launched.remove(&a);
-                }
-            } else if in_answer && s.heard {
-                // Any earlier launch answered an earlier report, and that answer has been taken or
-                // given up by now; only a direct one can still come.
-                if s.settled(&a) {
-                    if self.rounds.release(machine, a, Outcome::Again, now) {
-                        if forbidden {
-                            log_forbidden(a.task, machine);
-                        } else if beyond {
-                            tracing::info!(task = %a, machine = %machine, "given back: its team is beyond its limit");
-                        }
-                    }
-                } else {
-                    self.leadership.request_new_term(k, s.unsettled_since, now);
+    }
+
+    fn is_assigned(&self, attempt: &Attempt) -> bool {
+        self.record
+            .is_some_and(|r| r.tasks.contains(&Assignment::of(*attempt)))
+    }
+
+    fn is_preempted(&self, attempt: &Attempt) -> bool {
+        self.record
+            .is_some_and(|r| r.preempted.contains(&Assignment::of(*attempt)))
+    }
+
+    fn health(&self) -> MachineHealth {
+        self.record.map_or(MachineHealth::Schedulable, |r| r.health)
+    }
+
+    /// An assigned task has ended: its assignment is released.
+    fn on_exited(&mut self, attempt: Attempt, ended: Ended) {
+        // A heartbeat of an earlier term proves nothing about who commands the agent.
+        if !self.agent.has_current_token() {
+            return;
+        }
+        let outcome = match ended {
+            Ended::Done => Outcome::Done,
+            Ended::Error => Outcome::Failed,
+            _ => Outcome::Again,
+        };
+        if self
+            .rounds
+            .release(self.machine, attempt, outcome, self.now)
+        {
+            tracing::info!(task = %attempt, machine = %self.machine, ?ended, "task exited");
+            self.note_outcome(attempt, outcome);
+        }
+    }
+
+    /// Notes what the end of a task says about the machine.
+    fn note_outcome(&mut self, attempt: Attempt, outcome: Outcome) {
+        let job = attempt.task.job;
+        match outcome {
+            // That a suspect job fails says nothing about the machine.
+            Outcome::Failed if self.rounds.is_suspect(job) => {}
+            Outcome::Failed => {
+                if self.agent.on_task_failed(job) {
+                    tracing::info!(machine = %self.machine, "machine quarantined");
                 }
             }
+            Outcome::Done => self.agent.on_task_done(),
+            Outcome::Again => {}
         }
-        commands
     }
 
-    pub(in crate::coordination) fn drive_agents(&mut self) {
-        let now = self.now.steady;
-        for m in std::mem::take(&mut self.agents_to_command) {
-            let contact = self.contact_age();
-            let Some(s) = self.agents.get_mut(&m) else {
-                continue;
-            };
-            if s.pushed.is_some() {
-                // Looked at again when that command is answered or given up.
-                s.wants_push = true;
-                continue;
-            }
-            // A worker that was not heard lately is told by the answer to its next report, but for what has to end: it may
-            // reach nobody, and hear commands all the same.
-            let lately = self.settings.heartbeat_interval * 2 + Micros::millis(500);
-            let heard = s.answered.is_some_and(|t| now.since(t) < lately);
-            if s.order.0 <= s.fenced_incarnation || contact > Micros::secs(4) {
-                continue;
-            }
-            let Some(record) = self.cell.machine(m) else {
+    /// Stops an assigned task that must not run on, or that can't end before its machine is reclaimed.
+    fn stop_if_unwanted(&mut self, attempt: Attempt, state: TaskState) {
+        if let Some(grace) = self.grace_of_stop(attempt, state) {
+            self.commands.push(Command::Stop(attempt, grace));
+        }
+    }
+
+    /// The time that the task is given to save, if it has to be stopped.
+    fn grace_of_stop(&self, attempt: Attempt, state: TaskState) -> Option<Micros> {
+        let id = attempt.task.job;
+        let Some(job) = self.cell.jobs.get(&id).filter(|job| !job.cancelled()) else {
+            return Some(Micros::ZERO);
+        };
+        if self.is_preempted(&attempt) {
+            return Some(grace_period(Some(job)));
+        }
+        if state == TaskState::Fetching && self.rules.forbid_start(self.cell, self.machine, id) {
+            log_forbidden(attempt.task, self.machine);
+            return Some(Micros::ZERO);
+        }
+        let reclaimed_at = self
+            .agent
+            .reclaimed_at()
+            .filter(|_| state == TaskState::Running)?;
+        PreemptionWindow {
+            left: reclaimed_at.since(self.now),
+            heartbeat_interval: self.settings.heartbeat_interval,
+        }
+        .grace_of_stop(job.spec(), self.agent.running_for(&attempt, self.now))
+    }
+
+    /// An ended task's assignment is released, so its outcome is on record. It is forgotten only once no launch of it can
+    /// arrive any more: it would run again.
+    fn forget_if_settled(&mut self, attempt: Attempt) {
+        if !self.agent.has_current_token() {
+            return;
+        }
+        if self.agent.is_settled(&attempt) {
+            self.commands.push(Command::Forget(attempt));
+        } else if self.agent.has_unsettled_launches() {
+            self.request_new_term();
+        }
+    }
+
+    /// A higher fencing token ends launches that are held up somewhere.
+    fn request_new_term(&mut self) {
+        self.leadership
+            .request_new_term(self.shard, self.agent.unsettled_since(), self.now);
+    }
+
+    fn for_unreported_assignments(&mut self, delivery: Delivery) {
+        let Some(record) = self.record else {
+            return;
+        };
+        for assignment in &record.tasks {
+            let attempt = assignment.attempt();
+            // What is being released is never launched again in this term: the commit may be applied at any time, and the
+            // task be assigned elsewhere. The agent may be restarted in between.
+            if self.agent.reported_state(&attempt).is_some()
+                || self.rounds.is_being_released(self.machine, attempt)
+            {
                 continue;
-            };
-            let mut commands = Vec::new();
-            let mut launches = Vec::new();
-            for b in &record.tasks {
-                let a = b.attempt();
-                let job = self.cell.jobs.get(&a.task.job);
-                let cancelled = job.is_none_or(Job::cancelled);
-                let seen = s.sees(&a);
-                let preempted = record.preempted.contains(b);
-                if (cancelled || preempted)
-                    && seen.is_some_and(|t| !matches!(t, TaskState::Exited(_)))
-                {
-                    commands.push(Command::Stop(
-                        a,
-                        if cancelled {
-                            Micros::ZERO
-                        } else {
-                            grace_period(job)
-                        },
-                    ));
-                } else if heard
-                    && !cancelled
-                    && !preempted
-                    && seen.is_none()
-                    && s.has_room(&self.cell, Some(record), &a)
-                    && record.health == MachineHealth::Schedulable
-                    && s.reclaimed_at.is_none()
-                    && !self.rounds.is_being_released(m, a)
-                    && !beyond_limit(&self.cell, &self.settings, a.task.job)
-                    && !self.rules.forbid_launch(&self.cell, m, record, a.task.job)
-                    && s.launched.insert(a)
-                {
-                    commands.push(Command::Launch(a));
-                    launches.push(a);
-                }
             }
-            if commands.is_empty() {
-                continue;
+            match self.launch_refusal(record, assignment, attempt) {
+                None => self.launch(attempt, delivery),
+                Some(refusal) if delivery == Delivery::InAnswer => self.give_back(attempt, refusal),
+                Some(_) => {}
             }
-            self.command(m, commands, launches);
         }
     }
 
-    pub(in crate::coordination) fn on_pushed_command(
-        &mut self,
-        call: CallId,
-        machine: MachineId,
-        result: Option<(bool, Heartbeat)>,
-    ) {
-        let now = self.now.steady;
-        let k = self.cell.shard_of_machine(machine);
-        let Some(s) = self.agents.get_mut(&machine) else {
-            return;
-        };
-        // A session that began anew since then has forgotten the call, and is a new tenure.
-        let Some(pushed) = s.pushed.take_if(|d| d.call == call) else {
+    fn launch_refusal(
+        &self,
+        record: &MachineRecord,
+        assignment: &Assignment,
+        attempt: Attempt,
+    ) -> Option<LaunchRefusal> {
+        let id = attempt.task.job;
+        if self
+            .rules
+            .forbid_launch(self.cell, self.machine, record, id)
+        {
+            return Some(LaunchRefusal::Forbidden);
+        }
+        if beyond_limit(self.cell, self.settings, id) {
+            return Some(LaunchRefusal::BeyondQuota);
+        }
+        let unwanted = self.cell.jobs.get(&id).is_none_or(Job::cancelled)
+            || self.health() != MachineHealth::Schedulable
+            || self.agent.reclaimed_at().is_some()
+            || record.preempted.contains(assignment);
+        unwanted.then_some(LaunchRefusal::Unwanted)
+    }
+
+    fn launch(&mut self, attempt: Attempt, delivery: Delivery) {
+        if !self.agent.has_room(self.cell, self.record, &attempt) {
             return;
-        };
-        if std::mem::take(&mut s.wants_push) {
-            self.agents_to_command.insert(machine);
         }
-        let Some((executed, heartbeat)) = result else {
-            s.unreachable = true;
-            // It may be held somewhere and carried out much later.
-            if s.unsettled.is_empty() {
-                s.unsettled_since = now;
+        match delivery {
+            Delivery::InAnswer => {
+                self.agent.note_launch(attempt);
+                self.commands.push(Command::Launch(attempt));
             }
-            for a in pushed.launches {
-                s.launched.remove(&a);
-                s.unsettled
-                    .push((a, pushed.fencing_token, pushed.incarnation));
+            Delivery::OutOfOrder => {
+                self.agent.drop_launch(&attempt);
+                self.push_wanted = true;
             }
+        }
+    }
+
+    /// Releases an assignment that is not launched, once no launch of it can arrive any more. An earlier launch in an answer
+    /// answered an earlier heartbeat, so it has arrived or was given up by now; only a pushed one may still be on its way.
+    fn give_back(&mut self, attempt: Attempt, refusal: LaunchRefusal) {
+        if !self.agent.has_current_token() {
             return;
-        };
-        s.on_command_heard(now);
-        if !executed {
-            for a in &pushed.launches {
-                s.launched.remove(a);
-            }
         }
-        if heartbeat.machine == machine
-            && heartbeat.order > s.order
-            && heartbeat.incarnation() > s.fenced_incarnation
+        if !self.agent.is_settled(&attempt) {
+            self.request_new_term();
+            return;
+        }
+        if !self
+            .rounds
+            .release(self.machine, attempt, Outcome::Again, self.now)
         {
-            self.apply_heartbeat(k, &heartbeat);
-            self.commands(k, machine, false);
+            return;
+        }
+        match refusal {
+            LaunchRefusal::Forbidden => log_forbidden(attempt.task, self.machine),
+            LaunchRefusal::BeyondQuota => {
+                tracing::info!(task = %attempt, machine = %self.machine, "assignment given back: team beyond its quota");
+            }
+            LaunchRefusal::Unwanted => {}
         }
     }
+}
 
-    /// Sends a direct command, which may have no orders: then its answer only tells how the worker is.
-    pub(in crate::coordination) fn command(
+impl Controller {
+    /// The commands for a machine's agent, from its newest heartbeat and the cell state.
+    pub(super) fn commands(
         &mut self,
-        m: MachineId,
-        commands: Vec<Command>,
-        launches: Vec<Attempt>,
-    ) {
-        let k = self.cell.shard_of_machine(m);
-        let fencing_token = self.cell.leaders[k].mod_revision;
-        let Some(s) = self
-            .agents
-            .get(&m)
-            .filter(|s| s.pushed.is_none() && !s.endpoint.is_empty())
-        else {
-            return;
+        shard: ShardId,
+        machine: MachineId,
+        delivery: Delivery,
+    ) -> Vec<Command> {
+        let Some(agent) = self.agents.get_mut(&machine) else {
+            return Vec::new();
+        };
+        let mut builder = CommandBuilder {
+            cell: &self.cell,
+            settings: &self.settings,
+            rules: &self.rules,
+            rounds: &mut self.rounds,
+            leadership: &mut self.leadership,
+            agent,
+            now: self.now.steady,
+            shard,
+            machine,
+            record: self.cell.machine(machine),
+            commands: Vec::new(),
+            push_wanted: false,
         };
-        let (endpoint, incarnation) = (s.endpoint.clone(), s.order.0);
-        let body = command_body(fencing_token, incarnation, &commands);
-        let call = self.call(Purpose::PushCommand(m));
-        if let Some(s) = self.agents.get_mut(&m) {
-            s.pushed = Some(PushedCommand {
-                call,
-                fencing_token,
-                incarnation,
-                launches,
-            });
+        builder.for_reported_tasks();
+        builder.for_unreported_assignments(delivery);
+        let (commands, push_wanted) = (builder.commands, builder.push_wanted);
+        if push_wanted {
+            self.agents_to_command.insert(machine);
         }
-        self.effects.push(Effect::PushCommand {
-            call,
-            endpoint,
-            body,
-            limit: Self::PUSH_TIMEOUT,
-        });
+        commands
     }
 }
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -1,12 +1,19 @@
-//! Workers' reports: who answers them, and what they prove.
+//! Heartbeats of agents: which controller answers them, and what they change.
 
-use super::{Agent, HealthChange};
+use super::HealthChange;
+use super::agent::{Agent, HeartbeatLossLimits};
+use super::commands::Delivery;
 use crate::coordination::Controller;
-use crate::protocol::worker::{Heartbeat, HeartbeatResponse, TaskState};
+use crate::protocol::worker::{Heartbeat, HeartbeatResponse};
 use crate::storage::ids::{MachineId, ShardId};
-use crate::storage::records::MachineHealth;
+use crate::storage::records::{MachineHealth, MachineRecord};
 
 impl Controller {
+    /// For so many leases after the beginning of a term a heartbeat may be a duplicate from a machine that was removed before: the
+    /// leader does not remember that one.
+    const LEASES_OF_DUPLICATES: u64 = 3;
+
+    /// Answers a heartbeat. An answer with commands renews the agent's lease.
     pub(in crate::coordination) fn on_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -14,167 +21,192 @@
         if !self.replica.ready() || self.cell.shards() == 0 {
             return HeartbeatResponse::Unavailable;
         }
-        let k = self.cell.shard_of_machine(heartbeat.machine);
-        if !self.leads(k) {
-            let owner = self.cell.leaders[k].value.as_ref().filter(|o| {
-                o.node != self.settings.node
-                    && self
-                        .cell
-                        .nodes
-                        .get(&o.node)
-                        .is_some_and(|n| n.value.run == o.run)
-            });
-            return match owner {
-                Some(o) => HeartbeatResponse::Elsewhere(Some(o.node.clone())),
-                None => HeartbeatResponse::Unavailable,
-            };
+        let machine = heartbeat.machine;
+        let shard = self.cell.shard_of_machine(machine);
+        if !self.leads(shard) {
+            return self.redirect_to_leader(shard);
         }
-        if self.is_out_of_contact() {
+        if self.is_out_of_contact()
+            || self.has_newer_token(shard, heartbeat)
+            || self.is_removed(machine)
+            || !self.admit(heartbeat)
+        {
             return HeartbeatResponse::Unavailable;
         }
-        let fencing_token = self.cell.leaders[k].mod_revision;
-        if heartbeat.fencing_token > fencing_token {
-            tracing::info!(machine = %heartbeat.machine, theirs = heartbeat.fencing_token, ours = fencing_token, "a worker has a newer token");
-            self.replica.want_barrier();
+        let newer = self.apply_if_newer(shard, heartbeat);
+        if self.is_lease_end_due(machine) {
             return HeartbeatResponse::Unavailable;
         }
-        // One that was given up while it booted is never used: its release is under way.
-        if self.removed_machines.contains(&heartbeat.machine)
-            || self.cell.fleet.value.releasing.contains(&heartbeat.machine)
-        {
-            return HeartbeatResponse::Unavailable;
+        if let Some(agent) = self.agents.get_mut(&machine) {
+            agent.acknowledge(self.now.steady, heartbeat.id);
+        }
+        let delivery = if newer {
+            Delivery::InAnswer
+        } else {
+            Delivery::OutOfOrder
+        };
+        let commands = self.commands(shard, machine, delivery);
+        self.probe_if_unconfirmed(machine);
+        HeartbeatResponse::Commands {
+            fencing_token: self.cell.leaders[shard].mod_revision,
+            commands,
+        }
+    }
+
+    /// The answer of a controller that does not lead the shard: the leader's name, if that is another node which is still in the
+    /// run in which it became the leader.
+    fn redirect_to_leader(&self, shard: ShardId) -> HeartbeatResponse {
+        let leader = self.cell.leaders[shard].value.as_ref().filter(|leader| {
+            leader.node != self.settings.node
+                && self
+                    .cell
+                    .nodes
+                    .get(&leader.node)
+                    .is_some_and(|node| node.value.run == leader.run)
+        });
+        match leader {
+            Some(leader) => HeartbeatResponse::Elsewhere(Some(leader.node.clone())),
+            None => HeartbeatResponse::Unavailable,
         }
+    }
+
+    /// Whether the agent has the token of a later leader: then this replica is behind and reads.
+    fn has_newer_token(&mut self, shard: ShardId, heartbeat: &Heartbeat) -> bool {
+        let fencing_token = self.cell.leaders[shard].mod_revision;
+        let newer = heartbeat.fencing_token > fencing_token;
+        if newer {
+            tracing::info!(machine = %heartbeat.machine, theirs = heartbeat.fencing_token, ours = fencing_token, "agent has a newer fencing token");
+            self.replica.want_barrier();
+        }
+        newer
+    }
+
+    /// Whether the machine was removed lately, or was given up while it booted: its release is under way, so it is never used.
+    fn is_removed(&self, machine: MachineId) -> bool {
+        self.removed_machines.contains(&machine)
+            || self.cell.fleet.value.releasing.contains(&machine)
+    }
+
+    /// Registers the agent if it is new; false if its incarnation is fenced.
+    fn admit(&mut self, heartbeat: &Heartbeat) -> bool {
         let fenced_incarnation = self
             .cell
             .machine(heartbeat.machine)
             .map_or(0, |r| r.fenced_incarnation);
         let agent = self.agents.entry(heartbeat.machine).or_insert_with(|| {
-            tracing::info!(machine = %heartbeat.machine, machine_type = heartbeat.machine_type, spot = heartbeat.spot, "heard for the first time");
-            Agent::new(&heartbeat.endpoint, &heartbeat.machine_type, &heartbeat.zone, heartbeat.spot)
+            tracing::info!(machine = %heartbeat.machine, machine_type = heartbeat.machine_type, spot = heartbeat.spot, "agent registered");
+            Agent::from_heartbeat(heartbeat)
         });
-        if agent.endpoint != heartbeat.endpoint {
-            agent.endpoint.clone_from(&heartbeat.endpoint);
-        }
-        agent.fenced_incarnation = agent.fenced_incarnation.max(fenced_incarnation);
-        if heartbeat.incarnation() <= agent.fenced_incarnation {
-            return HeartbeatResponse::Unavailable;
-        }
+        agent.update_endpoint(&heartbeat.endpoint);
+        agent.fence(fenced_incarnation);
+        heartbeat.incarnation() > agent.fenced_incarnation()
+    }
+
+    /// Applies the heartbeat if it is newer than all before. An older one may be a duplicate, which is no sign of life; or the
+    /// agent sent it before it answered a pushed command, so it is answered all the same.
+    fn apply_if_newer(&mut self, shard: ShardId, heartbeat: &Heartbeat) -> bool {
         let now = self.now.steady;
-        // An older one may be a copy, which is no sign of life; or the worker's own, overtaken by its answer to a direct
-        // command, so it is answered.
-        let newer = heartbeat.order > agent.order;
-        if newer {
-            let first = self.leadership.leader_term(k).map_or(u64::MAX, |t| t.first);
-            agent.reported(now, heartbeat, first, self.settings.others.is_empty());
-            self.apply_heartbeat(k, heartbeat);
-        }
-        if self.overdue(heartbeat.machine) {
-            return HeartbeatResponse::Unavailable;
-        }
-        if let Some(s) = self.agents.get_mut(&heartbeat.machine) {
-            s.answered = Some(now);
-            s.acknowledged = Some(heartbeat.order);
-        }
-        let commands = self.commands(k, heartbeat.machine, newer);
-        self.probe_for_commands_heard(heartbeat.machine);
-        HeartbeatResponse::Commands {
-            fencing_token,
-            commands,
+        let Some(agent) = self.agents.get_mut(&heartbeat.machine) else {
+            return false;
+        };
+        if !agent.is_newer(heartbeat) {
+            return false;
         }
+        let first_term = self
+            .leadership
+            .leader_term(shard)
+            .map_or(u64::MAX, |term| term.first);
+        let only_controller = self.settings.others.is_empty();
+        agent.on_new_heartbeat(now, heartbeat, first_term, only_controller);
+        self.apply_heartbeat(shard, heartbeat);
+        true
     }
 
-    /// Whether a launch may still reach a machine whose job was cancelled so long ago that its lease must end.
-    pub(super) fn overdue(&self, m: MachineId) -> bool {
-        let Some(s) = self.agents.get(&m) else {
+    /// Whether a launch may still reach a machine whose job was cancelled so long ago that the machine's lease must end.
+    fn is_lease_end_due(&self, machine: MachineId) -> bool {
+        let Some(agent) = self.agents.get(&machine) else {
             return false;
         };
-        let overdue = self.is_overdue(self.cancelled.earliest(s.under_way()));
-        if overdue {
-            tracing::info!(machine = %m, "not answered: a launch of a cancelled job may still be on its way to it");
+        let due = self.is_overdue(self.cancelled.earliest(agent.launches_in_flight()));
+        if due {
+            tracing::info!(%machine, "heartbeat not acknowledged: a launch of a cancelled job may still be in flight");
         }
-        overdue
+        due
     }
 
-    /// A machine that reports and may be deaf is asked: it gets no work until it answers, or is seen to hear.
-    pub(super) fn probe_for_commands_heard(&mut self, m: MachineId) {
-        let lost = self
+    /// Probes an agent whose heartbeats leave open whether it receives commands. Its machine gets no work until it answers, or
+    /// shows otherwise that it receives them.
+    fn probe_if_unconfirmed(&mut self, machine: MachineId) {
+        let marked = self
             .cell
-            .machine(m)
+            .machine(machine)
             .is_some_and(|r| r.health == MachineHealth::Unreachable);
-        let asks =
-            |s: &Agent| s.may_be_asked() && s.unconfirmed_heartbeats >= if lost { 1 } else { 2 };
-        if self.agents.get(&m).is_some_and(asks) {
-            self.command(m, Vec::new(), Vec::new());
+        let probe = self
+            .agents
+            .get(&machine)
+            .is_some_and(|agent| agent.needs_probe(marked));
+        if probe {
+            self.command(machine, Vec::new(), Vec::new());
         }
     }
 
-    /// Takes a newer report of a machine, by whichever way it came.
-    pub(super) fn apply_heartbeat(&mut self, k: ShardId, heartbeat: &Heartbeat) {
+    /// Applies a newer heartbeat, whether it came by itself or as the answer to a pushed command.
+    pub(super) fn apply_heartbeat(&mut self, shard: ShardId, heartbeat: &Heartbeat) {
         let now = self.now.steady;
-        let Some(leader_term) = self.leadership.leader_term(k) else {
+        let Some(leader_term) = self.leadership.leader_term(shard) else {
             return;
         };
-        let Some(s) = self.agents.get_mut(&heartbeat.machine) else {
+        let Some(agent) = self.agents.get_mut(&heartbeat.machine) else {
             return;
         };
-        s.takes(now, heartbeat, leader_term.first);
-        s.seen.clone_from(&heartbeat.tasks);
-        s.unsettled.retain(|(_, fencing_token, incarnation)| {
-            heartbeat.fencing_token <= *fencing_token && heartbeat.incarnation() <= *incarnation
-        });
-        for (a, state) in &heartbeat.tasks {
-            if *state == TaskState::Running {
-                s.started.entry(*a).or_insert(now);
-            }
-        }
-        if s.started.len() > heartbeat.tasks.len() {
-            s.started
-                .retain(|a, _| heartbeat.tasks.iter().any(|(t, _)| t == a));
-        }
-        let reclaimed_at = heartbeat.preemption_notice.map(|r| now + r);
-        if reclaimed_at.is_some() && s.reclaimed_at.is_none() {
-            tracing::info!(machine = %heartbeat.machine, "the cloud will take it back");
-        }
-        s.reclaimed_at = reclaimed_at;
-        // The first word of a machine may be a copy of a report of one that is gone. Who owns the slice for long
-        // remembers those.
-        let copies = self.settings.lease * 3;
-        let since = leader_term.since.max(self.stall.back());
-        let mute = s.heartbeats_are_lost(
+        agent.apply(now, heartbeat, leader_term.first);
+        let lost = agent.heartbeats_are_lost(
             now,
-            since,
-            Self::longest_silence(self.settings.heartbeat_interval),
-            self.settings.lease,
+            leader_term.since.max(self.stall.back()),
+            HeartbeatLossLimits::of(&self.settings),
         );
         match self.cell.machine(heartbeat.machine) {
-            None if !s.heard && now.since(leader_term.since) < copies => {}
-            None => self.rounds.add(heartbeat.machine),
-            Some(r) => {
-                let wanted = if r.health == MachineHealth::Decommissioning {
-                    MachineHealth::Decommissioning
-                } else if s.ignores_commands()
-                    || r.health == MachineHealth::Unreachable
-                        && (mute || s.unconfirmed_heartbeats > 0)
+            None => {
+                let term_age = now.since(leader_term.since);
+                if agent.has_current_token()
+                    || term_age >= self.settings.lease * Self::LEASES_OF_DUPLICATES
                 {
-                    if r.health != MachineHealth::Unreachable {
-                        tracing::info!(machine = %heartbeat.machine, "deaf: it reports, but hears nothing");
-                    }
-                    MachineHealth::Unreachable
-                } else if reclaimed_at.is_some() || s.quarantined {
-                    MachineHealth::Cordoned
-                } else {
-                    MachineHealth::Schedulable
-                };
-                if wanted != r.health {
-                    self.rounds.set_health(
-                        heartbeat.machine,
-                        HealthChange {
-                            health: wanted,
-                            fenced_incarnation: r.fenced_incarnation,
-                        },
-                    );
+                    self.rounds.add(heartbeat.machine);
+                }
+            }
+            Some(record) => {
+                let health = health_shown_by(agent, record, lost);
+                if health == record.health {
+                    return;
+                }
+                if health == MachineHealth::Unreachable {
+                    tracing::info!(machine = %heartbeat.machine, "machine unreachable: its heartbeats arrive, but it receives no commands");
                 }
+                let change = HealthChange {
+                    health,
+                    fenced_incarnation: record.fenced_incarnation,
+                };
+                self.rounds.set_health(heartbeat.machine, change);
             }
         }
     }
 }
+
+/// The health that a machine's newest heartbeat shows.
+fn health_shown_by(
+    agent: &Agent,
+    record: &MachineRecord,
+    heartbeats_are_lost: bool,
+) -> MachineHealth {
+    let stays_unreachable = record.health == MachineHealth::Unreachable
+        && (heartbeats_are_lost || agent.has_unconfirmed_heartbeats());
+    if record.health == MachineHealth::Decommissioning {
+        MachineHealth::Decommissioning
+    } else if agent.ignores_commands() || stays_unreachable {
+        MachineHealth::Unreachable
+    } else if agent.reclaimed_at().is_some() || agent.is_quarantined() {
+        MachineHealth::Cordoned
+    } else {
+        MachineHealth::Schedulable
+    }
+}
--- /dev/null
+++ b/src/coordination/agents/launch_policy.rs
@@ -0,0 +1,55 @@
+//! Which tasks may be launched, and how much time those get that are stopped.
+
+use crate::protocol::settings::Settings;
+use crate::storage::cell_state::{CellState, Job};
+use crate::storage::ids::JobId;
+use crate::storage::job::JobSpec;
+use crate::time::Micros;
+
+/// The time that a task of this job is given to save its checkpoint when it is stopped.
+pub(super) fn grace_period(job: Option<&Job>) -> Micros {
+    let spec = job.map(Job::spec);
+    spec.filter(|s| s.checkpoint_interval > Micros::ZERO)
+        .map_or(Micros::ZERO, |s| s.checkpoint_duration.with_drift())
+}
+
+/// Whether more is assigned for a job's team than its quota allows. No controller assigns that much once it knows the quota, so it
+/// was assigned before a later settings file brought it: what has not been launched of it is given back.
+pub(super) fn beyond_limit(cell: &CellState, settings: &Settings, job: JobId) -> bool {
+    let Some(spec) = cell.jobs.get(&job).map(Job::spec) else {
+        return false;
+    };
+    let Some(team) = settings.team(&spec.team) else {
+        return false;
+    };
+    if team.cores_limit.is_none() && team.accelerators_limit.is_none() {
+        return false;
+    }
+    let used = cell.used(cell.shard_of_job(job, spec), &spec.team);
+    team.cores_limit.is_some_and(|limit| used.0 > limit)
+        || team.accelerators_limit.is_some_and(|limit| used.1 > limit)
+}
+
+/// The time until the cloud reclaims a spot machine.
+pub(super) struct PreemptionWindow {
+    pub left: Micros,
+    pub heartbeat_interval: Micros,
+}
+
+impl PreemptionWindow {
+    /// Heartbeats that may go by until a stop reaches the agent.
+    const HEARTBEATS_UNTIL_STOP: u64 = 2;
+
+    /// The time to save for a running task that has to be stopped now: one with checkpoints is stopped as late as it can still
+    /// save, one without at once if it would hardly end in time.
+    pub(super) fn grace_of_stop(&self, spec: &JobSpec, ran: Micros) -> Option<Micros> {
+        let saves = spec.checkpoint_interval > Micros::ZERO;
+        if saves {
+            let needed =
+                spec.checkpoint_duration + self.heartbeat_interval * Self::HEARTBEATS_UNTIL_STOP;
+            (self.left < needed).then(|| spec.checkpoint_duration.with_drift())
+        } else {
+            (spec.estimated_runtime.since(ran) > self.left * 2).then_some(Micros::ZERO)
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/agents/liveness.rs
@@ -0,0 +1,210 @@
+//! What the silence of agents proves, and what is done about it.
+
+use super::agent::{Agent, HeartbeatLossLimits};
+use super::cancellations::Cancellations;
+use super::{HealthChange, Outcome};
+use crate::coordination::commit::Rounds;
+use crate::coordination::leadership::Leadership;
+use crate::coordination::{Controller, Counters};
+use crate::protocol::settings::Settings;
+use crate::storage::cell_state::CellState;
+use crate::storage::ids::{MachineId, ShardId};
+use crate::storage::records::{MachineHealth, MachineRecord};
+use crate::time::Micros;
+
+/// Added to the lease and its drift before silence counts as proof that the lease has ended.
+const LEASE_END_MARGIN: Micros = Micros::millis(400);
+/// Added to a heartbeat interval and a quarter before a heartbeat counts as late.
+const HEARTBEAT_DELAY: Micros = Micros::millis(1_500);
+/// The time in which an agent gives up on another node before it sends its heartbeat here.
+const OTHER_NODE_TIMEOUT: Micros = Micros::millis(5_500);
+
+/// From the last sign of life: a heartbeat that has not arrived by then is late.
+fn heartbeat_due(settings: &Settings) -> Micros {
+    let interval = settings.heartbeat_interval;
+    interval + Micros(interval.0 / 4) + HEARTBEAT_DELAY
+}
+
+/// The same where the agent may first have to give up on another node.
+pub(super) fn longest_silence(settings: &Settings) -> Micros {
+    heartbeat_due(settings) + OTHER_NODE_TIMEOUT
+}
+
+/// How much silence matters.
+struct SilenceLimits {
+    heartbeat_due: Micros,
+    longest_silence: Micros,
+    /// An agent whose lease has not been renewed for longer than this has no lease.
+    lease_end: Micros,
+    heartbeat_loss: HeartbeatLossLimits,
+}
+
+impl SilenceLimits {
+    fn of(settings: &Settings) -> SilenceLimits {
+        SilenceLimits {
+            heartbeat_due: heartbeat_due(settings),
+            longest_silence: longest_silence(settings),
+            lease_end: settings.lease.with_drift() + LEASE_END_MARGIN,
+            heartbeat_loss: HeartbeatLossLimits::of(settings),
+        }
+    }
+}
+
+/// Checks the agents of the shards that this process leads.
+struct LivenessCheck<'a> {
+    cell: &'a CellState,
+    cancelled: &'a Cancellations,
+    leadership: &'a mut Leadership,
+    rounds: &'a mut Rounds,
+    counters: &'a mut Counters,
+    limits: SilenceLimits,
+    now: Micros,
+    /// When this process last came back from a stall: silence before that says nothing.
+    stall_end: Micros,
+    /// The silence of agents says something about this node rather than about them.
+    cannot_hear_agents: bool,
+    /// Machines whose agents have to be probed.
+    probes: Vec<MachineId>,
+}
+
+impl LivenessCheck<'_> {
+    fn check(&mut self, machine: MachineId, agent: &mut Agent) {
+        let shard = self.cell.shard_of_machine(machine);
+        let Some(leader_term) = self.leadership.leader_term(shard) else {
+            return;
+        };
+        let since = leader_term.since.max(self.stall_end);
+        self.settle_cancelled_launches(shard, agent);
+        self.mark_if_heartbeats_lost(machine, agent, since);
+        let last_sign_of_life = agent.last_sign_of_life().unwrap_or(leader_term.since);
+        let silence = self.now.since(last_sign_of_life.max(self.stall_end));
+        if silence <= self.limits.heartbeat_due {
+            return;
+        }
+        let Some(record) = self.cell.machine(machine) else {
+            return;
+        };
+        let lease_ended = agent
+            .lease_unrenewed_for(self.now)
+            .filter(|unrenewed| *unrenewed > self.limits.lease_end);
+        if let Some(unrenewed) = lease_ended {
+            self.end_incarnation(machine, agent, record, unrenewed);
+        } else {
+            self.probe_or_mark(machine, agent, record, silence);
+        }
+    }
+
+    /// A launch of a cancelled job must not be carried out any more. A new term ends it: the agent's next heartbeat may be far off.
+    fn settle_cancelled_launches(&mut self, shard: ShardId, agent: &Agent) {
+        if agent.has_unsettled_launches()
+            && self
+                .cancelled
+                .earliest(agent.launches_in_flight())
+                .is_some()
+        {
+            self.leadership
+                .request_new_term(shard, agent.unsettled_since(), self.now);
+        }
+    }
+
+    fn mark_if_heartbeats_lost(&mut self, machine: MachineId, agent: &Agent, since: Micros) {
+        if !agent.heartbeats_are_lost(self.now, since, self.limits.heartbeat_loss) {
+            return;
+        }
+        let Some(record) = self
+            .cell
+            .machine(machine)
+            .filter(|r| r.health < MachineHealth::Unreachable)
+        else {
+            return;
+        };
+        if self.mark_unreachable(machine, record) {
+            tracing::info!(%machine, "machine unreachable: it answers commands, but no heartbeat arrives");
+        }
+    }
+
+    fn mark_unreachable(&mut self, machine: MachineId, record: &MachineRecord) -> bool {
+        let change = HealthChange {
+            health: MachineHealth::Unreachable,
+            fenced_incarnation: record.fenced_incarnation,
+        };
+        self.rounds.set_health(machine, change)
+    }
+
+    /// The agent's lease has ended for certain: its incarnation is fenced, and its assignments are released. From here on no
+    /// heartbeat of the incarnation is acknowledged, whatever becomes of the commit.
+    fn end_incarnation(
+        &mut self,
+        machine: MachineId,
+        agent: &mut Agent,
+        record: &MachineRecord,
+        unrenewed: Micros,
+    ) {
+        let incarnation = agent.incarnation();
+        if agent.fenced_incarnation() < incarnation {
+            tracing::info!(%machine, incarnation, %unrenewed, "agent lease expired");
+            agent.fence(incarnation);
+            self.counters.silenced += 1;
+        }
+        if record.fenced_incarnation < agent.fenced_incarnation() {
+            let change = HealthChange {
+                health: record.health.max(MachineHealth::Unreachable),
+                fenced_incarnation: agent.fenced_incarnation(),
+            };
+            self.rounds.set_health(machine, change);
+        }
+        for assignment in &record.tasks {
+            self.rounds
+                .release(machine, assignment.attempt(), Outcome::Again, self.now);
+        }
+    }
+
+    /// A heartbeat is late. It may have gone to another node, or this process may be behind: the agent is probed first. One whose
+    /// endpoint is not known cannot be (a record may lack it, and the agent has sent nothing in this term): without the mark its
+    /// machine and its tasks would be waited for without end.
+    fn probe_or_mark(
+        &mut self,
+        machine: MachineId,
+        agent: &Agent,
+        record: &MachineRecord,
+        silence: Micros,
+    ) {
+        let counts = agent.last_sign_of_life().is_some() || silence > self.limits.longest_silence;
+        if self.cannot_hear_agents || record.health >= MachineHealth::Unreachable || !counts {
+            return;
+        }
+        if !agent.is_unreachable() && agent.has_endpoint() {
+            self.probes.push(machine);
+        } else if self.mark_unreachable(machine, record) {
+            tracing::info!(%machine, %silence, "machine unreachable: its agent is silent");
+        }
+    }
+}
+
+impl Controller {
+    /// Checks periodically which agents are silent.
+    pub(in crate::coordination) fn tick_agents(&mut self) {
+        if self.rounds.pausing() {
+            self.rounds.request();
+        }
+        let cannot_hear_agents = self.cannot_hear_agents();
+        let mut check = LivenessCheck {
+            cell: &self.cell,
+            cancelled: &self.cancelled,
+            leadership: &mut self.leadership,
+            rounds: &mut self.rounds,
+            counters: &mut self.counters,
+            limits: SilenceLimits::of(&self.settings),
+            now: self.now.steady,
+            stall_end: self.stall.back(),
+            cannot_hear_agents,
+            probes: Vec::new(),
+        };
+        for (machine, agent) in &mut self.agents {
+            check.check(*machine, agent);
+        }
+        for machine in check.probes {
+            self.command(machine, Vec::new(), Vec::new());
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/agents/push.rs
@@ -0,0 +1,194 @@
+//! Pushed commands: those that are sent to an agent without waiting for its next heartbeat.
+
+use super::agent::{Agent, PushedCommand};
+use super::commands::Delivery;
+use super::launch_policy::{beyond_limit, grace_period};
+use crate::coordination::commit::Rounds;
+use crate::coordination::constraints::Rules;
+use crate::coordination::{CallId, Controller, Effect, Purpose};
+use crate::protocol::settings::Settings;
+use crate::protocol::worker::{Command, Heartbeat, TaskState, command_body};
+use crate::storage::cell_state::{CellState, Job};
+use crate::storage::ids::{Attempt, MachineId};
+use crate::storage::records::{Assignment, MachineHealth, MachineRecord};
+use crate::time::Micros;
+
+/// Commands are pushed only while contact with the state store is newer than this.
+const CONTACT_LIMIT: Micros = Micros::secs(4);
+/// Added to two heartbeat intervals: for so long after an acknowledged heartbeat launches are pushed.
+const RECENT_HEARTBEAT_MARGIN: Micros = Micros::millis(500);
+
+/// Builds the command that is pushed to one agent.
+struct PushBuilder<'a> {
+    cell: &'a CellState,
+    settings: &'a Settings,
+    rules: &'a Rules,
+    rounds: &'a Rounds,
+    agent: &'a mut Agent,
+    machine: MachineId,
+    record: &'a MachineRecord,
+    /// Whether launches may be pushed to the machine at all.
+    may_launch: bool,
+    commands: Vec<Command>,
+    launches: Vec<Attempt>,
+}
+
+impl PushBuilder<'_> {
+    fn add_commands_for(&mut self, assignment: &Assignment) {
+        let attempt = assignment.attempt();
+        let job = self.cell.jobs.get(&attempt.task.job);
+        let cancelled = job.is_none_or(Job::cancelled);
+        let preempted = self.record.preempted.contains(assignment);
+        match self.agent.reported_state(&attempt) {
+            Some(TaskState::Exited(_)) => {}
+            Some(_) if cancelled => self.commands.push(Command::Stop(attempt, Micros::ZERO)),
+            Some(_) if preempted => self
+                .commands
+                .push(Command::Stop(attempt, grace_period(job))),
+            Some(_) => {}
+            None if cancelled || preempted => {}
+            None => self.launch(attempt),
+        }
+    }
+
+    fn launch(&mut self, attempt: Attempt) {
+        if self.is_launch_allowed(attempt) && self.agent.note_launch(attempt) {
+            self.commands.push(Command::Launch(attempt));
+            self.launches.push(attempt);
+        }
+    }
+
+    fn is_launch_allowed(&self, attempt: Attempt) -> bool {
+        let job = attempt.task.job;
+        self.may_launch
+            && self.agent.has_room(self.cell, Some(self.record), &attempt)
+            && !self.rounds.is_being_released(self.machine, attempt)
+            && !beyond_limit(self.cell, self.settings, job)
+            && !self
+                .rules
+                .forbid_launch(self.cell, self.machine, self.record, job)
+    }
+}
+
+impl Controller {
+    /// How long the answer to a pushed command is waited for.
+    const PUSH_TIMEOUT: Micros = Micros::millis(2_500);
+
+    /// Pushes commands to the agents that may need some.
+    pub(in crate::coordination) fn drive_agents(&mut self) {
+        for machine in std::mem::take(&mut self.agents_to_command) {
+            self.push_commands_to(machine);
+        }
+    }
+
+    fn push_commands_to(&mut self, machine: MachineId) {
+        let now = self.now.steady;
+        let contact = self.contact_age();
+        let Some(agent) = self.agents.get_mut(&machine) else {
+            return;
+        };
+        if agent.defer_push() || agent.is_fenced() || contact > CONTACT_LIMIT {
+            return;
+        }
+        let Some(record) = self.cell.machine(machine) else {
+            return;
+        };
+        // An agent without a recent heartbeat gets its launches in the answer to the next one. Stops are pushed all the same: it may
+        // reach no controller, but receive commands.
+        let recent = self.settings.heartbeat_interval * 2 + RECENT_HEARTBEAT_MARGIN;
+        let recently_acknowledged = agent
+            .acknowledged_at()
+            .is_some_and(|at| now.since(at) < recent);
+        let may_launch = recently_acknowledged
+            && record.health == MachineHealth::Schedulable
+            && agent.reclaimed_at().is_none();
+        let mut builder = PushBuilder {
+            cell: &self.cell,
+            settings: &self.settings,
+            rules: &self.rules,
+            rounds: &self.rounds,
+            agent,
+            machine,
+            record,
+            may_launch,
+            commands: Vec::new(),
+            launches: Vec::new(),
+        };
+        for assignment in &record.tasks {
+            builder.add_commands_for(assignment);
+        }
+        let (commands, launches) = (builder.commands, builder.launches);
+        if !commands.is_empty() {
+            self.command(machine, commands, launches);
+        }
+    }
+
+    /// A pushed command was answered, or was given up: then there is no result. The result is whether the command was carried out,
+    /// and a heartbeat.
+    pub(in crate::coordination) fn on_pushed_command(
+        &mut self,
+        call: CallId,
+        machine: MachineId,
+        result: Option<(bool, Heartbeat)>,
+    ) {
+        let now = self.now.steady;
+        let Some(agent) = self.agents.get_mut(&machine) else {
+            return;
+        };
+        let Some(pushed) = agent.end_push(call) else {
+            return;
+        };
+        if agent.take_push_again() {
+            self.agents_to_command.insert(machine);
+        }
+        let Some((executed, heartbeat)) = result else {
+            agent.on_push_lost(now, pushed);
+            return;
+        };
+        agent.on_commands_received(now);
+        if !executed {
+            for attempt in &pushed.launches {
+                agent.drop_launch(attempt);
+            }
+        }
+        let applies = heartbeat.machine == machine
+            && agent.is_newer(&heartbeat)
+            && heartbeat.incarnation() > agent.fenced_incarnation();
+        if applies {
+            let shard = self.cell.shard_of_machine(machine);
+            self.apply_heartbeat(shard, &heartbeat);
+            self.commands(shard, machine, Delivery::OutOfOrder);
+        }
+    }
+
+    /// Pushes commands to an agent. There may be none: then the answer only shows whether the agent receives commands.
+    pub(in crate::coordination) fn command(
+        &mut self,
+        machine: MachineId,
+        commands: Vec<Command>,
+        launches: Vec<Attempt>,
+    ) {
+        let shard = self.cell.shard_of_machine(machine);
+        let fencing_token = self.cell.leaders[shard].mod_revision;
+        let Some(agent) = self.agents.get(&machine).filter(|a| a.may_be_asked()) else {
+            return;
+        };
+        let (endpoint, incarnation) = (agent.endpoint().to_owned(), agent.incarnation());
+        let body = command_body(fencing_token, incarnation, &commands);
+        let call = self.call(Purpose::PushCommand(machine));
+        if let Some(agent) = self.agents.get_mut(&machine) {
+            agent.begin_push(PushedCommand {
+                call,
+                fencing_token,
+                incarnation,
+                launches,
+            });
+        }
+        self.effects.push(Effect::PushCommand {
+            call,
+            endpoint,
+            body,
+            limit: Self::PUSH_TIMEOUT,
+        });
+    }
+}
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -72,6 +72,31 @@
     Exited(Ended),
 }
 
+/// Orders the heartbeats of one agent: the larger one is the newer.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct HeartbeatId {
+    /// The agent's incarnation; 0 before the first heartbeat.
+    pub incarnation: u64,
+    /// The heartbeat's number within the incarnation.
+    pub sequence: u64,
+}
+
+impl HeartbeatId {
+    /// The id before any heartbeat.
+    pub const NONE: HeartbeatId = HeartbeatId {
+        incarnation: 0,
+        sequence: 0,
+    };
+
+    /// The id of the next heartbeat of the same incarnation.
+    pub fn next(self) -> HeartbeatId {
+        HeartbeatId {
+            sequence: self.sequence + 1,
+            ..self
+        }
+    }
+}
+
 /// A worker's report.
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
@@ -85,8 +110,8 @@
     pub zone: String,
     /// Spot.
     pub spot: bool,
-    /// Session and message number: the larger pair is the newer message.
-    pub order: (u64, u64),
+    /// Incarnation and sequence number.
+    pub id: HeartbeatId,
     /// Highest token the worker has seen.
     pub fencing_token: u64,
     /// Time until the cloud takes the machine.
@@ -96,9 +121,9 @@
 }
 
 impl Heartbeat {
-    /// The session.
+    /// The agent's incarnation.
     pub fn incarnation(&self) -> u64 {
-        self.order.0
+        self.id.incarnation
     }
 
     /// Reads a report; `None` if it is malformed.
@@ -121,7 +146,10 @@
             machine_type: w.machine_type,
             zone: w.zone,
             spot: w.spot,
-            order: (w.incarnation, w.sequence),
+            id: HeartbeatId {
+                incarnation: w.incarnation,
+                sequence: w.sequence,
+            },
             fencing_token: w.fencing_token,
             // Rounded down: the machine may go a little sooner than said, never later.
             preemption_notice: w
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -142,7 +142,7 @@
         write!(
             got,
             " {:?} {} {:?}",
-            r.order,
+            (r.id.incarnation, r.id.sequence),
             r.fencing_token,
             r.preemption_notice.map(|t| t.0)
         )
@@ -164,7 +164,7 @@
             .collect();
         for body in [
             heartbeat_response_body(r.fencing_token, &orders),
-            command_body(r.fencing_token, r.order.0, &orders),
+            command_body(r.fencing_token, r.incarnation(), &orders),
         ] {
             got += &String::from_utf8(body).unwrap();
             got.push('\n');
