--- a/src/coordination/agents/agent.rs
+++ b/src/coordination/agents/agent.rs
@@ -1,10 +1,9 @@
 //! What the leader of a machine's shard knows of the machine's agent, and what that proves.
 
+use super::launches::{Launches, PushedCommand};
 use super::liveness::longest_silence;
-use crate::coordination::CallId;
 use crate::protocol::settings::Settings;
 use crate::protocol::worker::{Heartbeat, HeartbeatId, TaskState};
-use crate::storage::cell_state::CellState;
 use crate::storage::ids::{Attempt, JobId};
 use crate::storage::records::{MachineHealth, MachineRecord};
 use crate::time::Micros;
@@ -15,30 +14,6 @@
 /// Heartbeats in a row that leave open whether the agent receives commands, until that counts against it.
 const UNCONFIRMED_HEARTBEATS_LIMIT: u32 = 2;
 
-/// A pushed command that has not been answered yet.
-#[derive(Debug)]
-pub(super) struct PushedCommand {
-    pub call: CallId,
-    pub fencing_token: u64,
-    pub incarnation: u64,
-    pub launches: Vec<Attempt>,
-}
-
-/// A pushed launch without an answer: the network may hold it and deliver it much later.
-#[derive(Debug)]
-struct UnsettledLaunch {
-    attempt: Attempt,
-    fencing_token: u64,
-    incarnation: u64,
-}
-
-impl UnsettledLaunch {
-    /// Whether an agent that sends this heartbeat still accepts the launch.
-    fn may_be_accepted_after(&self, heartbeat: &Heartbeat) -> bool {
-        heartbeat.fencing_token <= self.fencing_token && heartbeat.incarnation() <= self.incarnation
-    }
-}
-
 /// How long an agent may go without a heartbeat before its heartbeats count as lost.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeartbeatLossLimits {
@@ -86,17 +61,12 @@
     /// Heartbeats in a row that do not show that the agent receives commands: they may be duplicates.
     unconfirmed_heartbeats: u32,
     reported_tasks: Vec<(Attempt, TaskState)>,
-    launched: BTreeSet<Attempt>,
     started: BTreeMap<Attempt, Micros>,
     /// Incarnations up to this one are never acknowledged again.
     fenced_incarnation: u64,
     /// When the cloud reclaims the machine.
     reclaimed_at: Option<Micros>,
-    pushed: Option<PushedCommand>,
-    /// The machine has to be considered for a pushed command again, once the present one is over.
-    push_again: bool,
-    unsettled: Vec<UnsettledLaunch>,
-    unsettled_since: Micros,
+    launches: Launches,
     failed_jobs: BTreeSet<JobId>,
     quarantined: bool,
 }
@@ -119,14 +89,10 @@
             fencing_token: 0,
             unconfirmed_heartbeats: 0,
             reported_tasks: Vec::new(),
-            launched: BTreeSet::new(),
             started: BTreeMap::new(),
             fenced_incarnation: 0,
             reclaimed_at: None,
-            pushed: None,
-            push_again: false,
-            unsettled: Vec::new(),
-            unsettled_since: Micros::ZERO,
+            launches: Launches::default(),
             failed_jobs: BTreeSet::new(),
             quarantined: false,
         }
@@ -212,8 +178,7 @@
     pub(super) fn apply(&mut self, now: Micros, heartbeat: &Heartbeat, first_term: u64) {
         self.adopt_id_and_token(now, heartbeat, first_term);
         self.reported_tasks.clone_from(&heartbeat.tasks);
-        self.unsettled
-            .retain(|launch| launch.may_be_accepted_after(heartbeat));
+        self.launches.settle(heartbeat);
         self.note_started(now, &heartbeat.tasks);
         let reclaimed_at = heartbeat.preemption_notice.map(|notice| now + notice);
         if reclaimed_at.is_some() && self.reclaimed_at.is_none() {
@@ -224,7 +189,7 @@
 
     fn adopt_id_and_token(&mut self, now: Micros, heartbeat: &Heartbeat, first_term: u64) {
         if heartbeat.incarnation() != self.latest.incarnation {
-            self.launched.clear();
+            self.launches.on_new_incarnation();
             self.started.clear();
             if self.latest.incarnation != 0 {
                 tracing::info!(machine = %heartbeat.machine, incarnation = heartbeat.incarnation(), "agent incarnation changed");
@@ -343,7 +308,7 @@
 
     /// Whether a command can be pushed to it now.
     pub fn may_be_asked(&self) -> bool {
-        self.pushed.is_none() && self.has_endpoint()
+        !self.launches.is_push_in_flight() && self.has_endpoint()
     }
 
     pub(super) fn has_endpoint(&self) -> bool {
@@ -355,89 +320,20 @@
     }
 }
 
-/// Pushed commands and launches.
+/// Launches.
 impl Agent {
-    pub(super) fn begin_push(&mut self, command: PushedCommand) {
-        self.pushed = Some(command);
-    }
-
-    /// Whether a command is on its way; if so, the machine is considered again once that is over.
-    pub(super) fn defer_push(&mut self) -> bool {
-        if self.pushed.is_some() {
-            self.push_again = true;
-        }
-        self.pushed.is_some()
-    }
-
-    /// The command of this call ends. An agent that is new since then does not know the call.
-    pub(super) fn end_push(&mut self, call: CallId) -> Option<PushedCommand> {
-        self.pushed.take_if(|command| command.call == call)
+    pub(super) fn launches(&self) -> &Launches {
+        &self.launches
     }
 
-    /// Whether the machine has to be considered for a pushed command again.
-    pub(super) fn take_push_again(&mut self) -> bool {
-        std::mem::take(&mut self.push_again)
+    pub(super) fn launches_mut(&mut self) -> &mut Launches {
+        &mut self.launches
     }
 
-    /// A pushed command had no answer: its launches may be delivered much later.
+    /// A pushed command had no answer.
     pub(super) fn on_push_lost(&mut self, now: Micros, command: PushedCommand) {
         self.unreachable = true;
-        if self.unsettled.is_empty() {
-            self.unsettled_since = now;
-        }
-        for attempt in command.launches {
-            self.launched.remove(&attempt);
-            self.unsettled.push(UnsettledLaunch {
-                attempt,
-                fencing_token: command.fencing_token,
-                incarnation: command.incarnation,
-            });
-        }
-    }
-
-    pub(super) fn has_unsettled_launches(&self) -> bool {
-        !self.unsettled.is_empty()
-    }
-
-    /// Since when there have been unsettled launches; if there are none, since when there last were.
-    pub(super) fn unsettled_since(&self) -> Micros {
-        self.unsettled_since
-    }
-
-    /// Launches that may still be on their way by pushed commands.
-    pub(super) fn launches_in_flight(&self) -> impl Iterator<Item = &Attempt> {
-        let pushed = self.pushed.iter().flat_map(|command| &command.launches);
-        pushed.chain(self.unsettled.iter().map(|launch| &launch.attempt))
-    }
-
-    /// Whether no launch of the attempt can still be on its way by a pushed command.
-    pub(super) fn is_settled(&self, attempt: &Attempt) -> bool {
-        !self
-            .unsettled
-            .iter()
-            .any(|launch| launch.attempt == *attempt)
-            && self
-                .pushed
-                .as_ref()
-                .is_none_or(|command| !command.launches.contains(attempt))
-    }
-
-    /// Notes that a launch is sent; false if one was sent before.
-    pub(super) fn note_launch(&mut self, attempt: Attempt) -> bool {
-        self.launched.insert(attempt)
-    }
-
-    /// A launch was not sent, or not carried out.
-    pub(super) fn drop_launch(&mut self, attempt: &Attempt) {
-        self.launched.remove(attempt);
-    }
-
-    pub(super) fn was_launched(&self, attempt: &Attempt) -> bool {
-        self.launched.contains(attempt)
-    }
-
-    pub(super) fn retain_launches(&mut self, keep: impl FnMut(&Attempt) -> bool) {
-        self.launched.retain(keep);
+        self.launches.on_push_lost(now, command);
     }
 }
 
@@ -467,33 +363,6 @@
         self.reclaimed_at
     }
 
-    /// Whether the machine has room for a launch. That is in question only while others are being preempted for it.
-    pub(super) fn has_room(
-        &self,
-        cell: &CellState,
-        record: Option<&MachineRecord>,
-        attempt: &Attempt,
-    ) -> bool {
-        let Some(record) = record.filter(|r| !r.preempted.is_empty()) else {
-            return true;
-        };
-        let mut room = cell
-            .machine_type(&record.machine_type)
-            .map(|t| t.room)
-            .unwrap_or_default();
-        for (reported, state) in &self.reported_tasks {
-            if reported != attempt && !matches!(state, TaskState::Exited(_)) {
-                room -= cell.need(reported.task.job);
-            }
-        }
-        for launched in &self.launched {
-            if launched != attempt && self.reported_state(launched).is_none() {
-                room -= cell.need(launched.task.job);
-            }
-        }
-        cell.need(attempt.task.job).fits(&room)
-    }
-
     /// A task of this job failed on the machine; true if that quarantines the machine.
     pub(super) fn on_task_failed(&mut self, job: JobId) -> bool {
         self.failed_jobs.insert(job);
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -4,7 +4,7 @@
 
 use super::Outcome;
 use super::agent::Agent;
-use super::launch_policy::{PreemptionWindow, beyond_limit, grace_period};
+use super::launch_policy::{PreemptionWindow, beyond_limit, grace_period, has_room};
 use crate::coordination::Controller;
 use crate::coordination::commit::Rounds;
 use crate::coordination::constraints::{Rules, log_forbidden};
@@ -153,17 +153,20 @@
         if !self.agent.has_current_token() {
             return;
         }
-        if self.agent.is_settled(&attempt) {
+        if self.agent.launches().is_settled(&attempt) {
             self.commands.push(Command::Forget(attempt));
-        } else if self.agent.has_unsettled_launches() {
+        } else if self.agent.launches().has_unsettled() {
             self.request_new_term();
         }
     }
 
     /// A higher fencing token ends launches that are held up somewhere.
     fn request_new_term(&mut self) {
-        self.leadership
-            .request_new_term(self.shard, self.agent.unsettled_since(), self.now);
+        self.leadership.request_new_term(
+            self.shard,
+            self.agent.launches().unsettled_since(),
+            self.now,
+        );
     }
 
     fn for_unreported_assignments(&mut self, delivery: Delivery) {
@@ -211,16 +214,16 @@
     }
 
     fn launch(&mut self, attempt: Attempt, delivery: Delivery) {
-        if !self.agent.has_room(self.cell, self.record, &attempt) {
+        if !has_room(self.agent, self.cell, self.record, &attempt) {
             return;
         }
         match delivery {
             Delivery::InAnswer => {
-                self.agent.note_launch(attempt);
+                self.agent.launches_mut().note_sent(attempt);
                 self.commands.push(Command::Launch(attempt));
             }
             Delivery::OutOfOrder => {
-                self.agent.drop_launch(&attempt);
+                self.agent.launches_mut().drop_sent(&attempt);
                 self.push_wanted = true;
             }
         }
@@ -232,7 +235,7 @@
         if !self.agent.has_current_token() {
             return;
         }
-        if !self.agent.is_settled(&attempt) {
+        if !self.agent.launches().is_settled(&attempt) {
             self.request_new_term();
             return;
         }
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -127,7 +127,7 @@
         let Some(agent) = self.agents.get(&machine) else {
             return false;
         };
-        let due = self.is_overdue(self.cancelled.earliest(agent.launches_in_flight()));
+        let due = self.is_overdue(self.cancelled.earliest(agent.launches().in_flight()));
         if due {
             tracing::info!(%machine, "heartbeat not acknowledged: a launch of a cancelled job may still be in flight");
         }
--- a/src/coordination/agents/launch_policy.rs
+++ b/src/coordination/agents/launch_policy.rs
@@ -1,9 +1,12 @@
 //! Which tasks may be launched, and how much time those get that are stopped.
 
+use super::agent::Agent;
 use crate::protocol::settings::Settings;
+use crate::protocol::worker::TaskState;
 use crate::storage::cell_state::{CellState, Job};
-use crate::storage::ids::JobId;
+use crate::storage::ids::{Attempt, JobId};
 use crate::storage::job::JobSpec;
+use crate::storage::records::MachineRecord;
 use crate::time::Micros;
 
 /// The time that a task of this job is given to save its checkpoint when it is stopped.
@@ -30,6 +33,33 @@
         || team.accelerators_limit.is_some_and(|limit| used.1 > limit)
 }
 
+/// Whether the machine has room for a launch. That is in question only while others are being preempted for it.
+pub(super) fn has_room(
+    agent: &Agent,
+    cell: &CellState,
+    record: Option<&MachineRecord>,
+    attempt: &Attempt,
+) -> bool {
+    let Some(record) = record.filter(|r| !r.preempted.is_empty()) else {
+        return true;
+    };
+    let mut room = cell
+        .machine_type(&record.machine_type)
+        .map(|t| t.room)
+        .unwrap_or_default();
+    for (reported, state) in agent.reported_tasks() {
+        if reported != attempt && !matches!(state, TaskState::Exited(_)) {
+            room -= cell.need(reported.task.job);
+        }
+    }
+    for launched in agent.launches().sent() {
+        if launched != attempt && agent.reported_state(launched).is_none() {
+            room -= cell.need(launched.task.job);
+        }
+    }
+    cell.need(attempt.task.job).fits(&room)
+}
+
 /// The time until the cloud reclaims a spot machine.
 pub(super) struct PreemptionWindow {
     pub left: Micros,
--- a/src/coordination/agents/liveness.rs
+++ b/src/coordination/agents/liveness.rs
@@ -96,14 +96,14 @@
 
     /// A launch of a cancelled job must not be carried out any more. A new term ends it: the agent's next heartbeat may be far off.
     fn settle_cancelled_launches(&mut self, shard: ShardId, agent: &Agent) {
-        if agent.has_unsettled_launches()
+        if agent.launches().has_unsettled()
             && self
                 .cancelled
-                .earliest(agent.launches_in_flight())
+                .earliest(agent.launches().in_flight())
                 .is_some()
         {
             self.leadership
-                .request_new_term(shard, agent.unsettled_since(), self.now);
+                .request_new_term(shard, agent.launches().unsettled_since(), self.now);
         }
     }
 
--- a/src/coordination/agents/mod.rs
+++ b/src/coordination/agents/mod.rs
@@ -8,6 +8,7 @@
 mod commands;
 mod heartbeats;
 mod launch_policy;
+mod launches;
 mod liveness;
 mod push;
 
@@ -82,12 +83,14 @@
         let has_new_assignment = |tasks: &[Assignment]| {
             tasks
                 .iter()
-                .any(|assignment| !agent.was_launched(&assignment.attempt()))
+                .any(|assignment| !agent.launches().was_sent(&assignment.attempt()))
         };
         if !record.preempted.is_empty() || has_new_assignment(&record.tasks) {
             self.agents_to_command.insert(machine);
         }
-        agent.retain_launches(|attempt| record.tasks.contains(&Assignment::of(*attempt)));
+        agent
+            .launches_mut()
+            .retain_sent(|attempt| record.tasks.contains(&Assignment::of(*attempt)));
     }
 
     /// Drops a removed machine's agent. A late heartbeat of it must not bring the machine back.
--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -1,8 +1,9 @@
 //! Pushed commands: those that are sent to an agent without waiting for its next heartbeat.
 
-use super::agent::{Agent, PushedCommand};
+use super::agent::Agent;
 use super::commands::Delivery;
-use super::launch_policy::{beyond_limit, grace_period};
+use super::launch_policy::{beyond_limit, grace_period, has_room};
+use super::launches::PushedCommand;
 use crate::coordination::commit::Rounds;
 use crate::coordination::constraints::Rules;
 use crate::coordination::{CallId, Controller, Effect, Purpose};
@@ -52,7 +53,7 @@
     }
 
     fn launch(&mut self, attempt: Attempt) {
-        if self.is_launch_allowed(attempt) && self.agent.note_launch(attempt) {
+        if self.is_launch_allowed(attempt) && self.agent.launches_mut().note_sent(attempt) {
             self.commands.push(Command::Launch(attempt));
             self.launches.push(attempt);
         }
@@ -61,7 +62,7 @@
     fn is_launch_allowed(&self, attempt: Attempt) -> bool {
         let job = attempt.task.job;
         self.may_launch
-            && self.agent.has_room(self.cell, Some(self.record), &attempt)
+            && has_room(self.agent, self.cell, Some(self.record), &attempt)
             && !self.rounds.is_being_released(self.machine, attempt)
             && !beyond_limit(self.cell, self.settings, job)
             && !self
@@ -87,7 +88,7 @@
         let Some(agent) = self.agents.get_mut(&machine) else {
             return;
         };
-        if agent.defer_push() || agent.is_fenced() || contact > CONTACT_LIMIT {
+        if agent.launches_mut().defer_push() || agent.is_fenced() || contact > CONTACT_LIMIT {
             return;
         }
         let Some(record) = self.cell.machine(machine) else {
@@ -135,10 +136,10 @@
         let Some(agent) = self.agents.get_mut(&machine) else {
             return;
         };
-        let Some(pushed) = agent.end_push(call) else {
+        let Some(pushed) = agent.launches_mut().end_push(call) else {
             return;
         };
-        if agent.take_push_again() {
+        if agent.launches_mut().take_push_again() {
             self.agents_to_command.insert(machine);
         }
         let Some((executed, heartbeat)) = result else {
@@ -148,7 +149,7 @@
         agent.on_commands_received(now);
         if !executed {
             for attempt in &pushed.launches {
-                agent.drop_launch(attempt);
+                agent.launches_mut().drop_sent(attempt);
             }
         }
         let applies = heartbeat.machine == machine
@@ -177,7 +178,7 @@
         let body = command_body(fencing_token, incarnation, &commands);
         let call = self.call(Purpose::PushCommand(machine));
         if let Some(agent) = self.agents.get_mut(&machine) {
-            agent.begin_push(PushedCommand {
+            agent.launches_mut().begin_push(PushedCommand {
                 call,
                 fencing_token,
                 incarnation,
