--- /dev/null
+++ b/src/coordination/autoscaler/fleet_record.rs
@@ -0,0 +1,135 @@
+//! The fleet record: provision requests and releases in progress.
+//!
+//! Both are recorded before they are sent, so that a later leader knows of machines that no list holds yet.
+
+use super::{CloudPurpose, FLEET_SHARD};
+use crate::coordination::{Controller, Purpose};
+use crate::protocol::cloud::CloudRequest;
+use crate::protocol::state::{CallError, Put, StateReply, StateRequest, Txn, encode};
+use crate::storage::cell_state::{CellChanges, Change, Content};
+use crate::storage::records::{FleetRecord, Key, ProvisionRecord};
+use crate::time::Micros;
+use serde_json::value::RawValue;
+
+/// Added to four list lags: provision requests older than this are left out of the record.
+const SETTLED_PROVISION_MARGIN: Micros = Micros::secs(60);
+
+impl Controller {
+    /// The fleet record without what has long been settled.
+    pub(super) fn fleet_record(&self) -> FleetRecord {
+        let mut record = self.cell.fleet.value.clone();
+        let settled = self.settings.list_lag * 4 + SETTLED_PROVISION_MARGIN;
+        record
+            .provision_requests
+            .retain(|request| self.now.day.since(request.at) < settled);
+        record
+            .releasing
+            .retain(|machine| !self.autoscaler.releases.is_confirmed(*machine));
+        record
+    }
+
+    /// Writes the fleet record. `new`: the provision requests in it that are sent once it is written.
+    pub(super) fn write_fleet(&mut self, record: FleetRecord, new: Vec<ProvisionRecord>) {
+        let limit = self.limits.taken_bytes();
+        let Some(value) = encode(&record).filter(|value| value.get().len() <= limit) else {
+            // It was written under larger limits. It shrinks as requests settle and releases are confirmed.
+            return;
+        };
+        self.autoscaler.writing_fleet = true;
+        let purpose = Purpose::Fleet(Box::new((record, new)));
+        self.write_as_fleet_leader(
+            Key::Fleet,
+            self.cell.fleet.mod_revision,
+            Some(value),
+            purpose,
+        );
+    }
+
+    /// Writes a key on condition that it has this revision and that this process still leads the fleet.
+    pub(super) fn write_as_fleet_leader(
+        &mut self,
+        key: Key,
+        mod_revision: u64,
+        value: Option<Box<RawValue>>,
+        purpose: Purpose,
+    ) {
+        let leader = Key::ShardLeader(FLEET_SHARD);
+        let leader_revision = self.cell.mod_revision(&leader);
+        let txn = Txn {
+            when: vec![(leader, leader_revision), (key.clone(), mod_revision)],
+            then: vec![Put {
+                key,
+                value,
+                lease_id: None,
+            }],
+        };
+        self.budget.force(self.now.steady, 1);
+        self.ask_state(purpose, StateRequest::Txn(txn));
+    }
+
+    /// The fleet record was written, or not. Which provision requests are new in it is known from what was written,
+    /// not by comparison with the replica: the watch may have delivered the record before this answer.
+    pub(in crate::coordination) fn on_fleet_written(
+        &mut self,
+        (record, new): (FleetRecord, Vec<ProvisionRecord>),
+        result: Result<StateReply, CallError>,
+    ) {
+        self.autoscaler.writing_fleet = false;
+        self.autoscaler.schedule_check();
+        let Ok(StateReply::Applied(mod_revision)) = result else {
+            tracing::debug!(?result, "fleet record not written");
+            self.replica.want_barrier();
+            return;
+        };
+        let change = Change {
+            key: Key::Fleet,
+            content: Some(Content::Fleet(record)),
+            mod_revision,
+        };
+        self.cell.apply([change], &mut CellChanges::default());
+        if !self.leads(FLEET_SHARD) {
+            return;
+        }
+        if self.stall.in_doubt() {
+            // Planned before a stall: by now another leader may have provisioned for the same demand. The record keeps these
+            // requests counted for as long as one without an answer.
+            tracing::info!(
+                requests = new.len(),
+                "provision requests dropped after a stall"
+            );
+            return;
+        }
+        for request in new {
+            self.send_provision_request(request);
+        }
+    }
+
+    fn send_provision_request(&mut self, request: ProvisionRecord) {
+        tracing::info!(
+            provision = request.name,
+            machine_type = request.machine_type,
+            spot = request.spot,
+            count = request.count,
+            "provision requested"
+        );
+        self.autoscaler.provisions_in_flight += 1;
+        let cloud_request = CloudRequest::Provision {
+            name: request.name.clone(),
+            machine_type: request.machine_type.clone(),
+            zone: request.zone.clone(),
+            spot: request.spot,
+            count: request.count,
+        };
+        self.ask_cloud(CloudPurpose::Provision(request), cloud_request);
+    }
+
+    /// The outcome of a provision request is known: its machines no longer count by the record. Only the replica of this
+    /// process is corrected; another leader reads a list first.
+    pub(super) fn forget_provision_request(&mut self, name: &str) {
+        self.cell
+            .fleet
+            .value
+            .provision_requests
+            .retain(|request| request.name != name);
+    }
+}
--- /dev/null
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -0,0 +1,170 @@
+//! Scale out: which machines are provisioned for the tasks that wait.
+
+use crate::coordination::Controller;
+use crate::protocol::cloud::PROVISION_LIMIT;
+use crate::protocol::state::encode;
+use crate::scheduler::provisioning::{MachineOffer, MachinePools, plan};
+use crate::storage::catalog::Catalog;
+use crate::storage::machine_classes::ClassId;
+use crate::storage::records::{FleetRecord, MachineRecord, ProvisionRecord};
+use crate::time::Micros;
+
+/// Added to two list lags: until a provision request is so old, its machines count although no list holds them yet.
+const UNLISTED_PROVISION_MARGIN: Micros = Micros::secs(8);
+
+/// How many machines of an offer are to be provisioned.
+type OfferCount = (MachineOffer, u32);
+
+impl Controller {
+    /// Plans which machines are missing, and records the requests for them. They are sent once the record is written.
+    pub(super) fn provision_machines(&mut self) {
+        let wanted = self.missing_machines();
+        if wanted.is_empty() {
+            return;
+        }
+        let mut record = self.fleet_record();
+        let requests = self.new_provision_requests(&record, wanted);
+        if requests.is_empty() {
+            return;
+        }
+        record.provision_requests.extend(requests.iter().cloned());
+        self.write_fleet(record, requests);
+    }
+
+    fn missing_machines(&self) -> Vec<OfferCount> {
+        let Some(catalog) = &self.cell.types.value else {
+            return Vec::new();
+        };
+        let demands = self.demands();
+        if demands.is_empty() {
+            return Vec::new();
+        }
+        let catalog = self.with_expected_boots(catalog);
+        let now = self.now.steady;
+        let is_offered = |offer: &MachineOffer| {
+            !self.zones.is_lost(&offer.zone)
+                && self.autoscaler.exhausted.may_be_requested(offer, now)
+        };
+        let class_of = |offer: &MachineOffer| self.class_of_offer(offer);
+        let mut pools = self.pools(&catalog);
+        plan(&catalog, &demands, &mut pools, &is_offered, &class_of)
+    }
+
+    /// The catalog with boot times as they are expected now. At most twice the nominal ones: that boots were late lately must not
+    /// keep work from machines that may be prompt again.
+    fn with_expected_boots(&self, catalog: &Catalog) -> Catalog {
+        let mut catalog = catalog.clone();
+        for machine_type in &mut catalog.types {
+            let expected = self.expected_boot(&machine_type.name);
+            machine_type.boot = expected.min(machine_type.boot * 2);
+        }
+        catalog
+    }
+
+    /// The class of machines that could be provisioned, where rules ask for it.
+    fn class_of_offer(&self, offer: &MachineOffer) -> Option<ClassId> {
+        self.class_of_kind(&offer.machine_type, &offer.zone, offer.spot)
+    }
+
+    fn class_of_kind(&self, machine_type: &str, zone: &str, spot: bool) -> Option<ClassId> {
+        self.rules
+            .active()
+            .then(|| self.cell.classes.of_offer(machine_type, zone, spot))
+            .flatten()
+    }
+
+    /// Machines that are up or expected to come up.
+    fn pools<'a>(&'a self, catalog: &Catalog) -> MachinePools<'a> {
+        let mut pools = MachinePools::default();
+        self.add_machines_up(&mut pools, catalog);
+        self.add_booting_machines(&mut pools, catalog);
+        self.add_unlisted_provisions(&mut pools, catalog);
+        pools
+    }
+
+    fn add_machines_up<'a>(&'a self, pools: &mut MachinePools<'a>, catalog: &Catalog) {
+        let ruled = self.rules.active();
+        for (machine, record) in self.cell.machines_up() {
+            let class = ruled.then(|| self.cell.classes.of(machine)).flatten();
+            let free = Some((self.cell.free(record), Some(machine)));
+            let kind = (&*record.machine_type, &*record.zone, record.spot);
+            pools.add(kind, catalog, class, 1, free, self.remaining_work(record));
+        }
+    }
+
+    /// The core time that a machine's tasks still take. Half of it is over, on the average.
+    fn remaining_work(&self, record: &MachineRecord) -> u128 {
+        record
+            .tasks
+            .iter()
+            .filter_map(|assignment| self.cell.jobs.get(&assignment.attempt().task.job))
+            .map(|job| {
+                let spec = job.spec();
+                u128::from(spec.need.cores) * u128::from(spec.estimated_runtime.0 / 2)
+            })
+            .sum()
+    }
+
+    fn add_booting_machines<'a>(&'a self, pools: &mut MachinePools<'a>, catalog: &Catalog) {
+        for (id, machine) in &self.autoscaler.rented {
+            if self.is_expected_up(*id, machine) {
+                let offer = machine.offer();
+                let kind = (&*offer.machine_type, &*offer.zone, offer.spot);
+                pools.add(kind, catalog, self.class_of_offer(offer), 1, None, 0);
+            }
+        }
+    }
+
+    /// Adds the machines of provision requests of an earlier leader that no list holds yet.
+    fn add_unlisted_provisions<'a>(&'a self, pools: &mut MachinePools<'a>, catalog: &Catalog) {
+        let limit = self.settings.list_lag * 2 + UNLISTED_PROVISION_MARGIN;
+        for request in &self.cell.fleet.value.provision_requests {
+            if self.now.day.since(request.at) < limit {
+                let kind = (&*request.machine_type, &*request.zone, request.spot);
+                let class = self.class_of_kind(kind.0, kind.1, kind.2);
+                pools.add(kind, catalog, class, request.count.into(), None, 0);
+            }
+        }
+    }
+
+    /// Names the requests for these machines: as many as the fleet record has room for, and as the cloud takes in a second. A
+    /// request must not be forgotten before its outcome is known: while the record is full of them, no more are made.
+    fn new_provision_requests(
+        &mut self,
+        record: &FleetRecord,
+        wanted: Vec<OfferCount>,
+    ) -> Vec<ProvisionRecord> {
+        let max_bytes = self.limits.value_bytes() / 8 * 7;
+        let max_requests = self.settings.cloud_rps as usize;
+        let mut bytes = encode(record).map_or(usize::MAX, |r| r.get().len());
+        let mut requests = Vec::new();
+        for (offer, mut count) in wanted {
+            while count > 0 {
+                let request = self.provision_request(&offer, count.min(PROVISION_LIMIT));
+                bytes += encode(&request).map_or(0, |r| r.get().len() + 1);
+                if bytes > max_bytes || requests.len() >= max_requests {
+                    return requests;
+                }
+                count -= request.count;
+                requests.push(request);
+            }
+        }
+        requests
+    }
+
+    /// A request with a name that is never used again, not even by another process or after a restart.
+    fn provision_request(&mut self, offer: &MachineOffer, count: u32) -> ProvisionRecord {
+        self.autoscaler.provision_counter += 1;
+        ProvisionRecord {
+            name: format!(
+                "{}-{:016x}-{}",
+                self.settings.node, self.incarnation.0, self.autoscaler.provision_counter
+            ),
+            machine_type: offer.machine_type.clone(),
+            zone: offer.zone.clone(),
+            spot: offer.spot,
+            count,
+            at: self.now.day,
+        }
+    }
+}
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -1,16 +1,186 @@
-//! Which machines are returned, and when.
+//! Scale in: which machines are released, and when.
 
 use super::CloudPurpose;
 use crate::coordination::Controller;
-use crate::protocol::cloud::{CloudMachineState, CloudRequest, RELEASE_LIMIT};
+use crate::protocol::cloud::{CloudRequest, RELEASE_LIMIT};
 use crate::scheduler::provisioning::{MachineOffer, core_price};
 use crate::storage::ids::{JobId, MachineId};
-use crate::storage::records::MachineHealth;
+use crate::storage::records::{MachineHealth, MachineRecord};
 use crate::time::Micros;
-use std::collections::{BTreeMap, HashMap};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::fmt;
+
+/// How long a machine is kept idle whose cores cost much more than the cheapest.
+const EXPENSIVE_IDLE_LIMIT: Micros = Micros::secs(5);
+/// How long a machine is kept idle at least.
+const MIN_IDLE_LIMIT: Micros = Micros::secs(2);
+/// How long a machine is kept idle whose type the catalog does not hold.
+const UNKNOWN_IDLE_LIMIT: Micros = Micros::secs(30);
+/// For how much longer than a lease an unreachable machine without tasks is kept.
+const UNREACHABLE_IDLE_LIMIT: Micros = Micros::secs(20);
+/// Added to the time after which a machine that has not come up is abandoned.
+const ABANDON_MARGIN: Micros = Micros::secs(5);
+
+/// Why a machine is released.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ReleaseReason {
+    /// It was cordoned, and its tasks have ended.
+    Drained,
+    /// It is unreachable, and lists show that it is gone.
+    Unlisted,
+    /// It is unreachable, and its tasks meet their deadlines only if they are assigned elsewhere at once.
+    Urgent,
+    /// It has been unreachable for long.
+    Unreachable,
+    /// It has been idle for long.
+    Idle,
+    /// As many machines of its offer as this were idle at any time of a window.
+    Surplus,
+}
+
+impl fmt::Display for ReleaseReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ReleaseReason::Drained => "drained",
+            ReleaseReason::Unlisted => "unreachable and not listed",
+            ReleaseReason::Urgent => "unreachable with urgent tasks",
+            ReleaseReason::Unreachable => "unreachable for long",
+            ReleaseReason::Idle => "idle",
+            ReleaseReason::Surplus => "surplus",
+        })
+    }
+}
+
+/// What a pass over all machines found.
+#[derive(Default)]
+struct FleetSurvey {
+    /// Machines marked for release, whose release may be sent.
+    decommissioning: Vec<MachineId>,
+    /// Machines to be marked.
+    to_decommission: Vec<(MachineId, ReleaseReason)>,
+    idle_since: HashMap<MachineId, Micros>,
+    unreachable_since: HashMap<MachineId, Micros>,
+    /// Schedulable machines that are idle, but not for long, with the time since when.
+    idle_by_offer: BTreeMap<MachineOffer, Vec<(Micros, MachineId)>>,
+}
 
 impl Controller {
-    /// How long a machine is kept without work: as long as its next boot would take, a dear one
+    /// Marks machines that are not needed any more, and sends the releases of those that were marked before.
+    pub(super) fn scale_in(&mut self) {
+        let mut survey = self.survey_fleet();
+        self.add_surplus(&mut survey);
+        self.autoscaler.idle_since = survey.idle_since;
+        self.autoscaler.unreachable_since = survey.unreachable_since;
+        self.decommission(survey.to_decommission);
+        let overdue = self.overdue_boots();
+        let mut releases = survey.decommissioning;
+        if overdue.is_empty() {
+            // An earlier leader may have abandoned these.
+            let recorded = self.cell.fleet.value.releasing.iter();
+            releases.extend(recorded.filter(|id| !self.autoscaler.releases.is_confirmed(**id)));
+        } else {
+            self.abandon_boots(overdue);
+        }
+        self.send_releases(releases);
+    }
+
+    fn survey_fleet(&self) -> FleetSurvey {
+        let urgent_in_lost_zones = self.is_surplus();
+        let mut survey = FleetSurvey::default();
+        for (_, id, record) in self.cell.machines() {
+            self.survey_machine(&mut survey, &urgent_in_lost_zones, id, record);
+        }
+        survey
+    }
+
+    fn survey_machine(
+        &self,
+        survey: &mut FleetSurvey,
+        urgent_in_lost_zones: &BTreeSet<MachineId>,
+        id: MachineId,
+        record: &MachineRecord,
+    ) {
+        let now = self.now.steady;
+        let idle_since = record
+            .tasks
+            .is_empty()
+            .then(|| *self.autoscaler.idle_since.get(&id).unwrap_or(&now));
+        if let Some(since) = idle_since {
+            survey.idle_since.insert(id, since);
+        }
+        let reason = match record.health {
+            MachineHealth::Decommissioning => {
+                survey.decommissioning.push(id);
+                None
+            }
+            MachineHealth::Cordoned => idle_since.map(|_| ReleaseReason::Drained),
+            MachineHealth::Unreachable => {
+                let since = *self.autoscaler.unreachable_since.get(&id).unwrap_or(&now);
+                survey.unreachable_since.insert(id, since);
+                self.reason_to_release_unreachable(urgent_in_lost_zones, id, record, since)
+            }
+            MachineHealth::Schedulable => {
+                idle_since.and_then(|since| self.survey_idle_machine(survey, id, record, since))
+            }
+        };
+        survey
+            .to_decommission
+            .extend(reason.map(|reason| (id, reason)));
+    }
+
+    fn reason_to_release_unreachable(
+        &self,
+        urgent_in_lost_zones: &BTreeSet<MachineId>,
+        id: MachineId,
+        record: &MachineRecord,
+        since: Micros,
+    ) -> Option<ReleaseReason> {
+        // The machines of a lost zone are judged together; while a zone is suspected they wait for that.
+        let is_urgent = || {
+            if self.zones.is_in_doubt(&record.zone) {
+                urgent_in_lost_zones.contains(&id)
+            } else {
+                let mut tasks = record.tasks.iter();
+                tasks.any(|assignment| self.saturated(assignment.attempt().task.job))
+            }
+        };
+        let grace = if record.tasks.is_empty() {
+            UNREACHABLE_IDLE_LIMIT
+        } else {
+            Micros::ZERO
+        };
+        if self.is_gone_from_list(id) {
+            Some(ReleaseReason::Unlisted)
+        } else if is_urgent() {
+            Some(ReleaseReason::Urgent)
+        } else if self.now.steady.since(since) > self.settings.lease + grace {
+            Some(ReleaseReason::Unreachable)
+        } else {
+            None
+        }
+    }
+
+    fn survey_idle_machine(
+        &self,
+        survey: &mut FleetSurvey,
+        id: MachineId,
+        record: &MachineRecord,
+        since: Micros,
+    ) -> Option<ReleaseReason> {
+        if self.now.steady.since(since) > self.idle_limit(&record.machine_type, record.spot) {
+            return Some(ReleaseReason::Idle);
+        }
+        let offer = MachineOffer {
+            machine_type: record.machine_type.to_string(),
+            zone: record.zone.to_string(),
+            spot: record.spot,
+        };
+        let idle = survey.idle_by_offer.entry(offer).or_default();
+        idle.push((since, id));
+        None
+    }
+
+    /// How long a machine is kept without tasks: as long as its next boot would take, an expensive one
     /// only for a moment. Less than the shortest charge is never saved.
     fn idle_limit(&self, machine_type: &str, spot: bool) -> Micros {
         let types = self.cell.machine_types();
@@ -19,156 +189,106 @@
             .min()
             .unwrap_or(0);
         let derived = match self.cell.machine_type(machine_type) {
-            Some(t) if core_price(t, spot) > cheapest * 3 / 2 => Micros::secs(5),
-            t => t.map_or(Micros::secs(30), |t| {
-                self.expected_boot(machine_type)
-                    .clamp(Micros::secs(2), t.boot * 2)
-            }),
+            None => UNKNOWN_IDLE_LIMIT,
+            Some(t) if core_price(t, spot) > cheapest * 3 / 2 => EXPENSIVE_IDLE_LIMIT,
+            Some(t) => self
+                .expected_boot(machine_type)
+                .clamp(MIN_IDLE_LIMIT, t.boot * 2),
         };
         self.operator_settings
             .idle_s
             .map_or(derived, Micros::from_secs_f64)
     }
 
-    pub(super) fn return_machines(&mut self) {
+    /// Adds the machines that are surplus of their offers: those that have been idle the longest.
+    fn add_surplus(&mut self, survey: &mut FleetSurvey) {
         let now = self.now.steady;
-        let mut release = Vec::new();
-        let mut health_changes = Vec::new();
-        let mut seen_idle = HashMap::new();
-        let mut seen_lost = HashMap::new();
-        let worth = self.is_surplus();
-        let mut idle_of: BTreeMap<MachineOffer, Vec<(Micros, MachineId)>> = BTreeMap::new();
-        for (_, m, r) in self.cell.machines() {
-            let idle = r.tasks.is_empty();
-            let since = *self.autoscaler.idle.get(&m).unwrap_or(&now);
-            if idle {
-                seen_idle.insert(m, since);
-            }
-            match r.health {
-                MachineHealth::Decommissioning => release.push(m),
-                MachineHealth::Cordoned if idle => health_changes.push((m, "drained")),
-                MachineHealth::Unreachable => {
-                    let lost = *self.autoscaler.lost.get(&m).unwrap_or(&now);
-                    seen_lost.insert(m, lost);
-                    let quiet = now.since(lost);
-                    // Of a zone that is lost it is decided for all together; of one that may be, in a moment.
-                    let saturated = if self.zones.is_in_doubt(&r.zone) {
-                        worth.contains(&m)
-                    } else {
-                        r.tasks.iter().any(|b| self.saturated(b.attempt().task.job))
-                    };
-                    if self.unlisted(m) {
-                        health_changes.push((m, "silent and not listed"));
-                    } else if saturated {
-                        health_changes
-                            .push((m, "silent, and its tasks can still be in time elsewhere"));
-                    } else if quiet
-                        > self.settings.lease + if idle { Micros::secs(20) } else { Micros::ZERO }
-                    {
-                        health_changes.push((m, "silent for long"));
-                    }
-                }
-                MachineHealth::Schedulable
-                    if idle && now.since(since) > self.idle_limit(&r.machine_type, r.spot) =>
-                {
-                    health_changes.push((m, "idle"))
-                }
-                MachineHealth::Schedulable if idle => {
-                    let offer = MachineOffer {
-                        machine_type: r.machine_type.to_string(),
-                        zone: r.zone.to_string(),
-                        spot: r.spot,
-                    };
-                    idle_of.entry(offer).or_default().push((since, m));
-                }
-                _ => {}
-            }
+        let mut idle_by_offer = std::mem::take(&mut survey.idle_by_offer);
+        for offer in self.autoscaler.idle_windows.keys() {
+            idle_by_offer.entry(offer.clone()).or_default();
         }
-        for offer in self.autoscaler.spare.keys() {
-            idle_of.entry(offer.clone()).or_default();
-        }
-        for (offer, mut idle) in idle_of {
-            let window = self.idle_limit(&offer.machine_type, offer.spot);
-            let spare = self.autoscaler.spare.entry(offer).or_default();
-            let count = spare.note(now, idle.len(), window);
-            spare.take(count);
-            // Those that have been idle the longest.
+        for (offer, mut idle) in idle_by_offer {
+            let span = self.idle_limit(&offer.machine_type, offer.spot);
+            let window = self.autoscaler.idle_windows.entry(offer).or_default();
+            let surplus = window.record(now, idle.len(), span);
+            window.subtract(surplus);
             idle.sort_unstable();
-            health_changes.extend(idle.into_iter().take(count).map(|(_, m)| (m, "spare")));
+            let longest_idle = idle.into_iter().take(surplus);
+            survey
+                .to_decommission
+                .extend(longest_idle.map(|(_, id)| (id, ReleaseReason::Surplus)));
         }
-        self.autoscaler.idle = seen_idle;
-        self.autoscaler.lost = seen_lost;
-        for (m, why) in health_changes {
-            if self.rounds.releasing(m) {
-                self.counters.unneeded += u64::from(matches!(why, "idle" | "spare"));
-                tracing::info!(machine = %m, why, "returning");
+    }
+
+    fn decommission(&mut self, machines: Vec<(MachineId, ReleaseReason)>) {
+        for (machine, reason) in machines {
+            if self.rounds.releasing(machine) {
+                let unneeded = matches!(reason, ReleaseReason::Idle | ReleaseReason::Surplus);
+                self.counters.unneeded += u64::from(unneeded);
+                tracing::info!(%machine, %reason, "machine decommissioning");
             }
         }
-        let mut given_up = Vec::new();
-        for (m, k) in &self.autoscaler.known {
-            let age = now.since(k.since);
-            let unused = self.cell.machine(*m).is_none() && k.status != CloudMachineState::Failed;
-            let late = self.cell.machine_type(&k.machine_type).is_none_or(|t| {
-                age > self.boot_patience(&k.machine_type).max(t.boot * 3) + Micros::secs(5)
-            });
-            let released =
-                self.autoscaler.released.contains(m) || self.cell.fleet.value.releasing.contains(m);
-            if unused && late && !released {
-                given_up.push((*m, age));
+    }
+
+    /// Machines that should have come up long ago, with their ages.
+    fn overdue_boots(&self) -> Vec<(MachineId, Micros)> {
+        let now = self.now.steady;
+        let mut overdue = Vec::new();
+        for (id, machine) in &self.autoscaler.rented {
+            let age = machine.age(now);
+            let is_late = || {
+                let name = machine.machine_type();
+                self.cell
+                    .machine_type(name)
+                    .is_none_or(|t| age > self.boot_patience(name).max(t.boot * 3) + ABANDON_MARGIN)
+            };
+            let is_released = || {
+                self.autoscaler.releases.was_sent(*id)
+                    || self.cell.fleet.value.releasing.contains(id)
+            };
+            let is_unused = self.cell.machine(*id).is_none() && !machine.has_failed();
+            if is_unused && is_late() && !is_released() {
+                overdue.push((*id, age));
             }
         }
-        let none = given_up.is_empty();
-        self.abandon_boots(given_up);
-        if none {
-            // An earlier owner may have given them up as well.
-            let recorded = self.cell.fleet.value.releasing.iter();
-            release.extend(recorded.filter(|m| !self.autoscaler.confirmed.contains(m)));
-        }
-        release.retain(|m| !self.autoscaler.releasing.contains(m));
-        release.truncate(RELEASE_LIMIT);
-        if !release.is_empty() {
-            self.autoscaler.releasing.extend(&release);
-            self.autoscaler.released.extend(&release);
-            let request = CloudRequest::Release(release.clone());
-            self.ask_cloud(CloudPurpose::Release(release), request);
-        }
+        overdue
     }
 
-    /// Records that machines are given up, before their release is sent: it may be carried out late, and
+    /// Records that machines are abandoned, before their release is sent: it may be carried out late, and
     /// they may come up until then. No controller uses them.
     fn abandon_boots(&mut self, machines: Vec<(MachineId, Micros)>) {
-        if machines.is_empty() || self.autoscaler.writing {
+        if self.autoscaler.writing_fleet {
             return;
         }
         let mut record = self.fleet_record();
-        let most = self.limits.value_bytes() / 2 / 8;
-        for (m, age) in machines {
-            if record.releasing.len() < most {
-                tracing::info!(machine = %m, %age, "never came up, returning");
-                record.releasing.push(m);
+        let max_releasing = self.limits.value_bytes() / 2 / 8;
+        for (machine, age) in machines {
+            if record.releasing.len() < max_releasing {
+                tracing::info!(%machine, %age, "machine boot abandoned");
+                record.releasing.push(machine);
             }
         }
         self.write_fleet(record, Vec::new());
     }
 
-    /// Whether the last list shows that a machine is gone. Lists may be older than the one before, so
-    /// one that was rented lately may be missing without being gone.
-    fn unlisted(&self, m: MachineId) -> bool {
-        let old = self.settings.list_lag * 2 + Micros::secs(2);
-        self.autoscaler.lists > 0
-            && self.autoscaler.known.get(&m).is_none_or(|k| {
-                k.listed.is_none_or(|t| t < self.autoscaler.last_list)
-                    && self.now.steady.since(k.since) > old
-            })
+    fn send_releases(&mut self, mut machines: Vec<MachineId>) {
+        machines.retain(|id| !self.autoscaler.releases.is_in_flight(*id));
+        machines.truncate(RELEASE_LIMIT);
+        if machines.is_empty() {
+            return;
+        }
+        self.autoscaler.releases.on_sent(&machines);
+        let request = CloudRequest::Release(machines.clone());
+        self.ask_cloud(CloudPurpose::Release(machines), request);
     }
 
-    /// Whether a task of a job, if it had to wait for the lease of a silent machine, would be late, but
-    /// not if it were started again at once. A release is proof at once that the machine is gone.
-    pub(in crate::coordination) fn saturated(&self, job: JobId) -> bool {
-        self.cell.jobs.get(&job).is_some_and(|j| {
-            let latest = self.latest_start(j);
-            !j.cancelled()
-                && !self.rounds.is_suspect(job)
+    /// Whether a task of a job would be late if it had to wait for the lease of an unreachable machine, but
+    /// not if it were started again at once. A release proves at once that the machine is gone.
+    pub(in crate::coordination) fn saturated(&self, id: JobId) -> bool {
+        self.cell.jobs.get(&id).is_some_and(|job| {
+            let latest = self.latest_start(job);
+            !job.cancelled()
+                && !self.rounds.is_suspect(id)
                 && latest >= self.now.day
                 && latest < self.now.day + self.settings.lease
         })
