--- a/src/coordination/agents/launches.rs
+++ b/src/coordination/agents/launches.rs
@@ -146,3 +146,6 @@
         self.sent.retain(keep);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -28,7 +28,7 @@
     agent: &'a mut Agent,
     machine: MachineId,
     record: &'a MachineRecord,
-    /// Whether launches may be pushed to the machine at all.
+    /// Whether launches may be pushed to the machine, see [`may_push_launches`].
     may_launch: bool,
     commands: Vec<Command>,
     launches: Vec<Attempt>,
@@ -71,6 +71,22 @@
     }
 }
 
+/// Whether launches may be pushed to a machine. An agent without a recent heartbeat gets them in the answer to its next one. Stops
+/// are pushed all the same: it may reach no controller, but receive commands.
+fn may_push_launches(
+    settings: &Settings,
+    agent: &Agent,
+    record: &MachineRecord,
+    now: Micros,
+) -> bool {
+    let recent = settings.heartbeat_interval * 2 + RECENT_HEARTBEAT_MARGIN;
+    agent
+        .acknowledged_at()
+        .is_some_and(|at| now.since(at) < recent)
+        && record.health == MachineHealth::Schedulable
+        && agent.reclaimed_at().is_none()
+}
+
 impl Controller {
     /// How long the answer to a pushed command is waited for.
     const PUSH_TIMEOUT: Micros = Micros::millis(2_500);
@@ -83,7 +99,6 @@
     }
 
     fn push_commands_to(&mut self, machine: MachineId) {
-        let now = self.now.steady;
         let contact = self.contact_age();
         let Some(agent) = self.agents.get_mut(&machine) else {
             return;
@@ -94,15 +109,7 @@
         let Some(record) = self.cell.machine(machine) else {
             return;
         };
-        // An agent without a recent heartbeat gets its launches in the answer to the next one. Stops are pushed all the same: it may
-        // reach no controller, but receive commands.
-        let recent = self.settings.heartbeat_interval * 2 + RECENT_HEARTBEAT_MARGIN;
-        let recently_acknowledged = agent
-            .acknowledged_at()
-            .is_some_and(|at| now.since(at) < recent);
-        let may_launch = recently_acknowledged
-            && record.health == MachineHealth::Schedulable
-            && agent.reclaimed_at().is_none();
+        let may_launch = may_push_launches(&self.settings, agent, record, self.now.steady);
         let mut builder = PushBuilder {
             cell: &self.cell,
             settings: &self.settings,
--- a/src/coordination/autoscaler/idle_window.rs
+++ b/src/coordination/autoscaler/idle_window.rs
@@ -52,3 +52,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/autoscaler/rented.rs
+++ b/src/coordination/autoscaler/rented.rs
@@ -193,3 +193,6 @@
         pause
     }
 }
+
+#[cfg(test)]
+mod tests;
