--- a/src/coordination/commit/preemption.rs
+++ b/src/coordination/commit/preemption.rs
@@ -29,7 +29,7 @@
             .filter_map(|assignment| self.running_task(assignment, fair_shares))
             .collect();
         // More urgent tasks are never reached; of the rest the latest have the least to lose.
-        running.sort_by_key(|task| (task.priority, task.assignment.2));
+        running.sort_by_key(|task| (task.priority, task.assignment.number));
         running
     }
 
--- a/src/coordination/constraints.rs
+++ b/src/coordination/constraints.rs
@@ -51,7 +51,7 @@
 
 /// Jobs that have tasks on a machine, each once.
 pub(super) fn jobs_there(tasks: &[Assignment]) -> Vec<JobId> {
-    let mut jobs: Vec<JobId> = tasks.iter().map(|b| JobId(b.0)).collect();
+    let mut jobs: Vec<JobId> = tasks.iter().map(|b| b.job).collect();
     jobs.sort_unstable();
     jobs.dedup();
     jobs
--- a/src/coordination/health/zones.rs
+++ b/src/coordination/health/zones.rs
@@ -210,7 +210,7 @@
         for (_, _, r) in self.cell.machines() {
             if r.health == MachineHealth::Unreachable && self.zones.is_lost(&r.zone) {
                 for b in &r.tasks {
-                    *lost.entry(JobId(b.0)).or_default() += 1;
+                    *lost.entry(b.job).or_default() += 1;
                 }
             }
         }
@@ -246,11 +246,7 @@
         let mut room = 0;
         for (_, r) in self.cell.machines_up() {
             room += self.cell.free(r).cores;
-            for job in r
-                .tasks
-                .iter()
-                .filter_map(|b| self.cell.jobs.get(&JobId(b.0)))
-            {
+            for job in r.tasks.iter().filter_map(|b| self.cell.jobs.get(&b.job)) {
                 let spec = job.spec();
                 // When it began is not on record, but it was not before it was submitted.
                 if self.now.day.since(job.record.submitted) + lease < spec.estimated_runtime {
@@ -317,9 +313,6 @@
     }
 
     fn cores_on(&self, r: &MachineRecord) -> u64 {
-        r.tasks
-            .iter()
-            .map(|b| self.cell.need(JobId(b.0)).cores)
-            .sum()
+        r.tasks.iter().map(|b| self.cell.need(b.job).cores).sum()
     }
 }
--- a/src/coordination/throughput.rs
+++ b/src/coordination/throughput.rs
@@ -2,7 +2,7 @@
 //! waits now. Told by the owner of slice 0 for all, every 30 s.
 
 use crate::coordination::Controller;
-use crate::storage::cell_state::Ended;
+use crate::storage::cell_state::EndedJob;
 use std::collections::BTreeMap;
 
 /// Counts by class and by team since this process has had a copy.
@@ -23,7 +23,7 @@
 
 impl Served {
     /// A job has ended; what is not known to be done is not counted.
-    pub fn note(&mut self, ended: &Ended) {
+    pub fn note(&mut self, ended: &EndedJob) {
         if ended.how.is_some_and(|f| !f.cancelled) {
             for of in owners(&ended.job_class, &ended.team) {
                 self.0.entry(of).or_default().done += 1;
--- /dev/null
+++ b/src/storage/cell_state/jobs.rs
@@ -0,0 +1,99 @@
+//! Live jobs: their records, the chunks of their completion bitmaps, and their dependencies.
+
+use super::{CellChanges, CellState, EndedJob, Job, Versioned};
+use crate::storage::completion_bitmap::CompletionBitmap;
+use crate::storage::dependency_graph::DependencyState;
+use crate::storage::ids::JobId;
+use crate::storage::job::{FinalRecord, JobRecord, JobSpec};
+use std::collections::BTreeMap;
+
+impl CellState {
+    /// Stores how a job ended on which live ones depend, and of which that was not known.
+    pub fn learn(&mut self, id: JobId, end: FinalRecord, changes_seen: &mut CellChanges) {
+        self.dependencies
+            .learn(id, end, &mut self.jobs, &mut changes_seen.jobs);
+    }
+
+    /// Stores a job's record; the job may be new.
+    pub(super) fn put_job(
+        &mut self,
+        id: JobId,
+        record: Versioned<JobRecord>,
+        changes_seen: &mut CellChanges,
+    ) {
+        if self.jobs.contains_key(&id) {
+            self.update_job(id, record, changes_seen);
+        } else {
+            self.add_job(id, record, changes_seen);
+        }
+        changes_seen.jobs.push(id);
+    }
+
+    fn update_job(
+        &mut self,
+        id: JobId,
+        record: Versioned<JobRecord>,
+        changes_seen: &mut CellChanges,
+    ) {
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        let is_newly_cancelled = record.value.cancelled && !job.record.cancelled;
+        job.record = record.value;
+        job.mod_revision = record.mod_revision;
+        if is_newly_cancelled {
+            self.dependencies
+                .cancelled(id, &mut self.jobs, &mut changes_seen.jobs);
+        }
+    }
+
+    fn add_job(&mut self, id: JobId, record: Versioned<JobRecord>, changes_seen: &mut CellChanges) {
+        let job = Job {
+            dependency_state: DependencyState::alone(&record.value.spec),
+            record: record.value,
+            mod_revision: record.mod_revision,
+            chunks: BTreeMap::new(),
+            ends: self.recorded_ends(id),
+        };
+        self.jobs.insert(id, job);
+        self.dependencies
+            .appeared(id, &mut self.jobs, &mut changes_seen.jobs);
+    }
+
+    /// Removes a job that has ended.
+    pub(super) fn remove_job(&mut self, id: JobId, changes_seen: &mut CellChanges) {
+        if let Some(job) = self.jobs.remove(&id) {
+            let how = self.dependencies.ended(
+                id,
+                &job,
+                self.today,
+                &mut self.jobs,
+                &mut changes_seen.jobs,
+            );
+            let JobSpec {
+                job_class, team, ..
+            } = job.record.spec;
+            changes_seen.ended.push(EndedJob {
+                job: id,
+                how,
+                job_class,
+                team,
+            });
+        }
+        changes_seen.jobs.push(id);
+    }
+
+    /// Stores a further chunk of a job's completion bitmap.
+    pub(super) fn put_chunk(&mut self, id: JobId, chunk: u32, bitmap: Versioned<CompletionBitmap>) {
+        if let Some(job) = self.jobs.get_mut(&id) {
+            job.chunks.insert(chunk, bitmap);
+        }
+    }
+
+    /// Removes a further chunk of a job's completion bitmap.
+    pub(super) fn remove_chunk(&mut self, id: JobId, chunk: u32) {
+        if let Some(job) = self.jobs.get_mut(&id) {
+            job.chunks.remove(&chunk);
+        }
+    }
+}
--- /dev/null
+++ b/src/storage/cell_state/mod.rs
@@ -0,0 +1,93 @@
+//! The controller's replica of the state of the whole cell.
+//!
+//! The watch advances it by one consistent revision at a time, and the controller's own commits advance it too.
+//! The latter may be ahead of the watch: every commit that assigns a shard's jobs writes that shard's usage record
+//! conditionally, and every record is written against the revision that the replica has of it. So a commit that
+//! succeeded proves that the replica had missed no assignment of that shard, and nothing of what it wrote.
+//!
+//! - [`changes`]: changes of records, and how they are applied.
+//! - `assignments`, `groups`, `jobs`, `usage`: the indexes derived from the records, kept up to date by the changes.
+//! - `queries`: what can be asked of the replica.
+
+mod assignments;
+pub mod changes;
+mod groups;
+mod jobs;
+mod queries;
+mod usage;
+
+use crate::storage::catalog::Catalog;
+use crate::storage::dependency_graph::DependencyGraph;
+use crate::storage::ids::{GroupIndex, JobId, ShardId};
+pub use crate::storage::live_job::{Job, Versioned};
+use crate::storage::machine_classes::Classes;
+use crate::storage::records::{
+    FleetRecord, GroupRecord, Key, MetaRecord, NodeRecord, ShardLeaderRecord, UsageRecord,
+};
+use crate::time::Micros;
+use assignments::AssignmentIndex;
+pub use assignments::Place;
+pub use changes::{CellChanges, Change, Content, EndedJob};
+use cometlead_constraints::RuleSet;
+use groups::MachineLocations;
+use std::collections::{BTreeMap, HashMap};
+use std::sync::Arc;
+use usage::AssignedByTeam;
+
+/// The replica of the cell's state.
+#[derive(Debug, Default)]
+pub struct CellState {
+    /// The time of day, as last set by the controller.
+    pub today: Micros,
+    /// All changes up to this revision are applied.
+    pub revision: u64,
+    /// The latest revision of which any change is applied; at least `revision`.
+    pub latest: u64,
+    /// Number of shards, and the teams' shards.
+    pub meta: Versioned<Option<MetaRecord>>,
+    /// Machine types.
+    pub types: Versioned<Option<Catalog>>,
+    /// Machines being provisioned and decommissioned.
+    pub fleet: Versioned<FleetRecord>,
+    /// Live controllers, by name.
+    pub nodes: BTreeMap<String, Versioned<NodeRecord>>,
+    /// Leaders, by shard.
+    pub leaders: Vec<Versioned<Option<ShardLeaderRecord>>>,
+    /// Machine groups, by shard and group.
+    pub groups: Vec<BTreeMap<GroupIndex, Versioned<GroupRecord>>>,
+    /// Usage, by shard.
+    pub usage: Vec<Versioned<UsageRecord>>,
+    /// Live jobs.
+    pub jobs: HashMap<JobId, Job>,
+    /// Dependencies between the live jobs.
+    pub dependencies: DependencyGraph,
+    /// Sets of rules, by digest; `None` if this version cannot read the set.
+    pub rules: BTreeMap<u64, Versioned<Option<Arc<RuleSet>>>>,
+    /// Classes of equal machines.
+    pub classes: Classes,
+    locations: MachineLocations,
+    assignments: AssignmentIndex,
+    assigned_by_team: AssignedByTeam,
+    /// Keys removed ahead of `revision`, with the revision of the removal: an older change must not restore them.
+    removed: HashMap<Key, u64>,
+}
+
+impl CellState {
+    /// Makes room for the records of a shard. Records may arrive before the number of shards is known.
+    fn ensure_shard(&mut self, shard: ShardId) {
+        let count = (shard + 1).max(self.shards());
+        if self.leaders.len() < count {
+            self.leaders.resize_with(count, Default::default);
+            self.groups.resize_with(count, Default::default);
+            self.usage.resize_with(count, Default::default);
+        }
+    }
+
+    /// Forgets everything before a full reread, since the revisions start anew; keeps the time of day.
+    pub fn clear(&mut self) {
+        *self = CellState {
+            today: self.today,
+            ..CellState::default()
+        };
+    }
+}
--- /dev/null
+++ b/src/storage/cell_state/queries.rs
@@ -0,0 +1,226 @@
+//! What can be asked of the replica.
+
+use super::groups::shard_of;
+use super::{CellState, Job, Place};
+use crate::storage::catalog::MachineType;
+use crate::storage::ids::{GroupIndex, JobId, MachineId, ShardId, TaskId};
+use crate::storage::job::JobSpec;
+use crate::storage::records::{FIRST_LAYOUT, Key, MachineHealth, MachineRecord, RecordFormat};
+use crate::storage::resources::Amount;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Multiplier of the hash that spreads jobs over shards: 2^64 divided by the golden ratio.
+const JOB_HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+
+/// Bits of that hash that are dropped: its low ones spread consecutive job numbers badly.
+const JOB_HASH_SHIFT: u32 = 33;
+
+/// Shards and record formats.
+impl CellState {
+    /// Number of shards; 0 until it is known.
+    pub fn shards(&self) -> usize {
+        self.meta.value.as_ref().map_or(0, |meta| meta.shards)
+    }
+
+    /// Shard of a machine.
+    pub fn shard_of_machine(&self, machine: MachineId) -> ShardId {
+        shard_of(machine, self.shards())
+    }
+
+    /// Shard of a job: that of its team, or chosen by job if the team has no shard of its own.
+    pub fn shard_of_job(&self, id: JobId, spec: &JobSpec) -> ShardId {
+        let Some(meta) = &self.meta.value else {
+            return 0;
+        };
+        match meta.teams.get(&spec.team) {
+            Some(&shard) if shard < meta.shards => shard,
+            // Job numbers follow no known pattern; a multiplicative hash spreads consecutive ones too.
+            _ => {
+                let hash = id.0.wrapping_mul(JOB_HASH_MULTIPLIER) >> JOB_HASH_SHIFT;
+                (hash % meta.shards.max(1) as u64) as ShardId
+            }
+        }
+    }
+
+    /// Number of the format of the stored records; see [`RecordFormat`].
+    pub fn layout(&self) -> u32 {
+        self.meta
+            .value
+            .as_ref()
+            .map_or(FIRST_LAYOUT, |meta| meta.layout)
+    }
+
+    fn record_format(&self) -> RecordFormat {
+        RecordFormat::newest_up_to(self.layout())
+    }
+
+    /// Whether every controller can read the compact encodings.
+    pub fn terse(&self) -> bool {
+        self.record_format().has_compact_encoding()
+    }
+
+    /// Whether the machine groups alone say what is assigned; see [`RecordFormat::Fenced`].
+    pub fn fenced(&self) -> bool {
+        self.record_format().is_fenced()
+    }
+
+    /// Whether the stored records are of a format that a version which knows formats up to `understood` cannot read.
+    /// It must not write them then.
+    pub fn foreign(&self, understood: u32) -> bool {
+        !(FIRST_LAYOUT..=understood).contains(&self.layout())
+    }
+
+    /// The revision of a key in the replica; 0 if the key does not exist.
+    pub fn mod_revision(&self, key: &Key) -> u64 {
+        match key {
+            Key::Meta => Some(self.meta.mod_revision),
+            Key::Types => Some(self.types.mod_revision),
+            Key::Fleet => Some(self.fleet.mod_revision),
+            Key::Node(name) => self.nodes.get(name).map(|node| node.mod_revision),
+            Key::ShardLeader(shard) => self.leaders.get(*shard).map(|leader| leader.mod_revision),
+            Key::Group(shard, group) => self
+                .groups
+                .get(*shard)
+                .and_then(|groups| groups.get(group))
+                .map(|record| record.mod_revision),
+            Key::Usage(shard) => self.usage.get(*shard).map(|usage| usage.mod_revision),
+            Key::Job(id) => self.jobs.get(id).map(|job| job.mod_revision),
+            Key::Chunk(id, chunk) => self
+                .jobs
+                .get(id)
+                .and_then(|job| job.chunks.get(chunk))
+                .map(|bitmap| bitmap.mod_revision),
+            Key::Rules(digest) => self.rules.get(digest).map(|rules| rules.mod_revision),
+            Key::Final(_) => None,
+        }
+        .unwrap_or(0)
+    }
+}
+
+/// Machines.
+impl CellState {
+    /// The group that holds a machine.
+    pub fn home(&self, machine: MachineId) -> Option<(ShardId, GroupIndex)> {
+        let group = self.locations.group_of(machine)?;
+        Some((self.shard_of_machine(machine), group))
+    }
+
+    /// The machine's record.
+    pub fn machine(&self, machine: MachineId) -> Option<&MachineRecord> {
+        let (shard, group) = self.home(machine)?;
+        self.groups
+            .get(shard)?
+            .get(&group)?
+            .value
+            .machines
+            .get(&machine)
+    }
+
+    /// Whether a lower group of its shard still lists a machine that was moved. It must stay in its group then, or it
+    /// would be found in the lower one again.
+    pub fn is_stale(&self, machine: MachineId) -> bool {
+        self.locations.is_superseded(machine)
+    }
+
+    /// Gives machines that rules name classes of their own.
+    pub fn label(&mut self, labelled: BTreeSet<MachineId>) {
+        let machines = self
+            .groups
+            .iter()
+            .flat_map(|groups| groups.values())
+            .flat_map(|group| &group.value.machines)
+            .map(|(machine, record)| (*machine, record));
+        self.classes.label(labelled, machines);
+    }
+
+    /// All machines of all shards.
+    pub fn machines(&self) -> impl Iterator<Item = (ShardId, MachineId, &MachineRecord)> {
+        (0..self.groups.len()).flat_map(|shard| {
+            self.machines_of(shard)
+                .map(move |(machine, record)| (shard, machine, record))
+        })
+    }
+
+    /// Those of them that are schedulable.
+    pub fn machines_up(&self) -> impl Iterator<Item = (MachineId, &MachineRecord)> {
+        self.machines()
+            .filter(|(_, _, record)| record.health == MachineHealth::Schedulable)
+            .map(|(_, machine, record)| (machine, record))
+    }
+
+    /// The machines of a shard.
+    pub fn machines_of(&self, shard: ShardId) -> impl Iterator<Item = (MachineId, &MachineRecord)> {
+        self.groups
+            .get(shard)
+            .into_iter()
+            .flat_map(|groups| groups.values())
+            .flat_map(|group| &group.value.machines)
+            .map(|(machine, record)| (*machine, record))
+    }
+
+    /// All machine types that are known.
+    pub fn machine_types(&self) -> impl Iterator<Item = &MachineType> {
+        self.types.value.iter().flat_map(|catalog| &catalog.types)
+    }
+
+    /// The machine type of this name.
+    pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
+        self.types.value.as_ref()?.get(name)
+    }
+
+    /// What a machine has left. Preempted tasks are not counted, since their resources are assigned already.
+    pub fn free(&self, record: &MachineRecord) -> Amount {
+        let mut free = self
+            .machine_type(&record.machine_type)
+            .map(|machine_type| machine_type.room)
+            .unwrap_or_default();
+        let assignments = record.tasks.iter();
+        for assignment in assignments.filter(|task| !record.preempted.contains(task)) {
+            free -= self.need(assignment.job);
+        }
+        free
+    }
+}
+
+/// Jobs and tasks.
+impl CellState {
+    /// What a task of this job needs; nothing for a job that is not live.
+    pub fn need(&self, job: JobId) -> Amount {
+        self.jobs
+            .get(&job)
+            .map(|job| job.record.spec.need)
+            .unwrap_or_default()
+    }
+
+    /// The places of a job's assigned tasks, by task number; `None` if it has none.
+    pub fn assigned(&self, job: JobId) -> Option<&BTreeMap<u32, Place>> {
+        self.assignments.of_job(job)
+    }
+
+    /// How many tasks of a job are assigned.
+    pub fn assigned_count(&self, job: JobId) -> u32 {
+        self.assigned(job).map_or(0, |tasks| tasks.len() as u32)
+    }
+
+    /// Where a task is assigned.
+    pub fn place(&self, task: TaskId) -> Option<Place> {
+        self.assigned(task.job)?.get(&task.index).copied()
+    }
+
+    /// Numbers of a job's tasks that are neither finished nor assigned, in order.
+    pub fn pending<'a>(&'a self, id: JobId, job: &'a Job) -> impl Iterator<Item = u32> + 'a {
+        let assigned = self.assigned(id);
+        let is_assigned =
+            move |index: &u32| assigned.is_some_and(|tasks| tasks.contains_key(index));
+        (0..job.record.spec.task_count)
+            .filter(move |index| !job.finished(*index) && !is_assigned(index))
+    }
+
+    /// How many tasks of a job are neither finished nor assigned.
+    pub fn pending_count(&self, id: JobId, job: &Job) -> u32 {
+        job.record
+            .spec
+            .task_count
+            .saturating_sub(job.done() + self.assigned_count(id))
+    }
+}
--- /dev/null
+++ b/src/storage/cell_state/usage.rs
@@ -0,0 +1,100 @@
+//! What the teams have assigned, and the ends of tasks that the shards' usage records hold.
+
+use super::{CellChanges, CellState};
+use crate::storage::completion_bitmap::CompletionBitmap;
+use crate::storage::ids::{JobId, ShardId};
+use std::cell::OnceCell;
+use std::collections::{BTreeMap, HashMap};
+
+/// Cores and accelerators that each team has assigned, in thousandths. Summed up on demand, since most changes are not
+/// followed by a query.
+#[derive(Debug, Default)]
+pub(super) struct AssignedByTeam(OnceCell<HashMap<String, (u64, u64)>>);
+
+impl AssignedByTeam {
+    /// Discards the sums: a job or a machine group is about to change.
+    pub(super) fn invalidate(&mut self) {
+        self.0.take();
+    }
+}
+
+impl CellState {
+    /// Cores and accelerators that a team of this shard has assigned, in thousandths.
+    ///
+    /// The shard's leader knows all assignments of the shard's jobs, or its next commit fails for its condition on the
+    /// usage record; it may know too few of the releases. So this is never less than what is assigned, and a quota
+    /// that it respects is respected.
+    pub fn used(&self, shard: ShardId, team: &str) -> (u64, u64) {
+        if !self.fenced() {
+            return self
+                .usage
+                .get(shard)
+                .map_or((0, 0), |usage| usage.value.of(team));
+        }
+        self.assigned_by_team
+            .0
+            .get_or_init(|| self.sum_assigned_by_team())
+            .get(team)
+            .copied()
+            .unwrap_or_default()
+    }
+
+    fn sum_assigned_by_team(&self) -> HashMap<String, (u64, u64)> {
+        let mut sums: HashMap<String, (u64, u64)> = HashMap::new();
+        for (id, tasks) in self.assignments.task_counts() {
+            let Some(job) = self.jobs.get(&id) else {
+                continue;
+            };
+            let spec = job.spec();
+            let cores = tasks * spec.need.cores;
+            let accelerators = tasks * spec.need.accelerators;
+            // Not `entry`, which would copy the name of the team for every job.
+            match sums.get_mut(&spec.team) {
+                Some(sum) => *sum = (sum.0 + cores, sum.1 + accelerators),
+                None => {
+                    sums.insert(spec.team.clone(), (cores, accelerators));
+                }
+            }
+        }
+        sums
+    }
+
+    /// The finished tasks of a job that usage records hold. A task that has ended stays so, so the ends in several
+    /// records are united.
+    pub(super) fn recorded_ends(&self, id: JobId) -> CompletionBitmap {
+        let mut recorded = self
+            .usage
+            .iter()
+            .filter_map(|usage| usage.value.ends.get(&id));
+        let mut all = recorded.next().cloned().unwrap_or_default();
+        recorded.for_each(|ends| all.merge(ends));
+        all
+    }
+
+    /// Updates the jobs whose ends in a shard's usage record differ from those it held before.
+    pub(super) fn refresh_ends(
+        &mut self,
+        shard: ShardId,
+        before: &BTreeMap<JobId, CompletionBitmap>,
+        changes_seen: &mut CellChanges,
+    ) {
+        let after = &self.usage[shard].value.ends;
+        let changed = after
+            .iter()
+            .filter(|(id, ends)| before.get(id) != Some(ends))
+            .map(|(id, _)| *id);
+        let removed = before.keys().filter(|id| !after.contains_key(id)).copied();
+        for id in changed.chain(removed).collect::<Vec<_>>() {
+            if !self.jobs.contains_key(&id) {
+                continue;
+            }
+            let ends = self.recorded_ends(id);
+            if let Some(job) = self.jobs.get_mut(&id)
+                && job.ends != ends
+            {
+                job.ends = ends;
+                changes_seen.jobs.push(id);
+            }
+        }
+    }
+}
--- a/src/storage/live_job.rs
+++ b/src/storage/live_job.rs
@@ -14,6 +14,16 @@
     pub mod_revision: u64,
 }
 
+impl<T> Versioned<T> {
+    /// A value that was last changed at this revision.
+    pub fn new(value: T, mod_revision: u64) -> Versioned<T> {
+        Versioned {
+            value,
+            mod_revision,
+        }
+    }
+}
+
 /// A live job in the copy.
 #[derive(Clone, Debug)]
 pub struct Job {
--- /dev/null
+++ b/src/storage/records/mod.rs
@@ -0,0 +1,150 @@
+//! The records in the state store, and their keys.
+
+mod format;
+mod key;
+
+use crate::storage::catalog::Catalog;
+use crate::storage::completion_bitmap::CompletionBitmap;
+use crate::storage::ids::{JobId, MachineId, ShardId};
+use crate::storage::job::is_false;
+pub use crate::storage::machine_group::{Assignment, GroupRecord, MachineHealth, MachineRecord};
+use crate::storage::restart_history::RestartHistory;
+use crate::time::Micros;
+pub use format::{
+    FENCED, FENCED_RULED, FIRST_LAYOUT, LAYOUT, PIPED, RecordFormat, TERSE, is_ruled,
+};
+pub use key::{Key, LIVE};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+
+/// What all controllers of a deployment agree on.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct MetaRecord {
+    /// Number of the format of the live records; see [`RecordFormat`]. The very first format did not store it.
+    #[serde(rename = "layout", default)]
+    pub layout: u32,
+    /// Number of shards; never changed.
+    #[serde(rename = "slices")]
+    pub shards: usize,
+    /// Shards of the teams with a guarantee or a quota.
+    #[serde(rename = "teams")]
+    pub teams: BTreeMap<String, ShardId>,
+}
+
+/// One run of a controller process; drawn at random when it starts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct Incarnation(pub u64);
+
+/// A live controller.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct NodeRecord {
+    /// The run of its process.
+    #[serde(rename = "run")]
+    pub run: Incarnation,
+    /// Number of the newest record format that it can read. Versions before [`RecordFormat::Compact`] did not store it.
+    #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
+    pub layout: Option<u32>,
+    /// The digest of the rules that it was started with; `None` without any.
+    #[serde(rename = "u", default, skip_serializing_if = "Option::is_none")]
+    pub rules: Option<u64>,
+    /// Its recent starts, including this run's. Earlier versions did not store them.
+    #[serde(
+        rename = "s",
+        default,
+        skip_serializing_if = "RestartHistory::is_empty"
+    )]
+    pub restart_history: RestartHistory,
+}
+
+/// The leader of a shard. The revision of the record is the leader's term.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ShardLeaderRecord {
+    /// The controller's name.
+    #[serde(rename = "node")]
+    pub node: String,
+    /// The run of its process: after a restart it leads nothing until it acquires the shard again.
+    #[serde(rename = "run")]
+    pub run: Incarnation,
+}
+
+/// What a shard's teams have assigned, and the recent ends of tasks. Every commit that assigns a shard's tasks writes
+/// this record, so that one whose outcome is unknown cannot succeed after a later one.
+///
+/// The ends of many jobs are written with it at once, instead of one write for each job. Before
+/// [`RecordFormat::Fenced`] they are those of the shard's jobs, and every release of their tasks writes the record. From
+/// then on they are those of the tasks that ended on the shard's machines, and `teams` is empty.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct UsageRecord {
+    /// Cores and accelerators assigned, in thousandths, by team.
+    #[serde(rename = "t", default)]
+    pub teams: BTreeMap<String, (u64, u64)>,
+    /// Finished tasks that the jobs' own records do not have yet.
+    #[serde(rename = "f", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub ends: BTreeMap<JobId, CompletionBitmap>,
+}
+
+impl UsageRecord {
+    /// Cores and accelerators that a team has assigned, in thousandths.
+    pub fn of(&self, team: &str) -> (u64, u64) {
+        self.teams.get(team).copied().unwrap_or_default()
+    }
+
+    /// Adds to what a team has assigned; amounts in thousandths.
+    pub fn add(&mut self, team: &str, cores: u64, accelerators: u64) {
+        let (used_cores, used_accelerators) = self.of(team);
+        let sum = (used_cores + cores, used_accelerators + accelerators);
+        self.teams.insert(team.to_owned(), sum);
+    }
+
+    /// Subtracts from what a team has assigned, down to zero; amounts in thousandths.
+    pub fn take(&mut self, team: &str, cores: u64, accelerators: u64) {
+        let (used_cores, used_accelerators) = self.of(team);
+        let rest = (
+            used_cores.saturating_sub(cores),
+            used_accelerators.saturating_sub(accelerators),
+        );
+        if rest == (0, 0) {
+            self.teams.remove(team);
+        } else {
+            self.teams.insert(team.to_owned(), rest);
+        }
+    }
+}
+
+/// Machines that were requested from the cloud and may not be listed by it yet.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ProvisionRecord {
+    /// Identifier of the request, which makes it idempotent; never used again.
+    #[serde(rename = "n")]
+    pub name: String,
+    /// Machine type.
+    #[serde(rename = "b")]
+    pub machine_type: String,
+    /// Zone.
+    #[serde(rename = "y")]
+    pub zone: String,
+    /// Whether they are spot machines.
+    #[serde(rename = "s", default, skip_serializing_if = "is_false")]
+    pub spot: bool,
+    /// Number of machines requested.
+    #[serde(rename = "c")]
+    pub count: u32,
+    /// When they were requested, by the time of day.
+    #[serde(rename = "t")]
+    pub at: Micros,
+}
+
+/// Machines being provisioned and decommissioned.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct FleetRecord {
+    /// Requests of which not all machines are listed by the cloud yet.
+    #[serde(rename = "h", default)]
+    pub provision_requests: Vec<ProvisionRecord>,
+    /// Machines outside any group whose release may have been requested.
+    #[serde(rename = "r", default)]
+    pub releasing: Vec<MachineId>,
+}
+
+/// The machine types, stored so that a controller can start while the cloud's API is unavailable.
+pub type TypesRecord = Catalog;
