--- /dev/null
+++ b/src/coordination/constraints/placement_filter.rs
@@ -0,0 +1,180 @@
+//! The constraints of a job, as placement and provisioning ask for them.
+
+use super::{jobs_there, machine_context};
+use crate::coordination::Controller;
+use crate::scheduler::constraints::{
+    JobConstraints, JobRef, PlacementContext, RequiredPreferences,
+};
+use crate::scheduler::placement;
+use crate::scheduler::provisioning::PlacementFilter;
+use crate::storage::cell_state::Job;
+use crate::storage::ids::{JobId, MachineId};
+use crate::storage::machine_classes::ClassId;
+
+/// Provisioning is of no use to a job: no machine that could be provisioned may run it, or none may yet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("no machine that could be provisioned may run job {job}")]
+pub(in crate::coordination) struct NoUsefulMachine {
+    job: JobId,
+}
+
+impl Controller {
+    /// The rules that restrict where the tasks of a job are placed. `context`: the current state, if any rule is in
+    /// force.
+    pub(in crate::coordination) fn rules_for<'b>(
+        &'b self,
+        id: JobId,
+        job: &Job,
+        context: Option<&'b PlacementContext<'b>>,
+    ) -> Option<placement::Rules<'b>> {
+        let context = context?;
+        let constraints = self.rules.jobs.get(id);
+        let required_preferences = self.required_preferences(id, job);
+        (constraints.is_some() || context.colocated).then_some(placement::Rules {
+            context,
+            constraints,
+            required_preferences,
+        })
+    }
+
+    /// Whether rules allow a job on machines of a type, zone and kind.
+    pub(in crate::coordination) fn may_provision(
+        &self,
+        id: JobId,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+    ) -> bool {
+        self.rules.jobs.get(id).is_none_or(|constraints| {
+            self.cell
+                .classes
+                .of_offer(machine_type, zone, spot)
+                .is_some_and(|class| constraints.may_run_on(class, 0))
+        })
+    }
+
+    /// Whether rules allow a job on a machine, by its class.
+    pub(in crate::coordination) fn may_use(&self, id: JobId, machine: MachineId) -> bool {
+        self.rules.jobs.get(id).is_none_or(|constraints| {
+            self.cell
+                .classes
+                .of(machine)
+                .is_some_and(|class| constraints.may_run_on(class, 0))
+        })
+    }
+
+    /// The machines that may be provisioned for a job; `None` if no rule restricts them.
+    ///
+    /// # Errors
+    /// [`NoUsefulMachine`] if no machine that could be provisioned may run the job, or none may yet.
+    pub(in crate::coordination) fn places_for<'a>(
+        &'a self,
+        id: JobId,
+        job: &'a Job,
+    ) -> Result<Option<Box<dyn PlacementFilter + 'a>>, NoUsefulMachine> {
+        let constraints = self.rules.jobs.get(id);
+        if constraints.is_none() && !self.rules.jobs.test_colocation() {
+            return Ok(None);
+        }
+        let required_preferences = match constraints {
+            Some(constraints) => self
+                .preferences_to_provision(id, job, constraints)
+                .ok_or(NoUsefulMachine { job: id })?,
+            None => 0,
+        };
+        Ok(Some(Box::new(JobPlaces {
+            controller: self,
+            job: JobRef {
+                id,
+                spec: job.spec(),
+            },
+            constraints,
+            required_preferences,
+        })))
+    }
+
+    /// The preferences that a machine must meet to be provisioned for a job; `None` if none that could be
+    /// provisioned is of use.
+    fn preferences_to_provision(
+        &self,
+        id: JobId,
+        job: &Job,
+        constraints: &JobConstraints,
+    ) -> Option<RequiredPreferences> {
+        let possible = self.possible_classes(job.spec());
+        let mut required = self.required_preferences(id, job);
+        let shortest_wait = constraints
+            .preferences_in(required)
+            .map(|preference| self.remaining_wait(job, preference.wait))
+            .min();
+        if let Some(wait) = shortest_wait {
+            let boot_times = |preferences| {
+                possible
+                    .iter()
+                    .filter(move |class| constraints.may_run_on_new(**class, preferences))
+                    .map(|class| self.boot_time(*class))
+            };
+            let met_in_time = boot_times(required).any(|boot_time| boot_time <= wait);
+            if !met_in_time {
+                // A machine that does not meet them is of no use while the job still waits.
+                if boot_times(0).min() < Some(wait) {
+                    return None;
+                }
+                required = 0;
+            }
+        }
+        possible
+            .iter()
+            .any(|class| constraints.may_run_on_new(*class, required))
+            .then_some(required)
+    }
+}
+
+/// The machines that rules allow one job.
+struct JobPlaces<'a> {
+    controller: &'a Controller,
+    job: JobRef<'a>,
+    constraints: Option<&'a JobConstraints>,
+    required_preferences: RequiredPreferences,
+}
+
+impl JobPlaces<'_> {
+    fn may_run_on_new(&self, class: ClassId) -> bool {
+        self.constraints
+            .is_none_or(|constraints| constraints.may_run_on_new(class, self.required_preferences))
+    }
+}
+
+impl PlacementFilter for JobPlaces<'_> {
+    fn class(&self, class: ClassId) -> bool {
+        self.constraints
+            .is_none_or(|constraints| constraints.may_run_on(class, self.required_preferences))
+    }
+
+    fn machine(&self, class: ClassId, machine: Option<MachineId>) -> bool {
+        let Some(machine) = machine else {
+            return self.may_run_on_new(class);
+        };
+        let Some(record) = self.controller.cell.machine(machine) else {
+            return false;
+        };
+        let residents = jobs_there(&record.tasks);
+        let context = self.controller.context();
+        context.admits(
+            self.job,
+            self.constraints,
+            self.required_preferences,
+            machine_context(&context, class, record, &residents),
+        )
+    }
+
+    fn offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u32> {
+        let Some(constraints) = self.constraints else {
+            return Some(0);
+        };
+        let classes = &self.controller.cell.classes;
+        let class = classes.of_offer(machine_type, zone, spot)?;
+        self.may_run_on_new(class)
+            .then(|| constraints.score_when_new(class))
+    }
+}
--- /dev/null
+++ b/src/scheduler/constraints/conflicts.rs
@@ -0,0 +1,174 @@
+//! Explanation of conflicts: the smallest sets of rules that leave a job no machine.
+
+use super::evaluation::JobConstraints;
+use super::machine_context::{JobRef, MachineContext, PlacementContext};
+use super::traits::traits;
+use crate::storage::catalog::Catalog;
+use crate::storage::job::JobSpec;
+use crate::storage::machine_classes::{Class, Classes};
+use cometlead_constraints::RuleSet;
+use cometlead_constraints::clash::{RuleMask, smallest};
+use cometlead_constraints::rules::LabelTable;
+use std::sync::Arc;
+
+/// Names of the fields of a submission that restrict where its tasks may run. In a [`RuleMask`] they are the lowest
+/// bits, followed by the hard rules of the job.
+const FIELDS: [&str; 4] = [
+    "submission: builds",
+    "submission: yard",
+    "submission: loaners",
+    "submission: size of a task",
+];
+
+/// By field of [`FIELDS`]: whether it excludes a class.
+fn fields_failing(spec: &JobSpec, class: &Class, catalog: &Catalog) -> [bool; FIELDS.len()] {
+    let type_excluded = spec
+        .machine_types
+        .as_ref()
+        .is_some_and(|types| !types.iter().any(|name| **name == *class.machine_type));
+    let zone_excluded = spec.zone.as_ref().is_some_and(|zone| **zone != *class.zone);
+    let spot_excluded = class.spot && !spec.spot_allowed;
+    let too_small = catalog
+        .get(&class.machine_type)
+        .is_none_or(|entry| !spec.need.fits(&entry.room));
+    [type_excluded, zone_excluded, spot_excluded, too_small]
+}
+
+/// Names of the fields of a submission that exclude a class.
+pub fn fields_against(spec: &JobSpec, class: &Class, catalog: &Catalog) -> Vec<&'static str> {
+    let failing = fields_failing(spec, class, catalog);
+    FIELDS
+        .into_iter()
+        .zip(failing)
+        .filter(|(_, fails)| *fails)
+        .map(|(name, _)| name)
+        .collect()
+}
+
+/// The smallest set of rules, by name, that excludes a job from every machine that is up or could be provisioned;
+/// `None` if some machine could run it.
+pub fn clash(
+    spec: &JobSpec,
+    constraints: &JobConstraints,
+    sets: &[Arc<RuleSet>],
+    classes: &Classes,
+    catalog: &Catalog,
+) -> Option<Vec<String>> {
+    let mut failing_by_class = Vec::new();
+    for (id, class) in possible_classes(classes) {
+        let failing = fields_failing(spec, class, catalog)
+            .into_iter()
+            .chain(requirements_excluding(constraints, id));
+        failing_by_class.push(mask(failing)?);
+    }
+    for class in labelled_offers(sets, classes) {
+        let class_traits = traits(&class, sets, catalog);
+        let constraints = JobConstraints::of(spec, sets, &[class_traits]).unwrap_or_default();
+        let failing = fields_failing(spec, &class, catalog)
+            .into_iter()
+            .chain(requirements_excluding(&constraints, 0));
+        failing_by_class.push(mask(failing)?);
+    }
+    let clash = smallest(&failing_by_class)?;
+    let fields = FIELDS.into_iter();
+    Some(names(clash, fields.chain(requirement_names(constraints))))
+}
+
+/// Classes of machines that are up or could be provisioned.
+fn possible_classes(classes: &Classes) -> impl Iterator<Item = (usize, &Class)> {
+    classes
+        .all()
+        .iter()
+        .enumerate()
+        .filter(|(id, _)| classes.possible(*id))
+}
+
+/// The classes of labelled machines that have not come up yet, which may be of any type that is offered. Of machines
+/// with equal labels only one is considered.
+fn labelled_offers<'a>(
+    sets: &'a [Arc<RuleSet>],
+    classes: &'a Classes,
+) -> impl Iterator<Item = Class> + 'a {
+    let mut seen_labels: Vec<Vec<Option<&LabelTable>>> = Vec::new();
+    let distinct = classes.unseen().filter(move |machine| {
+        let name = machine.to_string();
+        let labels = sets
+            .iter()
+            .map(|set| set.file.labels.machines.get(&name))
+            .collect();
+        let is_new = !seen_labels.contains(&labels);
+        if is_new {
+            seen_labels.push(labels);
+        }
+        is_new
+    });
+    distinct.flat_map(move |machine| {
+        possible_classes(classes)
+            .filter(|(_, class)| class.machine.is_none())
+            .map(move |(_, class)| Class {
+                machine: Some(machine),
+                ..class.clone()
+            })
+    })
+}
+
+fn requirements_excluding(
+    constraints: &JobConstraints,
+    class: usize,
+) -> impl Iterator<Item = bool> {
+    constraints
+        .requirements()
+        .iter()
+        .map(move |requirement| requirement.excludes_class(class))
+}
+
+fn requirement_names(constraints: &JobConstraints) -> impl Iterator<Item = &str> {
+    constraints
+        .requirements()
+        .iter()
+        .map(|requirement| requirement.name.as_str())
+}
+
+/// The rules that fail, as bits; `None` if none does. Rules beyond the width of the mask are ignored.
+fn mask(failing: impl Iterator<Item = bool>) -> Option<RuleMask> {
+    let mask = failing
+        .take(RuleMask::BITS as usize)
+        .enumerate()
+        .fold(0, |mask, (bit, fails)| mask | RuleMask::from(fails) << bit);
+    (mask != 0).then_some(mask)
+}
+
+/// Names of the rules in a mask. Two versions of a rule that are in force at the same time share one name.
+fn names<'a>(clash: RuleMask, all: impl Iterator<Item = &'a str>) -> Vec<String> {
+    let mut names: Vec<String> = Vec::new();
+    for (bit, name) in all.take(RuleMask::BITS as usize).enumerate() {
+        if clash >> bit & 1 == 1 && !names.iter().any(|known| known == name) {
+            names.push(name.to_owned());
+        }
+    }
+    names
+}
+
+impl PlacementContext<'_> {
+    /// The smallest set of a job's hard rules, by name, that excludes it from every one of these machines in their
+    /// current state; `None` if some machine meets all of them and rules of the jobs there exclude it.
+    pub fn blocking_rules<'m>(
+        &self,
+        job: JobRef<'_>,
+        constraints: &JobConstraints,
+        machines: impl Iterator<Item = MachineContext<'m>>,
+    ) -> Option<Vec<String>> {
+        let failing_by_machine: Vec<RuleMask> = machines
+            .map(|machine| {
+                let view = self.view(job, machine);
+                let violated = constraints
+                    .requirements()
+                    .iter()
+                    .map(|requirement| !requirement.holds(machine.class, &view));
+                mask(violated).unwrap_or(0)
+            })
+            .collect();
+        let clash = smallest(&failing_by_machine)?;
+        Some(names(clash, requirement_names(constraints)))
+    }
+}
--- /dev/null
+++ b/src/scheduler/constraints/evaluation.rs
@@ -0,0 +1,324 @@
+//! Evaluation of the rules that concern a job, for each machine class.
+
+use super::traits::ClassTraits;
+use crate::storage::job::JobSpec;
+use crate::storage::machine_classes::ClassId;
+use crate::time::Micros;
+use cometlead_constraints::expr::{Field, Words};
+use cometlead_constraints::judge::Empty;
+use cometlead_constraints::{Expr, Judged, Kind, Now, Rule, RuleSet, Subject, Traits};
+use std::ops::Range;
+use std::sync::Arc;
+
+/// A set of preferences: bit `n` stands for the preference at index `n` of [`JobConstraints::preferences`].
+pub type RequiredPreferences = u64;
+
+/// A hard rule.
+#[derive(Clone, Debug)]
+pub(super) struct Requirement {
+    pub(super) name: String,
+    /// Its tests of colocated jobs.
+    colocation_tests: Vec<(Field, Words)>,
+    by_class: Vec<Judged>,
+}
+
+impl Requirement {
+    fn new(rule: &Rule, by_class: Vec<Judged>) -> Requirement {
+        let mut colocation_tests = Vec::new();
+        rule.expr.tests(&mut |test| {
+            if let Expr::Colocated(field, words) = test {
+                colocation_tests.push((*field, words.clone()));
+            }
+        });
+        Requirement {
+            name: rule.name.clone(),
+            colocation_tests,
+            by_class,
+        }
+    }
+
+    /// Whether no machine of the class can meet it.
+    pub(super) fn excludes_class(&self, class: ClassId) -> bool {
+        excludes(&self.by_class, class)
+    }
+
+    /// Whether a machine of the class meets it in its current state.
+    pub(super) fn holds(&self, class: ClassId, now: &dyn Now) -> bool {
+        holds(&self.by_class, class, now)
+    }
+
+    /// Whether one of its tests of colocated jobs applies to a job. `matches`: whether the job has one of these
+    /// values in the field.
+    pub(super) fn tests_job(&self, matches: impl Fn(Field, &Words) -> bool) -> bool {
+        self.colocation_tests
+            .iter()
+            .any(|(field, words)| matches(*field, words))
+    }
+}
+
+/// A soft rule.
+#[derive(Clone, Debug)]
+pub struct Preference {
+    /// Its name.
+    pub name: String,
+    /// Its weight in the score of a machine.
+    pub weight: u32,
+    /// How long a job waits for a machine that meets it.
+    pub wait: Micros,
+    by_class: Vec<Judged>,
+}
+
+impl Preference {
+    /// Whether machines of the class may meet it.
+    pub fn may_meet(&self, class: ClassId) -> bool {
+        !excludes(&self.by_class, class)
+    }
+}
+
+/// The rules that concern a job, evaluated for each machine class.
+#[derive(Clone, Debug, Default)]
+pub struct JobConstraints {
+    requirements: Vec<Requirement>,
+    /// Conjunction of all requirements, by class.
+    conjunction: Vec<Judged>,
+    /// By descending weight, then by name: the same order at every controller.
+    preferences: Vec<Preference>,
+}
+
+impl JobConstraints {
+    /// Evaluates the rules that concern a job; `None` if there is none. If several sets are in force, the hard rules
+    /// of all apply, but only the preferences of the last. `classes`: the traits of every class.
+    pub fn of(
+        spec: &JobSpec,
+        sets: &[Arc<RuleSet>],
+        classes: &[ClassTraits],
+    ) -> Option<JobConstraints> {
+        let rules = concerning(spec, sets);
+        if rules.is_empty() {
+            return None;
+        }
+        let last_set = sets.len().max(1) - 1;
+        let mut constraints = JobConstraints {
+            conjunction: vec![Judged::Yes; classes.len()],
+            ..JobConstraints::default()
+        };
+        for RuleInSets { rule, sets } in rules {
+            match rule.kind {
+                Kind::Require => constraints.add_requirement(rule, evaluate(rule, &sets, classes)),
+                Kind::Prefer { weight, wait } if sets.end > last_set => {
+                    let last_only = sets.start.max(last_set)..sets.end;
+                    constraints.preferences.push(Preference {
+                        name: rule.name.clone(),
+                        weight,
+                        wait: Micros(wait),
+                        by_class: evaluate(rule, &last_only, classes),
+                    });
+                }
+                Kind::Prefer { .. } => {}
+            }
+        }
+        constraints.order_preferences();
+        Some(constraints)
+    }
+
+    fn add_requirement(&mut self, rule: &Rule, by_class: Vec<Judged>) {
+        for (all, judged) in self.conjunction.iter_mut().zip(&by_class) {
+            *all = both(std::mem::replace(all, Judged::Yes), judged.clone());
+        }
+        self.requirements.push(Requirement::new(rule, by_class));
+    }
+
+    fn order_preferences(&mut self) {
+        self.preferences
+            .sort_by(|a, b| b.weight.cmp(&a.weight).then_with(|| a.name.cmp(&b.name)));
+        self.preferences
+            .truncate(RequiredPreferences::BITS as usize);
+    }
+
+    pub(super) fn requirements(&self) -> &[Requirement] {
+        &self.requirements
+    }
+
+    /// The preferences, by descending weight.
+    pub fn preferences(&self) -> &[Preference] {
+        &self.preferences
+    }
+
+    /// The preferences of a set.
+    pub fn preferences_in(
+        &self,
+        required_preferences: RequiredPreferences,
+    ) -> impl Iterator<Item = &Preference> {
+        self.preferences
+            .iter()
+            .enumerate()
+            .filter(move |(index, _)| required_preferences >> index & 1 == 1)
+            .map(|(_, preference)| preference)
+    }
+
+    /// Whether machines of the class may run the job, in some state of theirs.
+    pub fn may_run_on(&self, class: ClassId, required_preferences: RequiredPreferences) -> bool {
+        !excludes(&self.conjunction, class)
+            && self
+                .preferences_in(required_preferences)
+                .all(|preference| preference.may_meet(class))
+    }
+
+    /// Whether a new machine of the class, without images and jobs, may run the job.
+    pub fn may_run_on_new(
+        &self,
+        class: ClassId,
+        required_preferences: RequiredPreferences,
+    ) -> bool {
+        self.holds(class, required_preferences, &Empty)
+    }
+
+    /// Whether a machine of the class may run the job in its current state.
+    pub(super) fn holds(
+        &self,
+        class: ClassId,
+        required_preferences: RequiredPreferences,
+        now: &dyn Now,
+    ) -> bool {
+        holds(&self.conjunction, class, now)
+            && self
+                .preferences_in(required_preferences)
+                .all(|preference| holds(&preference.by_class, class, now))
+    }
+
+    /// Total weight of the preferences that a new machine of the class meets.
+    pub fn score_when_new(&self, class: ClassId) -> u32 {
+        self.score(class, &Empty)
+    }
+
+    /// Total weight of the preferences that a machine of the class meets in its current state.
+    pub(super) fn score(&self, class: ClassId, now: &dyn Now) -> u32 {
+        self.preferences
+            .iter()
+            .filter(|preference| holds(&preference.by_class, class, now))
+            .map(|preference| preference.weight)
+            .sum()
+    }
+
+    /// Whether the requirements depend on the current state of each machine of the class.
+    pub fn is_open_on(&self, class: ClassId) -> bool {
+        matches!(self.conjunction.get(class), Some(Judged::Open(_)))
+    }
+
+    /// Whether a requirement asks which jobs are colocated.
+    pub fn tests_colocation(&self) -> bool {
+        self.requirements
+            .iter()
+            .any(|requirement| !requirement.colocation_tests.is_empty())
+    }
+
+    /// Whether the job waits for any of its preferences.
+    pub fn waits(&self) -> bool {
+        self.preferences
+            .iter()
+            .any(|preference| preference.wait > Micros::ZERO)
+    }
+
+    /// The preferences that the job still waits for: by descending weight, each that some class could meet together
+    /// with the requirements and the preferences before it.
+    ///
+    /// `possible`: the classes to consider. `is_waiting`: whether a preference with this wait is still waited for.
+    /// `in_time`: whether a machine of a class is up, or would be within this wait if it were provisioned.
+    pub fn required_preferences(
+        &self,
+        possible: &[ClassId],
+        is_waiting: &dyn Fn(Micros) -> bool,
+        in_time: &dyn Fn(ClassId, Micros) -> bool,
+    ) -> RequiredPreferences {
+        let mut required = 0;
+        for (index, preference) in self.preferences.iter().enumerate() {
+            let wait = preference.wait;
+            let extended = required | 1 << index;
+            let is_possible = || {
+                possible
+                    .iter()
+                    .any(|class| self.may_run_on(*class, extended) && in_time(*class, wait))
+            };
+            if wait > Micros::ZERO && is_waiting(wait) && is_possible() {
+                required = extended;
+            }
+        }
+        required
+    }
+}
+
+/// A rule, and the indexes of the rule sets under whose labels it is evaluated.
+struct RuleInSets<'a> {
+    rule: &'a Rule,
+    sets: Range<usize>,
+}
+
+/// The rules that concern a job: its own under all sets, those of a set under that set.
+fn concerning<'a>(spec: &'a JobSpec, sets: &'a [Arc<RuleSet>]) -> Vec<RuleInSets<'a>> {
+    let subject = subject(spec);
+    let own = spec.rules.iter().map(|rule| RuleInSets {
+        rule,
+        sets: 0..sets.len().max(1),
+    });
+    let of_sets = sets.iter().enumerate().flat_map(|(index, set)| {
+        set.rules.iter().map(move |rule| RuleInSets {
+            rule,
+            sets: index..index + 1,
+        })
+    });
+    own.chain(of_sets.filter(|found| found.rule.concerns(&subject)))
+        .collect()
+}
+
+/// Whether any hard rule concerns a job.
+pub fn has_hard(spec: &JobSpec, sets: &[Arc<RuleSet>]) -> bool {
+    concerning(spec, sets)
+        .iter()
+        .any(|found| found.rule.is_hard())
+}
+
+/// The properties of a job that select the rules which concern it.
+pub fn subject(spec: &JobSpec) -> Subject<'_> {
+    Subject {
+        job_class: &spec.job_class,
+        team: &spec.team,
+        image: &spec.image,
+        priority: spec.priority.name(),
+    }
+}
+
+/// Evaluates a rule for every class, under some of the rule sets.
+fn evaluate(rule: &Rule, sets: &Range<usize>, classes: &[ClassTraits]) -> Vec<Judged> {
+    let evaluate_under_sets = |traits: &Vec<Traits>| {
+        traits[sets.clone()]
+            .iter()
+            .map(|traits| rule.expr.reduce(traits))
+            .fold(Judged::Yes, both)
+    };
+    classes
+        .iter()
+        .map(|traits| traits.as_ref().map_or(Judged::No, evaluate_under_sets))
+        .collect()
+}
+
+/// The conjunction of two results.
+fn both(first: Judged, second: Judged) -> Judged {
+    match (first, second) {
+        (Judged::No, _) | (_, Judged::No) => Judged::No,
+        (Judged::Yes, other) | (other, Judged::Yes) => other,
+        (Judged::Open(first), Judged::Open(second)) if first == second => Judged::Open(first),
+        (Judged::Open(first), Judged::Open(second)) => Judged::Open(Expr::And(vec![first, second])),
+    }
+}
+
+/// Whether no machine of the class can meet it. A class that is not evaluated yet is excluded.
+fn excludes(by_class: &[Judged], class: ClassId) -> bool {
+    by_class
+        .get(class)
+        .is_none_or(|judged| *judged == Judged::No)
+}
+
+/// Whether a machine of the class meets it in its current state.
+fn holds(by_class: &[Judged], class: ClassId, now: &dyn Now) -> bool {
+    by_class.get(class).is_some_and(|judged| judged.holds(now))
+}
--- /dev/null
+++ b/src/scheduler/placement/preemption.rs
@@ -0,0 +1,209 @@
+//! Preemption: room for urgent tasks on machines that run tasks of lower precedence.
+
+use super::candidate::{Candidate, Running};
+use super::request::{Claim, PlacementRequest};
+use crate::storage::ids::MachineId;
+use crate::storage::records::Assignment;
+use crate::storage::resources::Amount;
+
+/// Most cores that may be preempted for each core that is gained.
+const MAX_LOSS_RATIO: u64 = 4;
+
+/// Resolution in which loss per gain is compared.
+const LOSS_SCALE: u64 = 16;
+
+/// Tasks to assign to a machine in the room of tasks that are preempted for them.
+#[derive(Clone, Debug)]
+pub struct Preemption {
+    /// The machine.
+    pub machine: MachineId,
+    /// Assignments that are preempted.
+    pub victims: Vec<Assignment>,
+    /// Tasks that are assigned.
+    pub claims: Vec<Claim>,
+}
+
+/// The latest started tasks of a machine that make room for some tasks of a request.
+struct VictimSet {
+    /// How many of the latest started tasks are preempted.
+    count: usize,
+    /// Free capacity without them.
+    room: Amount,
+    /// How many tasks of the request fit then.
+    tasks: u64,
+}
+
+/// Cost of preempting on a machine; the least is preferred, compared field by field.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PreemptionCost {
+    image_missing: bool,
+    loss_per_gain: u64,
+    machine: MachineId,
+}
+
+/// A machine on which preemption is worth its cost.
+struct PreemptionOption {
+    cost: PreemptionCost,
+    /// Index of the candidate.
+    candidate: usize,
+    victims: VictimSet,
+}
+
+/// Makes room for tasks that `plan` did not place, by preemption: the latest started tasks of a machine first, on
+/// the machines where the least work is lost.
+///
+/// `claims`: what `plan` placed. `most`: bound on the number of preemptions. `running`: the tasks of a machine that
+/// may be preempted; it is called only if a request preempts.
+pub fn preempt(
+    candidates: &mut [Candidate<'_>],
+    requests: &[PlacementRequest<'_>],
+    claims: &[Claim],
+    most: usize,
+    running: &dyn Fn(MachineId) -> Vec<Running>,
+) -> Vec<Preemption> {
+    let mut preemptions = Vec::new();
+    let mut running_loaded = false;
+    for request in requests.iter().filter(|request| may_preempt(request)) {
+        let placed = claims
+            .iter()
+            .filter(|claim| claim.job == request.job)
+            .count();
+        let mut missing = (request.tasks.len() as u64)
+            .min(request.most)
+            .saturating_sub(placed as u64);
+        if missing > 0 && !running_loaded {
+            load_running(candidates, running);
+            running_loaded = true;
+        }
+        let mut pending = request.tasks[placed..].iter().copied();
+        while missing > 0 && preemptions.len() < most {
+            let Some(option) = cheapest_option(candidates, request, missing) else {
+                break;
+            };
+            missing -= option.victims.tasks;
+            preemptions.push(apply(candidates, request, option, &mut pending));
+        }
+    }
+    preemptions
+}
+
+/// Whether a request may preempt. Gangs and jobs that are bound to a zone or spread over machines may not: a single
+/// machine does not decide whether their tasks can start.
+fn may_preempt(request: &PlacementRequest<'_>) -> bool {
+    request.mine
+        && request.preempts
+        && !request.all_or_nothing
+        && !request.spec.single_zone
+        && !request.spec.anti_affinity
+}
+
+fn load_running(candidates: &mut [Candidate<'_>], running: &dyn Fn(MachineId) -> Vec<Running>) {
+    for candidate in candidates {
+        candidate.running = running(candidate.machine);
+    }
+}
+
+/// The machine where preemption for a request costs the least.
+fn cheapest_option(
+    candidates: &[Candidate<'_>],
+    request: &PlacementRequest<'_>,
+    missing: u64,
+) -> Option<PreemptionOption> {
+    candidates
+        .iter()
+        .enumerate()
+        .filter(|(_, candidate)| {
+            request.is_feasible(candidate) && request.spec.need.fits(&candidate.all)
+        })
+        .filter_map(|(index, candidate)| preemption_option(index, candidate, request, missing))
+        .min_by_key(|option| option.cost)
+}
+
+/// What preemption on one machine gains and costs; `None` if it gains nothing or loses too much for it.
+fn preemption_option(
+    index: usize,
+    candidate: &Candidate<'_>,
+    request: &PlacementRequest<'_>,
+    missing: u64,
+) -> Option<PreemptionOption> {
+    let victims = select_victims(candidate, request, missing)?;
+    let first_victim = candidate.running.len() - victims.count;
+    let lost: u64 = candidate.running[first_victim..]
+        .iter()
+        .map(|victim| victim.need.cores)
+        .sum();
+    let gained = victims.tasks * request.spec.need.cores;
+    if lost > gained * MAX_LOSS_RATIO {
+        return None;
+    }
+    Some(PreemptionOption {
+        cost: PreemptionCost {
+            image_missing: !candidate.has_image(&request.spec.image),
+            loss_per_gain: lost * LOSS_SCALE / gained.max(1),
+            machine: candidate.machine,
+        },
+        candidate: index,
+        victims,
+    })
+}
+
+/// The fewest of the latest started tasks that make room for the most tasks of a request, at most `missing`.
+fn select_victims(
+    candidate: &Candidate<'_>,
+    request: &PlacementRequest<'_>,
+    missing: u64,
+) -> Option<VictimSet> {
+    let mut room = candidate.free;
+    let mut best = None;
+    let mut fitting = 0;
+    for (index, task) in candidate.running.iter().rev().enumerate() {
+        if !is_preemptible(task, request) || fitting >= missing {
+            break;
+        }
+        room += task.need;
+        let tasks = request.spec.need.times_in(&room, missing);
+        if tasks > fitting {
+            fitting = tasks;
+            best = Some(VictimSet {
+                count: index + 1,
+                room,
+                tasks,
+            });
+        }
+    }
+    best
+}
+
+fn is_preemptible(task: &Running, request: &PlacementRequest<'_>) -> bool {
+    task.priority > request.priority || (task.borrowed && request.guaranteed)
+}
+
+/// Takes the room of the victims for the next pending tasks of a request.
+fn apply(
+    candidates: &mut [Candidate<'_>],
+    request: &PlacementRequest<'_>,
+    option: PreemptionOption,
+    pending: &mut impl Iterator<Item = u32>,
+) -> Preemption {
+    let victims = option.victims;
+    let candidate = &mut candidates[option.candidate];
+    candidate.free = victims.room;
+    candidate.free -= request.spec.need.times(victims.tasks);
+    request.add_to(candidate);
+    let first_victim = candidate.running.len() - victims.count;
+    let machine = candidate.machine;
+    let claim = |index| Claim {
+        job: request.job,
+        index,
+        machine,
+    };
+    Preemption {
+        machine,
+        victims: candidate
+            .running
+            .drain(first_victim..)
+            .map(|task| task.assignment)
+            .collect(),
+        claims: pending.take(victims.tasks as usize).map(claim).collect(),
+    }
+}
--- /dev/null
+++ b/src/scheduler/placement/request.rs
@@ -0,0 +1,164 @@
+//! Requests to place tasks of one job, and the claims that answer them.
+
+use super::candidate::Candidate;
+use crate::scheduler::constraints::{
+    JobConstraints, JobRef, PlacementContext, RequiredPreferences,
+};
+use crate::storage::ids::{JobId, MachineId};
+use crate::storage::job::{JobSpec, Priority};
+use crate::storage::resources::Amount;
+use std::collections::BTreeMap;
+
+/// Pending tasks of one job.
+#[derive(Clone, Debug)]
+pub struct PlacementRequest<'a> {
+    /// The job.
+    pub job: JobId,
+    /// Its specification.
+    pub spec: &'a JobSpec,
+    /// Its effective priority: its own or that of a job that depends on it.
+    pub priority: Priority,
+    /// Pending tasks, in order.
+    pub tasks: Vec<u32>,
+    /// Assigned tasks of the job by zone.
+    pub zones: BTreeMap<&'a str, u32>,
+    /// Most tasks that the quota of its team still allows.
+    pub most: u64,
+    /// Highest price per core of a machine that may run it.
+    pub price_limit: u64,
+    /// Controller that places the job, numbered like [`Candidate::owner`].
+    pub owner: usize,
+    /// Whether this controller places the job. The plan follows jobs of other controllers as well, so that
+    /// nothing of lower precedence takes the room that they are about to claim.
+    pub mine: bool,
+    /// Whether it must start at once and may preempt other tasks.
+    pub preempts: bool,
+    /// Whether it is within the guarantee of its team.
+    pub guaranteed: bool,
+    /// Whether it uses leftover capacity only and never reserves a machine.
+    pub takes_leftovers: bool,
+    /// Whether it is a gang: all of its tasks are placed or none.
+    pub all_or_nothing: bool,
+    /// Machines to use only if no other machine fits.
+    pub avoid: &'a [MachineId],
+    /// The rules that apply, if any.
+    pub rules: Option<Rules<'a>>,
+}
+
+/// The rules that restrict where the tasks of a job are placed.
+#[derive(Clone, Copy, Debug)]
+pub struct Rules<'a> {
+    /// Current state that rules ask about.
+    pub context: &'a PlacementContext<'a>,
+    /// Constraints of the job itself; without them, rules of colocated jobs may still apply.
+    pub constraints: Option<&'a JobConstraints>,
+    /// Preferences that the job still waits for.
+    pub required_preferences: RequiredPreferences,
+}
+
+impl PlacementRequest<'_> {
+    fn job_ref(&self) -> JobRef<'_> {
+        JobRef {
+            id: self.job,
+            spec: self.spec,
+        }
+    }
+
+    /// Whether the job may run on the machine, whatever room is left there.
+    pub(super) fn is_feasible(&self, candidate: &Candidate<'_>) -> bool {
+        self.matches_request(candidate) && self.admitted(candidate)
+    }
+
+    /// Whether price, type, zone and kind of the machine match the specification.
+    pub(super) fn matches_request(&self, candidate: &Candidate<'_>) -> bool {
+        candidate.price <= self.price_limit
+            && self
+                .spec
+                .allows(candidate.machine_type, candidate.zone, candidate.spot)
+    }
+
+    /// Whether rules admit the job to the machine in its current state.
+    pub(super) fn admitted(&self, candidate: &Candidate<'_>) -> bool {
+        self.rules.is_none_or(|rules| {
+            rules.context.admits(
+                self.job_ref(),
+                rules.constraints,
+                rules.required_preferences,
+                candidate.machine_context(),
+            )
+        })
+    }
+
+    /// Whether rules may admit the job to a machine of this class.
+    pub(super) fn class_admitted(&self, candidate: &Candidate<'_>) -> bool {
+        let Some(rules) = self.rules else {
+            return true;
+        };
+        rules.constraints.is_none_or(|constraints| {
+            constraints.may_run_on(candidate.class, rules.required_preferences)
+        })
+    }
+
+    /// Total weight of the job's preferences that the machine meets.
+    pub(super) fn score(&self, candidate: &Candidate<'_>) -> u32 {
+        self.rules.map_or(0, |rules| {
+            rules.context.score(
+                self.job_ref(),
+                rules.constraints,
+                candidate.machine_context(),
+            )
+        })
+    }
+
+    /// Records on the machine that it runs tasks of the job, if rules ask about colocated jobs.
+    pub(super) fn add_to(&self, candidate: &mut Candidate<'_>) {
+        let Some(rules) = self.rules.filter(|rules| rules.context.colocated) else {
+            return;
+        };
+        if !candidate.there.contains(&self.job) {
+            candidate.there.push(self.job);
+            candidate.has_exclusions |= rules.context.excludes_newcomers(self.job);
+        }
+    }
+}
+
+/// A task and the machine that it is to be assigned to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Claim {
+    /// The job.
+    pub job: JobId,
+    /// Index of the task.
+    pub index: u32,
+    /// The machine.
+    pub machine: MachineId,
+}
+
+/// Everything that decides whether a machine has room for a task of a job. Requests of equal shape fit the same
+/// machines.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct RequestShape<'a> {
+    need: Amount,
+    machine_types: Option<&'a [String]>,
+    zone: Option<&'a str>,
+    spot: bool,
+    price_limit: u64,
+    mine: bool,
+}
+
+impl<'a> RequestShape<'a> {
+    /// The shape of a request; `None` if rules or the zone of its other tasks decide as well.
+    pub(super) fn of(request: &PlacementRequest<'a>) -> Option<RequestShape<'a>> {
+        let spec = request.spec;
+        if request.rules.is_some() || spec.single_zone {
+            return None;
+        }
+        Some(RequestShape {
+            need: spec.need,
+            machine_types: spec.machine_types.as_deref(),
+            zone: spec.zone.as_deref(),
+            spot: spec.spot_allowed,
+            price_limit: request.price_limit,
+            mine: request.mine,
+        })
+    }
+}
--- /dev/null
+++ b/src/scheduler/placement/reservation.rs
@@ -0,0 +1,72 @@
+//! Reservation: machines that are kept for requests that found no room.
+
+use super::candidate::Candidate;
+use super::request::PlacementRequest;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+
+/// One in so many machines may be reserved for a single request.
+const RESERVABLE_FRACTION: usize = 3;
+
+/// Reserves the machines with the most free room for the `missing` tasks of a request, so that smaller tasks of
+/// lower precedence do not take the room as it becomes free. `live`: indexes of the machines with free room.
+pub(super) fn reserve(
+    candidates: &mut [Candidate<'_>],
+    live: &[usize],
+    request: &PlacementRequest<'_>,
+    missing: u64,
+) {
+    let mut missing = missing.min(request.most);
+    if missing == 0 || request.takes_leftovers {
+        return;
+    }
+    let suitable = suitable_machines(candidates, live, request);
+    if !request.all_or_nothing && has_room(candidates, &suitable, request) {
+        // The bounds of the round are exhausted, not the machines.
+        return;
+    }
+    // A heap, because only a few of many are taken.
+    let by_free_room = |index: usize| {
+        let free = &candidates[index].free;
+        (free.cores, free.memory, Reverse(index))
+    };
+    let mut most_free: BinaryHeap<_> = suitable.into_iter().map(by_free_room).collect();
+    for _ in 0..candidates.len().div_ceil(RESERVABLE_FRACTION) {
+        if missing == 0 {
+            return;
+        }
+        let Some((_, _, Reverse(index))) = most_free.pop() else {
+            return;
+        };
+        let candidate = &mut candidates[index];
+        candidate.reserved = true;
+        let capacity = request.spec.need.times_in(&candidate.all, missing);
+        missing = missing.saturating_sub(capacity);
+    }
+}
+
+/// The machines that could run a task of the request if they were empty.
+fn suitable_machines(
+    candidates: &[Candidate<'_>],
+    live: &[usize],
+    request: &PlacementRequest<'_>,
+) -> Vec<usize> {
+    let fits = |candidate: &Candidate<'_>| {
+        request.spec.need.fits(&candidate.all) && request.is_feasible(candidate)
+    };
+    live.iter()
+        .copied()
+        .filter(|index| fits(&candidates[*index]))
+        .collect()
+}
+
+/// Whether one of these machines has room for a task now.
+fn has_room(
+    candidates: &[Candidate<'_>],
+    indexes: &[usize],
+    request: &PlacementRequest<'_>,
+) -> bool {
+    indexes
+        .iter()
+        .any(|index| request.spec.need.fits(&candidates[*index].free))
+}
