--- a/src/coordination/throughput.rs
+++ b/src/coordination/throughput.rs
@@ -1,78 +1,84 @@
-//! What was served of each class and team, for the log: jobs done as the watch tells of their ends, and what runs and
-//! waits now. Told by the owner of slice 0 for all, every 30 s.
+//! Throughput of each class and team, for the log: ended jobs, and assigned and pending tasks. The leader of shard 0
+//! logs it for all controllers, together with the counters of the controller.
 
 use crate::coordination::Controller;
 use crate::storage::cell_state::EndedJob;
 use std::collections::BTreeMap;
 
-/// Counts by class and by team since this process has had a copy.
-#[derive(Debug, Default)]
-pub struct Served(BTreeMap<(&'static str, String), Count>);
+/// A class or a team.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Owner {
+    /// `class` or `team`.
+    kind: &'static str,
+    name: String,
+}
 
-#[derive(Clone, Copy, Debug, Default)]
-struct Count {
-    done: u64,
-    running: u64,
-    waiting: u64,
+impl Owner {
+    /// The class and the team of a job.
+    fn of_job(job_class: &str, team: &str) -> [Owner; 2] {
+        [("class", job_class), ("team", team)].map(|(kind, name)| Owner {
+            kind,
+            name: name.to_owned(),
+        })
+    }
 }
 
-/// A job's class and team, each with what it is.
-fn owners(job_class: &str, team: &str) -> [(&'static str, String); 2] {
-    [("class", job_class.to_owned()), ("team", team.to_owned())]
+#[derive(Clone, Copy, Debug, Default)]
+struct Counts {
+    jobs_done: u64,
+    tasks_assigned: u64,
+    tasks_waiting: u64,
 }
 
+/// Jobs of each class and team that have ended since this process read the cell state.
+#[derive(Debug, Default)]
+pub struct Served(BTreeMap<Owner, Counts>);
+
 impl Served {
-    /// A job has ended; what is not known to be done is not counted.
+    /// Counts a job that has ended, unless it was cancelled or its outcome is unknown.
     pub fn note(&mut self, ended: &EndedJob) {
-        if ended.how.is_some_and(|f| !f.cancelled) {
-            for of in owners(&ended.job_class, &ended.team) {
-                self.0.entry(of).or_default().done += 1;
+        if ended.how.is_some_and(|outcome| !outcome.cancelled) {
+            for owner in Owner::of_job(&ended.job_class, &ended.team) {
+                self.0.entry(owner).or_default().jobs_done += 1;
             }
         }
     }
 }
 
 impl Controller {
-    /// Tells how much of each class and team was done, runs and waits, and which are left behind.
+    /// Logs the throughput of each class and team, and which of them are due room ahead of the order.
     pub(super) fn log_served(&mut self) {
         if !self.leads(0) {
             return;
         }
-        let mut counts = self.served.0.clone();
-        for (id, job) in &self.cell.jobs {
-            let spec = job.spec();
-            let running = u64::from(self.cell.assigned_count(*id));
-            let waiting = u64::from(self.cell.pending_count(*id, job));
-            for of in owners(&spec.job_class, &spec.team) {
-                let count = counts.entry(of).or_default();
-                count.running += running;
-                count.waiting += waiting;
-            }
-        }
-        for (
-            (kind, name),
-            Count {
-                done,
-                running,
-                waiting,
-            },
-        ) in counts
-        {
+        for (Owner { kind, name }, counts) in self.throughput() {
             tracing::info!(
                 kind,
                 name,
-                jobs_done = done,
-                tasks_assigned = running,
-                tasks_waiting = waiting,
-                "served"
+                jobs_done = counts.jobs_done,
+                tasks_assigned = counts.tasks_assigned,
+                tasks_waiting = counts.tasks_waiting,
+                "throughput"
             );
         }
         for (name, cores) in self.starved_classes_and_teams() {
-            tracing::info!(
-                name,
-                cores,
-                "left behind while others have more than half of their part: goes ahead"
-            );
+            tracing::info!(name, cores, "fair share deficit");
+        }
+    }
+
+    /// EndedJob jobs, and the tasks that are assigned and pending now.
+    fn throughput(&self) -> BTreeMap<Owner, Counts> {
+        let mut throughput = self.served.0.clone();
+        for (id, job) in &self.cell.jobs {
+            let spec = job.spec();
+            let assigned = u64::from(self.cell.assigned_count(*id));
+            let pending = u64::from(self.cell.pending_count(*id, job));
+            for owner in Owner::of_job(&spec.job_class, &spec.team) {
+                let counts = throughput.entry(owner).or_default();
+                counts.tasks_assigned += assigned;
+                counts.tasks_waiting += pending;
+            }
         }
+        throughput
     }
 }
--- a/src/scheduler/fair_shares.rs
+++ b/src/scheduler/fair_shares.rs
@@ -1,59 +1,67 @@
-//! Who is left behind while room is short for long: parts of it by class and by team.
+//! Fair shares of classes and teams under a lasting shortage of room.
 //!
-//! The order of jobs (guarantee, urgency, latest start) says who comes first, and under a lasting shortage whoever comes
-//! last would get nothing at all. So a class or a team that is late, and has less than half of what would be its fair
-//! part while another has more than half of its own, goes first until it has that half. On ordinary days nobody is late
-//! for long, and nothing changes.
+//! Jobs are ordered by guarantee, priority and latest start. Under a lasting shortage, whatever comes last in this
+//! order would get nothing. So a class or team that is late and has less than half of its fair share, while another
+//! has more than half of its own, goes ahead until it has that half. Without a shortage nothing is late for long,
+//! and the order is unchanged.
 
-/// What one class or one team has booked and still wants, in thousandths of a core.
+/// Assigned and pending cores of one class or one team, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Share {
-    /// Booked now.
+    /// Assigned now.
     pub assigned: u64,
-    /// Wanted beyond that, as far as limits allow it.
+    /// Pending beyond that, as far as quotas allow.
     pub waiting: u64,
-    /// Something of it should have started long ago.
+    /// Whether some of its work should have started long ago.
     pub late: bool,
 }
 
-/// Fair parts of so much room, by as many parts: as even as can be, and none gets more than it wants (max-min fair).
+impl Share {
+    fn demand(&self) -> u64 {
+        self.assigned.saturating_add(self.waiting)
+    }
+}
+
+/// Max-min fair shares of `room`, one for each of `shares`: as even as possible, and none exceeds its demand.
 pub fn fair(room: u64, shares: &[Share]) -> Vec<u64> {
-    let mut order: Vec<usize> = (0..shares.len()).collect();
-    let wants = |i: usize| shares[i].assigned.saturating_add(shares[i].waiting);
-    order.sort_unstable_by_key(|i| wants(*i));
-    let mut given = vec![0; shares.len()];
-    let mut left = room;
-    for (n, i) in order.iter().enumerate() {
-        let even = left / (shares.len() - n) as u64;
-        given[*i] = wants(*i).min(even);
-        left -= given[*i];
+    let mut by_demand: Vec<usize> = (0..shares.len()).collect();
+    by_demand.sort_unstable_by_key(|index| shares[*index].demand());
+    let mut fair = vec![0; shares.len()];
+    let mut unshared = room;
+    for (served, index) in by_demand.iter().enumerate() {
+        let even_part = unshared / (shares.len() - served) as u64;
+        fair[*index] = shares[*index].demand().min(even_part);
+        unshared -= fair[*index];
     }
-    given
+    fair
 }
 
-/// What a part is due under a lasting shortage.
+/// What a class or team is due under a lasting shortage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Deficit {
-    /// How much it may take ahead of its turn: what it lacks to half of its fair part, if it is late.
+    /// Cores that it may be assigned ahead of the order, in thousandths: what it lacks to half of its fair share.
     pub ahead: u64,
-    /// What is late of it is not stopped for others: it has no more than its fair part. Were this only up to the half,
-    /// what it was given ahead of its turn would be taken again as soon as the half is full.
+    /// Whether its late tasks are protected from preemption: it has no more than its fair share. Were they protected
+    /// only up to the half, the room assigned ahead of the order would be preempted as soon as the half is reached.
     pub protected: bool,
 }
 
-/// What each is due, as long as another has more than half of its own fair part.
+/// What each class or team is due, while another has more than half of its own fair share.
 pub fn deficits(room: u64, shares: &[Share]) -> Vec<Deficit> {
     let fair = fair(room, shares);
-    let past_half = |i: usize| shares[i].assigned > fair[i] / 2;
-    (0..shares.len())
-        .map(|i| {
-            let Share { assigned, late, .. } = shares[i];
-            if !late || !(0..shares.len()).any(|o| o != i && past_half(o)) {
+    let exceeds_half = |index: usize| shares[index].assigned > fair[index] / 2;
+    let other_exceeds_half =
+        |index: usize| (0..shares.len()).any(|other| other != index && exceeds_half(other));
+    shares
+        .iter()
+        .enumerate()
+        .map(|(index, share)| {
+            if !share.late || !other_exceeds_half(index) {
                 return Deficit::default();
             }
             Deficit {
-                ahead: (fair[i] / 2).saturating_sub(assigned),
-                protected: assigned <= fair[i],
+                ahead: (fair[index] / 2).saturating_sub(share.assigned),
+                protected: share.assigned <= fair[index],
             }
         })
         .collect()
--- /dev/null
+++ b/src/scheduler/provisioning/pools.rs
@@ -0,0 +1,168 @@
+//! Machines that are up or expected, in pools of equal ones.
+
+use super::demand::Demand;
+use super::offers::core_price;
+use crate::storage::catalog::Catalog;
+use crate::storage::ids::MachineId;
+use crate::storage::machine_classes::ClassId;
+use crate::storage::resources::Amount;
+
+/// Machines of one type, zone, kind and class that are up or expected.
+#[derive(Clone, Debug)]
+pub struct MachinePool<'a> {
+    /// Machine type.
+    pub machine_type: &'a str,
+    /// Zone.
+    pub zone: &'a str,
+    /// Whether they are spot machines.
+    pub spot: bool,
+    /// Total capacity of one machine.
+    pub all: Amount,
+    /// Price per core.
+    pub price: u64,
+    /// Number of machines.
+    pub count: u64,
+    /// Core time that their assigned tasks still take, in thousandths of a core times microseconds.
+    pub work: u128,
+    /// Free capacity of the machines that have some, with the machine if it is up.
+    pub free: Vec<(Amount, Option<MachineId>)>,
+    /// Their class, where rules need it.
+    pub class: Option<ClassId>,
+}
+
+impl<'a> MachinePool<'a> {
+    /// A pool without machines. A type that the catalog does not list has no capacity.
+    fn empty(
+        (machine_type, zone, spot): (&'a str, &'a str, bool),
+        catalog: &Catalog,
+        class: Option<ClassId>,
+    ) -> MachinePool<'a> {
+        let entry = catalog.get(machine_type);
+        MachinePool {
+            machine_type,
+            zone,
+            spot,
+            all: entry.map_or(Amount::default(), |entry| entry.room),
+            price: entry.map_or(0, |entry| core_price(entry, spot)),
+            count: 0,
+            work: 0,
+            free: Vec::new(),
+            class,
+        }
+    }
+
+    /// Assigns up to `missing` tasks to free room; returns how many found none.
+    fn assign(&mut self, demand: &Demand<'_>, mut missing: u64) -> u64 {
+        let need = &demand.spec.need;
+        for (free, machine) in &mut self.free {
+            if missing == 0 {
+                break;
+            }
+            if let (Some(places), Some(class)) = (&demand.places, self.class)
+                && !places.machine(class, *machine)
+            {
+                continue;
+            }
+            let tasks = need.times_in(free, missing);
+            *free -= need.times(tasks);
+            self.work += demand.task_work() * u128::from(tasks);
+            missing -= tasks;
+        }
+        self.free.retain(|(free, _)| free.cores > 0);
+        missing
+    }
+}
+
+/// All machines that are up or expected.
+#[derive(Clone, Debug, Default)]
+pub struct MachinePools<'a>(Vec<MachinePool<'a>>);
+
+impl<'a> MachinePools<'a> {
+    /// Adds `count` machines of one type, zone and kind.
+    ///
+    /// `free`: free capacity of each, and the machine if it is up; without it they are empty and not up. `work`: core
+    /// time that the assigned tasks of each still take.
+    pub fn add(
+        &mut self,
+        (machine_type, zone, spot): (&'a str, &'a str, bool),
+        catalog: &Catalog,
+        class: Option<ClassId>,
+        count: u64,
+        free: Option<(Amount, Option<MachineId>)>,
+        work: u128,
+    ) {
+        let pool = self.pool((machine_type, zone, spot), catalog, class);
+        pool.count += count;
+        pool.work += work * u128::from(count);
+        let free = free.unwrap_or((pool.all, None));
+        if free.0.cores > 0 {
+            pool.free.extend((0..count).map(|_| free));
+        }
+    }
+
+    fn pool(
+        &mut self,
+        (machine_type, zone, spot): (&'a str, &'a str, bool),
+        catalog: &Catalog,
+        class: Option<ClassId>,
+    ) -> &mut MachinePool<'a> {
+        let known = self.0.iter().position(|pool| {
+            pool.spot == spot
+                && pool.machine_type == machine_type
+                && pool.zone == zone
+                && pool.class == class
+        });
+        let index = known.unwrap_or_else(|| {
+            self.0.push(MachinePool::empty(
+                (machine_type, zone, spot),
+                catalog,
+                class,
+            ));
+            self.0.len() - 1
+        });
+        &mut self.0[index]
+    }
+
+    /// Assigns up to `missing` tasks to the free room of feasible pools; returns how many found none.
+    pub(super) fn assign(&mut self, demand: &Demand<'_>, prices: Prices, missing: u64) -> u64 {
+        self.0.iter_mut().fold(missing, |missing, pool| {
+            if missing > 0 && prices.include(pool, demand) && demand.is_feasible(pool) {
+                pool.assign(demand, missing)
+            } else {
+                missing
+            }
+        })
+    }
+
+    /// The pools that may run a demand, at these prices.
+    pub(super) fn feasible(
+        &self,
+        demand: &Demand<'_>,
+        prices: Prices,
+    ) -> impl Iterator<Item = &MachinePool<'a>> {
+        self.0
+            .iter()
+            .filter(move |pool| prices.include(pool, demand) && demand.is_feasible(pool))
+    }
+}
+
+/// Which prices of machines are considered, relative to the price limit of a demand.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Prices {
+    /// Up to the limit.
+    WithinLimit,
+    /// Above the limit only.
+    AboveLimit,
+    /// All prices.
+    Any,
+}
+
+impl Prices {
+    fn include(self, pool: &MachinePool<'_>, demand: &Demand<'_>) -> bool {
+        match self {
+            Prices::WithinLimit => pool.price <= demand.price_limit,
+            Prices::AboveLimit => pool.price > demand.price_limit,
+            Prices::Any => true,
+        }
+    }
+}
--- a/src/scheduler/zone_health.rs
+++ b/src/scheduler/zone_health.rs
@@ -1,151 +1,180 @@
-//! Whether a zone is there: suspicion worked out from silence, as a small machine of states.
+//! Health of a zone as one controller sees it: a state machine that suspects a zone by the silence of its agents.
 //!
-//! Nothing here proves anything of any machine. What a state moves is where new work and new machines go, what is worth
-//! waiting for, and in which order machines are released.
+//! A state proves nothing about any machine. It decides where new tasks and machines are placed, which machines are
+//! waited for, and in which order machines are released.
 
 use crate::time::Micros;
 
-/// What a controller has of one zone now.
+/// What a controller observes of one zone.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Evidence {
-    /// Machines there that it answers and has heard before.
+    /// Machines there whose agents it serves and has received heartbeats from.
     pub machines: usize,
-    /// Since any of them was last heard.
+    /// Time since the last heartbeat of any of them.
     pub quiet: Micros,
-    /// Those that were asked since then and did not answer.
+    /// Machines that were probed since then and did not answer.
     pub unanswered: usize,
-    /// Those that were heard since the zone was lost.
+    /// Machines that sent a heartbeat since the zone was lost.
     pub heard_again: usize,
-    /// Workers of other zones are heard as usual: it is not the controller that is deaf.
+    /// Whether agents of other zones send heartbeats as usual. If not, the controller itself may be disconnected.
     pub others_heard: bool,
 }
 
-/// How a zone seems to be.
+/// State of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
-    /// As usual.
+    /// Heartbeats arrive as usual.
     #[default]
     Well,
-    /// Nobody there has been heard for longer than usual; some are being asked.
+    /// No heartbeat for longer than usual; some machines are probed.
     Doubtful,
-    /// Those that were asked do not answer: cut off, or dead.
+    /// Probed machines do not answer: the zone is disconnected or down.
     Lost,
-    /// Heard again; given work by a growing share.
+    /// Heartbeats arrive again; a growing share of the machines accepts new tasks.
     Returning,
 }
 
-/// One zone, as one controller sees it.
+/// Health of one zone as one controller sees it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Zone {
     state: State,
     since: Micros,
-    /// Losses that still count, and when the last of them was.
+    /// Losses that still count.
     losses: u32,
+    /// When the last loss was.
     lost_at: Micros,
 }
 
 impl Zone {
-    /// Machines that have to stay silent when asked, if there are so many.
+    /// Machines that must leave a probe unanswered, or be back, before the state changes; all, if there are fewer.
     pub const ASKED: usize = 3;
-    /// After so long without a loss earlier ones are forgotten.
-    const FORGOTTEN: Micros = Micros::secs(600);
-    /// How long a return takes after the first loss, doubled for each further one, and at most.
-    const RETURN: (Micros, Micros) = (Micros::secs(20), Micros::secs(160));
-    /// Who answers no machine there any more learns nothing of it, and holds it for lost no longer than this: those who
-    /// do answer machines there mark what is lost of these.
-    const UNKNOWN: Micros = Micros::secs(30);
-    /// Part of its machines, in hundredths, that take work at once.
+    /// Fewest machines whose silence says anything about their zone.
+    const MIN_MACHINES: usize = 2;
+    /// Time without a loss after which earlier losses do not count any more.
+    const LOSS_MEMORY: Micros = Micros::secs(600);
+    /// Duration of the recovery from the first loss; it doubles with each further one.
+    const FIRST_RECOVERY: Micros = Micros::secs(20);
+    /// Longest duration of a recovery.
+    const MAX_RECOVERY: Micros = Micros::secs(160);
+    /// Most doublings of the recovery, which keep the shift within range.
+    const MAX_DOUBLINGS: u32 = 6;
+    /// How long a controller that serves no machine in a lost zone any more considers it lost: it receives no
+    /// evidence. Controllers that do serve machines there mark those that are lost.
+    const MAX_LOST_WITHOUT_MACHINES: Micros = Micros::secs(30);
+    /// Share of the machines that accept new tasks at the start of a recovery, in hundredths.
     const FIRST_SHARE: u64 = 10;
+    /// Share of all machines, in hundredths.
+    const FULL_SHARE: u64 = 100;
+    /// Shortest silence that is ever unusual.
+    const MIN_SILENCE: Micros = Micros::secs(1);
+    /// Usual silence, in mean intervals between heartbeats. If heartbeats were independent, one interval in about
+    /// four hundred would be longer, which costs a few probes.
+    const SILENT_INTERVALS: u64 = 6;
 
     /// Its state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Since when it has this state.
+    /// Since when it has been in this state.
     pub fn since(&self) -> Micros {
         self.since
     }
 
-    /// Whether it may be lost: nothing there is decided for one machine alone.
+    /// Whether the zone may be lost, so that nothing is decided about a single machine of it.
     pub fn is_in_doubt(&self) -> bool {
         matches!(self.state, State::Doubtful | State::Lost)
     }
 
-    /// How long any of so many machines, each reporting about every `report`, may usually leave one waiting for a word. Were
-    /// reports independent, one wait in four hundred would be longer: that costs a few questions.
+    /// Longest usual time between heartbeats of a number of machines, each of which sends one about every `report`.
     pub fn usual_silence(machines: usize, report: Micros) -> Micros {
-        Micros::secs(1).max(Micros(report.0 * 6 / machines.max(1) as u64))
+        let mean_intervals = report.0 * Self::SILENT_INTERVALS / machines.max(1) as u64;
+        Self::MIN_SILENCE.max(Micros(mean_intervals))
     }
 
-    /// Takes what is known now; the new state, if that changes it.
-    pub fn note(&mut self, now: Micros, report: Micros, e: &Evidence) -> Option<State> {
-        let silent = e.quiet > Self::usual_silence(e.machines, report);
-        let new = match self.state {
-            // A single machine says nothing about a zone, and who hears nobody nothing about others.
-            State::Well | State::Returning if e.machines >= 2 && silent && e.others_heard => {
+    /// Applies new evidence; returns the new state, if it changes.
+    pub fn note(&mut self, now: Micros, report: Micros, evidence: &Evidence) -> Option<State> {
+        let next = self.next_state(now, report, evidence);
+        if next == self.state {
+            return None;
+        }
+        if next == State::Lost {
+            self.count_loss(now);
+        }
+        self.state = next;
+        self.since = now;
+        Some(next)
+    }
+
+    fn next_state(&self, now: Micros, report: Micros, evidence: &Evidence) -> State {
+        let silent = evidence.quiet > Self::usual_silence(evidence.machines, report);
+        let quorum = Self::ASKED.min(evidence.machines.max(1));
+        let in_state = now.since(self.since);
+        match self.state {
+            State::Well | State::Returning if silent && Self::is_conclusive(evidence) => {
                 State::Doubtful
             }
-            State::Returning if now.since(self.since) > self.return_span() => State::Well,
-            State::Doubtful
-                if !silent && self.losses > 0 && now.since(self.lost_at) < self.return_span() =>
-            {
-                State::Returning
-            }
+            State::Returning if in_state > self.recovery() => State::Well,
+            State::Doubtful if !silent && self.is_recovering(now) => State::Returning,
             State::Doubtful if !silent => State::Well,
-            State::Doubtful
-                if e.others_heard && e.unanswered >= Self::ASKED.min(e.machines.max(1)) =>
-            {
+            State::Doubtful if evidence.others_heard && evidence.unanswered >= quorum => {
                 State::Lost
             }
-            State::Lost if e.heard_again >= Self::ASKED.min(e.machines.max(1)) && !silent => {
-                State::Returning
-            }
-            State::Lost if e.machines == 0 && now.since(self.since) > Self::UNKNOWN => {
+            State::Lost if !silent && evidence.heard_again >= quorum => State::Returning,
+            State::Lost if evidence.machines == 0 && in_state > Self::MAX_LOST_WITHOUT_MACHINES => {
                 State::Returning
             }
-            same => same,
-        };
-        if new == self.state {
-            return None;
+            unchanged => unchanged,
         }
-        if new == State::Lost {
-            if now.since(self.lost_at) > Self::FORGOTTEN {
-                self.losses = 0;
-            }
-            self.losses += 1;
-            self.lost_at = now;
+    }
+
+    /// Whether silence says anything about the zone. A single machine may have failed by itself, and a controller
+    /// without any heartbeats may be disconnected.
+    fn is_conclusive(evidence: &Evidence) -> bool {
+        evidence.machines >= Self::MIN_MACHINES && evidence.others_heard
+    }
+
+    /// Whether the recovery from the last loss is not over.
+    fn is_recovering(&self, now: Micros) -> bool {
+        self.losses > 0 && now.since(self.lost_at) < self.recovery()
+    }
+
+    fn count_loss(&mut self, now: Micros) {
+        if now.since(self.lost_at) > Self::LOSS_MEMORY {
+            self.losses = 0;
         }
-        self.state = new;
-        self.since = now;
-        Some(new)
+        self.losses += 1;
+        self.lost_at = now;
     }
 
-    /// How long it takes until a zone that is heard again has all of its share.
-    fn return_span(&self) -> Micros {
-        let (first, most) = Self::RETURN;
-        Micros(first.0 << self.losses.saturating_sub(1).min(6)).min(most)
+    /// Duration of a recovery, until all machines accept new tasks.
+    fn recovery(&self) -> Micros {
+        let doublings = self.losses.saturating_sub(1).min(Self::MAX_DOUBLINGS);
+        Micros(Self::FIRST_RECOVERY.0 << doublings).min(Self::MAX_RECOVERY)
     }
 
-    /// Part of its machines, in hundredths, that take new work.
+    /// Share of the machines that accept new tasks, in hundredths.
     pub fn share(&self, now: Micros) -> u64 {
         match self.state {
             State::Doubtful if self.losses > 0 => Self::FIRST_SHARE,
-            State::Well | State::Doubtful => 100,
+            State::Well | State::Doubtful => Self::FULL_SHARE,
             State::Lost => 0,
             State::Returning => {
-                let part =
-                    now.since(self.since).0 * (100 - Self::FIRST_SHARE) / self.return_span().0;
-                (Self::FIRST_SHARE + part).min(100)
+                let elapsed = now.since(self.since).0;
+                let added = elapsed * (Self::FULL_SHARE - Self::FIRST_SHARE) / self.recovery().0;
+                (Self::FIRST_SHARE + added).min(Self::FULL_SHARE)
             }
         }
     }
 
-    /// Whether a machine, by its number, takes new work.
+    /// Whether a machine accepts new tasks, by its number. Hashing spreads the share evenly over the numbers, which
+    /// are assigned in the order of provisioning.
     pub fn takes_work(&self, machine: u64, now: Micros) -> bool {
-        // Spread over the numbers, which come in the order of hiring.
-        machine.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32 & 0xFFFF
-            < self.share(now) * 0x1_0000 / 100
+        /// 2^64 divided by the golden ratio, the multiplier of Fibonacci hashing.
+        const MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+        const HASH_RANGE: u64 = 0x1_0000;
+        let hash = machine.wrapping_mul(MULTIPLIER) >> 32 & (HASH_RANGE - 1);
+        hash < self.share(now) * HASH_RANGE / Self::FULL_SHARE
     }
 }
 
