--- /dev/null
+++ b/src/coordination/api/cancellations.rs
@@ -0,0 +1,108 @@
+//! Cancellations by users: transactions that mark a job's record as cancelled.
+
+use super::PendingRequest;
+use crate::coordination::{Controller, Purpose};
+use crate::protocol::state::{CallError, Put, StateReply, StateRequest, Txn, encode};
+use crate::protocol::user::{JobStatus, JobStatusResponse, UserResponse};
+use crate::storage::cell_state::{CellChanges, Change, Content};
+use crate::storage::ids::JobId;
+use crate::storage::job::JobRecord;
+use crate::storage::records::Key;
+use crate::time::Micros;
+
+impl Controller {
+    /// Transactions with an unknown outcome or a conflict after which the user has to retry.
+    const CANCELLATION_ATTEMPTS: u32 = 6;
+
+    /// Admits the cancellation of a live job.
+    pub(super) fn admit_cancellation(&mut self, request: PendingRequest) {
+        match self.live_status(request.job) {
+            Some(status) if status.status == JobStatus::Cancelled => {
+                self.respond(&request, UserResponse::Is(status));
+            }
+            _ => self.users.push_cancellation(request),
+        }
+    }
+
+    /// Sends queued cancellations. Fails with the time at which the rates allow the next one.
+    pub(super) fn drive_cancellations(&mut self) -> Result<(), Micros> {
+        let round = self.limits.txn_ops();
+        while let Some(request) = self.users.pop_cancellation() {
+            if let Err(at) = self.budget.spend_for_users(self.now.steady, 1, round) {
+                self.users.push_cancellation(request);
+                return Err(at);
+            }
+            self.send_cancellation(request);
+        }
+        Ok(())
+    }
+
+    fn send_cancellation(&mut self, request: PendingRequest) {
+        let Some(job) = self.cell.jobs.get(&request.job) else {
+            return self.await_read(request);
+        };
+        let record = JobRecord {
+            cancelled: true,
+            ..job.record.clone().terse(self.cell.terse())
+        };
+        let key = Key::Job(request.job);
+        let txn = Txn {
+            when: vec![(key.clone(), job.mod_revision)],
+            then: vec![Put {
+                key,
+                value: encode(&record),
+                lease_id: None,
+            }],
+        };
+        self.ask_state(Purpose::Abort(request), StateRequest::Txn(txn));
+    }
+
+    pub(in crate::coordination) fn on_aborted(
+        &mut self,
+        request: PendingRequest,
+        result: Result<StateReply, CallError>,
+    ) {
+        match result {
+            Ok(StateReply::Applied(revision)) => self.on_cancellation_applied(&request, revision),
+            Ok(_) | Err(CallError::Unknown) => {
+                self.verify_by_read(request, Self::CANCELLATION_ATTEMPTS);
+            }
+            Err(CallError::TooMany) => self.retry_after_pause(request),
+            Err(_) => self.respond(&request, Self::RETRY_AFTER),
+        }
+    }
+
+    fn on_cancellation_applied(&mut self, request: &PendingRequest, revision: u64) {
+        tracing::info!(job = %request.job, "job cancelled by user");
+        let done = self.apply_cancellation(request.job, revision);
+        let status = JobStatusResponse {
+            id: request.job,
+            status: JobStatus::Cancelled,
+            done,
+            running: 0,
+            reason: None,
+        };
+        self.respond(request, UserResponse::Is(status));
+    }
+
+    /// Marks a live job as cancelled in the replica. Returns how many of its tasks have completed.
+    fn apply_cancellation(&mut self, id: JobId, revision: u64) -> u32 {
+        let Some(job) = self.cell.jobs.get(&id) else {
+            return 0;
+        };
+        let done = job.done();
+        let record = JobRecord {
+            cancelled: true,
+            ..job.record.clone()
+        };
+        let change = Change {
+            key: Key::Job(id),
+            content: Some(Content::Job(Box::new(record))),
+            mod_revision: revision,
+        };
+        let mut changes_seen = CellChanges::default();
+        self.cell.apply([change], &mut changes_seen);
+        self.on_cell_changed(&changes_seen);
+        done
+    }
+}
--- a/src/coordination/api/dependencies.rs
+++ b/src/coordination/api/dependencies.rs
@@ -1,4 +1,4 @@
-//! What awaiting jobs need of the state service: how the jobs before them ended.
+//! Lookups of how jobs ended that live jobs depend on.
 
 use crate::coordination::{Controller, Purpose};
 use crate::protocol::state::{CallError, StateReply, StateRequest};
@@ -7,96 +7,123 @@
 use crate::storage::job::FinalRecord;
 use crate::storage::records::{Key, PIPED};
 use crate::time::Micros;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Ends that are being looked up.
+/// Lookups of final records that were sent.
 #[derive(Debug, Default)]
 pub struct DependencyLookups {
-    /// When each may be asked for again.
-    asked: BTreeMap<JobId, Micros>,
+    /// When the lookup of each job may be repeated.
+    retry_at: BTreeMap<JobId, Micros>,
 }
 
-impl Controller {
-    const LOOK_UP_AGAIN: Micros = Micros::secs(2);
+impl DependencyLookups {
+    /// Time after which a lookup without an outcome is repeated.
+    const TIMEOUT: Micros = Micros::secs(2);
+    /// Time after which a final record that did not exist yet is read again.
+    const RETRY: Micros = Micros::millis(400);
+
+    fn clear(&mut self) {
+        self.retry_at.clear();
+    }
+
+    /// Forgets lookups of jobs that no longer need one.
+    fn retain(&mut self, unknown: &BTreeSet<JobId>) {
+        self.retry_at.retain(|job, _| unknown.contains(job));
+    }
+
+    fn is_due(&self, job: JobId, now: Micros) -> bool {
+        self.retry_at.get(&job).is_none_or(|at| now >= *at)
+    }
 
-    /// Whether jobs may await others: every controller understands them.
+    fn on_sent(&mut self, job: JobId, now: Micros) {
+        self.retry_at.insert(job, now + Self::TIMEOUT);
+    }
+
+    fn on_missing(&mut self, job: JobId, now: Micros) {
+        self.retry_at.insert(job, now + Self::RETRY);
+    }
+}
+
+impl Controller {
+    /// Whether jobs may depend on others: every controller observes dependencies.
     pub(in crate::coordination) fn supports_dependencies(&self) -> bool {
         self.cell
             .meta
             .value
             .as_ref()
-            .is_some_and(|m| m.layout >= PIPED)
+            .is_some_and(|meta| meta.layout >= PIPED)
     }
 
-    /// Looks up how jobs ended that others await. Until that is known these wait.
+    /// Looks up how jobs ended that live jobs depend on; until that is known, these wait.
     pub(in crate::coordination) fn drive_dependencies(&mut self) {
         if !self.replica.ready() {
             return;
         }
-        let now = self.now.steady;
         let unknown = self.cell.dependencies.unknown();
         if unknown.is_empty() {
-            self.dependency_lookups.asked.clear();
-            return;
+            return self.dependency_lookups.clear();
         }
-        self.dependency_lookups
-            .asked
-            .retain(|id, _| unknown.contains(id));
-        let known: Vec<(JobId, FinalRecord)> = unknown
+        self.dependency_lookups.retain(unknown);
+        let now = self.now.steady;
+        let due: Vec<JobId> = unknown
             .iter()
-            .filter_map(|id| Some((*id, self.users.end_of(*id)?)))
+            .filter(|job| self.dependency_lookups.is_due(**job, now))
+            .copied()
             .collect();
-        let asked = |id: &JobId| {
-            self.dependency_lookups
-                .asked
-                .get(id)
-                .is_some_and(|again| now < *again)
-        };
-        let due: Vec<JobId> = unknown.iter().filter(|id| !asked(id)).copied().collect();
-        if !known.is_empty() {
-            let mut changes_seen = CellChanges::default();
-            known
-                .into_iter()
-                .for_each(|(id, end)| self.cell.learn(id, end, &mut changes_seen));
-            self.on_cell_changed(&changes_seen);
+        self.apply_known_ends();
+        self.send_dependency_lookups(due);
+    }
+
+    /// Applies ends of dependencies that the history of jobs holds already.
+    fn apply_known_ends(&mut self) {
+        let known: Vec<(JobId, FinalRecord)> = self
+            .cell
+            .dependencies
+            .unknown()
+            .iter()
+            .filter_map(|job| Some((*job, self.users.end_of(*job)?)))
+            .collect();
+        if known.is_empty() {
+            return;
         }
-        for id in due {
-            if !self.cell.dependencies.unknown().contains(&id) {
+        let mut changes_seen = CellChanges::default();
+        for (job, end) in known {
+            self.cell.learn(job, end, &mut changes_seen);
+        }
+        self.on_cell_changed(&changes_seen);
+    }
+
+    fn send_dependency_lookups(&mut self, due: Vec<JobId>) {
+        let now = self.now.steady;
+        for job in due {
+            if !self.cell.dependencies.unknown().contains(&job) {
                 continue;
             }
             if let Err(at) = self.budget.spend(now, 0, 0.0) {
-                self.wake_at(at);
-                return;
+                return self.wake_at(at);
             }
-            self.dependency_lookups
-                .asked
-                .insert(id, now + Self::LOOK_UP_AGAIN);
-            self.ask_state(
-                Purpose::DependencyLookup(id),
-                StateRequest::Get(Key::Final(id)),
-            );
+            self.dependency_lookups.on_sent(job, now);
+            let request = StateRequest::Get(Key::Final(job));
+            self.ask_state(Purpose::DependencyLookup(job), request);
         }
     }
 
     pub(in crate::coordination) fn on_dependency_lookup(
         &mut self,
-        id: JobId,
+        job: JobId,
         result: Result<StateReply, CallError>,
     ) {
         let Ok(StateReply::Value(Some(value))) = result else {
-            // A record that is neither live nor final is not there yet: this copy is behind.
-            self.dependency_lookups
-                .asked
-                .insert(id, self.now.steady + Micros::millis(400));
-            return;
+            // The record of an accepted job is live or final: this replica is behind.
+            return self.dependency_lookups.on_missing(job, self.now.steady);
         };
         let Ok(end) = serde_json::from_str::<FinalRecord>(value.get()) else {
             return;
         };
-        tracing::debug!(job = %id, cancelled = end.cancelled, "how a job before others ended");
-        self.users.remember(id, end);
+        tracing::debug!(%job, cancelled = end.cancelled, "dependency end known");
+        self.users.remember(job, end);
         let mut changes_seen = CellChanges::default();
-        self.cell.learn(id, end, &mut changes_seen);
+        self.cell.learn(job, end, &mut changes_seen);
         self.on_cell_changed(&changes_seen);
     }
 }
--- a/src/coordination/api/reads.rs
+++ b/src/coordination/api/reads.rs
@@ -1,156 +1,205 @@
-//! Requests that wait for a read, and look-ups of how jobs ended.
+//! Requests that wait for a read of the state store, and lookups of how jobs ended.
 
-use super::{PendingRequest, RequestKind, final_answer};
+use super::requests::RequestKind;
+use super::{PendingRequest, final_status};
 use crate::coordination::Controller;
 use crate::protocol::state::{CallError, StateReply};
 use crate::protocol::user::{JobStatus, UserResponse};
 use crate::storage::ids::JobId;
-use crate::storage::job::FinalRecord;
+use crate::storage::job::{FinalRecord, JobSpec};
+
+/// What is known of the jobs that a submission depends on.
+enum DependencyCheck {
+    /// All of them were accepted.
+    Accepted,
+    /// It is unknown whether this one ever was.
+    Missing(JobId),
+    /// The job can never run.
+    Never(&'static str),
+}
 
 impl Controller {
-    /// Decides on the submission of a job that awaits others: each of them must have been accepted, and be
-    /// none that runs until it is cancelled. Whoever is live or has ended was; a job goes from the one to
-    /// the other and never back, so to look in this order after a read misses none.
-    pub(super) fn consider(&mut self, mut request: PendingRequest, read: bool) {
+    /// Decides on the submission of a job that depends on others: all of them must have been accepted, and end by
+    /// themselves. A job that was accepted is live or has ended, and a job goes from live to ended and never back: to
+    /// look for it in this order after a read misses none.
+    ///
+    /// `after_read` says whether a read has completed since the request arrived.
+    pub(super) fn check_dependencies(&mut self, mut request: PendingRequest, after_read: bool) {
         let RequestKind::Submit(spec) = &request.kind else {
             return;
         };
         if !self.replica.ready() {
-            // While the copy is read anew, jobs that are not in it may be live.
-            return self.answer(&request, Self::RETRY_AFTER);
-        }
-        let mut missing = None;
-        let mut refuse = None;
-        for name in &spec.dependencies {
-            match self.cell.jobs.get(name) {
-                _ if *name == request.id => refuse = Some("it awaits itself"),
-                Some(j) if j.spec().service => {
-                    refuse = Some("it awaits a job that does not end by itself")
-                }
-                Some(_) => {}
-                None if self.users.ended.contains_key(name) => {}
-                None if read && self.users.absent.contains(name) => {
-                    refuse = Some("it awaits an unknown job")
-                }
-                None => missing = Some(*name),
-            }
+            // While the replica is read anew, jobs that it does not show may be live.
+            return self.respond(&request, Self::RETRY_AFTER);
         }
-        match (refuse, missing) {
-            (Some(why), _) => {
+        match self.find_dependencies(request.job, spec, after_read) {
+            DependencyCheck::Never(why) => {
                 request.kind = RequestKind::Refuse(UserResponse::Never(why.into()));
                 self.await_read(request);
             }
-            (None, None) => self.users.submits.push(request),
-            (None, Some(_)) if !read => self.await_read(request),
-            (None, Some(name)) => self.users.finals.push_back((request, name)),
+            DependencyCheck::Accepted => self.users.push_submission(request),
+            DependencyCheck::Missing(_) if !after_read => self.await_read(request),
+            DependencyCheck::Missing(job) => self.users.push_final_lookup(request, job),
         }
     }
 
+    fn find_dependencies(&self, id: JobId, spec: &JobSpec, after_read: bool) -> DependencyCheck {
+        let mut check = DependencyCheck::Accepted;
+        for dependency in &spec.dependencies {
+            let found = self.find_dependency(id, *dependency, after_read);
+            check = match (check, found) {
+                // What makes the job impossible counts more than what is unknown; of either the last one is named.
+                (check, DependencyCheck::Accepted) => check,
+                (DependencyCheck::Never(why), DependencyCheck::Missing(_)) => {
+                    DependencyCheck::Never(why)
+                }
+                (_, found) => found,
+            };
+        }
+        check
+    }
+
+    fn find_dependency(&self, id: JobId, dependency: JobId, after_read: bool) -> DependencyCheck {
+        if dependency == id {
+            return DependencyCheck::Never("it awaits itself");
+        }
+        match self.cell.jobs.get(&dependency) {
+            Some(job) if job.spec().service => {
+                DependencyCheck::Never("it awaits a job that does not end by itself")
+            }
+            Some(_) => DependencyCheck::Accepted,
+            None if self.users.end_of(dependency).is_some() => DependencyCheck::Accepted,
+            None if after_read && self.users.is_absent(dependency) => {
+                DependencyCheck::Never("it awaits an unknown job")
+            }
+            None => DependencyCheck::Missing(dependency),
+        }
+    }
+
+    /// Queues a request until a read that begins now or later has completed.
     pub(super) fn await_read(&mut self, mut request: PendingRequest) {
-        request.after = self.next_call - 1;
-        // What changes something goes before what only asks.
+        request.read_after = self.next_call - 1;
+        // Queries wait for a read that serves many of them.
         if request.is_query() {
             self.replica.want_read();
         } else {
             self.replica.want_barrier();
         }
-        self.users.reads.push(request);
+        self.users.push_read(request);
     }
 
-    /// Resolves what waited for a read.
+    /// Continues the requests whose read has completed.
     pub(in crate::coordination) fn users_after_read(&mut self) {
-        if self.users.reads.is_empty() {
+        if !self.users.has_reads() {
             return;
         }
-        let (ready, still): (Vec<PendingRequest>, Vec<PendingRequest>) =
-            std::mem::take(&mut self.users.reads)
-                .into_iter()
-                .partition(|request| self.replica.passed(request.after));
-        if still.iter().any(|request| !request.is_query()) {
+        let replica = &self.replica;
+        let ready = self
+            .users
+            .take_reads(|request| replica.passed(request.read_after));
+        if self.users.has_urgent_reads() {
             self.replica.want_barrier();
-        } else if !still.is_empty() {
+        } else if self.users.has_reads() {
             self.replica.want_read();
         }
-        self.users.reads = still;
         for request in ready {
-            let live = self.cell.jobs.contains_key(&request.id);
-            match (self.live_answer(request.id), &request.kind) {
-                // How a job before it ended is being looked up; it may be cancelled whatever that is.
-                (None, RequestKind::Abort) if live => self.users.aborts.push(request),
-                (None, _) if live => self.await_read(request),
-                (Some(a), RequestKind::Abort) if a.status != JobStatus::Cancelled => {
-                    self.users.aborts.push(request)
-                }
-                (Some(a), _) => self.answer(&request, UserResponse::Is(a)),
-                (None, _) => match self.users.ended.get(&request.id) {
-                    Some(f) => {
-                        let a = final_answer(request.id, *f);
-                        self.answer(&request, UserResponse::Is(a));
-                    }
-                    None if matches!(&request.kind, RequestKind::Submit(s) if !s.dependencies.is_empty()) => {
-                        self.consider(request, true)
-                    }
-                    None if self.users.absent.contains(&request.id) => self.decide_absent(request),
-                    // Who asks about what nobody has submitted must not take the requests of others.
-                    None if request.is_query() && self.users.finals.len() >= self.most_finals() => {
-                        self.answer(&request, Self::RETRY_AFTER);
-                    }
-                    None => self.users.finals.push_back((request.clone(), request.id)),
-                },
+            if self.cell.jobs.contains_key(&request.job) {
+                self.resolve_live(request);
+            } else {
+                self.resolve_not_live(request);
             }
         }
     }
 
+    /// Continues a request after a read that shows its job as live.
+    fn resolve_live(&mut self, request: PendingRequest) {
+        let is_cancellation = matches!(request.kind, RequestKind::Cancel);
+        match self.live_status(request.job) {
+            Some(status) if !is_cancellation || status.status == JobStatus::Cancelled => {
+                self.respond(&request, UserResponse::Is(status));
+            }
+            // A job can be cancelled whatever became of the jobs that it depends on.
+            _ if is_cancellation => self.users.push_cancellation(request),
+            _ => self.await_read(request),
+        }
+    }
+
+    /// Continues a request after a read that does not show its job.
+    fn resolve_not_live(&mut self, request: PendingRequest) {
+        if let Some(end) = self.users.end_of(request.job) {
+            let status = final_status(request.job, end);
+            self.respond(&request, UserResponse::Is(status));
+        } else if request.has_dependencies() {
+            self.check_dependencies(request, true);
+        } else if self.users.is_absent(request.job) {
+            self.resolve_absent(request);
+        } else if request.is_query() && self.users.final_lookup_count() >= self.final_lookup_limit()
+        {
+            // Queries for jobs that never existed must not use up the requests of others.
+            self.respond(&request, Self::RETRY_AFTER);
+        } else {
+            let job = request.job;
+            self.users.push_final_lookup(request, job);
+        }
+    }
+
+    /// Continues a request that has waited for the final record of `job`: its own job, or one that this depends on.
     pub(in crate::coordination) fn on_final(
         &mut self,
         request: PendingRequest,
-        of: JobId,
+        job: JobId,
         result: Result<StateReply, CallError>,
     ) {
-        match result {
-            Ok(StateReply::Value(Some(value))) => {
-                match serde_json::from_str::<FinalRecord>(value.get()) {
-                    Ok(f) if of != request.id => {
-                        self.users.remember(of, f);
-                        self.consider(request, true);
-                    }
-                    Ok(f) => {
-                        self.users.remember(request.id, f);
-                        self.answer(&request, UserResponse::Is(final_answer(request.id, f)));
-                    }
-                    Err(_) => self.answer(&request, Self::RETRY_AFTER),
-                }
-            }
-            Ok(StateReply::Value(None)) => {
-                if !self.cell.jobs.contains_key(&of) {
-                    self.users.remember_absent(of);
-                }
-                if of == request.id {
-                    self.decide_absent(request);
-                } else {
-                    self.consider(request, true);
-                }
-            }
-            _ => self.answer(&request, Self::RETRY_AFTER),
+        let Ok(StateReply::Value(value)) = result else {
+            return self.respond(&request, Self::RETRY_AFTER);
+        };
+        let Some(value) = value else {
+            return self.on_no_final_record(request, job);
+        };
+        match serde_json::from_str::<FinalRecord>(value.get()) {
+            Ok(end) => self.on_final_record(request, job, end),
+            Err(_) => self.respond(&request, Self::RETRY_AFTER),
         }
     }
 
-    /// Nobody has submitted this job before.
-    pub(super) fn decide_absent(&mut self, request: PendingRequest) {
+    fn on_final_record(&mut self, request: PendingRequest, job: JobId, end: FinalRecord) {
+        self.users.remember(job, end);
+        if job == request.job {
+            self.respond(&request, UserResponse::Is(final_status(job, end)));
+        } else {
+            self.check_dependencies(request, true);
+        }
+    }
+
+    fn on_no_final_record(&mut self, request: PendingRequest, job: JobId) {
+        if !self.cell.jobs.contains_key(&job) {
+            self.users.remember_absent(job);
+        }
+        if job == request.job {
+            self.resolve_absent(request);
+        } else {
+            self.check_dependencies(request, true);
+        }
+    }
+
+    /// Continues a request whose job was never accepted.
+    fn resolve_absent(&mut self, request: PendingRequest) {
         match &request.kind {
-            RequestKind::Query | RequestKind::Abort => self.answer(&request, UserResponse::Unknown),
-            RequestKind::Refuse(answer) => {
-                let answer = answer.clone();
-                self.answer(&request, answer);
+            RequestKind::Query | RequestKind::Cancel => {
+                self.respond(&request, UserResponse::Unknown);
+            }
+            RequestKind::Refuse(response) => {
+                let response = response.clone();
+                self.respond(&request, response);
             }
-            RequestKind::Submit(_) => self.users.submits.push(request),
+            RequestKind::Submit(_) => self.users.push_submission(request),
         }
     }
 
-    /// A read brought nothing: who waits for one is told to come back.
+    /// A read has failed: the users of all requests that wait for one have to retry.
     pub(in crate::coordination) fn users_without_contact(&mut self) {
-        for request in std::mem::take(&mut self.users.reads) {
-            self.answer(&request, Self::RETRY_AFTER);
+        for request in self.users.take_reads(|_| true) {
+            self.respond(&request, Self::RETRY_AFTER);
         }
     }
 }
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -1,6 +1,7 @@
-//! Submissions and cancellations: transactions that change a job's record, and what becomes of their answers.
+//! Submissions: transactions that create the records of several jobs.
 
-use super::{PendingRequest, RequestKind};
+use super::PendingRequest;
+use super::requests::RequestKind;
 use crate::coordination::{Controller, Purpose};
 use crate::protocol::state::{CallError, Put, StateReply, StateRequest, Txn, encode};
 use crate::protocol::user::{JobStatus, JobStatusResponse, UserResponse};
@@ -10,36 +11,49 @@
 use crate::time::Micros;
 
 impl Controller {
-    /// Submissions that share a transaction at the most.
-    pub(super) const MOST_SUBMITS: usize = 12;
-    /// Bytes of records that submissions put into one transaction; it may have 64 KiB with its conditions.
-    pub(super) const SUBMITTED_BYTES: usize = 48 * 1024;
-    /// Pause after the state service refused a user's change for its rate.
-    pub(super) const RATE_PAUSE: Micros = Micros::millis(120);
-    /// How long a user's change is sent again that was refused for the rate.
-    pub(super) const RATE_PATIENCE: Micros = Micros::millis(2_000);
+    /// Most submissions of one transaction.
+    const SUBMISSIONS_PER_TRANSACTION: usize = 12;
+    /// Most bytes of records in one transaction; the state store takes 64 KiB with the conditions.
+    const SUBMITTED_BYTES: usize = 48 * 1024;
+    /// Transactions with an unknown outcome or a conflict after which the user has to retry.
+    const SUBMISSION_ATTEMPTS: u32 = 2;
+    /// Pause after the state store has rejected a transaction for its rate.
+    const RATE_PAUSE: Micros = Micros::millis(120);
+    /// Age of a request from which on it is not sent again after a rejection for the rate.
+    const RATE_RETRY_TIMEOUT: Micros = Micros::millis(2_000);
 
-    pub(super) fn new_record(&self, spec: &JobSpec, submitted: Micros) -> JobRecord {
-        let mut spec = spec.clone();
-        if let (Some(machine_types), Some(types)) =
-            (&mut spec.machine_types, &self.cell.types.value)
-        {
-            // Types that the cloud does not know cannot be hired; an empty list stays one.
-            machine_types.retain(|b| types.get(b).is_some());
+    /// Sends queued submissions. Fails with the time at which the rates allow the next transaction.
+    pub(super) fn drive_submissions(&mut self) -> Result<(), Micros> {
+        let round = self.limits.txn_ops();
+        let limit = round.min(Self::SUBMISSIONS_PER_TRANSACTION);
+        while self.users.submission_count() > 0 {
+            let count = self.users.submission_count().min(limit);
+            self.budget.spend_for_users(self.now.steady, count, round)?;
+            let batch = self.users.take_submissions(count);
+            self.send_distinct(batch);
         }
-        JobRecord {
-            spec,
-            submitted,
-            cancelled: false,
-            finished: Default::default(),
-            more: 0,
-            full: 0,
-            errors: 0,
-            avoid: Vec::new(),
+        Ok(())
+    }
+
+    /// Sends one submission of each job. Further ones wait for a read, which shows the job.
+    fn send_distinct(&mut self, mut batch: Vec<PendingRequest>) {
+        batch.sort_by_key(|request| request.job);
+        let mut duplicates = Vec::new();
+        batch.dedup_by(|later, earlier| {
+            let is_duplicate = earlier.job == later.job;
+            if is_duplicate {
+                duplicates.push(later.clone());
+            }
+            is_duplicate
+        });
+        for duplicate in duplicates {
+            self.await_read(duplicate);
         }
+        self.send_submissions(batch);
     }
 
-    pub(super) fn send_submits(&mut self, batch: Vec<PendingRequest>) {
+    /// Sends a transaction with as many submissions as fit into it; the others are queued again.
+    fn send_submissions(&mut self, batch: Vec<PendingRequest>) {
         let mut txn = Txn::default();
         let mut sent = Vec::new();
         let mut bytes = 0;
@@ -47,23 +61,22 @@
             let RequestKind::Submit(spec) = &request.kind else {
                 continue;
             };
-            let value = encode(&self.new_record(spec, request.day).terse(self.cell.terse()));
-            // Room for a full bitmap and the machines to avoid must be left.
-            let size = value.as_ref().map_or(0, |v| v.get().len());
-            let spare = 1_600.min(spec.task_count as usize / 4 + 200);
-            if size + spare > self.limits.value_bytes() {
-                self.answer(&request, UserResponse::Bad("too large".into()));
+            let record = self.new_record(spec, request.arrived_day);
+            let value = encode(&record.terse(self.cell.terse()));
+            let size = value.as_ref().map_or(0, |value| value.get().len());
+            if size + growth_reserve(spec) > self.limits.value_bytes() {
+                self.respond(&request, UserResponse::Bad("too large".into()));
                 continue;
             }
             if bytes + size > Self::SUBMITTED_BYTES && !sent.is_empty() {
-                self.users.submits.push(request);
+                self.users.push_submission(request);
                 continue;
             }
             bytes += size;
-            txn.when.push((Key::Job(request.id), 0));
-            txn.when.push((Key::Final(request.id), 0));
+            txn.when.push((Key::Job(request.job), 0));
+            txn.when.push((Key::Final(request.job), 0));
             txn.then.push(Put {
-                key: Key::Job(request.id),
+                key: Key::Job(request.job),
                 value,
                 lease_id: None,
             });
@@ -74,154 +87,124 @@
         }
     }
 
+    fn new_record(&self, spec: &JobSpec, submitted: Micros) -> JobRecord {
+        let mut spec = spec.clone();
+        if let (Some(allowed), Some(catalog)) = (&mut spec.machine_types, &self.cell.types.value) {
+            // Types outside the catalog cannot be provisioned. An empty list stays one: no list would allow all types.
+            allowed.retain(|name| catalog.get(name).is_some());
+        }
+        JobRecord {
+            spec,
+            submitted,
+            cancelled: false,
+            finished: Default::default(),
+            more: 0,
+            full: 0,
+            errors: 0,
+            avoid: Vec::new(),
+        }
+    }
+
     pub(in crate::coordination) fn on_submitted(
         &mut self,
         batch: Vec<PendingRequest>,
         result: Result<StateReply, CallError>,
     ) {
-        match result {
-            Ok(StateReply::Applied(revision)) => {
-                let mut changes_seen = CellChanges::default();
-                let changes: Vec<Change> = batch
-                    .iter()
-                    .filter_map(|request| {
-                        let RequestKind::Submit(spec) = &request.kind else {
-                            return None;
-                        };
-                        Some(Change {
-                            key: Key::Job(request.id),
-                            content: Some(Content::Job(Box::new(
-                                self.new_record(spec, request.day),
-                            ))),
-                            mod_revision: revision,
-                        })
-                    })
-                    .collect();
-                self.cell.apply(changes, &mut changes_seen);
-                for request in batch {
-                    if let RequestKind::Submit(spec) = &request.kind {
-                        // Named as in the submission: log analysis joins the two by these fields.
-                        tracing::info!(job = %request.id, lane = spec.job_class, crew = spec.team, pieces = spec.task_count, cores = spec.need.cores as f64 / 1e3, "accepted");
-                    }
-                    // The watch may have brought its cancellation, or its end, before this answer; and of a
-                    // job that awaits others it may not be known yet whether one of these is cancelled.
-                    match self.cell.jobs.get(&request.id) {
-                        Some(j) if !j.record.cancelled && !j.dependency_state.doubtful => {
-                            let status = if j.cancelled() {
-                                JobStatus::Cancelled
-                            } else {
-                                JobStatus::Queued
-                            };
-                            let answer = JobStatusResponse {
-                                id: request.id,
-                                status,
-                                done: 0,
-                                running: 0,
-                                reason: None,
-                            };
-                            self.answer(&request, UserResponse::Accepted(answer));
-                        }
-                        _ => self.await_read(request),
-                    }
-                }
-                self.on_cell_changed(&changes_seen);
-            }
-            Ok(_) | Err(CallError::Unknown) => {
-                // Known already, or the outcome is unknown: the state decides.
-                for mut request in batch {
-                    request.tries += 1;
-                    if request.tries > 2 {
-                        self.answer(&request, Self::RETRY_AFTER);
-                    } else {
-                        self.await_read(request);
-                    }
-                }
-            }
-            Err(CallError::TooMany) => batch
-                .into_iter()
-                .for_each(|request| self.send_again(request)),
-            Err(_) => {
-                for request in batch {
-                    self.answer(&request, Self::RETRY_AFTER);
+        if let Ok(StateReply::Applied(revision)) = result {
+            return self.on_submissions_applied(batch, revision);
+        }
+        for request in batch {
+            match &result {
+                // A conflict means that a job is known already; that, and an unknown outcome, is resolved by a read.
+                Ok(_) | Err(CallError::Unknown) => {
+                    self.verify_by_read(request, Self::SUBMISSION_ATTEMPTS);
                 }
+                Err(CallError::TooMany) => self.retry_after_pause(request),
+                Err(_) => self.respond(&request, Self::RETRY_AFTER),
             }
         }
     }
 
-    /// The state service refused a user's change for its rate, so it was not carried out: it is sent again soon.
-    pub(super) fn send_again(&mut self, request: PendingRequest) {
-        let now = self.now.steady;
-        if now.since(request.since) > Self::RATE_PATIENCE {
-            return self.answer(&request, Self::RETRY_AFTER);
-        }
-        self.users.paused_until = now + Self::RATE_PAUSE;
-        match request.kind {
-            RequestKind::Abort => self.users.aborts.push(request),
-            _ => self.users.submits.push(request),
+    fn on_submissions_applied(&mut self, batch: Vec<PendingRequest>, revision: u64) {
+        let changes: Vec<Change> = batch
+            .iter()
+            .filter_map(|request| self.submitted_change(request, revision))
+            .collect();
+        let mut changes_seen = CellChanges::default();
+        self.cell.apply(changes, &mut changes_seen);
+        for request in batch {
+            if let RequestKind::Submit(spec) = &request.kind {
+                // Named as in the submission: log analysis joins the two by these fields.
+                tracing::info!(job = %request.job, lane = spec.job_class, crew = spec.team, pieces = spec.task_count, cores = spec.need.cores as f64 / 1e3, "accepted");
+            }
+            self.respond_accepted(request);
         }
+        self.on_cell_changed(&changes_seen);
     }
 
-    pub(super) fn send_abort(&mut self, request: PendingRequest) {
-        let Some(job) = self.cell.jobs.get(&request.id) else {
+    fn submitted_change(&self, request: &PendingRequest, revision: u64) -> Option<Change> {
+        let RequestKind::Submit(spec) = &request.kind else {
+            return None;
+        };
+        let record = self.new_record(spec, request.arrived_day);
+        Some(Change {
+            key: Key::Job(request.job),
+            content: Some(Content::Job(Box::new(record))),
+            mod_revision: revision,
+        })
+    }
+
+    /// Responds to an applied submission, unless the replica already shows the job's cancellation or end, or it is
+    /// unknown whether a job that it depends on is cancelled: then a read decides.
+    fn respond_accepted(&mut self, request: PendingRequest) {
+        let job = self.cell.jobs.get(&request.job);
+        let Some(job) = job.filter(|job| !job.record.cancelled && !job.dependency_state.doubtful)
+        else {
             return self.await_read(request);
         };
-        let record = JobRecord {
-            cancelled: true,
-            ..job.record.clone().terse(self.cell.terse())
+        let status = if job.cancelled() {
+            JobStatus::Cancelled
+        } else {
+            JobStatus::Queued
         };
-        let txn = Txn {
-            when: vec![(Key::Job(request.id), job.mod_revision)],
-            then: vec![Put {
-                key: Key::Job(request.id),
-                value: encode(&record),
-                lease_id: None,
-            }],
+        let response = JobStatusResponse {
+            id: request.job,
+            status,
+            done: 0,
+            running: 0,
+            reason: None,
         };
-        self.ask_state(Purpose::Abort(request), StateRequest::Txn(txn));
+        self.respond(&request, UserResponse::Accepted(response));
     }
 
-    pub(in crate::coordination) fn on_aborted(
-        &mut self,
-        mut request: PendingRequest,
-        result: Result<StateReply, CallError>,
-    ) {
-        match result {
-            Ok(StateReply::Applied(revision)) => {
-                tracing::info!(job = %request.id, "cancelled by its user");
-                let mut answer = JobStatusResponse {
-                    id: request.id,
-                    status: JobStatus::Cancelled,
-                    done: 0,
-                    running: 0,
-                    reason: None,
-                };
-                if let Some(job) = self.cell.jobs.get(&request.id) {
-                    let record = JobRecord {
-                        cancelled: true,
-                        ..job.record.clone()
-                    };
-                    answer.done = job.done();
-                    let change = Change {
-                        key: Key::Job(request.id),
-                        content: Some(Content::Job(Box::new(record))),
-                        mod_revision: revision,
-                    };
-                    let mut changes_seen = CellChanges::default();
-                    self.cell.apply([change], &mut changes_seen);
-                    self.on_cell_changed(&changes_seen);
-                }
-                self.answer(&request, UserResponse::Is(answer));
-            }
-            Ok(_) | Err(CallError::Unknown) => {
-                request.tries += 1;
-                if request.tries > 6 {
-                    self.answer(&request, Self::RETRY_AFTER);
-                } else {
-                    self.await_read(request);
-                }
-            }
-            Err(CallError::TooMany) => self.send_again(request),
-            Err(_) => self.answer(&request, Self::RETRY_AFTER),
+    /// Lets a read show whether a transaction took effect, unless the request has had all its attempts.
+    pub(super) fn verify_by_read(&mut self, mut request: PendingRequest, max_attempts: u32) {
+        request.attempts += 1;
+        if request.attempts > max_attempts {
+            self.respond(&request, Self::RETRY_AFTER);
+        } else {
+            self.await_read(request);
+        }
+    }
+
+    /// Queues a request again whose transaction was rejected for the rate, so took no effect.
+    pub(super) fn retry_after_pause(&mut self, request: PendingRequest) {
+        let now = self.now.steady;
+        if now.since(request.arrived) > Self::RATE_RETRY_TIMEOUT {
+            return self.respond(&request, Self::RETRY_AFTER);
+        }
+        self.users.pause_until(now + Self::RATE_PAUSE);
+        match request.kind {
+            RequestKind::Cancel => self.users.push_cancellation(request),
+            _ => self.users.push_submission(request),
         }
     }
 }
+
+/// Bytes by which a job's record may grow: the completion bitmap and the machines to avoid.
+fn growth_reserve(spec: &JobSpec) -> usize {
+    const BITMAP_BYTES_MAX: usize = 1_600;
+    const TASKS_PER_BYTE: usize = 4;
+    const AVOIDED_MACHINES_BYTES: usize = 200;
+    BITMAP_BYTES_MAX.min(spec.task_count as usize / TASKS_PER_BYTE + AVOIDED_MACHINES_BYTES)
+}
--- a/src/transport/admission.rs
+++ b/src/transport/admission.rs
@@ -154,18 +154,18 @@
     /// Logs what was refused or given back since this was last logged.
     fn tell(&self) {
         let mut inner = self.lock();
-        let (counts, (open, workers, users)) =
-            (inner.connections.counts(), inner.connections.open());
+        let counts = inner.connections.counts();
+        let open = inner.connections.open();
         if counts == inner.told || !self.is_time_to_tell() {
             return;
         }
         inner.told = counts;
         drop(inner);
         tracing::info!(
-            open,
-            workers,
-            users,
-            workers_closed = counts.workers_closed,
+            open = open.total,
+            agents = open.agents,
+            users = open.users,
+            agents_closed = counts.agents_closed,
             users_closed = counts.users_closed,
             slow_closed = counts.slow_closed,
             aborts_refused = counts.aborts_refused,
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,6 +1,8 @@
 //! Admission of connections: many clients against the pure core, in simulated time.
 
-use cometlead::coordination::api::connections::{Connections, Request, SocketPlan, Verdict};
+use cometlead::coordination::api::connections::{
+    Connections, OpenConnections, Request, SocketPlan, Verdict,
+};
 use cometlead::time::Micros;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -40,7 +42,7 @@
         let id = self.next;
         self.next += 1;
         self.connections.opened(self.now, id);
-        self.most_open = self.most_open.max(self.connections.open().0);
+        self.most_open = self.most_open.max(self.connections.open().total);
         id
     }
 
@@ -48,7 +50,7 @@
     fn report(&mut self, worker: usize) {
         let id = match self.held.get(&worker) {
             Some(id) => *id,
-            None if self.connections.open().0 >= SERVED => {
+            None if self.connections.open().total >= SERVED => {
                 self.refused += 1;
                 return;
             }
@@ -85,7 +87,7 @@
         workers.round(900, Micros::secs(8));
     }
     assert_eq!((workers.opened, workers.held.len()), (900, 900));
-    assert_eq!(workers.connections.counts().workers_closed, 0);
+    assert_eq!(workers.connections.counts().agents_closed, 0);
 }
 
 /// Three controllers' workers at one that is left: far more than all of its sockets.
@@ -95,10 +97,10 @@
     workers.round(1_000, Micros::secs(8));
     for _ in 0..10 {
         workers.round(5_216, Micros::secs(8));
-        let (open, held, _) = workers.connections.open();
+        let open = workers.connections.open();
         assert!(
-            open + RESERVE <= SERVED && held < SERVED * 3 / 4,
-            "{open} open, {held} of workers"
+            open.total + RESERVE <= SERVED && open.agents < SERVED * 3 / 4,
+            "{open:?}"
         );
     }
     assert_eq!(workers.refused, 0);
@@ -136,7 +138,7 @@
     }
     // Between two times of shortage connections are kept: fewer than one in two reports opens one.
     assert!(workers.opened < 20 * 1_300 / 2, "{}", workers.opened);
-    assert!(workers.connections.counts().workers_closed > 0);
+    assert!(workers.connections.counts().agents_closed > 0);
     // Once begun it goes on until there is room for a while.
     let ceiling = SERVED - SERVED / 4 - RESERVE;
     assert!(
@@ -162,7 +164,7 @@
     }
     let counts = connections.counts();
     assert!(
-        counts.workers_closed > 0 && counts.users_closed > 0,
+        counts.agents_closed > 0 && counts.users_closed > 0,
         "{counts:?}"
     );
 }
@@ -346,14 +348,14 @@
                 }
                 _ => {}
             }
-            let (all, workers, users) = connections.open();
-            prop_assert_eq!(all, open.len());
-            prop_assert!(workers + users <= all);
+            let counted = connections.open();
+            prop_assert_eq!(counted.total, open.len());
+            prop_assert!(counted.agents + counted.users <= counted.total);
         }
         for id in open {
             connections.closed(id);
         }
-        prop_assert_eq!(connections.open(), (0, 0, 0));
+        prop_assert_eq!(connections.open(), OpenConnections::default());
         // Requests under way were all taken off: a poll is served again.
         connections.opened(Micros::secs(100), u64::MAX);
         prop_assert_eq!(connections.requested(Micros::secs(100), u64::MAX, Request::Query), Verdict::Serve);
