--- a/crates/constraints/src/lib.rs
+++ b/crates/constraints/src/lib.rs
@@ -1,12 +1,38 @@
-//! Hard rules and soft preferences over the traits of machines.
+//! The language of placement rules: hard requirements and soft preferences over the traits of machines.
 //!
-//! A rule is an [`Expr`] over what a machine is (its type, zone and labels) and what is on it now (images,
-//! tasks of other jobs). This package reads and prints the language, judges it, finds the smallest set of
-//! rules that clash, and explains. It does no I/O, reads no clock, and knows nothing of the scheduler: that
-//! asks for a [`RuleSet`]'s rules for a job, has them reduced once for each class of equal machines, and
-//! judges for a single machine only what is left then.
+//! A rule is an [`Expr`] over what a machine is (its type, zone and labels) and what is on it now (images, tasks of
+//! other jobs). This crate parses, prints and evaluates the language, finds the smallest set of rules that contradict
+//! each other ([`clash`]), and explains results ([`mod@explain`]). It does no I/O, reads no clock, and knows nothing of
+//! the scheduler. The scheduler asks a [`RuleSet`] for the rules that concern a job, reduces each of them once for each
+//! class of equal machines, and evaluates machine by machine only what is left.
 //!
-//! The language is described in `docs/constraints.md`.
+//! ```
+//! use cometlead_constraints::judge::Empty;
+//! use cometlead_constraints::{BadRules, RuleSet, Subject, Traits, Value};
+//!
+//! # fn main() -> Result<(), BadRules> {
+//! let rules = RuleSet::parse(
+//!     br#"{"rules": [{"name": "oromo-fonts", "for": {"images": ["oromo-render"]}, "require": "fonts has oromo"}]}"#,
+//! )?;
+//! let job = Subject {
+//!     job_class: "proofs",
+//!     team: "press",
+//!     image: "oromo-render",
+//!     priority: "high",
+//! };
+//! let machine = Traits::from([("fonts".to_owned(), Value::Words(["latin".to_owned()].into()))]);
+//!
+//! // The rule concerns the job, and a machine without that font does not meet it.
+//! for rule in rules.concerning(&job) {
+//!     assert!(rule.is_hard());
+//!     assert!(!rule.expr.holds(&machine, &Empty));
+//! }
+//! assert_eq!(rules.concerning(&job).count(), 1);
+//! # Ok(())
+//! # }
+//! ```
+//!
+//! `docs/constraints.md` describes the language.
 
 pub mod clash;
 pub mod explain;
