--- a/crates/constraints/src/lib.rs
+++ b/crates/constraints/src/lib.rs
@@ -12,7 +12,8 @@
 //!
 //! # fn main() -> Result<(), BadRules> {
 //! let rules = RuleSet::parse(
-//!     br#"{"rules": [{"name": "oromo-fonts", "for": {"images": ["oromo-render"]}, "require": "fonts has oromo"}]}"#,
+//!     br#"{"labels": {"types": {"press-server": {"fonts": ["latin", "oromo"]}}},
+//!          "rules": [{"name": "oromo-fonts", "for": {"images": ["oromo-render"]}, "require": "fonts has oromo"}]}"#,
 //! )?;
 //! let job = Subject {
 //!     job_class: "proofs",
