--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -29,7 +29,7 @@
         if self.is_out_of_contact()
             || self.has_newer_token(shard, heartbeat)
             || self.is_removed(machine)
-            || !self.admit(heartbeat)
+            || !self.admit_heartbeat(heartbeat)
         {
             return HeartbeatResponse::Unavailable;
         }
@@ -88,7 +88,7 @@
     }
 
     /// Registers the agent if it is new; false if its incarnation is fenced.
-    fn admit(&mut self, heartbeat: &Heartbeat) -> bool {
+    fn admit_heartbeat(&mut self, heartbeat: &Heartbeat) -> bool {
         let fenced_incarnation = self
             .cell
             .machine(heartbeat.machine)
--- a/src/main.rs
+++ b/src/main.rs
@@ -311,8 +311,8 @@
     settings: Option<&str>,
     command: Option<&QueuesCommand>,
 ) -> Result<ExitCode, String> {
-    use cometlead_queues::settings::QueueSettings;
     use cometlead_queues::runtime::QueueService;
+    use cometlead_queues::settings::QueueSettings;
     if let Some(QueuesCommand::Schema) = command {
         say(&QueueSettings::schema());
         return Ok(ExitCode::SUCCESS);
