--- a/crates/queues/src/state_machine/commits.rs
+++ b/crates/queues/src/state_machine/commits.rs
@@ -7,6 +7,23 @@
 /// Most answers in one transaction.
 const MAX_PUBLICATIONS: usize = 64;
 
+/// A message in the transaction in flight.
+#[derive(Clone, Debug)]
+pub(super) struct CommittingMessage {
+    key: MessageKey,
+    /// The deliveries that the transaction acknowledges.
+    acked: Vec<DeliveryTag>,
+}
+
+impl CommittingMessage {
+    fn new(key: MessageKey, pending: &PendingMessage) -> CommittingMessage {
+        CommittingMessage {
+            key,
+            acked: pending.unacked.clone(),
+        }
+    }
+}
+
 impl DeliveryStateMachine {
     /// Begins a transaction with everything that waits for one, unless one is in flight.
     pub(super) fn commit_transaction(&mut self) {
@@ -29,7 +46,7 @@
     fn add_answers(
         &mut self,
         transaction: &mut BrokerTransaction,
-        messages: &mut Vec<(MessageKey, Vec<DeliveryTag>)>,
+        messages: &mut Vec<CommittingMessage>,
     ) {
         while transaction.publications.len() < MAX_PUBLICATIONS {
             let Some(key) = self.claimed.pop_front() else {
@@ -42,14 +59,14 @@
             pending.stage = Stage::Committing;
             transaction.publications.extend(pending.publication(key));
             transaction.acks.extend(&pending.unacked);
-            messages.push((key, pending.unacked.clone()));
+            messages.push(CommittingMessage::new(key, pending));
         }
     }
 
     fn add_acknowledgements(
         &mut self,
         transaction: &mut BrokerTransaction,
-        messages: &mut Vec<(MessageKey, Vec<DeliveryTag>)>,
+        messages: &mut Vec<CommittingMessage>,
     ) {
         let is_due = |pending: &&PendingMessage| {
             !pending.unacked.is_empty() && matches!(pending.stage, Stage::Settled | Stage::Answered)
@@ -57,13 +74,13 @@
         for key in std::mem::take(&mut self.to_acknowledge) {
             if let Some(pending) = self.messages.get(&key).filter(is_due) {
                 transaction.acks.extend(&pending.unacked);
-                messages.push((key, pending.unacked.clone()));
+                messages.push(CommittingMessage::new(key, pending));
             }
         }
     }
 
     pub(super) fn on_committed(&mut self) {
-        for (key, acked) in self.transaction.take().unwrap_or_default() {
+        for CommittingMessage { key, acked } in self.transaction.take().unwrap_or_default() {
             let Some(pending) = self.messages.get_mut(&key) else {
                 continue;
             };
--- a/crates/queues/src/state_machine/mod.rs
+++ b/crates/queues/src/state_machine/mod.rs
@@ -27,6 +27,7 @@
 use crate::reply::{Outcome, StatusUpdate};
 use crate::schedule::RequestSchedule;
 use crate::time::{Micros, SECOND};
+use commits::CommittingMessage;
 use connection::ConnectionPhase;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -59,8 +60,8 @@
     /// Messages with deliveries to acknowledge.
     to_acknowledge: BTreeSet<MessageKey>,
     status_updates: Vec<StatusUpdate>,
-    /// The messages of the transaction in flight, with the deliveries that it acknowledges.
-    transaction: Option<Vec<(MessageKey, Vec<DeliveryTag>)>>,
+    /// The messages of the transaction in flight, if there is one.
+    transaction: Option<Vec<CommittingMessage>>,
     /// Messages whose own receipts are obsolete.
     obsolete_receipts: Vec<MessageKey>,
     log: ReplicatedLog,
