--- a/src/coordination/calls.rs
+++ b/src/coordination/calls.rs
@@ -116,8 +116,8 @@
     /// Passes an answer on to the component that asked.
     fn route_state_reply(&mut self, id: CallId, call: Call, result: Result<StateReply, CallError>) {
         match call.purpose {
-            Purpose::Watch => self.on_changes(id, call.sent, true, result),
-            Purpose::Barrier => self.on_changes(id, call.sent, false, result),
+            Purpose::Watch => self.on_watch_answered(id, call.sent, result),
+            Purpose::Barrier => self.on_barrier_answered(id, call.sent, result),
             Purpose::Page { first } => self.on_page(first, result),
             Purpose::LeaseGrant => self.on_lease_granted(result),
             Purpose::LeaseKeepAlive => self.on_lease_kept_alive(call.sent, result),
--- a/src/coordination/health/connectivity.rs
+++ b/src/coordination/health/connectivity.rs
@@ -1,191 +1,266 @@
-//! Whether this controller still hears workers. One that hears none while its peers do is cut off
-//! itself: it withdraws, so that others take its slices before the leases run out.
+//! Connectivity of this controller to the agents. A controller that receives nothing from agents while its peers do is
+//! itself cut off: it withdraws, so that others claim its shards before the leases of the agents expire.
 //!
-//! Nothing here proves anything. A withdrawal only removes the node's own record, as the end of its
-//! lease would; whoever claims its slices begins new terms as after a crash.
+//! This is suspicion, not proof. A withdrawal only removes the node's own record, as the expiry of its lease would;
+//! claims of its shards begin new terms as after a crash.
 
 use crate::coordination::{Controller, Effect, Purpose};
 use crate::protocol::worker::command_body;
 use crate::time::Micros;
+use std::net::SocketAddrV4;
 
-/// What is known of the way to the workers.
+/// Probes without an answer that prove enough to withdraw, if there are so many machines.
+const PROBES: usize = 3;
+
+/// How long a probe waits for its answer.
+const PROBE_TIMEOUT: Micros = Micros::millis(1_500);
+
+/// Shortest time between two rounds of probes.
+const PROBE_SPACING: Micros = Micros::millis(500);
+
+/// Shortest withdrawal; it doubles with each one that follows soon after a return.
+const MIN_WITHDRAWAL: Micros = Micros::secs(3);
+
+/// Longest that a withdrawal becomes by doubling.
+const MAX_WITHDRAWAL: Micros = Micros::secs(60);
+
+/// A withdrawal this soon after a return lasts twice as long as the one before.
+const REPEATED_WITHDRAWAL_PERIOD: Micros = Micros::secs(120);
+
+/// Probes without an answer with which a withdrawn node may still return.
+const MAX_FAILED_FOR_RETURN: usize = 1;
+
+/// A withdrawn node returns only after agent contact within this time.
+const RECENT_CONTACT: Micros = Micros::secs(2);
+
+/// Time after which a withdrawn node returns if no other controller is alive.
+const RETURN_IF_ALONE: Micros = Micros::secs(1);
+
+/// After a takeover agents may first have to give up on another node.
+const TAKEOVER_GRACE: Micros = Micros::millis(5_500);
+
+/// Silence of all agents is never judged before this time.
+const MIN_SILENCE: Micros = Micros::secs(1);
+
+/// Silence is judged after this many times the average time between two heartbeats of any agent.
+const SILENCE_IN_HEARTBEATS: u64 = 6;
+
+/// A peer is in contact with agents if it received anything from one within this time.
+const PEER_CONTACT_PERIOD: Micros = Micros::secs(3);
+
+/// A controller withdraws only while its contact to the state store is newer than this.
+const MAX_STATE_CONTACT_AGE: Micros = Micros::secs(4);
+
+/// What is known of the connection to the agents.
 #[derive(Debug, Default)]
 pub struct Connectivity {
-    /// When any worker was last heard, by report or answer.
-    heard: Option<Micros>,
-    /// Enquiries that had no answer since then.
-    failed: usize,
-    /// Enquiries under way.
-    asking: usize,
-    next_ask: Micros,
-    /// Machines are asked in turn.
-    turn: usize,
-    /// When the node withdrew, unless it has come back.
+    /// When any agent last sent a heartbeat or an answer.
+    last_contact: Option<Micros>,
+    /// Probes without an answer since then.
+    failed_probes: usize,
+    probes_in_flight: usize,
+    next_probe: Micros,
+    /// Machines are probed in turn: index of the first in the next round.
+    rotation: usize,
+    /// When the node withdrew, unless it has returned.
     withdrawn_since: Option<Micros>,
-    /// How long it stays away, and when it last came back.
-    pause: Micros,
-    back: Option<Micros>,
+    /// Shortest time of the current or last withdrawal.
+    withdrawal: Micros,
+    returned_at: Option<Micros>,
 }
 
 impl Connectivity {
-    /// A worker was heard.
+    /// An agent sent a heartbeat or an answer.
     pub fn heard(&mut self, now: Micros) {
-        self.heard = Some(now);
-        self.failed = 0;
+        self.last_contact = Some(now);
+        self.failed_probes = 0;
     }
 
-    /// Whether the node has given its slices up.
+    /// Whether the node has given up its shards.
     pub fn is_withdrawn(&self) -> bool {
         self.withdrawn_since.is_some()
     }
+
+    fn may_probe(&self, now: Micros) -> bool {
+        self.probes_in_flight == 0 && now >= self.next_probe
+    }
+
+    fn on_probes_sent(&mut self, count: usize, now: Micros) {
+        self.rotation = self.rotation.wrapping_add(1);
+        self.probes_in_flight = count;
+        self.next_probe = now + PROBE_SPACING;
+    }
+
+    fn on_probe_answer(&mut self, answered: bool, now: Micros) {
+        self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
+        if answered {
+            self.heard(now);
+        } else {
+            self.failed_probes += 1;
+        }
+    }
+
+    /// Whether agents have been in contact since the withdrawal, and it has lasted long enough.
+    fn is_restored(&self, withdrawn_since: Micros, now: Micros) -> bool {
+        let in_contact = self
+            .last_contact
+            .is_some_and(|at| at > withdrawn_since && now.since(at) < RECENT_CONTACT);
+        in_contact
+            && self.failed_probes <= MAX_FAILED_FOR_RETURN
+            && now.since(withdrawn_since) > self.withdrawal
+    }
+
+    fn withdraw(&mut self, now: Micros) {
+        let repeated = self
+            .returned_at
+            .is_some_and(|at| now.since(at) < REPEATED_WITHDRAWAL_PERIOD);
+        self.withdrawal = if repeated {
+            Micros(self.withdrawal.0 * 2).min(MAX_WITHDRAWAL)
+        } else {
+            MIN_WITHDRAWAL
+        };
+        self.withdrawn_since = Some(now);
+    }
+
+    fn end_withdrawal(&mut self, now: Micros) {
+        self.withdrawn_since = None;
+        self.returned_at = Some(now);
+    }
 }
 
 impl Controller {
-    /// Enquiries without an answer that make it sure, if there are so many machines.
-    const PROBES: usize = 3;
-    const PROBE_TIMEOUT: Micros = Micros::millis(1_500);
-    /// Shortest time away after a withdrawal; it doubles up to the longest.
-    const AWAY: (Micros, Micros) = (Micros::secs(3), Micros::secs(60));
-
-    /// Milliseconds since any worker was heard.
+    /// Milliseconds since the last contact of any agent; none if there was none yet.
     pub(in crate::coordination) fn heard_ms(&self) -> Option<u64> {
-        self.connectivity
-            .heard
-            .map(|t| self.now.steady.since(t).as_millis())
+        let last_contact = self.connectivity.last_contact?;
+        Some(self.now.steady.since(last_contact).as_millis())
     }
 
-    /// Whether it is too quiet for the number of workers that report here.
-    fn quiet(&self) -> bool {
-        let now = self.now.steady;
-        let begun = (0..self.cell.leaders.len())
-            .filter_map(|k| Some(self.leadership.leader_term(k)?.since))
-            .min();
-        let (Some(begun), workers) = (begun, self.agents.len() as u64) else {
+    /// Whether the silence of agents is evidence on this node rather than on them.
+    pub(in crate::coordination) fn cannot_hear_agents(&self) -> bool {
+        self.connectivity.is_withdrawn() || self.are_agents_silent() && self.are_peers_in_contact()
+    }
+
+    /// Whether all agents have been silent for too long for their number.
+    fn are_agents_silent(&self) -> bool {
+        let agents = self.agents.len() as u64;
+        let Some(first_term) = self.oldest_term() else {
             return false;
         };
-        let begun = begun.max(self.stall.back());
-        if workers == 0 {
+        if agents == 0 {
             return false;
         }
-        // After a takeover workers may first have to give up on another node.
-        let first = begun + Micros::millis(5_500);
-        let since = self
+        let expected_from = first_term.max(self.stall.back());
+        let last_contact = self
             .connectivity
-            .heard
-            .map_or(first, |t| if t < begun { first } else { t });
-        now.since(since)
-            > Micros::secs(1).max(Micros(self.settings.heartbeat_interval.0 * 6 / workers))
+            .last_contact
+            .filter(|at| *at >= expected_from);
+        let silent_since = last_contact.unwrap_or(expected_from + TAKEOVER_GRACE);
+        let spacing = Micros(self.settings.heartbeat_interval.0 * SILENCE_IN_HEARTBEATS / agents);
+        self.now.steady.since(silent_since) > MIN_SILENCE.max(spacing)
     }
 
-    /// Whether the silence of workers says something about this node rather than about them.
-    pub(in crate::coordination) fn cannot_hear_agents(&self) -> bool {
-        self.connectivity.is_withdrawn() || self.quiet() && self.peers_hear()
+    /// When the oldest of this process's leader terms began.
+    fn oldest_term(&self) -> Option<Micros> {
+        (0..self.cell.leaders.len())
+            .filter_map(|shard| Some(self.leadership.leader_term(shard)?.since))
+            .min()
     }
 
-    /// Whether a peer has heard workers lately.
-    fn peers_hear(&self) -> bool {
-        self.peers.values().any(|(told, hint)| {
-            let age = self.now.steady.since(*told);
+    /// Whether a peer has had contact with agents lately.
+    fn are_peers_in_contact(&self) -> bool {
+        self.peers.values().any(|(received, hint)| {
+            let hint_age = self.now.steady.since(*received);
             hint.heard_ms
-                .is_some_and(|ms| Micros::millis(ms) + age < Micros::secs(3))
+                .is_some_and(|ms| Micros::millis(ms) + hint_age < PEER_CONTACT_PERIOD)
         })
     }
 
-    /// Looks whether workers are heard, and withdraws or comes back.
+    /// Checks the contact with agents: probes some, withdraws, or ends a withdrawal.
     pub(in crate::coordination) fn tick_connectivity(&mut self) {
-        let now = self.now.steady;
         if !self.replica.ready() {
             return;
         }
         if let Some(since) = self.connectivity.withdrawn_since {
-            let again = self
-                .connectivity
-                .heard
-                .is_some_and(|t| t > since && now.since(t) < Micros::secs(2));
-            // Somebody must own the slices, even if it hears nobody.
-            let alone = self.cell.nodes.is_empty() && now.since(since) > Micros::secs(1);
-            if alone
-                || again
-                    && self.connectivity.failed <= 1
-                    && now.since(since) > self.connectivity.pause
-            {
-                tracing::info!(away = %now.since(since), alone, "workers are heard again, back in service for them");
-                self.connectivity.withdrawn_since = None;
-                self.connectivity.back = Some(now);
-                self.leadership.schedule_check();
-            } else {
-                self.probe_agents();
-            }
-            return;
+            self.tick_withdrawn(since);
+        } else if self.are_agents_silent() {
+            self.tick_silence();
         }
-        if !self.quiet() {
+    }
+
+    fn tick_withdrawn(&mut self, since: Micros) {
+        let now = self.now.steady;
+        let duration = now.since(since);
+        // Without any other live controller the shards must have a leader, even one without contact to agents.
+        let alone = self.cell.nodes.is_empty() && duration > RETURN_IF_ALONE;
+        if !alone && !self.connectivity.is_restored(since, now) {
+            self.probe_agents();
             return;
         }
+        tracing::info!(%duration, alone, "node withdrawal ended");
+        self.connectivity.end_withdrawal(now);
+        self.leadership.schedule_check();
+    }
+
+    fn tick_silence(&mut self) {
         let machines = self.cell.machines_up().count();
-        let sure = self.connectivity.failed >= Self::PROBES.min(machines.max(1));
-        if sure && self.peers_hear() && self.contact_age() < Micros::secs(4) {
+        let confirmed = self.connectivity.failed_probes >= PROBES.min(machines.max(1));
+        if confirmed && self.are_peers_in_contact() && self.contact_age() < MAX_STATE_CONTACT_AGE {
             self.withdraw();
         } else {
             self.probe_agents();
         }
     }
 
-    /// Asks a few workers, whosever they are, for a sign of life. The command's token and session are
-    /// none that a worker takes: nothing is carried out, and the answer is its report.
+    /// Gives the shards up: the node's own record is removed, and not written again until agents are in contact.
+    fn withdraw(&mut self) {
+        self.connectivity.withdraw(self.now.steady);
+        let agents = self.agents.len();
+        let minimum = self.connectivity.withdrawal;
+        tracing::info!(agents, %minimum, "node withdrawn: no agent contact while peers have some");
+    }
+
+    /// Probes a few agents, of any shard, with an empty command. Its fencing token and incarnation are ones that no
+    /// agent accepts: nothing is carried out, and the answer is the agent's heartbeat.
     fn probe_agents(&mut self) {
         let now = self.now.steady;
-        if self.connectivity.asking > 0 || now < self.connectivity.next_ask {
+        if !self.connectivity.may_probe(now) {
             return;
         }
-        let up = self.cell.machines_up();
-        let endpoints: Vec<_> = up.filter_map(|(_, r)| r.endpoint).collect();
+        let endpoints = self.endpoints_to_probe();
         if endpoints.is_empty() {
             return;
         }
-        self.connectivity.next_ask = now + Micros::millis(500);
-        let count = Self::PROBES.min(endpoints.len());
-        for i in 0..count {
-            // A step that is far from the order in which machines came.
-            let at = (self.connectivity.turn + i * (endpoints.len() / count)) % endpoints.len();
+        self.connectivity.on_probes_sent(endpoints.len(), now);
+        for endpoint in endpoints {
             let call = self.call(Purpose::Probe);
-            let body = command_body(0, 0, &[]);
-            let endpoint = endpoints[at].to_string();
             self.effects.push(Effect::PushCommand {
                 call,
-                endpoint,
-                body,
-                limit: Self::PROBE_TIMEOUT,
+                endpoint: endpoint.to_string(),
+                body: command_body(0, 0, &[]),
+                limit: PROBE_TIMEOUT,
             });
         }
-        self.connectivity.turn = self.connectivity.turn.wrapping_add(1);
-        self.connectivity.asking = count;
     }
 
-    /// A worker answered an enquiry, or did not.
-    pub(in crate::coordination) fn on_probe_answer(&mut self, answered: bool) {
-        self.connectivity.asking = self.connectivity.asking.saturating_sub(1);
-        if answered {
-            self.connectivity.heard(self.now.steady);
-        } else {
-            self.connectivity.failed += 1;
-        }
+    /// Endpoints for the next round of probes. They are spread over all, since machines that were added together may
+    /// share a fault.
+    fn endpoints_to_probe(&self) -> Vec<SocketAddrV4> {
+        let machines = self.cell.machines_up();
+        let endpoints: Vec<_> = machines
+            .filter_map(|(_, machine)| machine.endpoint)
+            .collect();
+        let count = PROBES.min(endpoints.len());
+        (0..count)
+            .map(|probe| {
+                let step = endpoints.len() / count;
+                endpoints[(self.connectivity.rotation + probe * step) % endpoints.len()]
+            })
+            .collect()
     }
 
-    /// Gives the slices up: the node's own record is removed, and not written before workers are heard.
-    fn withdraw(&mut self) {
+    /// An agent answered a probe, or did not.
+    pub(in crate::coordination) fn on_probe_answer(&mut self, answered: bool) {
         let now = self.now.steady;
-        let (least, most) = Self::AWAY;
-        let lately = self
-            .connectivity
-            .back
-            .is_some_and(|t| now.since(t) < Micros::secs(120));
-        self.connectivity.pause = if lately {
-            Micros(self.connectivity.pause.0 * 2).min(most)
-        } else {
-            least
-        };
-        self.connectivity.withdrawn_since = Some(now);
-        let (workers, pause) = (self.agents.len(), self.connectivity.pause);
-        tracing::info!(workers, %pause, "no worker is heard, but peers hear theirs: withdrawing");
+        self.connectivity.on_probe_answer(answered, now);
     }
 }
--- a/src/coordination/health/mod.rs
+++ b/src/coordination/health/mod.rs
@@ -1,4 +1,4 @@
-//! Failure detection: this process's own stalls, its connectivity to the agents, and lost zones.
+//! Failure detection: stalls of this process, its connectivity to the agents, and lost zones.
 
 pub(super) mod connectivity;
 pub(super) mod stall;
--- a/src/coordination/health/stall.rs
+++ b/src/coordination/health/stall.rs
@@ -1,55 +1,55 @@
-//! This process's own absences: frozen, starved of processor time, or stopped and continued.
+//! Stalls of this process: it was frozen, starved of processor time, or stopped and continued.
 //!
-//! A steady clock runs on meanwhile, so everything that rests on silence or idleness would come due in the moment of
-//! waking, and on a copy that is as old as the absence was long. So the first thing after one is a read, and nothing of
-//! that kind is decided before it is applied. What is silent or idle then is so from the return on: before, nobody could
-//! have been heard.
+//! The steady clock runs on meanwhile. Everything that rests on silence or idleness would come due at the moment the
+//! process resumes, on a replica as old as the stall was long. So the first thing after a stall is a read, and nothing of
+//! that kind is decided before the read is applied. Silence and idleness then count from the moment of resuming:
+//! before, the process could not have received anything.
 //!
-//! Proofs are not touched by this. That a session is over rests on the last of its reports that was answered, which an
-//! absence makes no newer; and whatever is committed is conditional on revisions. This keeps from being decided in vain,
-//! or for effects that need no commit, what a newer copy would not let be decided.
+//! Proofs don't depend on this. That an agent incarnation is over rests on the last of its heartbeats that was answered,
+//! which a stall makes no newer, and commits are conditional on revisions. This avoids decisions that would fail against
+//! a newer replica, and effects without a commit that a newer replica would not allow.
 
 use crate::coordination::Controller;
 use crate::time::Micros;
 
-/// When this process was last away.
+/// A timer this late means that the process did not run. A node that computes several times slower is late by less; if
+/// it is taken for stalled, it only reads once more.
+const STALL_THRESHOLD: Micros = Micros::secs(1);
+
+/// The last stall of this process.
 #[derive(Debug, Default)]
 pub struct StallDetector {
-    /// When it came back.
-    back: Micros,
-    /// A read that begins after this call ends the doubt.
-    doubt: Option<u64>,
+    /// When the process resumed.
+    resumed_at: Micros,
+    /// A read that begins after this call ends the recovery.
+    recovery: Option<u64>,
 }
 
 impl StallDetector {
-    /// When it last came back; silence before that says nothing.
+    /// When the process last resumed, on the steady clock; silence before that is no evidence.
     pub fn back(&self) -> Micros {
-        self.back
+        self.resumed_at
     }
 
     /// Whether nothing may be decided yet that rests on silence or idleness.
     pub fn in_doubt(&self) -> bool {
-        self.doubt.is_some()
+        self.recovery.is_some()
     }
 }
 
 impl Controller {
-    /// A timer this late means that the process did not run. A node that computes several times slower is late by less;
-    /// taken for away, it only reads once more.
-    const LATE: Micros = Micros::secs(1);
-
-    /// Compares the time with when a tick was wanted at the latest.
+    /// Compares the time with when the controller asked to be called at the latest.
     pub(in crate::coordination) fn detect_stall(&mut self) {
         let now = self.now.steady;
         let late = now.since(self.next_wake);
-        if self.next_wake == Micros::ZERO || late <= Self::LATE {
+        if self.next_wake == Micros::ZERO || late <= STALL_THRESHOLD {
             return;
         }
-        tracing::info!(away = %late, "was not running: reading before anything is decided");
+        tracing::info!(duration = %late, "process stall detected");
         self.counters.stalls += 1;
         self.stall = StallDetector {
-            back: now,
-            doubt: Some(self.next_call - 1),
+            resumed_at: now,
+            recovery: Some(self.next_call - 1),
         };
         if self.replica.ready() {
             self.replica.want_barrier();
@@ -57,15 +57,15 @@
         self.autoscaler.on_stall(now, late);
     }
 
-    /// A read has been applied; the doubt ends with the first that began after the return.
+    /// A read has been applied; the first that began after the process resumed ends the recovery.
     pub(in crate::coordination) fn end_stall_recovery(&mut self) {
-        if self
-            .stall
-            .doubt
-            .is_some_and(|call| self.replica.passed(call))
-        {
-            self.stall.doubt = None;
-            tracing::info!(since = %self.now.steady.since(self.stall.back), "the copy is up to date again after the absence");
+        let Some(call) = self.stall.recovery else {
+            return;
+        };
+        if self.replica.passed(call) {
+            self.stall.recovery = None;
+            let duration = self.now.steady.since(self.stall.resumed_at);
+            tracing::info!(%duration, "process stall recovery completed");
         }
     }
 }
--- /dev/null
+++ b/src/coordination/health/zones/observations.rs
@@ -0,0 +1,99 @@
+//! What the agents' heartbeats and answers show of each zone.
+
+use crate::coordination::Controller;
+use crate::scheduler::zone_health::{Evidence, Zone};
+use crate::storage::ids::MachineId;
+use crate::storage::records::MachineHealth;
+use crate::time::Micros;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// The contact with the agents of one zone.
+#[derive(Debug, Default)]
+pub(super) struct ZoneObservation {
+    /// Machines led by this controller whose agents have been in contact.
+    machines: usize,
+    /// When any of their agents was last in contact.
+    last_contact: Micros,
+    /// Machines with an unanswered probe.
+    unanswered: usize,
+    /// Machines in contact since the zone was lost.
+    heard_again: usize,
+    /// Agents that were in contact before and can be probed.
+    silent: Vec<SilentAgent>,
+}
+
+/// An agent that can be probed. The one that has been silent for longest is the least.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct SilentAgent {
+    last_contact: Micros,
+    machine: MachineId,
+}
+
+impl ZoneObservation {
+    /// Whether the zone's agents are in contact as usual.
+    pub(super) fn is_in_contact(&self, now: Micros, heartbeat_interval: Micros) -> bool {
+        self.machines > 0
+            && now.since(self.last_contact)
+                <= Zone::usual_silence(self.machines, heartbeat_interval)
+    }
+
+    /// `others_heard`: whether agents of other zones are in contact.
+    pub(super) fn evidence(&self, now: Micros, others_heard: bool) -> Evidence {
+        Evidence {
+            machines: self.machines,
+            quiet: now.since(self.last_contact),
+            unanswered: self.unanswered,
+            heard_again: self.heard_again,
+            others_heard,
+        }
+    }
+
+    /// Up to `count` machines to probe, the longest silent first.
+    pub(super) fn longest_silent(mut self, count: usize) -> impl Iterator<Item = MachineId> {
+        self.silent.sort_unstable();
+        let silent = self.silent.into_iter().take(count);
+        silent.map(|agent| agent.machine)
+    }
+}
+
+impl Controller {
+    /// Observations of all zones of the cell, also of those in which this controller leads no machine.
+    pub(super) fn observe_zones(&self) -> BTreeMap<Arc<str>, ZoneObservation> {
+        let mut zones: BTreeMap<Arc<str>, ZoneObservation> = BTreeMap::new();
+        for (machine, agent) in &self.agents {
+            let Some(record) = self
+                .cell
+                .machine(*machine)
+                .filter(|record| record.health < MachineHealth::Decommissioning)
+            else {
+                continue;
+            };
+            let zone = zones.entry(record.zone.clone()).or_default();
+            // The silence of an agent that was never in contact in this term is no evidence.
+            let Some(last_contact) = agent.last_sign_of_life() else {
+                continue;
+            };
+            let last_contact = last_contact
+                .max(self.stall.back())
+                .max(self.zones.contact_since);
+            let lost_since = self.zones.lost_since(&record.zone);
+            zone.machines += 1;
+            zone.last_contact = zone.last_contact.max(last_contact);
+            zone.heard_again += usize::from(lost_since.is_some_and(|since| last_contact > since));
+            zone.unanswered += usize::from(agent.is_unreachable());
+            if agent.may_be_asked() {
+                zone.silent.push(SilentAgent {
+                    last_contact,
+                    machine: *machine,
+                });
+            }
+        }
+        for (_, _, record) in self.cell.machines() {
+            if !zones.contains_key(&record.zone) {
+                zones.entry(record.zone.clone()).or_default();
+            }
+        }
+        zones
+    }
+}
--- /dev/null
+++ b/src/coordination/replication/barrier.rs
@@ -0,0 +1,140 @@
+//! Read barriers: reads that are answered at once, for those who need what is committed by now.
+
+use crate::coordination::{CallId, Controller, Purpose};
+use crate::protocol::state::StateRequest;
+use crate::time::Micros;
+
+/// Shortest time between two barriers.
+const SPACING: Micros = Micros::millis(60);
+
+/// Shortest time between two barriers for queries alone, which may wait for up to two seconds.
+const QUERY_SPACING: Micros = Micros::millis(180);
+
+/// Pause after a barrier that failed.
+const RETRY_DELAY: Micros = Micros::millis(250);
+
+/// A query that has waited for so long is read for even if that leaves no budget to other requests.
+const PATIENT_QUERY_WAIT: Micros = Micros::millis(700);
+
+/// Who a barrier is requested for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Urgency {
+    /// Queries alone.
+    Queries,
+    /// At least one that changes something or holds work up.
+    Urgent,
+}
+
+/// The barrier in flight, and the requests for the next one.
+#[derive(Debug, Default)]
+pub(super) struct ReadBarrier {
+    in_flight: Option<CallId>,
+    requested: bool,
+    requested_for_queries: bool,
+    next: Micros,
+    next_for_queries: Micros,
+}
+
+impl ReadBarrier {
+    pub(super) fn request(&mut self) {
+        self.requested = true;
+    }
+
+    pub(super) fn request_for_queries(&mut self) {
+        self.requested_for_queries = true;
+    }
+
+    pub(super) fn is_in_flight(&self) -> bool {
+        self.in_flight.is_some()
+    }
+
+    pub(super) fn on_answered(&mut self, id: CallId) {
+        if self.in_flight == Some(id) {
+            self.in_flight = None;
+        }
+    }
+
+    pub(super) fn on_failed(&mut self, now: Micros) {
+        self.requested = true;
+        self.next = now + RETRY_DELAY;
+    }
+
+    fn on_sent(&mut self, id: CallId, now: Micros) {
+        self.in_flight = Some(id);
+        self.requested = false;
+        self.requested_for_queries = false;
+        self.next = now + SPACING;
+        self.next_for_queries = now + QUERY_SPACING;
+    }
+
+    fn urgency(&self) -> Option<Urgency> {
+        if self.requested {
+            Some(Urgency::Urgent)
+        } else if self.requested_for_queries {
+            Some(Urgency::Queries)
+        } else {
+            None
+        }
+    }
+
+    fn due(&self, urgency: Urgency) -> Micros {
+        match urgency {
+            Urgency::Urgent => self.next,
+            Urgency::Queries => self.next_for_queries.max(self.next),
+        }
+    }
+}
+
+impl Controller {
+    /// Sends the next barrier if one is requested and due.
+    pub(super) fn drive_barrier(&mut self) {
+        let now = self.now.steady;
+        let Some(urgency) = self.replica.barrier.urgency() else {
+            return;
+        };
+        if self.replica.barrier.is_in_flight()
+            || !self.replica.ready()
+            || self.is_catch_up_in_flight()
+        {
+            return;
+        }
+        let due = self.replica.barrier.due(urgency);
+        if now < due {
+            self.wake_at(due);
+            return;
+        }
+        let reserve = self.barrier_reserve(urgency);
+        if let Err(affordable_at) = self.budget.spend(now, 0, reserve) {
+            self.wake_at(affordable_at);
+            return;
+        }
+        let request = StateRequest::Changes {
+            after: self.cell.revision,
+            wait: Micros::ZERO,
+        };
+        let id = self.ask_state(Purpose::Barrier, request);
+        self.replica.barrier.on_sent(id, now);
+    }
+
+    /// Whether the replica is far behind and a watch that was sent then will bring all changes since.
+    fn is_catch_up_in_flight(&self) -> bool {
+        let replica = &self.replica;
+        let sent = replica.watch.sent();
+        replica.is_far_behind(self.now.steady)
+            && sent.is_some_and(|sent| replica.is_far_behind(sent))
+    }
+
+    /// Part of the request budget that a barrier leaves to other requests.
+    fn barrier_reserve(&self, urgency: Urgency) -> f64 {
+        match urgency {
+            Urgency::Queries if self.are_queries_patient() => Self::POLLS,
+            _ => 0.0,
+        }
+    }
+
+    /// Whether no query has waited for long.
+    fn are_queries_patient(&self) -> bool {
+        let oldest = self.users.oldest_read(self.now.steady);
+        oldest.is_none_or(|waited| waited < PATIENT_QUERY_WAIT)
+    }
+}
--- /dev/null
+++ b/src/coordination/replication/changes.rs
@@ -0,0 +1,124 @@
+//! Answers to watches and barriers: changes are applied, or the replica is listed again.
+
+use super::Phase;
+use crate::coordination::{CallId, Controller};
+use crate::protocol::state::{CallError, StateReply};
+use crate::storage::cell_state::{CellChanges, Change};
+use crate::time::Micros;
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ReadOutcome {
+    /// The answer brought changes, or showed that the replica is too old for any.
+    Handled,
+    /// There was no answer, or none to a read.
+    Failed,
+}
+
+impl Controller {
+    pub(in crate::coordination) fn on_watch_answered(
+        &mut self,
+        id: CallId,
+        sent: Micros,
+        result: Result<StateReply, CallError>,
+    ) {
+        let now = self.now.steady;
+        self.replica.watch.on_answered(now);
+        if self.on_changes(id, sent, result) == ReadOutcome::Failed {
+            self.replica.watch.on_failed(now);
+        }
+    }
+
+    pub(in crate::coordination) fn on_barrier_answered(
+        &mut self,
+        id: CallId,
+        sent: Micros,
+        result: Result<StateReply, CallError>,
+    ) {
+        let now = self.now.steady;
+        self.replica.barrier.on_answered(id);
+        if self.on_changes(id, sent, result) == ReadOutcome::Failed {
+            self.replica.barrier.on_failed(now);
+            self.users_without_contact();
+        }
+    }
+
+    /// Applies an answer, or begins a new listing if the answer shows that the replica is too old.
+    fn on_changes(
+        &mut self,
+        id: CallId,
+        sent: Micros,
+        result: Result<StateReply, CallError>,
+    ) -> ReadOutcome {
+        match result {
+            Ok(StateReply::Changes(changes, revision)) => {
+                self.apply_changes(id, sent, changes, revision);
+            }
+            Ok(StateReply::TooOld) => self.list_again("changes are no longer in the state store"),
+            // A retry would only be larger: all changes come at once, however many there are.
+            Err(CallError::TooLarge) => self.list_again("changes exceed the size of one answer"),
+            other => {
+                tracing::debug!(?other, "read failed");
+                return ReadOutcome::Failed;
+            }
+        }
+        ReadOutcome::Handled
+    }
+
+    /// The replica can't be brought forward: it is listed again, with no leader term meanwhile.
+    fn list_again(&mut self, reason: &'static str) {
+        // Several reads may have been in flight: the first answer has begun the listing.
+        if !self.replica.is_listed() {
+            return;
+        }
+        let revision = self.cell.revision;
+        tracing::info!(
+            revision,
+            reason,
+            "replica too old, listing everything again"
+        );
+        self.step_down_everywhere();
+        self.replica.phase = Phase::Empty;
+    }
+
+    fn apply_changes(&mut self, id: CallId, sent: Micros, changes: Vec<Change>, revision: u64) {
+        if !self.replica.is_listed() {
+            return;
+        }
+        let mut changes_seen = CellChanges::default();
+        self.cell.apply(changes, &mut changes_seen);
+        self.cell.advance(revision);
+        if self.cell.foreign(self.layout) {
+            // Other controllers may raise the layout beyond this version while it runs.
+            self.step_down_everywhere();
+            self.refuse_layout();
+            return;
+        }
+        let now = self.now.steady;
+        self.replica.progress.on_read(id, sent, now);
+        self.end_stall_recovery();
+        if self.replica.phase == Phase::Listed {
+            if !self.replica.listing.is_consistent_at(revision) {
+                return;
+            }
+            self.on_replica_ready(&mut changes_seen);
+        }
+        self.on_cell_changed(&changes_seen);
+        let newest_call = self.replica.progress.newest_call;
+        self.rounds.on_read(revision, newest_call);
+        self.users_after_read();
+    }
+
+    /// The replica is complete and consistent: everything in it counts as changed.
+    fn on_replica_ready(&mut self, changes_seen: &mut CellChanges) {
+        self.replica.phase = Phase::Ready;
+        tracing::info!(
+            revision = self.cell.revision,
+            jobs = self.cell.jobs.len(),
+            machines = self.cell.machines().count(),
+            "replica ready"
+        );
+        changes_seen.leaders = (0..self.cell.leaders.len()).collect();
+        changes_seen.nodes = true;
+        changes_seen.jobs = self.cell.jobs.keys().copied().collect();
+    }
+}
