--- a/src/coordination/health/connectivity.rs
+++ b/src/coordination/health/connectivity.rs
@@ -264,3 +264,6 @@
         self.connectivity.on_probe_answer(answered, now);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/health/zones/releases.rs
+++ b/src/coordination/health/zones/releases.rs
@@ -1,4 +1,4 @@
-//! Which machines of lost zones are worth releasing for the sake of their tasks.
+//! Which machines of lost zones are released so that their tasks can be restarted elsewhere.
 
 use crate::coordination::Controller;
 use crate::storage::cell_state::Job;
--- a/src/coordination/leadership/format_upgrade.rs
+++ b/src/coordination/leadership/format_upgrade.rs
@@ -72,7 +72,7 @@
         let waiting = self.controllers_without(wanted);
         let common = self.common_layout().min(wanted);
         self.leadership.format_upgrade.report_waiting(waiting);
-        // An upgrade that would turn rules off waits for the controllers not seen since rules were turned on.
+        // An upgrade that would turn rules off waits for the controllers that have not registered since rules were turned on.
         let drops_rules = is_ruled(metadata.layout) && !is_ruled(common);
         if common <= metadata.layout || drops_rules {
             return;
@@ -109,7 +109,7 @@
             .collect()
     }
 
-    /// The latest layout that all controllers are known to understand; 0 while one was never seen.
+    /// The latest layout that all controllers are known to understand; 0 while one has never registered.
     fn common_layout(&self) -> u32 {
         let formats = &self.leadership.format_upgrade;
         self.all_controllers()
--- a/src/coordination/leadership/node_record.rs
+++ b/src/coordination/leadership/node_record.rs
@@ -57,19 +57,7 @@
             self.wake_at(self.leadership.node_record.next_write);
             return;
         }
-        let put = if withdrawn {
-            Put {
-                key: key.clone(),
-                value: None,
-                lease_id: None,
-            }
-        } else {
-            Put {
-                key: key.clone(),
-                value: encode(&self.new_node_record()),
-                lease_id: Some(lease),
-            }
-        };
+        let put = self.node_record_put(withdrawn, lease);
         let transaction = Txn {
             when: vec![(key, mod_revision)],
             then: vec![put],
@@ -79,6 +67,20 @@
         self.ask_state(Purpose::Node, StateRequest::Txn(transaction));
     }
 
+    /// Removes the record of a withdrawn node, or writes the one of this process under the lease.
+    fn node_record_put(&mut self, withdrawn: bool, lease: u64) -> Put {
+        let value = if withdrawn {
+            None
+        } else {
+            encode(&self.new_node_record())
+        };
+        Put {
+            key: self.node_key(),
+            value,
+            lease_id: (!withdrawn).then_some(lease),
+        }
+    }
+
     fn new_node_record(&mut self) -> NodeRecord {
         let layout = self.wanted_layout();
         NodeRecord {
--- a/src/coordination/leadership/shard_distribution.rs
+++ b/src/coordination/leadership/shard_distribution.rs
@@ -97,3 +97,6 @@
     let node = cell.nodes.get(&leader.node)?;
     (node.value.run == leader.run).then_some(&leader.node)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/replication/barrier.rs
+++ b/src/coordination/replication/barrier.rs
@@ -138,3 +138,6 @@
         oldest.is_none_or(|waited| waited < PATIENT_QUERY_WAIT)
     }
 }
+
+#[cfg(test)]
+mod tests;
