--- a/src/coordination/health/zones/releases.rs
+++ b/src/coordination/health/zones/releases.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::Controller;
 use crate::storage::cell_state::Job;
-use crate::storage::ids::{JobId, MachineId};
+use crate::storage::ids::MachineId;
 use crate::storage::job::Priority;
 use crate::storage::records::{MachineHealth, MachineRecord};
 use crate::time::Micros;
