--- a/src/coordination/commit/assignment.rs
+++ b/src/coordination/commit/assignment.rs
@@ -1,14 +1,15 @@
 //! Assignment: pending tasks are placed on the machines as the transaction would leave them, and
 //! assigned as far as the transaction has room.
 
-use super::PlannedAssignment;
 use super::candidates::Candidates;
 use super::fair_shares::FairShares;
+use super::job_order::JobOrder;
+use super::{PlannedAssignment, RoundScope};
 use crate::coordination::Controller;
 use crate::coordination::commit::transaction::{MachineAttempt, TransactionBuilder};
 use crate::scheduler::constraints::PlacementContext;
 use crate::scheduler::placement::{
-    Claim, GroupAllowance, PlacementRequest, Preemption, plan, preempt,
+    Claim, GroupAllowance, PlacementRequest, Preemption, Running, plan, preempt,
 };
 use crate::storage::cell_state::Job;
 use crate::storage::ids::{JobId, MachineId};
@@ -56,7 +57,7 @@
     fn preempt(
         &mut self,
         requests: &[PlacementRequest<'a>],
-        running: &dyn Fn(MachineId) -> Vec<crate::scheduler::placement::Running>,
+        running: &dyn Fn(MachineId) -> Vec<Running>,
     ) -> Vec<Preemption> {
         let preemptions = preempt(
             &mut self.candidates.usable,
@@ -74,13 +75,13 @@
 
 impl Controller {
     /// Plans on the replica as the transaction would leave it, and assigns what the transaction has
-    /// room for; of the own jobs, if `urgent_only`, only those that must start at once.
+    /// room for.
     pub(super) fn assign(
         &self,
         transaction: &mut TransactionBuilder<'_>,
-        urgent_only: bool,
+        scope: RoundScope,
     ) -> Vec<PlannedAssignment> {
-        let (turns, fair_shares) = self.jobs_in_order();
+        let JobOrder { turns, fair_shares } = self.jobs_in_order();
         if !turns.iter().any(|turn| self.leads_job(turn.id, turn.job)) {
             return Vec::new();
         }
@@ -92,7 +93,7 @@
             .filter(|(id, _)| self.is_job_starved(*id))
             .collect();
         let mut requests = self.requests(turns, None, transaction, context);
-        if urgent_only {
+        if scope == RoundScope::UrgentOnly {
             for request in &mut requests {
                 request.mine &= self.starts_at_once(request.spec);
             }
@@ -113,7 +114,7 @@
         };
         plan.place(&mut requests);
         let mut assigned = self.assign_preempting(&mut plan, &requests, transaction, &fair_shares);
-        if !urgent_only && !starved.is_empty() && plan.claims_left() > 0 {
+        if scope == RoundScope::All && !starved.is_empty() && plan.claims_left() > 0 {
             self.place_starved_jobs(&mut plan, &starved, transaction, context, &owners);
         }
         assigned.extend(self.assign_claims(&plan, transaction));
--- a/src/coordination/commit/budget.rs
+++ b/src/coordination/commit/budget.rs
@@ -188,7 +188,7 @@
     /// Whether a round may be sent now, of whatever size: a large one is paid for by the time until
     /// the next, for a few large rounds do more with the same changes than many small ones.
     /// Otherwise returns when to ask again.
-    pub fn round(&mut self, now: Micros) -> Result<(), Micros> {
+    pub fn admit_round(&mut self, now: Micros) -> Result<(), Micros> {
         self.refill(now);
         let wait_for_requests = self.requests.time_until(ROUND_RESERVE);
         let wait_for_writes = self.writes.time_until(ROUND_RESERVE);
@@ -203,7 +203,7 @@
 
     /// Whether a small round that must not wait may be sent: it may be paid for afterwards, by as much
     /// as a second's changes. Otherwise returns when to ask again.
-    pub fn overdraw(&mut self, now: Micros) -> Result<(), Micros> {
+    pub fn admit_urgent_round(&mut self, now: Micros) -> Result<(), Micros> {
         self.refill(now);
         let wait_for_requests = self.requests.time_until(1.0);
         let wait_for_writes = self.writes.time_until(-self.writes.capacity);
--- a/src/coordination/commit/fair_shares.rs
+++ b/src/coordination/commit/fair_shares.rs
@@ -106,8 +106,8 @@
     /// Classes and teams that are behind their fair share, with the whole cores that they lack to half
     /// of it.
     pub(in crate::coordination) fn starved_classes_and_teams(&self) -> Vec<(String, u64)> {
-        let (_, fair_shares) = self.jobs_in_order();
-        fair_shares
+        self.jobs_in_order()
+            .fair_shares
             .deficits
             .iter()
             .filter(|(_, deficit)| deficit.ahead > 0)
--- a/src/coordination/commit/job_order.rs
+++ b/src/coordination/commit/job_order.rs
@@ -31,10 +31,18 @@
     pub ahead: bool,
 }
 
+/// Jobs with tasks to place.
+pub(super) struct JobOrder<'a> {
+    /// The most pressing first.
+    pub turns: Vec<Turn<'a>>,
+    /// What classes and teams that are behind their fair share are due.
+    pub fair_shares: FairShares<'a>,
+}
+
 impl Controller {
-    /// All jobs with tasks to place, the most pressing first, and the fair shares that classes and
-    /// teams are behind. What is behind its fair share goes ahead of the precedence.
-    pub(super) fn jobs_in_order(&self) -> (Vec<Turn<'_>>, FairShares<'_>) {
+    /// All jobs with tasks to place. Classes and teams that are behind their fair share go first, the
+    /// others by their precedence.
+    pub(super) fn jobs_in_order(&self) -> JobOrder<'_> {
         let jobs = self.jobs_by_precedence();
         let fair_shares = self.fair_shares(&jobs);
         let mut shares_left = fair_shares.clone();
@@ -62,7 +70,10 @@
             }
         }
         ahead.extend(in_order);
-        (ahead, fair_shares)
+        JobOrder {
+            turns: ahead,
+            fair_shares,
+        }
     }
 
     fn jobs_by_precedence(&self) -> Vec<(JobId, &Job)> {
--- a/src/coordination/commit/mod.rs
+++ b/src/coordination/commit/mod.rs
@@ -53,6 +53,14 @@
     }
 }
 
+/// What a round may hold.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RoundScope {
+    All,
+    /// Only work that must start at once.
+    UrgentOnly,
+}
+
 /// A round that was sent to the state store.
 #[derive(Debug)]
 pub struct InFlight {
@@ -84,13 +92,16 @@
     /// Conditions of a transaction for each change that it may have.
     const CONDITIONS_PER_CHANGE: usize = 4;
 
+    /// Changes that the end of a job takes besides those of the release that causes it.
+    const JOB_END_CHANGES: usize = 2;
+
     /// Plans and sends the next round if it is due.
     pub(super) fn drive_rounds(&mut self) {
         if !self.is_round_due() {
             return;
         }
         self.refresh_unschedulable();
-        let Some(urgent_only) = self.admit_round() else {
+        let Some(scope) = self.admit_round() else {
             return;
         };
         if !self.read_before_round() {
@@ -99,9 +110,9 @@
         let limits = self.transaction_limits();
         let round_interval = Micros::millis(self.operator_settings.round_ms);
         self.rounds.delay_until(self.now.steady + round_interval);
-        match self.plan_round(limits, urgent_only) {
+        match self.plan_round(limits, scope) {
             Some(planned) => self.send_round(planned, limits),
-            None => self.rounds.on_nothing_planned(urgent_only),
+            None => self.rounds.on_nothing_planned(scope),
         }
     }
 
@@ -125,18 +136,18 @@
         true
     }
 
-    /// Whether the budget admits a round, and if so whether one for urgent work alone. A large round
-    /// of work that has time must not hold up what must start at once: that may overdraw.
-    fn admit_round(&mut self) -> Option<bool> {
+    /// What the budget admits; nothing before it is asked again. A large round of work that has time
+    /// must not hold up what must start at once: that may overdraw.
+    fn admit_round(&mut self) -> Option<RoundScope> {
         let now = self.now.steady;
-        let Err(retry_at) = self.budget.round(now) else {
-            return Some(false);
+        let Err(retry_at) = self.budget.admit_round(now) else {
+            return Some(RoundScope::All);
         };
         if !self.rounds.last_was_urgent()
-            && self.budget.overdraw(now).is_ok()
+            && self.budget.admit_urgent_round(now).is_ok()
             && self.has_urgent_work()
         {
-            return Some(true);
+            return Some(RoundScope::UrgentOnly);
         }
         self.wake_at(retry_at);
         None
@@ -163,8 +174,9 @@
         let now = self.now.steady;
         let changes = commit.txn.then.len();
         self.budget.force(now, changes);
-        // The end of a job takes two more changes, so a full round of many may be a little short.
-        let full = changes + (limits.changes / 6).min(2) >= limits.changes;
+        // A job's end has no room where fewer changes are left, so a full round may be a little short.
+        let unusable_changes = (limits.changes / 6).min(Self::JOB_END_CHANGES);
+        let full = changes + unusable_changes >= limits.changes;
         self.rounds.on_sent(now, full);
         let in_flight = InFlight {
             changes: commit.changes,
--- a/src/coordination/commit/pending.rs
+++ b/src/coordination/commit/pending.rs
@@ -1,5 +1,6 @@
 //! What waits to be committed, and when the next round may be planned.
 
+use super::RoundScope;
 use super::starvation::StarvationPrevention;
 use super::suspicion::Suspicions;
 use crate::coordination::agents::{HealthChange, Outcome};
@@ -232,8 +233,8 @@
     }
 
     /// Notes that nothing could be planned. A round for urgent work alone has not looked at the rest.
-    pub(super) fn on_nothing_planned(&mut self, urgent_only: bool) {
-        self.requested = urgent_only;
+    pub(super) fn on_nothing_planned(&mut self, scope: RoundScope) {
+        self.requested = scope == RoundScope::UrgentOnly;
     }
 
     /// Notes that a round was sent; `full`: it had no room for more changes.
--- a/src/coordination/commit/round.rs
+++ b/src/coordination/commit/round.rs
@@ -1,7 +1,7 @@
 //! What goes into a full round, in this order: machines that are gone, releases, health changes,
 //! additions, ends of jobs, assignments; within the limits of a transaction.
 
-use super::PlannedRound;
+use super::{PlannedRound, RoundScope};
 use crate::coordination::Controller;
 use crate::coordination::agents::{HealthChange, Outcome};
 use crate::coordination::commit::transaction::{TransactionBuilder, TransactionLimits};
@@ -18,7 +18,7 @@
     pub(super) fn plan_round(
         &mut self,
         limits: TransactionLimits,
-        urgent_only: bool,
+        scope: RoundScope,
     ) -> Option<PlannedRound> {
         self.rounds.drop_applied(&self.cell);
         // Every other round at most: urgent work may arrive without end.
@@ -28,7 +28,7 @@
             self.rounds.set_urgent(true);
             return Some(planned);
         }
-        if urgent_only {
+        if scope == RoundScope::UrgentOnly {
             return None;
         }
         // Every other round, too: nothing is assigned to an oversized record, but work elsewhere
@@ -50,7 +50,7 @@
         let mut released = self.remove_gone_machines(&mut transaction);
         let mut assigned = Vec::new();
         if assignments_first {
-            assigned = self.assign(&mut transaction, false);
+            assigned = self.assign(&mut transaction, RoundScope::All);
         }
         released += self.release_assignments(&mut transaction);
         let filled = transaction.changes_left() == 0;
@@ -60,7 +60,7 @@
         self.end_jobs(&mut transaction);
         self.settle_completions(&mut transaction);
         if !assignments_first {
-            assigned = self.assign(&mut transaction, false);
+            assigned = self.assign(&mut transaction, RoundScope::All);
         }
         if transaction.is_empty() {
             return None;
--- a/src/coordination/commit/urgent_round.rs
+++ b/src/coordination/commit/urgent_round.rs
@@ -1,6 +1,6 @@
 //! Rounds for work that must start at once.
 
-use super::PlannedRound;
+use super::{PlannedRound, RoundScope};
 use crate::coordination::Controller;
 use crate::coordination::commit::transaction::{TransactionBuilder, TransactionLimits};
 use crate::storage::cell_state::Job;
@@ -19,7 +19,7 @@
             return None;
         }
         let mut transaction = TransactionBuilder::new(&self.cell, limits);
-        let assigned = self.assign(&mut transaction, true);
+        let assigned = self.assign(&mut transaction, RoundScope::UrgentOnly);
         if assigned.len() < pending as usize {
             return None;
         }
