--- a/src/storage/catalog.rs
+++ b/src/storage/catalog.rs
@@ -1,28 +1,28 @@
-//! Machine types as the cloud publishes them.
+//! Machine types as the cloud offers them.
 
 use crate::storage::resources::Amount;
-use crate::time::Micros;
+use crate::time::{MICROS_PER_SECOND, Micros};
 use serde::{Deserialize, Serialize};
 
-/// One machine type. Prices are thousandths of the currency unit per hour.
+/// One machine type. Prices are in thousandths of the currency unit per hour.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Its name.
     #[serde(rename = "name")]
     pub name: String,
-    /// What one machine offers.
+    /// Resources of one machine.
     #[serde(rename = "room")]
     pub room: Amount,
-    /// The image cache, in thousandths of a GB.
+    /// Size of the image cache, in thousandths of a GB.
     #[serde(rename = "cache")]
     pub cache: u64,
-    /// Thousandths of a GB fetched per second.
+    /// Rate at which images are fetched, in thousandths of a GB per second.
     #[serde(rename = "fetch")]
     pub fetch: u64,
-    /// Price of an ordinary machine.
+    /// Price of an on-demand machine.
     #[serde(rename = "price")]
     pub price: u64,
-    /// Present price of a spot machine.
+    /// Current price of a spot machine.
     #[serde(rename = "spot_price")]
     pub spot_price: u64,
     /// Nominal boot time.
@@ -34,21 +34,21 @@
 }
 
 impl MachineType {
-    /// Price per hour of the given kind.
+    /// Price per hour of a spot or an on-demand machine.
     pub fn price_of(&self, spot: bool) -> u64 {
         if spot { self.spot_price } else { self.price }
     }
 
-    /// Time to fetch an image of this size.
+    /// Time to fetch an image of this size, in thousandths of a GB.
     pub fn fetch_time(&self, size: u64) -> Micros {
-        Micros(size.saturating_mul(1_000_000) / self.fetch.max(1))
+        Micros(size.saturating_mul(MICROS_PER_SECOND) / self.fetch.max(1))
     }
 }
 
 /// All machine types.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// In the cloud's order.
+    /// The machine types, in the cloud's order.
     #[serde(rename = "types")]
     pub types: Vec<MachineType>,
 }
@@ -56,6 +56,8 @@
 impl Catalog {
     /// The type of this name.
     pub fn get(&self, name: &str) -> Option<&MachineType> {
-        self.types.iter().find(|t| t.name == name)
+        self.types
+            .iter()
+            .find(|machine_type| machine_type.name == name)
     }
 }
--- a/src/storage/cell_state/jobs.rs
+++ b/src/storage/cell_state/jobs.rs
@@ -11,7 +11,7 @@
     /// Stores how a job ended on which live ones depend, and of which that was not known.
     pub fn learn(&mut self, id: JobId, end: FinalRecord, changes_seen: &mut CellChanges) {
         self.dependencies
-            .learn(id, end, &mut self.jobs, &mut changes_seen.jobs);
+            .on_end_learned(id, end, &mut self.jobs, &mut changes_seen.jobs);
     }
 
     /// Stores a job's record; the job may be new.
@@ -43,7 +43,7 @@
         job.mod_revision = record.mod_revision;
         if is_newly_cancelled {
             self.dependencies
-                .cancelled(id, &mut self.jobs, &mut changes_seen.jobs);
+                .on_job_cancelled(id, &mut self.jobs, &mut changes_seen.jobs);
         }
     }
 
@@ -57,13 +57,13 @@
         };
         self.jobs.insert(id, job);
         self.dependencies
-            .appeared(id, &mut self.jobs, &mut changes_seen.jobs);
+            .on_job_added(id, &mut self.jobs, &mut changes_seen.jobs);
     }
 
     /// Removes a job that has ended.
     pub(super) fn remove_job(&mut self, id: JobId, changes_seen: &mut CellChanges) {
         if let Some(job) = self.jobs.remove(&id) {
-            let how = self.dependencies.ended(
+            let how = self.dependencies.on_job_ended(
                 id,
                 &job,
                 self.today,
--- a/src/storage/cell_state/queries.rs
+++ b/src/storage/cell_state/queries.rs
@@ -50,18 +50,18 @@
             .map_or(FIRST_LAYOUT, |meta| meta.layout)
     }
 
-    fn record_format(&self) -> RecordFormat {
+    fn known_format(&self) -> RecordFormat {
         RecordFormat::newest_up_to(self.layout())
     }
 
     /// Whether every controller can read the compact encodings.
     pub fn terse(&self) -> bool {
-        self.record_format().has_compact_encoding()
+        self.known_format().has_compact_encoding()
     }
 
     /// Whether the machine groups alone say what is assigned; see [`RecordFormat::Fenced`].
     pub fn fenced(&self) -> bool {
-        self.record_format().is_fenced()
+        self.known_format().is_fenced()
     }
 
     /// Whether the stored records are of a format that a version which knows formats up to `understood` cannot read.
--- a/src/storage/completion_bitmap.rs
+++ b/src/storage/completion_bitmap.rs
@@ -1,17 +1,33 @@
-//! The set of finished tasks of a job, in fixed chunks so that no value outgrows the store.
+//! The set of finished tasks of a job, in chunks of a fixed number of tasks so that no value outgrows the store's limit.
+//!
+//! The stored form is a string, in one of two encodings:
+//!
+//! - Plain: the words of the bitmap in hexadecimal, 16 digits each.
+//! - Compact: `=` and the base64 text (URL-safe, without padding) of the words' bytes, lowest first, without the zero
+//!   bytes at the end.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::borrow::Cow;
 
-/// Tasks covered by one chunk: 8,192 bits are 2 KiB in hexadecimal, 1.3 KiB in the terser form.
+/// Number of tasks of one chunk: 8,192 bits are 2 KiB in the plain encoding, 1.3 KiB in the compact one.
 pub const CHUNK: u32 = 8_192;
 
-/// What the terser form begins with; no hexadecimal does.
-const TERSE: char = '=';
+/// First character of the compact encoding; no hexadecimal number has it.
+const COMPACT_PREFIX: char = '=';
 
-/// A bitmap over the tasks of one chunk.
+/// Bits of a word, as task numbers.
+const WORD_BITS: u32 = u64::BITS;
+
+/// Bytes of a word.
+const WORD_BYTES: usize = size_of::<u64>();
+
+/// Hexadecimal digits of a word.
+const WORD_DIGITS: usize = 2 * WORD_BYTES;
+
+/// A bitmap of the finished tasks of one chunk. Two bitmaps are equal if they hold the same words, whatever their
+/// encoding.
 #[derive(Clone, Debug, Default)]
 pub struct CompletionBitmap {
     words: Vec<u64>,
@@ -28,12 +44,11 @@
 impl Eq for CompletionBitmap {}
 
 impl CompletionBitmap {
-    fn of(words: Vec<u64>) -> CompletionBitmap {
-        let count = words.iter().map(|w| w.count_ones()).sum();
+    fn new(words: Vec<u64>, terse: bool) -> CompletionBitmap {
         CompletionBitmap {
+            count: count_ones(&words),
             words,
-            count,
-            terse: false,
+            terse,
         }
     }
 
@@ -42,17 +57,17 @@
         self.count == 0
     }
 
-    /// How many tasks are in it.
+    /// Number of tasks in it.
     pub fn count(&self) -> u32 {
         self.count
     }
 
-    /// Most bytes that it takes as written, in either form.
+    /// Upper bound of the size of the stored form, in bytes, in either encoding.
     pub fn bytes(&self) -> usize {
-        self.words.len() * 16
+        self.words.len() * WORD_DIGITS
     }
 
-    /// Whether it is to be written in the terser form: only where every reader understands it.
+    /// Sets whether it is to be written in the compact encoding: only if every controller can read it.
     pub fn terse(&mut self, terse: bool) {
         self.terse = terse;
     }
@@ -64,16 +79,14 @@
 
     /// Whether the task with this number within the chunk is in it.
     pub fn has(&self, bit: u32) -> bool {
-        let word = self.words.get(bit as usize / 64).copied().unwrap_or(0);
-        word >> (bit % 64) & 1 == 1
+        self.word((bit / WORD_BITS) as usize) >> (bit % WORD_BITS) & 1 == 1
     }
 
-    /// How many tasks are in either.
+    /// Number of tasks in either.
     pub fn count_with(&self, other: &CompletionBitmap) -> u32 {
         let longest = self.words.len().max(other.words.len());
-        let word = |set: &CompletionBitmap, i: usize| set.words.get(i).copied().unwrap_or(0);
         (0..longest)
-            .map(|i| (word(self, i) | word(other, i)).count_ones())
+            .map(|at| (self.word(at) | other.word(at)).count_ones())
             .sum()
     }
 
@@ -82,66 +95,111 @@
         if self.words.len() < other.words.len() {
             self.words.resize(other.words.len(), 0);
         }
-        for (mine, theirs) in self.words.iter_mut().zip(&other.words) {
-            *mine |= theirs;
+        for (word, other_word) in self.words.iter_mut().zip(&other.words) {
+            *word |= other_word;
         }
-        self.count = self.words.iter().map(|w| w.count_ones()).sum();
+        self.count = count_ones(&self.words);
     }
 
-    /// Adds a task; false if it was in already.
+    /// Adds the task with this number within the chunk; returns false if it was in already.
     pub fn insert(&mut self, bit: u32) -> bool {
         if self.has(bit) {
             return false;
         }
-        let at = bit as usize / 64;
+        let at = (bit / WORD_BITS) as usize;
         if self.words.len() <= at {
             self.words.resize(at + 1, 0);
         }
-        self.words[at] |= 1 << (bit % 64);
+        self.words[at] |= 1 << (bit % WORD_BITS);
         self.count += 1;
         true
     }
+
+    fn word(&self, at: usize) -> u64 {
+        self.words.get(at).copied().unwrap_or(0)
+    }
+
+    fn plain_text(&self) -> String {
+        let words: Vec<String> = self
+            .words
+            .iter()
+            .map(|word| format!("{word:0WORD_DIGITS$x}"))
+            .collect();
+        words.concat()
+    }
+
+    fn compact_text(&self) -> String {
+        let mut bytes: Vec<u8> = self
+            .words
+            .iter()
+            .flat_map(|word| word.to_le_bytes())
+            .collect();
+        let last = bytes.iter().rposition(|byte| *byte != 0);
+        bytes.truncate(last.map_or(0, |last| last + 1));
+        let mut text = String::from(COMPACT_PREFIX);
+        URL_SAFE_NO_PAD.encode_string(bytes, &mut text);
+        text
+    }
+
+    fn from_plain_text(text: &str) -> Result<CompletionBitmap, BitmapError> {
+        if !text.is_ascii() || text.len() % WORD_DIGITS != 0 {
+            return Err(BitmapError::Length);
+        }
+        let words = (0..text.len() / WORD_DIGITS)
+            .map(|at| u64::from_str_radix(&text[at * WORD_DIGITS..(at + 1) * WORD_DIGITS], 16))
+            .collect::<Result<_, _>>()?;
+        Ok(CompletionBitmap::new(words, false))
+    }
+
+    fn from_compact_text(text: &str) -> Result<CompletionBitmap, BitmapError> {
+        let bytes = URL_SAFE_NO_PAD.decode(text)?;
+        let words = bytes.chunks(WORD_BYTES).map(word_of_bytes).collect();
+        Ok(CompletionBitmap::new(words, true))
+    }
+}
+
+/// Why a stored bitmap cannot be read.
+#[derive(Debug, thiserror::Error)]
+enum BitmapError {
+    #[error("bitmap is not of whole words in hexadecimal")]
+    Length,
+    #[error("bitmap is not hexadecimal")]
+    Hexadecimal(#[from] std::num::ParseIntError),
+    #[error("bitmap is not base64 text")]
+    Base64(#[from] base64::DecodeError),
+}
+
+fn count_ones(words: &[u64]) -> u32 {
+    words.iter().map(|word| word.count_ones()).sum()
+}
+
+/// The word of at most eight bytes, lowest first.
+fn word_of_bytes(bytes: &[u8]) -> u64 {
+    bytes
+        .iter()
+        .rev()
+        .fold(0, |word, byte| word << 8 | u64::from(*byte))
 }
 
 impl Serialize for CompletionBitmap {
-    fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        if self.terse {
-            let mut bytes: Vec<u8> = self.words.iter().flat_map(|w| w.to_le_bytes()).collect();
-            bytes.truncate(
-                bytes
-                    .iter()
-                    .rposition(|b| *b != 0)
-                    .map_or(0, |last| last + 1),
-            );
-            let mut text = String::from(TERSE);
-            URL_SAFE_NO_PAD.encode_string(bytes, &mut text);
-            return s.serialize_str(&text);
-        }
-        let text: Vec<String> = self.words.iter().map(|w| format!("{w:016x}")).collect();
-        s.serialize_str(&text.concat())
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        let text = if self.terse {
+            self.compact_text()
+        } else {
+            self.plain_text()
+        };
+        serializer.serialize_str(&text)
     }
 }
 
 impl<'de> Deserialize<'de> for CompletionBitmap {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        let text = Cow::<str>::deserialize(d)?;
-        let bad = || serde::de::Error::custom("not a bitmap");
-        if let Some(terse) = text.strip_prefix(TERSE) {
-            let bytes = URL_SAFE_NO_PAD.decode(terse).map_err(|_| bad())?;
-            let word = |b: &[u8]| b.iter().rev().fold(0, |w, b| w << 8 | u64::from(*b));
-            return Ok(CompletionBitmap {
-                terse: true,
-                ..CompletionBitmap::of(bytes.chunks(8).map(word).collect())
-            });
-        }
-        if !text.is_ascii() || text.len() % 16 != 0 {
-            return Err(bad());
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = Cow::<str>::deserialize(deserializer)?;
+        match text.strip_prefix(COMPACT_PREFIX) {
+            Some(text) => CompletionBitmap::from_compact_text(text),
+            None => CompletionBitmap::from_plain_text(&text),
         }
-        let words = (0..text.len() / 16)
-            .map(|i| u64::from_str_radix(&text[i * 16..i * 16 + 16], 16))
-            .collect::<Result<Vec<_>, _>>()
-            .map_err(|_| bad())?;
-        Ok(CompletionBitmap::of(words))
+        .map_err(serde::de::Error::custom)
     }
 }
 
--- a/src/storage/completion_bitmap/tests.rs
+++ b/src/storage/completion_bitmap/tests.rs
@@ -2,20 +2,25 @@
 
 use super::*;
 
+fn stored_and_read(bitmap: &CompletionBitmap, most_bytes: usize) -> CompletionBitmap {
+    let text = serde_json::to_string(bitmap).unwrap();
+    assert!(text.len() < most_bytes);
+    serde_json::from_str(&text).unwrap()
+}
+
+#[test]
+fn full_chunk_is_read_as_written_in_either_encoding() {
+    let mut bitmap = CompletionBitmap::default();
+    assert!(bitmap.insert(3) && bitmap.insert(8_191) && !bitmap.insert(3));
+    let read = stored_and_read(&bitmap, 2_100);
+    assert_eq!(read, bitmap);
+    assert_eq!(read.count(), 2);
+    bitmap.terse(true);
+    assert_eq!(stored_and_read(&bitmap, 1_380), bitmap);
+}
+
 #[test]
-fn survives_the_store() {
-    let mut set = CompletionBitmap::default();
-    assert!(set.insert(3) && set.insert(8_191) && !set.insert(3));
-    let text = serde_json::to_string(&set).unwrap();
-    assert!(text.len() < 2_100);
-    let back: CompletionBitmap = serde_json::from_str(&text).unwrap();
-    assert_eq!(back, set);
-    assert_eq!(back.count(), 2);
+fn text_of_neither_encoding_is_refused() {
     assert!(serde_json::from_str::<CompletionBitmap>("\"zz\"").is_err());
-    set.terse(true);
-    let text = serde_json::to_string(&set).unwrap();
-    assert!(text.len() < 1_380);
-    let back: CompletionBitmap = serde_json::from_str(&text).unwrap();
-    assert_eq!(back, set);
     assert!(serde_json::from_str::<CompletionBitmap>("\"=%\"").is_err());
 }
--- /dev/null
+++ b/src/storage/dependency_graph/mod.rs
@@ -0,0 +1,222 @@
+//! Dependencies between jobs, and what follows from them.
+//!
+//! Everything here is derived from facts that never change: how a job ended, that it was cancelled, and which jobs
+//! another one depends on. So every controller derives the same, in whatever order the jobs end.
+
+mod propagation;
+
+use crate::storage::ids::JobId;
+use crate::storage::job::{FinalRecord, JobSpec, Priority};
+use crate::storage::live_job::Job;
+use crate::time::Micros;
+use propagation::Propagation;
+use std::collections::{BTreeSet, HashMap};
+
+/// A job's state as far as it follows from the jobs that it depends on and those that depend on it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DependencyState {
+    /// Some job that it depends on is not known to be done.
+    pub blocked: bool,
+    /// A job that it depends on, directly or through others, is cancelled.
+    pub cancelled: bool,
+    /// It is not known how some job before it ended, so it may be cancelled.
+    pub doubtful: bool,
+    /// When the last job that it depends on was done, by the time of day; zero if it depends on none.
+    pub ready_at: Micros,
+    /// The highest of its own priority and that of all jobs that depend on it.
+    pub priority: Priority,
+    /// When it must be done, by the time of day, for the jobs that depend on it to meet their deadlines.
+    pub wanted_by: Option<Micros>,
+}
+
+impl DependencyState {
+    /// The state of a job without dependencies on which no other depends.
+    pub fn alone(spec: &JobSpec) -> DependencyState {
+        DependencyState {
+            blocked: false,
+            cancelled: false,
+            doubtful: false,
+            ready_at: Micros::ZERO,
+            priority: spec.priority,
+            wanted_by: None,
+        }
+    }
+}
+
+/// How long the tasks of a job are expected to run: the estimate and a quarter of it, since estimates are often wrong,
+/// and of many tasks some run longer.
+pub fn expected_run(spec: &JobSpec) -> Micros {
+    spec.estimated_runtime + Micros(spec.estimated_runtime.0 / 4)
+}
+
+/// The dependencies between live jobs.
+#[derive(Debug, Default)]
+pub struct DependencyGraph {
+    /// Live jobs, by the jobs that they depend on.
+    dependents: HashMap<JobId, BTreeSet<JobId>>,
+    /// How jobs ended on which live ones depend.
+    ends: HashMap<JobId, FinalRecord>,
+    /// Jobs on which live ones depend, and that are neither live nor known to have ended in some way.
+    unknown: BTreeSet<JobId>,
+}
+
+impl DependencyGraph {
+    /// Jobs whose ends have to be looked up in the state store.
+    pub fn unknown(&self) -> &BTreeSet<JobId> {
+        &self.unknown
+    }
+
+    /// Adds a job that is new among `jobs`. Appends the jobs whose states changed to `changed`.
+    pub fn on_job_added(
+        &mut self,
+        id: JobId,
+        jobs: &mut HashMap<JobId, Job>,
+        changed: &mut Vec<JobId>,
+    ) {
+        self.unknown.remove(&id);
+        let Some(job) = jobs.get(&id) else { return };
+        self.add_dependencies(id, job, jobs);
+        let has_dependencies = !job.spec().dependencies.is_empty();
+        let has_dependents = self.dependents.contains_key(&id);
+        let mut propagation = self.propagation(jobs, changed);
+        if has_dependents {
+            propagation.recompute_urgency(id);
+        }
+        if has_dependencies || has_dependents {
+            propagation.recompute_states(vec![id]);
+            if has_dependents {
+                propagation.recompute_states(self.dependents_of(id));
+            }
+        }
+        if has_dependencies {
+            propagation.raise_urgency_of_dependencies(id);
+        }
+    }
+
+    /// Updates the jobs that depend on one that its user has cancelled. Appends the jobs whose states changed to
+    /// `changed`.
+    pub fn on_job_cancelled(
+        &self,
+        id: JobId,
+        jobs: &mut HashMap<JobId, Job>,
+        changed: &mut Vec<JobId>,
+    ) {
+        let mut affected = self.dependents_of(id);
+        affected.push(id);
+        self.propagation(jobs, changed).recompute_states(affected);
+    }
+
+    /// Removes a job that has ended and is no longer among `jobs`. Appends the jobs whose states changed to `changed`.
+    /// Returns how it ended, at `today` by the time of day, if that is known.
+    pub fn on_job_ended(
+        &mut self,
+        id: JobId,
+        job: &Job,
+        today: Micros,
+        jobs: &mut HashMap<JobId, Job>,
+        changed: &mut Vec<JobId>,
+    ) -> Option<FinalRecord> {
+        let end = derive_end(job, today);
+        self.remove_dependencies(id, job);
+        let mut propagation = self.propagation(jobs, changed);
+        for dependency in &job.spec().dependencies {
+            // The job may have been what made it urgent.
+            propagation.recompute_urgency(*dependency);
+        }
+        if self.dependents.contains_key(&id) {
+            self.record_end(id, end);
+            self.propagation(jobs, changed)
+                .recompute_states(self.dependents_of(id));
+        }
+        end
+    }
+
+    /// Stores how a job ended that was among the unknown ones. Appends the jobs whose states changed to `changed`.
+    pub fn on_end_learned(
+        &mut self,
+        id: JobId,
+        end: FinalRecord,
+        jobs: &mut HashMap<JobId, Job>,
+        changed: &mut Vec<JobId>,
+    ) {
+        if self.unknown.remove(&id) {
+            self.ends.insert(id, end);
+            self.propagation(jobs, changed)
+                .recompute_states(self.dependents_of(id));
+        }
+    }
+
+    fn add_dependencies(&mut self, id: JobId, job: &Job, jobs: &HashMap<JobId, Job>) {
+        for dependency in &job.spec().dependencies {
+            self.dependents.entry(*dependency).or_default().insert(id);
+            if !jobs.contains_key(dependency) && !self.ends.contains_key(dependency) {
+                self.unknown.insert(*dependency);
+            }
+        }
+    }
+
+    fn remove_dependencies(&mut self, id: JobId, job: &Job) {
+        for dependency in &job.spec().dependencies {
+            let Some(dependents) = self.dependents.get_mut(dependency) else {
+                continue;
+            };
+            dependents.remove(&id);
+            if dependents.is_empty() {
+                self.dependents.remove(dependency);
+                self.ends.remove(dependency);
+                self.unknown.remove(dependency);
+            }
+        }
+    }
+
+    fn record_end(&mut self, id: JobId, end: Option<FinalRecord>) {
+        match end {
+            Some(end) => {
+                self.ends.insert(id, end);
+            }
+            None => {
+                self.unknown.insert(id);
+            }
+        }
+    }
+
+    fn dependents_of(&self, id: JobId) -> Vec<JobId> {
+        self.dependents
+            .get(&id)
+            .into_iter()
+            .flatten()
+            .copied()
+            .collect()
+    }
+
+    fn propagation<'a>(
+        &'a self,
+        jobs: &'a mut HashMap<JobId, Job>,
+        changed: &'a mut Vec<JobId>,
+    ) -> Propagation<'a> {
+        Propagation {
+            graph: self,
+            jobs,
+            changed,
+        }
+    }
+}
+
+/// How a job ended whose record was removed, if that is known.
+///
+/// A record is removed only when its job ends. A job that its user cancelled ends as cancelled. One with dependencies
+/// may be cancelled because of them, which its own record does not say.
+fn derive_end(job: &Job, today: Micros) -> Option<FinalRecord> {
+    let cancelled = job.cancelled();
+    let is_known = cancelled || !job.dependency_state.blocked;
+    let done = if cancelled {
+        job.done()
+    } else {
+        job.spec().task_count
+    };
+    is_known.then_some(FinalRecord {
+        cancelled,
+        done,
+        at: today,
+    })
+}
--- /dev/null
+++ b/src/storage/dependency_graph/propagation.rs
@@ -0,0 +1,171 @@
+//! Recomputes the states that follow from dependencies, along the chains of jobs.
+//!
+//! Cancellation and readiness go from a job to those that depend on it; urgency goes from a job to those that it
+//! depends on.
+
+use super::{DependencyGraph, DependencyState, expected_run};
+use crate::storage::ids::JobId;
+use crate::storage::job::Priority;
+use crate::storage::live_job::Job;
+use crate::time::Micros;
+use std::collections::HashMap;
+
+/// The part of a job's state that follows from the jobs that depend on it.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct Urgency {
+    priority: Priority,
+    wanted_by: Option<Micros>,
+}
+
+impl DependencyState {
+    fn urgency(&self) -> Urgency {
+        Urgency {
+            priority: self.priority,
+            wanted_by: self.wanted_by,
+        }
+    }
+
+    fn set_urgency(&mut self, urgency: Urgency) {
+        self.priority = urgency.priority;
+        self.wanted_by = urgency.wanted_by;
+    }
+}
+
+/// One update of the live jobs.
+pub(super) struct Propagation<'a> {
+    pub(super) graph: &'a DependencyGraph,
+    /// The live jobs.
+    pub(super) jobs: &'a mut HashMap<JobId, Job>,
+    /// Jobs whose states changed, in order; one may be in it several times.
+    pub(super) changed: &'a mut Vec<JobId>,
+}
+
+impl Propagation<'_> {
+    /// Recomputes what follows for these jobs from those that they depend on, and for the jobs that depend on the ones
+    /// that change.
+    pub(super) fn recompute_states(&mut self, mut pending: Vec<JobId>) {
+        while let Some(id) = pending.pop() {
+            let Some(job) = self.jobs.get(&id) else {
+                continue;
+            };
+            let old = job.dependency_state;
+            let new = self.derive_state(job);
+            if new == old {
+                continue;
+            }
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.dependency_state = new;
+            }
+            self.changed.push(id);
+            if (new.cancelled, new.doubtful) != (old.cancelled, old.doubtful) {
+                pending.extend(self.graph.dependents_of(id));
+            }
+        }
+    }
+
+    /// A job's state as it follows from the jobs that it depends on; its urgency is kept.
+    fn derive_state(&self, job: &Job) -> DependencyState {
+        let mut state = DependencyState {
+            blocked: false,
+            cancelled: false,
+            doubtful: false,
+            ..job.dependency_state
+        };
+        for dependency in &job.spec().dependencies {
+            match (self.jobs.get(dependency), self.graph.ends.get(dependency)) {
+                (Some(live), _) => {
+                    state.blocked = true;
+                    state.cancelled |= live.cancelled();
+                    state.doubtful |= live.dependency_state.doubtful;
+                }
+                (None, Some(end)) => {
+                    state.blocked |= end.cancelled;
+                    state.cancelled |= end.cancelled;
+                    state.ready_at = state.ready_at.max(end.at);
+                }
+                (None, None) => {
+                    state.blocked = true;
+                    state.doubtful = true;
+                }
+            }
+        }
+        // A cancelled job stays cancelled, whatever else is not known.
+        state.doubtful &= !state.cancelled && !job.record.cancelled;
+        state
+    }
+
+    /// Makes the jobs that a new one depends on at least as urgent as it is, and those that they depend on in turn.
+    pub(super) fn raise_urgency_of_dependencies(&mut self, id: JobId) {
+        let mut pending = vec![id];
+        while let Some(id) = pending.pop() {
+            let Some(job) = self.jobs.get(&id) else {
+                continue;
+            };
+            let priority = job.dependency_state.priority;
+            let start_by = latest_start(job);
+            for dependency in job.spec().dependencies.clone() {
+                let Some(job) = self.jobs.get_mut(&dependency) else {
+                    continue;
+                };
+                let old = job.dependency_state.urgency();
+                let new = Urgency {
+                    priority: old.priority.min(priority),
+                    wanted_by: old.wanted_by.into_iter().chain(start_by).min(),
+                };
+                if new != old {
+                    job.dependency_state.set_urgency(new);
+                    self.changed.push(dependency);
+                    pending.push(dependency);
+                }
+            }
+        }
+    }
+
+    /// Recomputes a job's urgency from the jobs that depend on it, and that of the jobs that it depends on if it
+    /// changes.
+    pub(super) fn recompute_urgency(&mut self, id: JobId) {
+        let mut pending = vec![id];
+        while let Some(id) = pending.pop() {
+            let Some(job) = self.jobs.get(&id) else {
+                continue;
+            };
+            let new = self.derive_urgency(id, job);
+            if new == job.dependency_state.urgency() {
+                continue;
+            }
+            let dependencies = job.spec().dependencies.clone();
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.dependency_state.set_urgency(new);
+            }
+            self.changed.push(id);
+            pending.extend(dependencies);
+        }
+    }
+
+    fn derive_urgency(&self, id: JobId, job: &Job) -> Urgency {
+        let mut urgency = Urgency {
+            priority: job.spec().priority,
+            wanted_by: None,
+        };
+        let dependents = self.graph.dependents.get(&id).into_iter().flatten();
+        for dependent in dependents.filter_map(|dependent| self.jobs.get(dependent)) {
+            let start_by = latest_start(dependent);
+            urgency.priority = urgency.priority.min(dependent.dependency_state.priority);
+            urgency.wanted_by = urgency.wanted_by.into_iter().chain(start_by).min();
+        }
+        urgency
+    }
+}
+
+/// When a job must start, by the time of day, to meet its own deadline and those of the jobs that depend on it.
+fn latest_start(job: &Job) -> Option<Micros> {
+    let own_deadline = job
+        .spec()
+        .deadline
+        .map(|deadline| job.record.submitted + deadline);
+    let done_by = own_deadline
+        .into_iter()
+        .chain(job.dependency_state.wanted_by)
+        .min()?;
+    Some(done_by - expected_run(job.spec()))
+}
--- a/src/storage/ids.rs
+++ b/src/storage/ids.rs
@@ -1,19 +1,27 @@
-//! Identifiers. Names on the wire map one to one onto numbers.
+//! Identifiers. The names that are used on the wire correspond one to one to numbers.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// A name that is not of the stated form.
+/// A name that is not of the form that identifiers of its kind have.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("not a valid name")]
 pub struct BadName;
 
-/// Digits as the names carry them: six at least, and no leading zero beyond that.
-fn number(digits: &str) -> Result<u64, BadName> {
-    let plain = digits.len() == 6 || (7..=18).contains(&digits.len()) && !digits.starts_with('0');
-    if !plain || !digits.bytes().all(|b| b.is_ascii_digit()) {
+/// Least number of digits in a name; smaller numbers are padded with zeros.
+const LEAST_DIGITS: usize = 6;
+
+/// Largest number of digits in a name: such a number always fits into 64 bits.
+const MOST_DIGITS: usize = 18;
+
+/// Parses the digits of a name. There is only one name for each number, so that names can be compared.
+fn parse_number(digits: &str) -> Result<u64, BadName> {
+    let is_padded = digits.len() == LEAST_DIGITS;
+    let is_longer =
+        (LEAST_DIGITS + 1..=MOST_DIGITS).contains(&digits.len()) && !digits.starts_with('0');
+    if !(is_padded || is_longer) || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(BadName);
     }
     digits.parse().map_err(|_| BadName)
@@ -28,14 +36,15 @@
 
         impl fmt::Display for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                write!(f, concat!($prefix, "{:06}"), self.0)
+                write!(f, concat!($prefix, "{:0width$}"), self.0, width = LEAST_DIGITS)
             }
         }
 
         impl FromStr for $name {
             type Err = BadName;
-            fn from_str(s: &str) -> Result<Self, BadName> {
-                number(s.strip_prefix($prefix).ok_or(BadName)?).map($name)
+            fn from_str(name: &str) -> Result<Self, BadName> {
+                let digits = name.strip_prefix($prefix).ok_or(BadName)?;
+                parse_number(digits).map($name)
             }
         }
     };
@@ -55,7 +64,7 @@
 /// One task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job it belongs to.
+    /// The job that it belongs to.
     pub job: JobId,
     /// Its number within the job, from 0.
     pub index: u32,
@@ -69,8 +78,8 @@
 
 impl FromStr for TaskId {
     type Err = BadName;
-    fn from_str(s: &str) -> Result<Self, BadName> {
-        let (job, index) = s.split_once('/').ok_or(BadName)?;
+    fn from_str(name: &str) -> Result<Self, BadName> {
+        let (job, index) = name.split_once('/').ok_or(BadName)?;
         Ok(TaskId {
             job: job.parse()?,
             index: index.parse().map_err(|_| BadName)?,
@@ -78,12 +87,12 @@
     }
 }
 
-/// One attempt at a task: the booking that it was started for.
+/// One attempt at a task: the assignment that it was started for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt {
     /// The task.
     pub task: TaskId,
-    /// The attempt's number; it grows from one booking of a task to the next.
+    /// The attempt's number; it increases from one assignment of a task to the next.
     pub number: u64,
 }
 
@@ -93,10 +102,10 @@
     }
 }
 
-/// A slice: the unit of ownership, for jobs and machines alike.
+/// Number of a shard: a part of the jobs and the machines that has one leader.
 pub type ShardId = usize;
 
-/// One of the group records of a slice.
+/// Number of a machine group within its shard.
 pub type GroupIndex = u32;
 
 #[cfg(test)]
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as the scheduler sees them.
+//! Jobs: what their users request, and their records.
 
 use crate::storage::catalog::MachineType;
 use crate::storage::completion_bitmap::{CHUNK, CompletionBitmap};
@@ -8,25 +8,25 @@
 use cometlead_constraints::Rule;
 use serde::{Deserialize, Serialize};
 
-/// How urgent a job is, most urgent first.
+/// Priority of a job, highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// Before everything else.
+    /// Scheduled before everything else.
     #[serde(rename = "0")]
     Critical,
-    /// Before ordinary work.
+    /// Scheduled before standard jobs.
     #[serde(rename = "1")]
     High,
-    /// Ordinary work.
+    /// The usual priority.
     #[serde(rename = "2")]
     Standard,
-    /// When there is room.
+    /// Scheduled when nothing else needs the resources.
     #[serde(rename = "3")]
     Low,
 }
 
 impl Priority {
-    /// How it is written in submissions and rules.
+    /// Its name in submissions and rules.
     pub fn name(self) -> &'static str {
         match self {
             Priority::Critical => "critical",
@@ -37,97 +37,103 @@
     }
 }
 
-/// What a user asked for.
+/// What a user requested.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Class of jobs.
+    /// Job class.
     #[serde(rename = "l")]
     pub job_class: String,
     /// Team.
     #[serde(rename = "w")]
     pub team: String,
-    /// True for replicas that run until cancelled.
+    /// Whether it is a service, whose tasks are replicas that run until the job is cancelled.
     #[serde(rename = "v", default, skip_serializing_if = "is_false")]
     pub service: bool,
-    /// True for a gang: its tasks wait for each other, so they are placed together or not at all.
+    /// Whether it is a gang: its tasks wait for each other, so they are placed together or not at all.
     #[serde(rename = "q", default, skip_serializing_if = "is_false")]
     pub gang: bool,
-    /// Urgency.
+    /// Priority.
     #[serde(rename = "u")]
     pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "n")]
     pub task_count: u32,
-    /// What each task takes.
+    /// Resources that each task needs.
     #[serde(rename = "r")]
     pub need: Amount,
-    /// Allowed machine types.
+    /// Allowed machine types; all if `None`.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
     pub machine_types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// The only allowed zone; any if `None`.
     #[serde(rename = "y", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks must be in one zone.
     #[serde(rename = "o", default, skip_serializing_if = "is_false")]
     pub single_zone: bool,
-    /// At most half of the tasks in one zone.
+    /// Whether at most half of the tasks may be in one zone.
     #[serde(rename = "a", default, skip_serializing_if = "is_false")]
     pub anti_affinity: bool,
-    /// May run on spot machines.
+    /// Whether its tasks may run on spot machines.
     #[serde(rename = "s", default, skip_serializing_if = "is_false")]
     pub spot_allowed: bool,
-    /// Image.
+    /// Name of the image.
     #[serde(rename = "i")]
     pub image: String,
-    /// Image size, in thousandths of a GB.
+    /// Size of the image, in thousandths of a GB.
     #[serde(rename = "z", default, skip_serializing_if = "is_zero")]
     pub size: u64,
-    /// The owner's estimate of a task's run time.
+    /// The user's estimate of the run time of a task.
     #[serde(rename = "g")]
     pub estimated_runtime: Micros,
-    /// Checkpoint interval, zero for none.
+    /// Interval between checkpoints; zero without checkpoints.
     #[serde(rename = "k", default, skip_serializing_if = "is_no_time")]
     pub checkpoint_interval: Micros,
-    /// Time to save when stopped.
+    /// Time that a task needs for a checkpoint when it is stopped.
     #[serde(rename = "h", default, skip_serializing_if = "is_no_time")]
     pub checkpoint_duration: Micros,
-    /// Deadline from submission.
+    /// Deadline, counted from the submission.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Micros>,
     /// Jobs that must be done before any of its tasks starts, in order and each once.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<JobId>,
-    /// Rules of its own for where it runs. Only written once every controller understands
-    /// [`crate::storage::records::RULED`].
+    /// The job's own placement rules. Only written if the record format has them, see
+    /// [`RecordFormat::has_rules`](crate::storage::records::RecordFormat::has_rules).
     #[serde(rename = "j", default, skip_serializing_if = "Vec::is_empty")]
     pub rules: Vec<Rule>,
 }
 
-pub(crate) fn is_false(b: &bool) -> bool {
-    !*b
+/// Whether a field is left out of the stored form, for `skip_serializing_if`.
+pub(crate) fn is_false(flag: &bool) -> bool {
+    !*flag
 }
 
-fn is_no_time(t: &Micros) -> bool {
-    *t == Micros::ZERO
+fn is_no_time(time: &Micros) -> bool {
+    *time == Micros::ZERO
+}
+
+fn is_no_count(count: &u32) -> bool {
+    *count == 0
 }
 
 impl JobSpec {
-    /// Whether machines of this type, zone and kind may run its tasks.
+    /// Whether machines of this type and zone, spot or on-demand, may run its tasks.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot_allowed || !spot)
-            && self.zone.as_deref().is_none_or(|y| y == zone)
+            && self.zone.as_deref().is_none_or(|only| only == zone)
             && self
                 .machine_types
                 .as_ref()
-                .is_none_or(|b| b.iter().any(|n| n == machine_type))
+                .is_none_or(|allowed| allowed.iter().any(|name| name == machine_type))
     }
 
-    /// Whether some machine of this type could run one of its tasks.
-    pub fn fits_type(&self, t: &MachineType) -> bool {
-        self.need.fits(&t.room) && t.zones.iter().any(|z| self.allows(&t.name, z, false))
+    /// Whether an on-demand machine of this type could run one of its tasks.
+    pub fn fits_type(&self, machine_type: &MachineType) -> bool {
+        let is_allowed_in = |zone: &String| self.allows(&machine_type.name, zone, false);
+        self.need.fits(&machine_type.room) && machine_type.zones.iter().any(is_allowed_in)
     }
 
-    /// Whether all of its tasks must have room at once.
+    /// Whether all of its tasks must be able to run at the same time.
     pub fn together(&self) -> bool {
         self.service || self.gang
     }
@@ -141,83 +147,81 @@
         }
     }
 
-    /// How many chunks its finished set takes beyond the one in the job's own record.
+    /// Number of chunks of its completion bitmap beyond the one in the job's own record.
     pub fn extra_chunks(&self) -> u32 {
         self.task_count.saturating_sub(1) / CHUNK
     }
 }
 
-/// A live job's record.
+/// The record of a live job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What was asked for.
+    /// What its user requested.
     #[serde(rename = "s")]
     pub spec: JobSpec,
-    /// Submission, by the time of day.
+    /// When it was submitted, by the time of day.
     #[serde(rename = "t")]
     pub submitted: Micros,
-    /// Its user cancelled it.
+    /// Whether its user cancelled it.
     #[serde(rename = "x", default, skip_serializing_if = "is_false")]
     pub cancelled: bool,
-    /// Finished tasks of the first chunk.
+    /// Completion bitmap of the first chunk.
     #[serde(
         rename = "f",
         default,
         skip_serializing_if = "CompletionBitmap::is_empty"
     )]
     pub finished: CompletionBitmap,
-    /// Finished tasks of all further chunks together.
-    #[serde(rename = "m", default, skip_serializing_if = "is_none")]
+    /// Number of finished tasks of all further chunks together.
+    #[serde(rename = "m", default, skip_serializing_if = "is_no_count")]
     pub more: u32,
-    /// Further chunks that are complete, as a bitmap; they have no record any more.
-    #[serde(rename = "c", default, skip_serializing_if = "is_none")]
+    /// Further chunks that are complete, as a bitmap by chunk number; they have no record any more.
+    #[serde(rename = "c", default, skip_serializing_if = "is_no_count")]
     pub full: u32,
-    /// How often one of its tasks failed.
-    #[serde(rename = "e", default, skip_serializing_if = "is_none")]
+    /// Number of failures of its tasks.
+    #[serde(rename = "e", default, skip_serializing_if = "is_no_count")]
     pub errors: u32,
-    /// Machines on which one failed, the latest last.
+    /// Machines on which a task failed, the latest last.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
     pub avoid: Vec<MachineId>,
 }
 
-fn is_none(n: &u32) -> bool {
-    *n == 0
-}
-
 impl JobRecord {
     /// Number of finished tasks.
     pub fn done(&self) -> u32 {
         self.finished.count() + self.more
     }
 
-    /// The same, to be written in the terser form or not.
+    /// The same record, with its completion bitmap to be written in the compact form or not.
     pub fn terse(mut self, terse: bool) -> JobRecord {
         self.finished.terse(terse);
         self
     }
 
+    /// Most machines remembered for the failures on them.
+    const REMEMBERED_MACHINES: usize = 6;
+
     /// Remembers that a task failed on a machine.
     pub fn failed_on(&mut self, machine: MachineId) {
-        const REMEMBERED: usize = 6;
         self.errors = self.errors.saturating_add(1);
-        self.avoid.retain(|m| *m != machine);
+        self.avoid.retain(|other| *other != machine);
         self.avoid.push(machine);
-        if self.avoid.len() > REMEMBERED {
+        if self.avoid.len() > Self::REMEMBERED_MACHINES {
             self.avoid.remove(0);
         }
     }
 }
 
-/// How an ended job is remembered.
+/// The record of an ended job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalRecord {
-    /// Cancelled rather than done.
+    /// Whether it was cancelled; otherwise it is done.
     #[serde(rename = "x", default, skip_serializing_if = "is_false")]
     pub cancelled: bool,
-    /// Finished tasks.
+    /// Number of finished tasks.
     #[serde(rename = "n")]
     pub done: u32,
-    /// When it ended, by the time of day; zero if that was not kept.
+    /// When it ended, by the time of day; zero if that was not stored.
     #[serde(rename = "t", default, skip_serializing_if = "is_no_time")]
     pub at: Micros,
 }
--- a/src/storage/live_job.rs
+++ b/src/storage/live_job.rs
@@ -1,16 +1,16 @@
-//! Live jobs, as the copy has them.
+//! Live jobs in the replica of the cell's state.
 
 use crate::storage::completion_bitmap::{CHUNK, CompletionBitmap};
 use crate::storage::dependency_graph::DependencyState;
 use crate::storage::job::{JobRecord, JobSpec, Priority};
 use std::collections::BTreeMap;
 
-/// A value with the revision of its last change, 0 if it does not exist.
+/// The value of a record with the revision of its last change.
 #[derive(Clone, Debug, Default)]
 pub struct Versioned<T> {
     /// The value.
     pub value: T,
-    /// Its revision.
+    /// Its revision; 0 if the record does not exist.
     pub mod_revision: u64,
 }
 
@@ -24,67 +24,72 @@
     }
 }
 
-/// A live job in the copy.
+/// A live job.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Its record.
     pub record: JobRecord,
     /// The record's revision.
     pub mod_revision: u64,
-    /// Further chunks of the finished set.
+    /// Further chunks of the completion bitmap, by chunk number.
     pub chunks: BTreeMap<u32, Versioned<CompletionBitmap>>,
-    /// Finished tasks that usage records have, and the job's own may not have yet.
+    /// Finished tasks in the shards' usage records, which the job's own may not have yet.
     pub ends: CompletionBitmap,
-    /// Where it stands in its pipeline.
+    /// What follows from its dependencies.
     pub dependency_state: DependencyState,
 }
 
 impl Job {
-    /// Whether it is cancelled, by its own user or because of a job that it awaits.
+    /// Whether it is cancelled, by its user or because of a job that it depends on.
     pub fn cancelled(&self) -> bool {
         self.record.cancelled || self.dependency_state.cancelled
     }
 
-    /// Whether its tasks may be booked: everything that it awaits is known to be done.
+    /// Whether its tasks may be assigned: all jobs that it depends on are known to be done.
     pub fn ready(&self) -> bool {
-        !self.cancelled() && !self.dependency_state.waits
+        !self.cancelled() && !self.dependency_state.blocked
     }
 
-    /// How urgent it is, for itself or for what needs it.
+    /// The highest of its own priority and those of the jobs that depend on it.
     pub fn priority(&self) -> Priority {
         self.dependency_state.priority
     }
 
-    /// How many tasks are finished.
+    /// Number of finished tasks.
     pub fn done(&self) -> u32 {
         self.record.finished.count_with(&self.ends) + self.record.more
     }
 
-    /// Whether the task is finished.
+    /// Whether the task with this number is finished.
     pub fn finished(&self, index: u32) -> bool {
         match index / CHUNK {
             0 => self.record.finished.has(index) || self.ends.has(index),
-            n if self.record.full >> n & 1 == 1 => true,
-            n => self
+            chunk if self.record.full >> chunk & 1 == 1 => true,
+            chunk => self
                 .chunks
-                .get(&n)
-                .is_some_and(|c| c.value.has(index % CHUNK)),
+                .get(&chunk)
+                .is_some_and(|bitmap| bitmap.value.has(index % CHUNK)),
         }
     }
 
-    /// Whether it seems to be the job's own fault that its tasks fail: on several machines, and nothing
-    /// of it was completed, or far less than failed. A replica that goes on running completes nothing.
+    /// Whether the job itself rather than its machines seems to be the cause of its failures: its tasks failed on
+    /// several machines, and more often than they finished. Since the replicas of a service never finish, a service is
+    /// allowed as many failures as a job of which some tasks finished.
     pub fn suspect(&self) -> bool {
+        const SUSPECT_MACHINES: usize = 2;
+        const SUSPECT_FAILURES: u32 = 2;
+        const SUSPECT_FAILURES_BEYOND_DONE: u32 = 4;
+
         let done = self.done();
-        let failures = if done == 0 && !self.spec().service {
-            2
+        let suspect_failures = if done == 0 && !self.spec().service {
+            SUSPECT_FAILURES
         } else {
-            done.saturating_add(4)
+            done.saturating_add(SUSPECT_FAILURES_BEYOND_DONE)
         };
-        self.record.avoid.len() >= 2 && self.record.errors >= failures
+        self.record.avoid.len() >= SUSPECT_MACHINES && self.record.errors >= suspect_failures
     }
 
-    /// What was asked for.
+    /// What its user requested.
     pub fn spec(&self) -> &JobSpec {
         &self.record.spec
     }
--- a/src/storage/machine_classes.rs
+++ b/src/storage/machine_classes.rs
@@ -1,4 +1,4 @@
-//! Classes of equal machines: what rules ask about the machines themselves is judged once for each.
+//! Classes of equal machines. What a rule says about machines is evaluated once for each class.
 
 use crate::storage::catalog::Catalog;
 use crate::storage::ids::MachineId;
@@ -9,98 +9,85 @@
 /// Number of a class.
 pub type ClassId = usize;
 
-/// Machines that are alike in all that does not change while they are up.
+/// What the machines of a class have in common: everything that never changes while they are up.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Class {
-    /// Type.
+    /// Machine type.
     pub machine_type: Arc<str>,
     /// Zone.
     pub zone: Arc<str>,
-    /// Spot.
+    /// Whether they are spot machines.
     pub spot: bool,
-    /// The machine, if operators gave it labels of its own.
+    /// The only machine of the class, if operators gave it labels of its own.
     pub machine: Option<MachineId>,
 }
 
-/// All classes. One that has come up keeps its number.
+/// All classes. A class keeps its number for good.
 #[derive(Clone, Debug, Default)]
 pub struct Classes {
-    all: Vec<Class>,
-    by: HashMap<Class, ClassId>,
-    of: HashMap<MachineId, ClassId>,
-    /// How many machines each has.
+    classes: Vec<Class>,
+    /// Numbers of the classes.
+    ids: HashMap<Class, ClassId>,
+    /// Classes of the machines that are up.
+    class_of: HashMap<MachineId, ClassId>,
+    /// Number of machines that are up, by class.
     counts: Vec<usize>,
-    /// Whether each can be hired: the catalogue offers it.
+    /// Whether the catalog offers machines of the class, by class.
     offered: Vec<bool>,
+    /// Machines with labels of their own.
     labelled: Arc<BTreeSet<MachineId>>,
-    /// Grows whenever there is a new one.
+    /// See [`Classes::generation`].
     generation: u64,
 }
 
 impl Classes {
-    fn number(&mut self, class: Class) -> ClassId {
-        if let Some(n) = self.by.get(&class) {
-            return *n;
-        }
-        let n = self.all.len();
-        self.by.insert(class.clone(), n);
-        self.all.push(class);
-        self.counts.push(0);
-        self.offered.push(false);
-        self.generation += 1;
-        n
+    /// Adds a machine that is up, or updates its class.
+    pub fn add(&mut self, machine: MachineId, record: &MachineRecord) {
+        let is_labelled = self.labelled.contains(&machine);
+        let class = Class {
+            machine_type: Arc::clone(&record.machine_type),
+            zone: Arc::clone(&record.zone),
+            spot: record.spot,
+            machine: is_labelled.then_some(machine),
+        };
+        self.come(machine, class);
     }
 
-    /// A machine came up.
-    pub fn add(&mut self, m: MachineId, r: &MachineRecord) {
-        let machine = self.labelled.contains(&m).then_some(m);
-        self.come(
-            m,
-            Class {
-                machine_type: Arc::clone(&r.machine_type),
-                zone: Arc::clone(&r.zone),
-                spot: r.spot,
-                machine,
-            },
-        );
-    }
-
-    /// A machine of a class came up.
-    pub fn come(&mut self, m: MachineId, class: Class) {
-        let n = self.number(class);
-        if let Some(old) = self.of.insert(m, n) {
+    /// Adds a machine of a class, or moves it to the class.
+    pub fn come(&mut self, machine: MachineId, class: Class) {
+        let id = self.ensure_class(class);
+        if let Some(old) = self.class_of.insert(machine, id) {
             self.counts[old] -= 1;
         }
-        self.counts[n] += 1;
+        self.counts[id] += 1;
     }
 
-    /// A machine has gone.
-    pub fn remove(&mut self, m: MachineId) {
-        if let Some(n) = self.of.remove(&m) {
-            self.counts[n] -= 1;
+    /// Removes a machine.
+    pub fn remove(&mut self, machine: MachineId) {
+        if let Some(id) = self.class_of.remove(&machine) {
+            self.counts[id] -= 1;
         }
     }
 
-    /// What the catalogue offers has classes, too, before any such machine is up.
+    /// Sets the catalog. What it offers has classes even before any such machine is up.
     pub fn offer(&mut self, catalog: &Catalog) {
-        self.offered.iter_mut().for_each(|o| *o = false);
-        for t in &catalog.types {
-            for zone in &t.zones {
+        self.offered.fill(false);
+        for machine_type in &catalog.types {
+            for zone in &machine_type.zones {
                 for spot in [true, false] {
-                    let (machine_type, zone) = (t.name.as_str().into(), zone.as_str().into());
-                    let n = self.number(Class {
-                        machine_type,
-                        zone,
+                    let id = self.ensure_class(Class {
+                        machine_type: machine_type.name.as_str().into(),
+                        zone: zone.as_str().into(),
                         spot,
                         machine: None,
                     });
-                    self.offered[n] = true;
+                    self.offered[id] = true;
                 }
             }
         }
     }
 
-    /// Operators gave these machines labels of their own. `machines`: those that are up.
+    /// Sets the machines to which operators gave labels of their own. `machines`: those that are up.
     pub fn label<'a>(
         &mut self,
         labelled: BTreeSet<MachineId>,
@@ -110,51 +97,67 @@
             return;
         }
         self.labelled = Arc::new(labelled);
-        machines.for_each(|(m, r)| self.add(m, r));
+        for (machine, record) in machines {
+            self.add(machine, record);
+        }
         self.generation += 1;
     }
 
     /// The class of a machine that is up.
-    pub fn of(&self, m: MachineId) -> Option<ClassId> {
-        self.of.get(&m).copied()
+    pub fn of(&self, machine: MachineId) -> Option<ClassId> {
+        self.class_of.get(&machine).copied()
     }
 
-    /// The class of a machine that could be hired.
+    /// The class of machines that the catalog offers.
     pub fn of_offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<ClassId> {
-        (0..self.all.len()).find(|n| {
-            let c = &self.all[*n];
-            self.offered[*n]
-                && c.spot == spot
-                && *c.machine_type == *machine_type
-                && *c.zone == *zone
-        })
+        let is_offered = |(class, offered): (&Class, &bool)| {
+            *offered
+                && class.spot == spot
+                && *class.machine_type == *machine_type
+                && *class.zone == *zone
+        };
+        self.classes.iter().zip(&self.offered).position(is_offered)
     }
 
     /// All classes, by number.
     pub fn all(&self) -> &[Class] {
-        &self.all
+        &self.classes
     }
 
-    /// Whether machines of a class are up, or could be.
-    pub fn possible(&self, n: ClassId) -> bool {
-        self.offered[n] || self.counts[n] > 0
+    /// Whether machines of a class are up or offered.
+    pub fn possible(&self, id: ClassId) -> bool {
+        self.offered[id] || self.is_up(id)
     }
 
     /// Whether machines of a class are up.
-    pub fn is_up(&self, n: ClassId) -> bool {
-        self.counts[n] > 0
+    pub fn is_up(&self, id: ClassId) -> bool {
+        self.counts[id] > 0
     }
 
-    /// Machines with labels of their own that are not up, as far as is known.
+    /// Machines with labels of their own that are not known to be up.
     pub fn unseen(&self) -> impl Iterator<Item = MachineId> {
         self.labelled
             .iter()
             .copied()
-            .filter(|m| !self.of.contains_key(m))
+            .filter(|machine| !self.class_of.contains_key(machine))
     }
 
-    /// Grows whenever there is a new class.
+    /// Increases whenever a class is added or the labelled machines change.
     pub fn generation(&self) -> u64 {
         self.generation
     }
+
+    /// The number of a class, which is added if it is new.
+    fn ensure_class(&mut self, class: Class) -> ClassId {
+        if let Some(id) = self.ids.get(&class) {
+            return *id;
+        }
+        let id = self.classes.len();
+        self.ids.insert(class.clone(), id);
+        self.classes.push(class);
+        self.counts.push(0);
+        self.offered.push(false);
+        self.generation += 1;
+        id
+    }
 }
--- a/src/storage/machine_group/encoding/mod.rs
+++ b/src/storage/machine_group/encoding/mod.rs
@@ -75,3 +75,6 @@
     /// Position of the number of images.
     pub(super) const IMAGE_COUNT: u32 = 3;
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/storage/machine_group/tests.rs
+++ b/src/storage/machine_group/tests.rs
@@ -2,6 +2,8 @@
 
 use super::*;
 
+const IMAGE_SIZE: u64 = 123_456;
+
 fn machine(endpoint: &str) -> MachineRecord {
     MachineRecord {
         machine_type: "small".into(),
@@ -16,85 +18,108 @@
     }
 }
 
-/// Every estimate must be at least what the written form really grows by: a round that outgrew
-/// the store's limit would be refused for ever.
-#[test]
-fn estimates_are_upper_bounds_and_records_survive_the_store() {
-    grows_as_estimated(false);
-    grows_as_estimated(true);
+fn attempt(job: u64, index: u32, number: u64) -> Attempt {
+    Attempt {
+        task: TaskId {
+            job: JobId(job),
+            index,
+        },
+        number,
+    }
 }
 
-fn grows_as_estimated(terse: bool) {
-    let size = |g: &GroupRecord| serde_json::to_string(g).unwrap().len();
-    let mut g = GroupRecord {
-        terse,
+fn stored_bytes(group: &GroupRecord) -> usize {
+    serde_json::to_string(group).unwrap().len()
+}
+
+/// A group that is checked to grow by no more than estimated with everything that is added to it.
+struct MeasuredGroup(GroupRecord);
+
+impl MeasuredGroup {
+    fn add_machine(&mut self, id: MachineId, record: MachineRecord) {
+        let before = stored_bytes(&self.0);
+        let most = GroupRecord::machine_bytes(id, &record);
+        self.0.machines.insert(id, record);
+        assert!(stored_bytes(&self.0) <= before + most, "a machine");
+    }
+
+    fn add_assignment(&mut self, id: MachineId, attempt: Attempt, image: &str) {
+        let before = stored_bytes(&self.0);
+        let most = GroupRecord::assignment_bytes(&attempt, image, IMAGE_SIZE);
+        let record = self.0.machines.get_mut(&id).unwrap();
+        record.tasks.push(Assignment::of(attempt));
+        record.use_image(image, IMAGE_SIZE, u64::MAX);
+        assert!(stored_bytes(&self.0) <= before + most, "an assignment");
+    }
+
+    fn preempt_last(&mut self, id: MachineId) {
+        // The list's own key is part of the spare room.
+        const LIST_KEY: usize = 8;
+        let before = stored_bytes(&self.0);
+        let record = self.0.machines.get_mut(&id).unwrap();
+        record.preempted.extend(record.tasks.last().copied());
+        assert!(
+            stored_bytes(&self.0) <= before + GroupRecord::PREEMPTED_BYTES + LIST_KEY,
+            "a preemption"
+        );
+    }
+}
+
+fn measured_group(compact: bool) -> GroupRecord {
+    let mut group = MeasuredGroup(GroupRecord {
+        terse: compact,
         ..GroupRecord::default()
-    };
+    });
     for i in 0..130u64 {
         let id = MachineId(900 + i * 997);
-        let mut new = machine(&format!("10.1.{}.{}:9000", i / 200, 1 + i % 200));
-        new.fenced_incarnation = i % 3 * 1_000_000;
-        let before = size(&g);
-        let most = GroupRecord::machine_bytes(id, &new);
-        g.machines.insert(id, new);
-        assert!(size(&g) <= before + most, "a machine");
+        let mut record = machine(&format!("10.1.{}.{}:9000", i / 200, 1 + i % 200));
+        record.fenced_incarnation = i % 3 * 1_000_000;
+        group.add_machine(id, record);
         for n in 0..i % 5 {
-            let task = TaskId {
-                job: JobId(999_990 + i * n),
-                index: 99_999 - (i * n) as u32,
-            };
-            let a = Attempt {
-                task,
-                number: 1_000_000 + n,
-            };
-            let image = format!("image-{}", i % 40);
-            let before = size(&g);
-            let most = GroupRecord::assignment_bytes(&a, &image, 123_456);
-            let r = g.machines.get_mut(&id).unwrap();
-            r.tasks.push(Assignment::of(a));
-            r.use_image(&image, 123_456, u64::MAX);
-            assert!(size(&g) <= before + most, "a booking");
-            let before = size(&g);
-            let r = g.machines.get_mut(&id).unwrap();
-            r.preempted.extend(r.tasks.last().copied());
-            // The list's own key is part of the spare room.
-            assert!(
-                size(&g) <= before + GroupRecord::PREEMPTED_BYTES + 8,
-                "a preemption"
-            );
+            let attempt = attempt(999_990 + i * n, 99_999 - (i * n) as u32, 1_000_000 + n);
+            group.add_assignment(id, attempt, &format!("image-{}", i % 40));
+            group.preempt_last(id);
         }
     }
-    let text = serde_json::to_string(&g).unwrap();
-    let mut back = serde_json::from_str::<GroupRecord>(&text).unwrap();
-    back.machines
-        .values_mut()
-        .chain(g.machines.values_mut())
-        .for_each(|r| r.tasks.sort_unstable());
-    assert_eq!(back, g);
-    assert!(
-        serde_json::from_str::<GroupRecord>(r#"{"k":[],"i":[],"a":[],"m":[[1,0,0,0,0]]}"#).is_err()
-    );
-    assert!(
-        serde_json::from_str::<GroupRecord>(r#"{"m":{}}"#).is_err(),
-        "the first layout"
-    );
+    group.0
+}
+
+/// Every estimate must be at least what the stored form really grows by: a round that outgrew the store's limit would
+/// be refused for ever.
+#[test]
+fn estimates_are_upper_bounds_and_records_are_read_as_written() {
+    for compact in [false, true] {
+        let mut group = measured_group(compact);
+        let text = serde_json::to_string(&group).unwrap();
+        let mut read = serde_json::from_str::<GroupRecord>(&text).unwrap();
+        read.machines
+            .values_mut()
+            .chain(group.machines.values_mut())
+            .for_each(|record| record.tasks.sort_unstable());
+        assert_eq!(read, group);
+    }
+}
+
+#[test]
+fn machine_of_a_missing_kind_is_refused() {
+    let text = r#"{"k":[],"i":[],"a":[],"m":[[1,0,0,0,0]]}"#;
+    assert!(serde_json::from_str::<GroupRecord>(text).is_err());
+}
+
+#[test]
+fn group_of_the_first_format_is_refused() {
+    assert!(serde_json::from_str::<GroupRecord>(r#"{"m":{}}"#).is_err());
 }
 
 #[test]
 fn many_machines_fit_a_small_value() {
-    let mut g = GroupRecord::default();
+    let mut group = GroupRecord::default();
     for i in 1..=100 {
-        let mut r = machine(&format!("10.1.0.{i}:9000"));
-        let task = TaskId {
-            job: JobId(400_000 + i / 8),
-            index: i as u32,
-        };
-        r.tasks.push(Assignment::of(Attempt {
-            task,
-            number: 10_000 + i / 8,
-        }));
-        r.use_image("img-07", 900, u64::MAX);
-        g.machines.insert(MachineId(i), r);
+        let mut record = machine(&format!("10.1.0.{i}:9000"));
+        let attempt = attempt(400_000 + i / 8, i as u32, 10_000 + i / 8);
+        record.tasks.push(Assignment::of(attempt));
+        record.use_image("img-07", 900, u64::MAX);
+        group.machines.insert(MachineId(i), record);
     }
-    assert!(serde_json::to_string(&g).unwrap().len() < 3_000);
+    assert!(stored_bytes(&group) < 3_000);
 }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,4 +1,8 @@
-//! The records of the state service, their stored forms, and the replica of the cell's state made of them.
+//! The records of the state store, their stored forms, and the replica of the cell's state that is made of them.
+//!
+//! - [`records`]: keys, record formats and the smaller records; [`machine_group`] and [`job`]: the larger ones.
+//! - [`cell_state`]: the replica, with [`live_job`], [`dependency_graph`] and [`machine_classes`] as its parts.
+//! - [`ids`], [`resources`], [`catalog`], [`completion_bitmap`], [`restart_history`]: the types that they are made of.
 //!
 //! Nothing here does I/O or reads a clock.
 
--- a/src/storage/resources.rs
+++ b/src/storage/resources.rs
@@ -1,9 +1,15 @@
-//! Amounts of what a machine offers, in whole thousandths.
+//! Amounts of the resources of machines, in whole thousandths.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{AddAssign, Sub, SubAssign};
 
-/// Cores, accelerators and memory, each in thousandths (of a core, a card, a GB).
+/// Thousandths in a unit.
+const THOUSANDTHS: f64 = 1_000.0;
+
+/// Rounding error that conversions from wire amounts tolerate, in thousandths.
+const TOLERANCE: f64 = 1e-6;
+
+/// Cores, accelerators and memory, in thousandths of a core, an accelerator and a GB.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Amount {
     /// Cores.
@@ -17,67 +23,68 @@
     pub memory: u64,
 }
 
-pub(crate) fn is_zero(n: &u64) -> bool {
-    *n == 0
+/// Whether a field is left out of the stored form, for `skip_serializing_if`.
+pub(crate) fn is_zero(amount: &u64) -> bool {
+    *amount == 0
 }
 
 impl Amount {
-    /// Whether `self` goes into `room`.
+    /// Whether `room` is enough for `self`.
     pub fn fits(&self, room: &Amount) -> bool {
         self.cores <= room.cores
             && self.accelerators <= room.accelerators
             && self.memory <= room.memory
     }
 
-    /// How many times `self` goes into `room`, at most `most`.
+    /// How many times `room` is enough for `self`, at most `most`.
     pub fn times_in(&self, room: &Amount, most: u64) -> u64 {
-        let part = |need: u64, have: u64| have.checked_div(need).unwrap_or(most);
-        part(self.cores, room.cores)
-            .min(part(self.accelerators, room.accelerators))
-            .min(part(self.memory, room.memory))
+        let times = |need: u64, available: u64| available.checked_div(need).unwrap_or(most);
+        times(self.cores, room.cores)
+            .min(times(self.accelerators, room.accelerators))
+            .min(times(self.memory, room.memory))
             .min(most)
     }
 
-    /// `self` taken `n` times.
-    pub fn times(&self, n: u64) -> Amount {
+    /// `self` multiplied by `count`.
+    pub fn times(&self, count: u64) -> Amount {
         Amount {
-            cores: self.cores.saturating_mul(n),
-            accelerators: self.accelerators.saturating_mul(n),
-            memory: self.memory.saturating_mul(n),
+            cores: self.cores.saturating_mul(count),
+            accelerators: self.accelerators.saturating_mul(count),
+            memory: self.memory.saturating_mul(count),
         }
     }
 }
 
 impl AddAssign for Amount {
-    fn add_assign(&mut self, o: Amount) {
-        self.cores = self.cores.saturating_add(o.cores);
-        self.accelerators = self.accelerators.saturating_add(o.accelerators);
-        self.memory = self.memory.saturating_add(o.memory);
+    fn add_assign(&mut self, other: Amount) {
+        self.cores = self.cores.saturating_add(other.cores);
+        self.accelerators = self.accelerators.saturating_add(other.accelerators);
+        self.memory = self.memory.saturating_add(other.memory);
     }
 }
 
 impl Sub for Amount {
     type Output = Amount;
-    fn sub(mut self, o: Amount) -> Amount {
-        self -= o;
+    fn sub(mut self, other: Amount) -> Amount {
+        self -= other;
         self
     }
 }
 
 impl SubAssign for Amount {
-    fn sub_assign(&mut self, o: Amount) {
-        self.cores = self.cores.saturating_sub(o.cores);
-        self.accelerators = self.accelerators.saturating_sub(o.accelerators);
-        self.memory = self.memory.saturating_sub(o.memory);
+    fn sub_assign(&mut self, other: Amount) {
+        self.cores = self.cores.saturating_sub(other.cores);
+        self.accelerators = self.accelerators.saturating_sub(other.accelerators);
+        self.memory = self.memory.saturating_sub(other.memory);
     }
 }
 
-/// Thousandths of a wire amount, rounded up: what a task takes.
+/// Thousandths of a wire amount, rounded up: what a task needs.
 pub fn taken(amount: f64) -> u64 {
-    (amount * 1_000.0 - 1e-6).ceil().max(0.0) as u64
+    (amount * THOUSANDTHS - TOLERANCE).ceil().max(0.0) as u64
 }
 
-/// Thousandths of a wire amount, rounded down: what a machine or a limit offers.
+/// Thousandths of a wire amount, rounded down: what a machine or a quota provides.
 pub fn offered(amount: f64) -> u64 {
-    (amount * 1_000.0 + 1e-6).floor().max(0.0) as u64
+    (amount * THOUSANDTHS + TOLERANCE).floor().max(0.0) as u64
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,10 +1,19 @@
-//! Time as whole microseconds.
+//! Time in whole microseconds.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::{Add, AddAssign, Mul, Sub};
 
-/// A point in time or a span, in whole microseconds.
+/// Microseconds in a second.
+pub(crate) const MICROS_PER_SECOND: u64 = 1_000_000;
+
+/// Microseconds in a millisecond.
+const MICROS_PER_MILLI: u64 = 1_000;
+
+/// The clocks of two machines drift apart by at most 0.05 %; the margin, one part in this many, is twice that.
+const DRIFT_MARGIN: u64 = 1_000;
+
+/// A point in time or a duration, in whole microseconds. Arithmetic saturates.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -12,44 +21,44 @@
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// No time at all.
+    /// The empty duration.
     pub const ZERO: Micros = Micros(0);
-    /// Further away than anything that happens.
+    /// Later than any point in time that occurs.
     pub const FOREVER: Micros = Micros(u64::MAX);
 
-    /// A span of whole milliseconds.
-    pub const fn millis(ms: u64) -> Micros {
-        Micros(ms * 1_000)
+    /// A duration of whole milliseconds.
+    pub const fn millis(millis: u64) -> Micros {
+        Micros(millis * MICROS_PER_MILLI)
     }
 
-    /// A span of whole seconds.
-    pub const fn secs(s: u64) -> Micros {
-        Micros(s * 1_000_000)
+    /// A duration of whole seconds.
+    pub const fn secs(secs: u64) -> Micros {
+        Micros(secs * MICROS_PER_SECOND)
     }
 
     /// In milliseconds, rounded down.
     pub const fn as_millis(self) -> u64 {
-        self.0 / 1_000
+        self.0 / MICROS_PER_MILLI
     }
 
-    /// In seconds, for arithmetic that needs no exactness.
+    /// In seconds, approximately.
     pub fn as_secs_f64(self) -> f64 {
-        self.0 as f64 / 1e6
+        self.0 as f64 / MICROS_PER_SECOND as f64
     }
 
-    /// A span of `s` seconds, rounded to the nearest microsecond; negative counts as zero.
-    pub fn from_secs_f64(s: f64) -> Micros {
-        Micros((s * 1e6).round().max(0.0) as u64)
+    /// A duration of `secs` seconds, rounded to the nearest microsecond; zero if that is negative.
+    pub fn from_secs_f64(secs: f64) -> Micros {
+        Micros((secs * MICROS_PER_SECOND as f64).round().max(0.0) as u64)
     }
 
-    /// The time from `earlier` to `self`, zero if it lies ahead.
+    /// The time from `earlier` to `self`; zero if `earlier` is the later one.
     pub const fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Lengthened by the drift between two steady clocks (0.05 %, taken twice over).
+    /// Lengthened by the drift between two monotonic clocks.
     pub const fn with_drift(self) -> Micros {
-        Micros(self.0 + self.0 / 1_000 + 1)
+        Micros(self.0 + self.0 / DRIFT_MARGIN + 1)
     }
 }
 
@@ -75,13 +84,14 @@
 
 impl Mul<u64> for Micros {
     type Output = Micros;
-    fn mul(self, by: u64) -> Micros {
-        Micros(self.0.saturating_mul(by))
+    fn mul(self, factor: u64) -> Micros {
+        Micros(self.0.saturating_mul(factor))
     }
 }
 
 impl fmt::Display for Micros {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{:03}s", self.0 / 1_000_000, self.0 / 1_000 % 1_000)
+        let secs = self.0 / MICROS_PER_SECOND;
+        write!(f, "{secs}.{:03}s", self.as_millis() % 1_000)
     }
 }
