--- a/crates/constraints/src/clash.rs
+++ b/crates/constraints/src/clash.rs
@@ -1,57 +1,67 @@
 //! The smallest set of rules that clash.
 //!
-//! A place (a class of machines that could be had) is ruled out by each rule that it does not meet. Rules
-//! clash if every place is ruled out by one of them; the smallest such set is a minimum hitting set, found
-//! by trying ever larger sizes. A few dozen rules and places make that small; what could blow it up, many
-//! places that share no rule, is cut off by counting them.
+//! A place (a class of machines that could be provisioned) is excluded by each rule that it does not meet. Rules
+//! clash if every place is excluded by one of them; the smallest such set is a minimum hitting set, found by trying
+//! ever larger sizes. With a few dozen rules and places this is fast. Many places that share no rule would make it
+//! exponential; they are counted, which bounds the search.
 
 /// Rules by number, as bits.
 pub type RuleMask = u128;
 
-/// Most rules that can be told apart.
-pub const MOST: usize = 128;
+/// Most rules that can be distinguished.
+pub const MAX_RULES: usize = RuleMask::BITS as usize;
 
-/// The smallest set of rules that rule out every place; `None` if some place meets all. Of several as
-/// small, the one with the lowest numbers, so that everybody names the same. `ruled_out`: for each place,
-/// the rules that it does not meet. No places at all are ruled out by nothing: an empty set.
-pub fn smallest(ruled_out: &[RuleMask]) -> Option<RuleMask> {
-    if ruled_out.contains(&0) {
+/// The smallest set of rules that exclude every place; `None` if some place meets all rules. Among sets of equal
+/// size the one with the lowest numbers is chosen, so that all controllers report the same. Without places the set is
+/// empty.
+///
+/// `excluded_by`: for each place, the rules that it does not meet.
+pub fn smallest(excluded_by: &[RuleMask]) -> Option<RuleMask> {
+    if excluded_by.contains(&0) {
         return None;
     }
-    // Whoever rules out the place with fewer against it rules out the one with more.
-    let mut places: Vec<RuleMask> = ruled_out.to_vec();
-    places.sort_unstable_by_key(|p| (p.count_ones(), *p));
-    let mut least: Vec<RuleMask> = Vec::new();
-    for p in places {
-        if !least.iter().any(|q| q & p == *q) {
-            least.push(p);
+    let places = without_supersets(excluded_by);
+    (0..=places.len()).find_map(|size| hitting_set(&places, 0, size))
+}
+
+/// The places without those that are excluded by a superset of the rules of another: whatever hits the smaller set
+/// hits the larger one.
+fn without_supersets(excluded_by: &[RuleMask]) -> Vec<RuleMask> {
+    let mut places: Vec<RuleMask> = excluded_by.to_vec();
+    places.sort_unstable_by_key(|place| (place.count_ones(), *place));
+    let mut minimal: Vec<RuleMask> = Vec::new();
+    for place in places {
+        if !minimal.iter().any(|subset| subset & place == *subset) {
+            minimal.push(place);
         }
     }
-    (0..=least.len()).find_map(|size| hit(&least, 0, size))
+    minimal
 }
 
-/// A set of at most `size` more rules that hits every place.
-fn hit(places: &[RuleMask], chosen: RuleMask, size: usize) -> Option<RuleMask> {
-    let mut open = places.iter().filter(|p| *p & chosen == 0);
-    let Some(first) = open.clone().min_by_key(|p| p.count_ones()) else {
+/// A set that hits every place, made of `chosen` and at most `size` more rules.
+fn hitting_set(places: &[RuleMask], chosen: RuleMask, size: usize) -> Option<RuleMask> {
+    let open = places.iter().filter(|place| *place & chosen == 0);
+    let Some(fewest) = open.clone().min_by_key(|place| place.count_ones()) else {
         return Some(chosen);
     };
-    // Places that share no rule take one each.
-    let mut seen = 0;
-    let apart = open
-        .by_ref()
-        .filter(|p| {
-            *p & seen == 0 && {
-                seen |= **p;
-                true
-            }
-        })
-        .count();
-    if apart > size {
+    if count_disjoint(open) > size {
         return None;
     }
-    let tried = (0..MOST).filter(|i| first >> i & 1 == 1);
-    tried
-        .filter_map(|i| hit(places, chosen | 1 << i, size - 1))
-        .min_by_key(|s| (s.count_ones(), s.reverse_bits()))
+    (0..MAX_RULES)
+        .filter(|rule| fewest >> rule & 1 == 1)
+        .filter_map(|rule| hitting_set(places, chosen | 1 << rule, size - 1))
+        .min_by_key(|set| (set.count_ones(), set.reverse_bits()))
+}
+
+/// Number of places that share no rule with those counted before. Each of them needs a rule of its own.
+fn count_disjoint<'a>(places: impl Iterator<Item = &'a RuleMask>) -> usize {
+    let mut counted: RuleMask = 0;
+    let mut count = 0;
+    for place in places {
+        if place & counted == 0 {
+            counted |= place;
+            count += 1;
+        }
+    }
+    count
 }
--- a/crates/constraints/src/explain.rs
+++ b/crates/constraints/src/explain.rs
@@ -1,87 +1,89 @@
-//! Why a machine may or may not run a job, rule by rule and clause by clause.
+//! Explanation of why a machine may or may not run a job, rule by rule and clause by clause.
 
+use super::evaluation::{MachineState, Traits};
 use super::expr::Expr;
-use super::judge::{Now, Traits};
 use super::rules::{Kind, Rule};
 use serde::Serialize;
 
-/// A part of a rule that must hold by itself.
+/// A part of a rule: all parts must hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Clause {
-    /// What it says.
+    /// Its text.
     pub text: String,
     /// Whether it holds.
     pub met: bool,
 }
 
-/// What a rule says to a machine.
+/// Result of one rule for a machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
     /// The rule's name.
     pub rule: String,
-    /// Whether it must hold.
+    /// Whether it is a hard rule.
     pub hard: bool,
     /// Whether it holds.
     pub met: bool,
-    /// What it counts if it is a preference.
+    /// Its weight, if it is a preference.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub weight: Option<u32>,
     /// Its parts.
     pub clauses: Vec<Clause>,
 }
 
-/// What all rules say to a machine.
+/// Result of all rules for a machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Verdict {
     /// Whether every hard rule holds.
     pub allowed: bool,
-    /// The weights of the preferences that hold, added up.
+    /// Total weight of the preferences that hold.
+    #[serde(rename = "worth")]
     pub worth: u32,
     /// Rule by rule.
     pub findings: Vec<Finding>,
 }
 
-/// Judges a machine by rules.
+/// Evaluates rules for a machine and explains the result.
 pub fn explain<'a>(
     rules: impl Iterator<Item = &'a Rule>,
     traits: &Traits,
-    now: &dyn Now,
+    state: &dyn MachineState,
 ) -> Verdict {
-    let findings: Vec<Finding> = rules
-        .map(|r| {
-            let parts = match &r.expr {
-                Expr::And(all) => &all[..],
-                one => std::slice::from_ref(one),
-            };
-            let clauses: Vec<Clause> = parts
-                .iter()
-                .map(|e| Clause {
-                    text: e.to_string(),
-                    met: e.holds(traits, now),
-                })
-                .collect();
-            let weight = match r.kind {
-                Kind::Require => None,
-                Kind::Prefer { weight, .. } => Some(weight),
-            };
-            let met = clauses.iter().all(|c| c.met);
-            Finding {
-                rule: r.name.clone(),
-                hard: r.is_hard(),
-                met,
-                weight,
-                clauses,
-            }
-        })
-        .collect();
+    let findings: Vec<Finding> = rules.map(|rule| Finding::of(rule, traits, state)).collect();
     let worth = findings
         .iter()
-        .filter(|f| f.met)
-        .filter_map(|f| f.weight)
+        .filter(|finding| finding.met)
+        .filter_map(|finding| finding.weight)
         .sum();
     Verdict {
-        allowed: findings.iter().all(|f| f.met || !f.hard),
+        allowed: findings.iter().all(|finding| finding.met || !finding.hard),
         worth,
         findings,
     }
 }
+
+impl Finding {
+    fn of(rule: &Rule, traits: &Traits, state: &dyn MachineState) -> Finding {
+        let parts = match &rule.expr {
+            Expr::And(parts) => &parts[..],
+            whole => std::slice::from_ref(whole),
+        };
+        let clauses: Vec<Clause> = parts
+            .iter()
+            .map(|part| Clause {
+                text: part.to_string(),
+                met: part.holds(traits, state),
+            })
+            .collect();
+        let weight = match rule.kind {
+            Kind::Require => None,
+            Kind::Prefer { weight, .. } => Some(weight),
+        };
+        Finding {
+            rule: rule.name.clone(),
+            hard: rule.is_hard(),
+            met: clauses.iter().all(|clause| clause.met),
+            weight,
+            clauses,
+        }
+    }
+}
--- a/crates/constraints/src/expr.rs
+++ b/crates/constraints/src/expr.rs
@@ -1,11 +1,11 @@
-//! The language's expressions, and how they are printed.
+//! Expressions of the language, and their text form.
 
 use super::value::Quantity;
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Where something stands in the text it was read from, counted from 1. Equal to any other: two
-/// expressions are the same whatever their layout.
+/// Position in the text that an expression was parsed from, counted from 1. All positions are equal, so that
+/// expressions are equal whatever their layout.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct At {
     /// Line.
@@ -14,6 +14,26 @@
     pub column: usize,
 }
 
+impl At {
+    /// The start of a text.
+    pub const START: At = At { line: 1, column: 1 };
+
+    /// The position after a character at this one.
+    pub fn after(self, c: char) -> At {
+        if c == '\n' {
+            At {
+                line: self.line + 1,
+                column: 1,
+            }
+        } else {
+            At {
+                column: self.column + 1,
+                ..self
+            }
+        }
+    }
+}
+
 impl PartialEq for At {
     fn eq(&self, _: &At) -> bool {
         true
@@ -22,10 +42,10 @@
 
 impl Eq for At {}
 
-/// The words that a test compares with.
+/// The words of a test.
 pub type Words = BTreeSet<String>;
 
-/// How numbers and words are compared.
+/// A comparison of numbers or words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
     /// `=`
@@ -43,7 +63,7 @@
 }
 
 impl Comparison {
-    /// Every comparison with how it is written.
+    /// Every comparison with its sign.
     pub const ALL: [(Comparison, &'static str); 6] = [
         (Comparison::Equal, "="),
         (Comparison::Unequal, "!="),
@@ -52,9 +72,24 @@
         (Comparison::More, ">"),
         (Comparison::AtLeast, ">="),
     ];
+
+    /// The comparison with a sign.
+    pub fn from_sign(sign: &str) -> Option<Comparison> {
+        Comparison::ALL
+            .into_iter()
+            .find(|(_, known)| *known == sign)
+            .map(|(comparison, _)| comparison)
+    }
+
+    fn sign(self) -> &'static str {
+        Comparison::ALL
+            .into_iter()
+            .find(|(comparison, _)| *comparison == self)
+            .map_or("", |(_, sign)| sign)
+    }
 }
 
-/// What a trait is compared with.
+/// The right side of a comparison.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operand {
     /// A word.
@@ -63,12 +98,12 @@
     Number(Quantity),
 }
 
-/// What is asked about a trait of the machine itself.
+/// A test of one trait of a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Test {
     /// The flag is set.
     Flag,
-    /// The trait is there at all.
+    /// The machine has the trait.
     Present,
     /// A comparison with one value.
     Compare(Comparison, Operand),
@@ -80,7 +115,7 @@
     HasAll(Words),
 }
 
-/// By what other jobs on a machine are told apart.
+/// The property by which a test selects colocated jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Field {
     /// The class of jobs.
@@ -89,14 +124,14 @@
     Team,
     /// The image.
     Image,
-    /// The urgency.
+    /// The priority.
     Priority,
     /// The job's name.
     Job,
 }
 
 impl Field {
-    /// Every field with how it is written.
+    /// Every field with its name in the language.
     pub const ALL: [(Field, &'static str); 5] = [
         (Field::JobClass, "lane"),
         (Field::Team, "crew"),
@@ -104,89 +139,122 @@
         (Field::Priority, "urgency"),
         (Field::Job, "job"),
     ];
+
+    /// The field with a name.
+    pub fn from_name(name: &str) -> Option<Field> {
+        Field::ALL
+            .into_iter()
+            .find(|(_, known)| *known == name)
+            .map(|(field, _)| field)
+    }
+
+    fn name(self) -> &'static str {
+        Field::ALL
+            .into_iter()
+            .find(|(field, _)| *field == self)
+            .map_or("", |(_, name)| name)
+    }
 }
 
-/// An expression. What is asked of a trait that a machine does not have is answered no.
+/// An expression. A test of a trait that a machine does not have fails.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Expr {
-    /// One of these holds.
+    /// At least one of these holds.
     Or(Vec<Expr>),
     /// All of these hold.
     And(Vec<Expr>),
-    /// It does not hold.
+    /// This does not hold.
     Not(Box<Expr>),
     /// A test of a trait.
     Trait(String, Test, At),
-    /// The machine has the job's own image, or is fetching it.
+    /// The machine holds or fetches the job's own image.
     HoldsOwn,
-    /// The machine has one of these images, or is fetching it.
+    /// The machine holds or fetches one of these images.
     Holds(Words),
-    /// A task of another job of this kind is booked there.
+    /// A task of another job with one of these words in the field is assigned there.
     Colocated(Field, Words),
 }
 
 impl Expr {
-    /// Calls `see` with every test in it.
-    pub fn tests<'a>(&'a self, see: &mut dyn FnMut(&'a Expr)) {
+    /// Calls `visit` with every test in it.
+    pub fn tests<'a>(&'a self, visit: &mut dyn FnMut(&'a Expr)) {
         match self {
-            Expr::Or(all) | Expr::And(all) => all.iter().for_each(|e| e.tests(see)),
-            Expr::Not(e) => e.tests(see),
-            test => see(test),
+            Expr::Or(operands) | Expr::And(operands) => {
+                operands.iter().for_each(|operand| operand.tests(visit));
+            }
+            Expr::Not(negated) => negated.tests(visit),
+            test => visit(test),
         }
     }
 
-    /// Whether it asks which other jobs are on the machine.
+    /// Whether it tests which other jobs are on the machine.
     pub fn tests_colocation(&self) -> bool {
         let mut any = false;
-        self.tests(&mut |t| any |= matches!(t, Expr::Colocated(..)));
+        self.tests(&mut |test| any |= matches!(test, Expr::Colocated(..)));
         any
     }
 }
 
-/// Words that have a meaning of their own and are quoted where they are meant as words.
+/// Keywords of the language. They are quoted where they are meant as words.
 pub const KEYWORDS: [&str; 11] = [
     "and", "or", "not", "in", "has", "holds", "beside", "present", "any", "all", "own",
 ];
 
-fn print_word(f: &mut fmt::Formatter<'_>, word: &str) -> fmt::Result {
-    let bare = |c: char| c.is_ascii_alphanumeric() || "_-./:+".contains(c);
-    let first = word
-        .chars()
-        .next()
-        .is_some_and(|c| c.is_ascii_alphabetic() || c == '_');
-    if first && word.chars().all(bare) && !KEYWORDS.contains(&word) {
+/// Writes a word, quoted if it would not be read as a word otherwise.
+fn write_word(f: &mut fmt::Formatter<'_>, word: &str) -> fmt::Result {
+    if is_bare(word) {
         return f.write_str(word);
     }
     write!(f, "\"{}\"", word.replace('\\', "\\\\").replace('"', "\\\""))
 }
 
-fn print_words(f: &mut fmt::Formatter<'_>, words: &Words) -> fmt::Result {
-    if let (Some(one), 1) = (words.first(), words.len()) {
-        return print_word(f, one);
+/// Whether a word needs no quotes.
+fn is_bare(word: &str) -> bool {
+    let is_bare_char = |c: char| c.is_ascii_alphanumeric() || "_-./:+".contains(c);
+    let starts_bare = word
+        .chars()
+        .next()
+        .is_some_and(|c| c.is_ascii_alphabetic() || c == '_');
+    starts_bare && word.chars().all(is_bare_char) && !KEYWORDS.contains(&word)
+}
+
+/// Writes a single word as such, several in braces.
+fn write_words(f: &mut fmt::Formatter<'_>, words: &Words) -> fmt::Result {
+    if let (Some(word), 1) = (words.first(), words.len()) {
+        return write_word(f, word);
     }
     f.write_str("{")?;
-    for (i, w) in words.iter().enumerate() {
-        if i > 0 {
+    for (index, word) in words.iter().enumerate() {
+        if index > 0 {
             f.write_str(", ")?;
         }
-        print_word(f, w)?;
+        write_word(f, word)?;
     }
     f.write_str("}")
 }
 
+/// How tightly an expression binds. An operand that binds less than its context requires is put in parentheses.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Precedence {
+    Or,
+    And,
+    Not,
+    Test,
+}
+
 impl Expr {
-    /// How tightly it binds: what binds less than what stands around it goes in parentheses.
-    fn strength(&self) -> u8 {
+    fn precedence(&self) -> Precedence {
         match self {
-            Expr::Or(_) => 0,
-            Expr::And(_) => 1,
-            Expr::Not(_) => 2,
-            _ => 3,
+            Expr::Or(_) => Precedence::Or,
+            Expr::And(_) => Precedence::And,
+            Expr::Not(_) => Precedence::Not,
+            _ => Precedence::Test,
         }
     }
 
-    fn print_in(&self, f: &mut fmt::Formatter<'_>, around: u8) -> fmt::Result {
-        if self.strength() < around {
+    /// Writes it as an operand, which must bind at least this tightly.
+    fn write_operand(&self, f: &mut fmt::Formatter<'_>, required: Precedence) -> fmt::Result {
+        if self.precedence() < required {
             write!(f, "({self})")
         } else {
             write!(f, "{self}")
@@ -194,67 +262,66 @@
     }
 }
 
+fn write_joined(
+    f: &mut fmt::Formatter<'_>,
+    operands: &[Expr],
+    separator: &str,
+    required: Precedence,
+) -> fmt::Result {
+    for (index, operand) in operands.iter().enumerate() {
+        if index > 0 {
+            f.write_str(separator)?;
+        }
+        operand.write_operand(f, required)?;
+    }
+    Ok(())
+}
+
+fn write_test(f: &mut fmt::Formatter<'_>, name: &str, test: &Test) -> fmt::Result {
+    match test {
+        Test::Flag => f.write_str(name),
+        Test::Present => write!(f, "present {name}"),
+        Test::Compare(comparison, Operand::Word(word)) => {
+            write!(f, "{name} {} ", comparison.sign())?;
+            write_word(f, word)
+        }
+        Test::Compare(comparison, Operand::Number(number)) => {
+            write!(f, "{name} {} {number}", comparison.sign())
+        }
+        Test::Within(words) => {
+            write!(f, "{name} in ")?;
+            write_words(f, words)
+        }
+        Test::HasAny(words) => {
+            write!(f, "{name} has ")?;
+            write_words(f, words)
+        }
+        Test::HasAll(words) => {
+            write!(f, "{name} has all ")?;
+            write_words(f, words)
+        }
+    }
+}
+
 impl fmt::Display for Expr {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Expr::Or(all) | Expr::And(all) => {
-                let between = if matches!(self, Expr::Or(_)) {
-                    " or "
-                } else {
-                    " and "
-                };
-                for (i, e) in all.iter().enumerate() {
-                    if i > 0 {
-                        f.write_str(between)?;
-                    }
-                    e.print_in(f, self.strength() + 1)?;
-                }
-                Ok(())
-            }
-            Expr::Not(e) => {
+            Expr::Or(operands) => write_joined(f, operands, " or ", Precedence::And),
+            Expr::And(operands) => write_joined(f, operands, " and ", Precedence::Not),
+            Expr::Not(negated) => {
                 f.write_str("not ")?;
-                e.print_in(f, 2)
+                negated.write_operand(f, Precedence::Not)
             }
             Expr::HoldsOwn => f.write_str("holds own"),
-            Expr::Holds(words) => {
+            Expr::Holds(images) => {
                 f.write_str("holds ")?;
-                print_words(f, words)
+                write_words(f, images)
             }
             Expr::Colocated(field, words) => {
-                let name = Field::ALL
-                    .iter()
-                    .find(|(x, _)| x == field)
-                    .map_or("", |(_, name)| name);
-                write!(f, "beside {name} ")?;
-                print_words(f, words)
+                write!(f, "beside {} ", field.name())?;
+                write_words(f, words)
             }
-            Expr::Trait(name, test, _) => match test {
-                Test::Flag => f.write_str(name),
-                Test::Present => write!(f, "present {name}"),
-                Test::Compare(c, operand) => {
-                    let sign = Comparison::ALL
-                        .iter()
-                        .find(|(x, _)| x == c)
-                        .map_or("", |(_, sign)| sign);
-                    write!(f, "{name} {sign} ")?;
-                    match operand {
-                        Operand::Word(w) => print_word(f, w),
-                        Operand::Number(n) => write!(f, "{n}"),
-                    }
-                }
-                Test::Within(words) => {
-                    write!(f, "{name} in ")?;
-                    print_words(f, words)
-                }
-                Test::HasAny(words) => {
-                    write!(f, "{name} has ")?;
-                    print_words(f, words)
-                }
-                Test::HasAll(words) => {
-                    write!(f, "{name} has all ")?;
-                    print_words(f, words)
-                }
-            },
+            Expr::Trait(name, test, _) => write_test(f, name, test),
         }
     }
 }
--- a/crates/constraints/src/lib.rs
+++ b/crates/constraints/src/lib.rs
@@ -1,10 +1,10 @@
 //! The language of placement rules: hard requirements and soft preferences over the traits of machines.
 //!
-//! A rule is an [`Expr`] over what a machine is (its type, zone and labels) and what is on it now (images, tasks of
-//! other jobs). This crate parses, prints and evaluates the language, finds the smallest set of rules that contradict
-//! each other ([`clash`]), and explains results ([`mod@explain`]). It does no I/O, reads no clock, and knows nothing of
-//! the scheduler. The scheduler asks a [`RuleSet`] for the rules that concern a job, reduces each of them once for each
-//! class of equal machines, and evaluates machine by machine only what is left.
+//! A rule is an [`Expr`] over what a machine is (its type, zone and labels) and its current state (images, tasks of
+//! other jobs). This crate parses and prints the language, evaluates it, finds the smallest set of rules that clash,
+//! and explains results. It does no I/O, reads no clock and does not depend on the scheduler. The scheduler selects
+//! the rules of a [`RuleSet`] that concern a job, has them reduced once for each class of equal machines, and
+//! evaluates for a single machine only what is left then.
 //!
 //! ```
 //! use cometlead_constraints::judge::Empty;
@@ -36,15 +36,15 @@
 //! `docs/constraints.md` describes the language.
 
 pub mod clash;
+pub mod evaluation;
 pub mod explain;
 pub mod expr;
-pub mod judge;
 pub mod parse;
 pub mod rules;
 pub mod value;
 
+pub use evaluation::{Evaluation, MachineState, Traits};
 pub use expr::{Expr, Field};
-pub use judge::{Judged, Now, Traits};
 pub use parse::ParseError;
 pub use rules::{BadRules, Kind, Rule, RuleSet, RulesFile, Subject};
 pub use value::{Dimension, Quantity, Value};
--- a/crates/constraints/src/parse.rs
+++ b/crates/constraints/src/parse.rs
@@ -1,4 +1,5 @@
-//! Reading expressions. The grammar is `grammar.pest`; this builds what it matched, within bounds.
+//! Parsing of expressions. The grammar is `grammar.pest`; this builds expressions from what it matches, within
+//! limits.
 
 use super::expr::{At, Comparison, Expr, Field, Operand, Test, Words};
 use super::value::Quantity;
@@ -11,7 +12,7 @@
 
 /// Longest text of an expression, in bytes.
 pub const TEXT_LIMIT: usize = 2_048;
-/// Deepest nesting of parentheses and negations. It also bounds the stack, whoever wrote the text.
+/// Deepest nesting of parentheses and negations. It bounds the stack that parsing uses.
 pub const DEPTH_LIMIT: usize = 24;
 /// Most tests in an expression.
 pub const TESTS_LIMIT: usize = 96;
@@ -25,31 +26,39 @@
 }
 use generated::{Grammar, Rule};
 
-/// Why a text is no expression.
+/// Why a text is not an expression, and where.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("line {line}, column {column}: {what}")]
+#[error("line {line}, column {column}: {message}")]
 pub struct ParseError {
     /// Line, from 1.
     pub line: usize,
     /// Column in characters, from 1.
     pub column: usize,
     /// What is wrong, or what was expected there.
-    pub what: String,
+    pub message: String,
 }
 
 impl ParseError {
-    /// An error at some place.
-    pub fn at(at: At, what: impl Into<String>) -> ParseError {
+    /// An error at a position.
+    pub fn at(at: At, message: impl Into<String>) -> ParseError {
         ParseError {
             line: at.line,
             column: at.column,
-            what: what.into(),
+            message: message.into(),
         }
     }
+
+    fn too_deep(at: At) -> ParseError {
+        ParseError::at(at, format!("nested deeper than {DEPTH_LIMIT}"))
+    }
+
+    fn no_condition(at: At) -> ParseError {
+        ParseError::at(at, "expected a condition")
+    }
 }
 
-/// How a rule of the grammar is called in what was expected.
-fn called(rule: Rule) -> &'static str {
+/// The name of a rule of the grammar in error messages.
+fn rule_name(rule: Rule) -> &'static str {
     match rule {
         Rule::EOI => "the end",
         Rule::and => "`and`",
@@ -85,13 +94,13 @@
     }
 }
 
-fn explained(error: Error<Rule>) -> ParseError {
+fn to_parse_error(error: Error<Rule>) -> ParseError {
     let (line, column) = match error.line_col {
         LineColLocation::Pos(at) | LineColLocation::Span(at, _) => at,
     };
-    let what = match error.variant {
+    let message = match error.variant {
         ErrorVariant::ParsingError { positives, .. } if !positives.is_empty() => {
-            let names: BTreeSet<&str> = positives.into_iter().map(called).collect();
+            let names: BTreeSet<&str> = positives.into_iter().map(rule_name).collect();
             format!(
                 "expected {}",
                 names.into_iter().collect::<Vec<_>>().join(", ")
@@ -100,13 +109,17 @@
         ErrorVariant::ParsingError { .. } => "not understood".to_owned(),
         ErrorVariant::CustomError { message } => message,
     };
-    ParseError { line, column, what }
+    ParseError {
+        line,
+        column,
+        message,
+    }
 }
 
-/// Refuses nesting that is too deep before the parser, which recurses, sees it.
+/// Rejects nesting that is too deep before the parser, which recurses, is run.
 fn check_depth(text: &str) -> Result<(), ParseError> {
     let (mut depth, mut quoted, mut escaped) = (0usize, false, false);
-    let mut at = At { line: 1, column: 1 };
+    let mut at = At::START;
     for c in text.chars() {
         match c {
             _ if escaped => escaped = false,
@@ -117,170 +130,175 @@
             _ => {}
         }
         if depth > DEPTH_LIMIT {
-            return Err(ParseError::at(
-                at,
-                format!("nested deeper than {DEPTH_LIMIT}"),
-            ));
+            return Err(ParseError::too_deep(at));
         }
-        at = if c == '\n' {
-            At {
-                line: at.line + 1,
-                column: 1,
-            }
-        } else {
-            At {
-                column: at.column + 1,
-                ..at
-            }
-        };
+        at = at.after(c);
     }
     Ok(())
 }
 
-fn place(pair: &Pair<'_, Rule>) -> At {
+fn position(pair: &Pair<'_, Rule>) -> At {
     let (line, column) = pair.line_col();
     At { line, column }
 }
 
-fn one_word(pair: Pair<'_, Rule>) -> String {
+/// The word of a pair, without quotes and escapes.
+fn word(pair: Pair<'_, Rule>) -> String {
     let Some(inner) = pair.into_inner().next() else {
         return String::new();
     };
     if inner.as_rule() == Rule::bare {
         return inner.as_str().to_owned();
     }
-    let text = inner.into_inner().next().map_or("", |p| p.as_str());
-    let mut word = String::with_capacity(text.len());
+    let quoted = inner.into_inner().next();
+    unescape(quoted.map_or("", |text| text.as_str()))
+}
+
+fn unescape(text: &str) -> String {
+    let mut unescaped = String::with_capacity(text.len());
     let mut chars = text.chars();
     while let Some(c) = chars.next() {
-        word.extend(if c == '\\' { chars.next() } else { Some(c) });
+        unescaped.extend(if c == '\\' { chars.next() } else { Some(c) });
     }
-    word
+    unescaped
 }
 
 fn words(pair: Pair<'_, Rule>) -> Words {
-    pair.into_inner().map(one_word).collect()
+    pair.into_inner().map(word).collect()
 }
 
 fn quantity(pair: Pair<'_, Rule>) -> Result<Quantity, ParseError> {
-    let at = place(&pair);
+    let at = position(&pair);
     let (mut number, mut unit) = ("", "");
-    for p in pair.into_inner() {
-        match p.as_rule() {
-            Rule::number => number = p.as_str(),
-            Rule::unit => unit = p.as_str(),
+    for part in pair.into_inner() {
+        match part.as_rule() {
+            Rule::number => number = part.as_str(),
+            Rule::unit => unit = part.as_str(),
             _ => {}
         }
     }
     Quantity::read(number, unit).ok_or_else(|| ParseError::at(at, "the number is too large"))
 }
 
+/// Builds an expression from what the grammar matched, within the limits.
+#[derive(Default)]
 struct Builder {
     tests: usize,
 }
 
 impl Builder {
     fn expr(&mut self, pair: Pair<'_, Rule>, depth: usize) -> Result<Expr, ParseError> {
-        let at = place(&pair);
+        let at = position(&pair);
         if depth > DEPTH_LIMIT {
-            return Err(ParseError::at(
-                at,
-                format!("nested deeper than {DEPTH_LIMIT}"),
-            ));
+            return Err(ParseError::too_deep(at));
         }
         match pair.as_rule() {
-            Rule::either | Rule::both => {
-                let either = pair.as_rule() == Rule::either;
-                let parts = pair
-                    .into_inner()
-                    .filter(|p| !matches!(p.as_rule(), Rule::or | Rule::and));
-                let mut all = parts
-                    .map(|p| self.expr(p, depth))
-                    .collect::<Result<Vec<_>, _>>()?;
-                Ok(match (all.len(), either) {
-                    (1, _) => all.remove(0),
-                    (_, true) => Expr::Or(all),
-                    _ => Expr::And(all),
-                })
-            }
-            Rule::unary => {
-                let mut nots = 0;
-                for p in pair.into_inner() {
-                    if p.as_rule() == Rule::not {
-                        nots += 1;
-                        continue;
-                    }
-                    let inner = self.expr(p, depth + nots)?;
-                    return Ok((0..nots).fold(inner, |e, _| Expr::Not(Box::new(e))));
-                }
-                Err(ParseError::at(at, "expected a condition"))
-            }
+            Rule::either => Ok(joined(self.operands(pair, depth)?, Expr::Or)),
+            Rule::both => Ok(joined(self.operands(pair, depth)?, Expr::And)),
+            Rule::unary => self.unary(pair, at, depth),
             Rule::group => {
-                let inner = pair.into_inner().find(|p| p.as_rule() == Rule::either);
-                inner.map_or_else(
-                    || Err(ParseError::at(at, "expected a condition")),
-                    |p| self.expr(p, depth + 1),
-                )
+                let inner = pair
+                    .into_inner()
+                    .find(|part| part.as_rule() == Rule::either)
+                    .ok_or_else(|| ParseError::no_condition(at))?;
+                self.expr(inner, depth + 1)
             }
             _ => self.test(pair, at),
         }
     }
 
+    fn operands(&mut self, pair: Pair<'_, Rule>, depth: usize) -> Result<Vec<Expr>, ParseError> {
+        pair.into_inner()
+            .filter(|part| !matches!(part.as_rule(), Rule::or | Rule::and))
+            .map(|part| self.expr(part, depth))
+            .collect()
+    }
+
+    /// An expression after any number of negations.
+    fn unary(&mut self, pair: Pair<'_, Rule>, at: At, depth: usize) -> Result<Expr, ParseError> {
+        let mut negations = 0;
+        for part in pair.into_inner() {
+            if part.as_rule() == Rule::not {
+                negations += 1;
+                continue;
+            }
+            let inner = self.expr(part, depth + negations)?;
+            return Ok((0..negations).fold(inner, |expr, _| Expr::Not(Box::new(expr))));
+        }
+        Err(ParseError::no_condition(at))
+    }
+
     fn test(&mut self, pair: Pair<'_, Rule>, at: At) -> Result<Expr, ParseError> {
         self.tests += 1;
         if self.tests > TESTS_LIMIT {
             return Err(ParseError::at(at, format!("more than {TESTS_LIMIT} tests")));
         }
         let rule = pair.as_rule();
-        let (mut name, mut set, mut sign, mut operand, mut field) =
-            (String::new(), Words::new(), None, None, None);
-        for p in pair.into_inner() {
-            match p.as_rule() {
-                Rule::name => name = p.as_str().to_owned(),
-                Rule::words => set = words(p),
-                Rule::word => operand = Some(Operand::Word(one_word(p))),
-                Rule::quantity => operand = Some(Operand::Number(quantity(p)?)),
-                Rule::operator => {
-                    sign = Comparison::ALL
-                        .iter()
-                        .find(|(_, sign)| *sign == p.as_str())
-                        .map(|(c, _)| *c);
-                }
-                Rule::field => {
-                    field = Field::ALL
-                        .iter()
-                        .find(|(_, name)| *name == p.as_str())
-                        .map(|(f, _)| *f)
-                }
+        TestParts::of(pair)?.into_expr(rule, at)
+    }
+}
+
+/// Joins operands, unless there is only one.
+fn joined(mut operands: Vec<Expr>, join: impl Fn(Vec<Expr>) -> Expr) -> Expr {
+    if operands.len() == 1 {
+        operands.remove(0)
+    } else {
+        join(operands)
+    }
+}
+
+/// The parts of a test, in whatever order the grammar matched them.
+#[derive(Default)]
+struct TestParts {
+    name: String,
+    words: Words,
+    comparison: Option<Comparison>,
+    operand: Option<Operand>,
+    field: Option<Field>,
+}
+
+impl TestParts {
+    fn of(pair: Pair<'_, Rule>) -> Result<TestParts, ParseError> {
+        let mut parts = TestParts::default();
+        for part in pair.into_inner() {
+            match part.as_rule() {
+                Rule::name => parts.name = part.as_str().to_owned(),
+                Rule::words => parts.words = words(part),
+                Rule::word => parts.operand = Some(Operand::Word(word(part))),
+                Rule::quantity => parts.operand = Some(Operand::Number(quantity(part)?)),
+                Rule::operator => parts.comparison = Comparison::from_sign(part.as_str()),
+                Rule::field => parts.field = Field::from_name(part.as_str()),
                 _ => {}
             }
         }
+        Ok(parts)
+    }
+
+    fn into_expr(self, rule: Rule, at: At) -> Result<Expr, ParseError> {
         let test = match rule {
             Rule::holds_own => return Ok(Expr::HoldsOwn),
-            Rule::holds => return Ok(Expr::Holds(set)),
+            Rule::holds => return Ok(Expr::Holds(self.words)),
             Rule::beside => {
-                let field =
-                    field.ok_or_else(|| ParseError::at(at, "expected what to be beside"))?;
-                return Ok(Expr::Colocated(field, set));
+                let field = self
+                    .field
+                    .ok_or_else(|| ParseError::at(at, "expected what to be beside"))?;
+                return Ok(Expr::Colocated(field, self.words));
             }
-            Rule::present => Test::Present,
-            Rule::flag => Test::Flag,
-            Rule::within => Test::Within(set),
             Rule::not_within => {
-                return Ok(Expr::Not(Box::new(Expr::Trait(
-                    name,
-                    Test::Within(set),
-                    at,
-                ))));
+                let within = Expr::Trait(self.name, Test::Within(self.words), at);
+                return Ok(Expr::Not(Box::new(within)));
             }
-            Rule::has_all => Test::HasAll(set),
-            Rule::has_any => Test::HasAny(set),
-            _ => match (sign, operand) {
-                (Some(sign), Some(operand)) => Test::Compare(sign, operand),
+            Rule::present => Test::Present,
+            Rule::flag => Test::Flag,
+            Rule::within => Test::Within(self.words),
+            Rule::has_all => Test::HasAll(self.words),
+            Rule::has_any => Test::HasAny(self.words),
+            _ => match (self.comparison, self.operand) {
+                (Some(comparison), Some(operand)) => Test::Compare(comparison, operand),
                 _ => return Err(ParseError::at(at, "expected a comparison")),
             },
         };
-        Ok(Expr::Trait(name, test, at))
+        Ok(Expr::Trait(self.name, test, at))
     }
 }
 
@@ -289,23 +307,18 @@
 
     fn from_str(text: &str) -> Result<Expr, ParseError> {
         if text.len() > TEXT_LIMIT {
-            let at = At { line: 1, column: 1 };
-            return Err(ParseError::at(
-                at,
-                format!("longer than {TEXT_LIMIT} bytes"),
-            ));
+            let message = format!("longer than {TEXT_LIMIT} bytes");
+            return Err(ParseError::at(At::START, message));
         }
         check_depth(text)?;
-        let mut pairs = Grammar::parse(Rule::expression, text).map_err(explained)?;
+        let mut pairs = Grammar::parse(Rule::expression, text).map_err(to_parse_error)?;
         let whole = pairs
             .next()
-            .and_then(|p| p.into_inner().find(|p| p.as_rule() == Rule::either));
-        match whole {
-            Some(p) => Builder { tests: 0 }.expr(p, 0),
-            None => Err(ParseError::at(
-                At { line: 1, column: 1 },
-                "expected a condition",
-            )),
-        }
+            .and_then(|pair| {
+                pair.into_inner()
+                    .find(|part| part.as_rule() == Rule::either)
+            })
+            .ok_or_else(|| ParseError::no_condition(At::START))?;
+        Builder::default().expr(whole, 0)
     }
 }
--- a/crates/constraints/src/value.rs
+++ b/crates/constraints/src/value.rs
@@ -1,33 +1,33 @@
-//! What traits are made of: words, sets of words, flags, and numbers with a dimension.
+//! Values of traits: words, sets of words, flags, and numbers with a dimension.
 
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// What a number counts.
+/// What a number measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Dimension {
-    /// Nothing but itself: cores, prices, labels.
+    /// Dimensionless: cores, prices, labels.
     Plain,
-    /// Memory and images; the base is a GB.
+    /// Sizes of memory and images, in GB.
     Size,
-    /// Durations; the base is a second.
+    /// Durations, in seconds.
     Time,
-    /// Rates of transfer; the base is a GB a second.
+    /// Transfer rates, in GB per second.
     Rate,
 }
 
 /// A unit that a number may be written with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unit {
-    /// How it is written; empty for plain numbers.
+    /// Its name in the language; empty for plain numbers.
     pub name: &'static str,
-    /// What it counts.
+    /// What it measures.
     pub dimension: Dimension,
-    /// Millionths of the base.
+    /// Its size, in millionths of the base unit of the dimension.
     pub millionths: u128,
 }
 
-/// All units, the usual one of each dimension first.
+/// All units, the base unit of each dimension first.
 pub const UNITS: [Unit; 10] = [
     Unit {
         name: "",
@@ -82,8 +82,8 @@
 ];
 
 impl Dimension {
-    /// How a value of it is described.
-    pub fn described(self) -> &'static str {
+    /// Its description in error messages.
+    pub fn description(self) -> &'static str {
         match self {
             Dimension::Plain => "a plain number",
             Dimension::Size => "a size (MB, GB, TB)",
@@ -93,16 +93,16 @@
     }
 }
 
-/// A number, exactly as written: whole millionths of its dimension's base, and the unit it is shown in.
+/// An exact number with the unit that it was written with.
 #[derive(Clone, Copy, Debug)]
 pub struct Quantity {
-    /// Millionths of the base of the dimension.
+    /// Millionths of the base unit of the dimension.
     pub millionths: u128,
     /// The unit that it was written with.
     pub unit: Unit,
 }
 
-/// Equal if they mean the same: 1000 MB is 1 GB.
+/// Quantities are equal if they measure the same: 1000 MB is 1 GB.
 impl PartialEq for Quantity {
     fn eq(&self, other: &Quantity) -> bool {
         (self.millionths, self.unit.dimension) == (other.millionths, other.unit.dimension)
@@ -112,32 +112,29 @@
 impl Eq for Quantity {}
 
 impl Quantity {
-    /// So many thousandths of the base of a dimension.
-    pub fn thousandths(n: u64, dimension: Dimension) -> Quantity {
+    /// A number of thousandths of the base unit of a dimension.
+    pub fn thousandths(thousandths: u64, dimension: Dimension) -> Quantity {
         let unit = UNITS
             .into_iter()
-            .find(|u| u.dimension == dimension)
+            .find(|unit| unit.dimension == dimension)
             .unwrap_or(UNITS[0]);
         Quantity {
-            millionths: u128::from(n) * 1_000,
+            millionths: u128::from(thousandths) * 1_000,
             unit,
         }
     }
 
-    /// Reads what the grammar lets through: digits with at most three decimals, and a unit's name.
+    /// Parses what the grammar accepts: digits with at most three decimals, and the name of a unit. `None` if the
+    /// unit is unknown or the number is too large.
     pub fn read(number: &str, unit: &str) -> Option<Quantity> {
-        let unit = UNITS.into_iter().find(|u| u.name == unit)?;
-        let (whole, part) = number.split_once('.').unwrap_or((number, ""));
-        let part: u128 = if part.is_empty() {
-            0
-        } else {
-            format!("{part:0<3}").parse().ok()?
-        };
+        let unit = UNITS.into_iter().find(|known| known.name == unit)?;
+        let (whole, decimals) = number.split_once('.').unwrap_or((number, "0"));
+        let decimals: u128 = format!("{decimals:0<3}").parse().ok()?;
         let thousandths = whole
             .parse::<u128>()
             .ok()?
             .checked_mul(1_000)?
-            .checked_add(part)?;
+            .checked_add(decimals)?;
         Some(Quantity {
             millionths: thousandths.checked_mul(unit.millionths)? / 1_000,
             unit,
@@ -147,7 +144,7 @@
 
 impl fmt::Display for Quantity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // What was read has at most three decimals of its unit.
+        // The grammar accepts at most three decimals.
         let thousandths = self.millionths * 1_000 / self.unit.millionths;
         write!(f, "{}", thousandths / 1_000)?;
         if !thousandths.is_multiple_of(1_000) {
@@ -162,27 +159,27 @@
     }
 }
 
-/// What a trait may be.
+/// The sorts of values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sort {
     /// One word.
     Word,
     /// A set of words.
     Words,
-    /// Yes or no.
+    /// A flag, set or not.
     Flag,
     /// A number.
     Number(Dimension),
 }
 
 impl Sort {
-    /// How a value of it is described.
-    pub fn described(self) -> &'static str {
+    /// Its description in error messages.
+    pub fn description(self) -> &'static str {
         match self {
             Sort::Word => "a word",
             Sort::Words => "a set of words",
             Sort::Flag => "a flag",
-            Sort::Number(d) => d.described(),
+            Sort::Number(dimension) => dimension.description(),
         }
     }
 }
@@ -194,20 +191,20 @@
     Word(String),
     /// A set of words.
     Words(BTreeSet<String>),
-    /// Yes or no.
+    /// A flag, set or not.
     Flag(bool),
     /// A number.
     Number(Quantity),
 }
 
 impl Value {
-    /// What it is.
+    /// Its sort.
     pub fn sort(&self) -> Sort {
         match self {
             Value::Word(_) => Sort::Word,
             Value::Words(_) => Sort::Words,
             Value::Flag(_) => Sort::Flag,
-            Value::Number(q) => Sort::Number(q.unit.dimension),
+            Value::Number(number) => Sort::Number(number.unit.dimension),
         }
     }
 }
--- a/crates/constraints/tests/language.rs
+++ b/crates/constraints/tests/language.rs
@@ -1,8 +1,8 @@
 //! The language: what it reads and refuses, and that printing, classes and clashes can be relied on.
 
 use cometlead_constraints::clash::smallest;
+use cometlead_constraints::evaluation::{EmptyMachine, MachineState, Traits};
 use cometlead_constraints::expr::{Comparison, Expr, Field, Operand, Test, Words};
-use cometlead_constraints::judge::{Now, Traits};
 use cometlead_constraints::parse::{DEPTH_LIMIT, TESTS_LIMIT, TEXT_LIMIT};
 use cometlead_constraints::rules::{RuleSet, RuleText, read_own};
 use cometlead_constraints::value::{Quantity, UNITS, Value};
@@ -80,11 +80,7 @@
         ("colour != red", false),
     ] {
         let expr: Expr = text.parse().unwrap_or_else(|e| panic!("{text}: {e}"));
-        assert_eq!(
-            expr.holds(&traits, &cometlead_constraints::judge::Empty),
-            holds,
-            "{text}"
-        );
+        assert_eq!(expr.holds(&traits, &EmptyMachine), holds, "{text}");
     }
 }
 
@@ -284,17 +280,17 @@
     })
 }
 
-/// Answers the questions about the present by the bits of a number.
+/// A machine whose state is drawn from the bits of a number.
 struct Drawn(u64);
 
-impl Now for Drawn {
-    fn holds_own(&self) -> bool {
+impl MachineState for Drawn {
+    fn has_own_image(&self) -> bool {
         self.0 & 1 == 1
     }
-    fn holds(&self, images: &Words) -> bool {
+    fn has_any_image(&self, images: &Words) -> bool {
         self.0 >> (1 + images.len()) & 1 == 1
     }
-    fn beside(&self, field: Field, words: &Words) -> bool {
+    fn has_colocated(&self, field: Field, words: &Words) -> bool {
         self.0 >> (8 + words.len() + field as usize * 4) & 1 == 1
     }
 }
--- a/src/coordination/constraints/job_constraints.rs
+++ b/src/coordination/constraints/job_constraints.rs
@@ -199,8 +199,8 @@
         if admitting.peek().is_none() {
             return true;
         }
-        // Only if every class leaves it open, the state of each machine decides.
-        admitting.all(|class| constraints.is_open_on(class))
+        // Only if it depends on the state of the machines in every class, each machine is examined.
+        admitting.all(|class| constraints.depends_on_state(class))
             && !self.any_machine_admits(cell, job, constraints)
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -292,7 +292,8 @@
             machines,
             json,
         } => {
-            let report = cometlead::explain::report(&read(rules)?, &read(job)?, &read(machines)?)?;
+            let report = cometlead::explain::report(&read(rules)?, &read(job)?, &read(machines)?)
+                .map_err(|e| e.to_string())?;
             if *json {
                 say(&serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?);
             } else {
--- a/src/scheduler/constraints/evaluation.rs
+++ b/src/scheduler/constraints/evaluation.rs
@@ -4,9 +4,9 @@
 use crate::storage::job::JobSpec;
 use crate::storage::machine_classes::ClassId;
 use crate::time::Micros;
+use cometlead_constraints::evaluation::EmptyMachine;
 use cometlead_constraints::expr::{Field, Words};
-use cometlead_constraints::judge::Empty;
-use cometlead_constraints::{Expr, Judged, Kind, Now, Rule, RuleSet, Subject, Traits};
+use cometlead_constraints::{Evaluation, Expr, Kind, MachineState, Rule, RuleSet, Subject, Traits};
 use std::ops::Range;
 use std::sync::Arc;
 
@@ -19,11 +19,11 @@
     pub(super) name: String,
     /// Its tests of colocated jobs.
     colocation_tests: Vec<(Field, Words)>,
-    by_class: Vec<Judged>,
+    by_class: Vec<Evaluation>,
 }
 
 impl Requirement {
-    fn new(rule: &Rule, by_class: Vec<Judged>) -> Requirement {
+    fn new(rule: &Rule, by_class: Vec<Evaluation>) -> Requirement {
         let mut colocation_tests = Vec::new();
         rule.expr.tests(&mut |test| {
             if let Expr::Colocated(field, words) = test {
@@ -43,8 +43,8 @@
     }
 
     /// Whether a machine of the class meets it in its current state.
-    pub(super) fn holds(&self, class: ClassId, now: &dyn Now) -> bool {
-        holds(&self.by_class, class, now)
+    pub(super) fn holds(&self, class: ClassId, state: &dyn MachineState) -> bool {
+        holds(&self.by_class, class, state)
     }
 
     /// Whether one of its tests of colocated jobs applies to a job. `matches`: whether the job has one of these
@@ -65,7 +65,7 @@
     pub weight: u32,
     /// How long a job waits for a machine that meets it.
     pub wait: Micros,
-    by_class: Vec<Judged>,
+    by_class: Vec<Evaluation>,
 }
 
 impl Preference {
@@ -80,7 +80,7 @@
 pub struct JobConstraints {
     requirements: Vec<Requirement>,
     /// Conjunction of all requirements, by class.
-    conjunction: Vec<Judged>,
+    conjunction: Vec<Evaluation>,
     /// By descending weight, then by name: the same order at every controller.
     preferences: Vec<Preference>,
 }
@@ -99,7 +99,7 @@
         }
         let last_set = sets.len().max(1) - 1;
         let mut constraints = JobConstraints {
-            conjunction: vec![Judged::Yes; classes.len()],
+            conjunction: vec![Evaluation::Always; classes.len()],
             ..JobConstraints::default()
         };
         for RuleInSets { rule, sets } in rules {
@@ -121,9 +121,12 @@
         Some(constraints)
     }
 
-    fn add_requirement(&mut self, rule: &Rule, by_class: Vec<Judged>) {
-        for (all, judged) in self.conjunction.iter_mut().zip(&by_class) {
-            *all = both(std::mem::replace(all, Judged::Yes), judged.clone());
+    fn add_requirement(&mut self, rule: &Rule, by_class: Vec<Evaluation>) {
+        for (all, evaluation) in self.conjunction.iter_mut().zip(&by_class) {
+            *all = both(
+                std::mem::replace(all, Evaluation::Always),
+                evaluation.clone(),
+            );
         }
         self.requirements.push(Requirement::new(rule, by_class));
     }
@@ -170,7 +173,7 @@
         class: ClassId,
         required_preferences: RequiredPreferences,
     ) -> bool {
-        self.holds(class, required_preferences, &Empty)
+        self.holds(class, required_preferences, &EmptyMachine)
     }
 
     /// Whether a machine of the class may run the job in its current state.
@@ -178,31 +181,31 @@
         &self,
         class: ClassId,
         required_preferences: RequiredPreferences,
-        now: &dyn Now,
+        state: &dyn MachineState,
     ) -> bool {
-        holds(&self.conjunction, class, now)
+        holds(&self.conjunction, class, state)
             && self
                 .preferences_in(required_preferences)
-                .all(|preference| holds(&preference.by_class, class, now))
+                .all(|preference| holds(&preference.by_class, class, state))
     }
 
     /// Total weight of the preferences that a new machine of the class meets.
     pub fn score_when_new(&self, class: ClassId) -> u32 {
-        self.score(class, &Empty)
+        self.score(class, &EmptyMachine)
     }
 
     /// Total weight of the preferences that a machine of the class meets in its current state.
-    pub(super) fn score(&self, class: ClassId, now: &dyn Now) -> u32 {
+    pub(super) fn score(&self, class: ClassId, state: &dyn MachineState) -> u32 {
         self.preferences
             .iter()
-            .filter(|preference| holds(&preference.by_class, class, now))
+            .filter(|preference| holds(&preference.by_class, class, state))
             .map(|preference| preference.weight)
             .sum()
     }
 
     /// Whether the requirements depend on the current state of each machine of the class.
-    pub fn is_open_on(&self, class: ClassId) -> bool {
-        matches!(self.conjunction.get(class), Some(Judged::Open(_)))
+    pub fn depends_on_state(&self, class: ClassId) -> bool {
+        matches!(self.conjunction.get(class), Some(Evaluation::Depends(_)))
     }
 
     /// Whether a requirement asks which jobs are colocated.
@@ -288,37 +291,47 @@
 }
 
 /// Evaluates a rule for every class, under some of the rule sets.
-fn evaluate(rule: &Rule, sets: &Range<usize>, classes: &[ClassTraits]) -> Vec<Judged> {
+fn evaluate(rule: &Rule, sets: &Range<usize>, classes: &[ClassTraits]) -> Vec<Evaluation> {
     let evaluate_under_sets = |traits: &Vec<Traits>| {
         traits[sets.clone()]
             .iter()
             .map(|traits| rule.expr.reduce(traits))
-            .fold(Judged::Yes, both)
+            .fold(Evaluation::Always, both)
     };
     classes
         .iter()
-        .map(|traits| traits.as_ref().map_or(Judged::No, evaluate_under_sets))
+        .map(|traits| {
+            traits
+                .as_ref()
+                .map_or(Evaluation::Never, evaluate_under_sets)
+        })
         .collect()
 }
 
 /// The conjunction of two results.
-fn both(first: Judged, second: Judged) -> Judged {
+fn both(first: Evaluation, second: Evaluation) -> Evaluation {
     match (first, second) {
-        (Judged::No, _) | (_, Judged::No) => Judged::No,
-        (Judged::Yes, other) | (other, Judged::Yes) => other,
-        (Judged::Open(first), Judged::Open(second)) if first == second => Judged::Open(first),
-        (Judged::Open(first), Judged::Open(second)) => Judged::Open(Expr::And(vec![first, second])),
+        (Evaluation::Never, _) | (_, Evaluation::Never) => Evaluation::Never,
+        (Evaluation::Always, other) | (other, Evaluation::Always) => other,
+        (Evaluation::Depends(first), Evaluation::Depends(second)) if first == second => {
+            Evaluation::Depends(first)
+        }
+        (Evaluation::Depends(first), Evaluation::Depends(second)) => {
+            Evaluation::Depends(Expr::And(vec![first, second]))
+        }
     }
 }
 
 /// Whether no machine of the class can meet it. A class that is not evaluated yet is excluded.
-fn excludes(by_class: &[Judged], class: ClassId) -> bool {
+fn excludes(by_class: &[Evaluation], class: ClassId) -> bool {
     by_class
         .get(class)
-        .is_none_or(|judged| *judged == Judged::No)
+        .is_none_or(|evaluation| *evaluation == Evaluation::Never)
 }
 
 /// Whether a machine of the class meets it in its current state.
-fn holds(by_class: &[Judged], class: ClassId, now: &dyn Now) -> bool {
-    by_class.get(class).is_some_and(|judged| judged.holds(now))
+fn holds(by_class: &[Evaluation], class: ClassId, state: &dyn MachineState) -> bool {
+    by_class
+        .get(class)
+        .is_some_and(|evaluation| evaluation.holds(state))
 }
--- a/src/scheduler/constraints/machine_context.rs
+++ b/src/scheduler/constraints/machine_context.rs
@@ -5,7 +5,7 @@
 use crate::storage::job::JobSpec;
 use crate::storage::live_job::Job;
 use crate::storage::machine_classes::ClassId;
-use cometlead_constraints::Now;
+use cometlead_constraints::MachineState;
 use cometlead_constraints::expr::{Field, Words};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -75,16 +75,16 @@
     }
 }
 
-impl Now for MachineView<'_> {
-    fn holds_own(&self) -> bool {
+impl MachineState for MachineView<'_> {
+    fn has_own_image(&self) -> bool {
         self.has_image(self.image)
     }
 
-    fn holds(&self, images: &Words) -> bool {
+    fn has_any_image(&self, images: &Words) -> bool {
         images.iter().any(|image| self.has_image(image))
     }
 
-    fn beside(&self, field: Field, words: &Words) -> bool {
+    fn has_colocated(&self, field: Field, words: &Words) -> bool {
         let others = self.machine.there.iter().filter(|id| **id != self.job);
         let known = others.filter_map(|id| {
             let spec = self.context.jobs.get(id)?.spec();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -91,7 +91,9 @@
         (EXAMPLE, "{}", MACHINES, "job: "),
         (EXAMPLE, JOB, &b"[]"[..], "machines: "),
     ] {
-        let e = report(rules, job.as_bytes(), machines).unwrap_err();
+        let e = report(rules, job.as_bytes(), machines)
+            .unwrap_err()
+            .to_string();
         assert!(e.starts_with(error) && !e.contains('\n'), "{e}");
     }
 }
