--- a/crates/constraints/tests/language.rs
+++ b/crates/constraints/tests/language.rs
@@ -1,4 +1,4 @@
-//! The language: what it reads and refuses, and that printing, classes and clashes can be relied on.
+//! Tests of the language: parsing, errors, printing, evaluation by class, and clashes.
 
 use cometlead_constraints::clash::smallest;
 use cometlead_constraints::evaluation::{EmptyMachine, MachineState, Traits};
@@ -8,12 +8,12 @@
 use cometlead_constraints::value::{Quantity, UNITS, Value};
 use proptest::prelude::*;
 
-fn refused(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     text.parse::<Expr>().expect_err(text).to_string()
 }
 
 #[test]
-fn says_where_and_what_was_expected() {
+fn parse_errors_name_the_position_and_what_was_expected() {
     for (text, error) in [
         ("", "line 1, column 1: expected"),
         ("fonts has", "line 1, column 10: expected"),
@@ -31,26 +31,26 @@
         ("zone = \"a", "line 1, column"),
         ("Zone = a", "line 1, column 1: expected"),
     ] {
-        let found = refused(text);
+        let found = parse_error(text);
         assert!(found.starts_with(error), "{text:?}: {found}");
     }
 }
 
 #[test]
-fn is_bounded_in_size_and_depth() {
+fn texts_beyond_the_limits_are_rejected() {
     let deep = |n: usize| format!("{}spot{}", "(".repeat(n), ")".repeat(n));
     assert!(deep(DEPTH_LIMIT).parse::<Expr>().is_ok());
-    assert!(refused(&deep(DEPTH_LIMIT + 1)).contains("nested deeper"));
-    assert!(refused(&"(".repeat(TEXT_LIMIT)).contains("nested deeper"));
-    assert!(refused(&("not ".repeat(DEPTH_LIMIT + 1) + "spot")).contains("nested deeper"));
-    assert!(refused(&" ".repeat(TEXT_LIMIT + 1)).contains("longer than"));
+    assert!(parse_error(&deep(DEPTH_LIMIT + 1)).contains("nested deeper"));
+    assert!(parse_error(&"(".repeat(TEXT_LIMIT)).contains("nested deeper"));
+    assert!(parse_error(&("not ".repeat(DEPTH_LIMIT + 1) + "spot")).contains("nested deeper"));
+    assert!(parse_error(&" ".repeat(TEXT_LIMIT + 1)).contains("longer than"));
     let many = |n: usize| vec!["spot"; n].join(" or ");
     assert!(many(TESTS_LIMIT).parse::<Expr>().is_ok());
-    assert!(refused(&many(TESTS_LIMIT + 1)).contains("tests"));
+    assert!(parse_error(&many(TESTS_LIMIT + 1)).contains("tests"));
 }
 
 #[test]
-fn units_and_words_mean_what_they_say() {
+fn expressions_hold_by_units_words_and_flags() {
     let traits: Traits = [
         ("memory", Value::Number(Quantity::read("64", "GB").unwrap())),
         ("boot", Value::Number(Quantity::read("30", "s").unwrap())),
@@ -90,7 +90,7 @@
     {"name": "print-room", "prefer": "near has print", "weight": 5, "waitS": 20}]}"#;
 
 #[test]
-fn labels_of_machine_type_and_zone_add_up() {
+fn labels_of_machine_type_and_zone_are_merged() {
     let set = RuleSet::parse(FILE.as_bytes()).unwrap();
     let mut traits = Traits::new();
     set.label(&mut traits, "kiosk-box", "merkato", Some("i-000007"));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn what_is_wrong_in_a_file_is_named() {
+fn errors_name_what_is_wrong_in_a_file() {
     for (from, to, error) in [
         ("\"rules\":", "\"ruels\":", "unknown field `ruels`"),
         ("\"weight\": 5", "\"weigth\": 5", "unknown field `weigth`"),
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_jobs_own_rules_survive_its_record() {
+fn own_rules_of_a_job_survive_serialization() {
     let texts: Vec<RuleText> = serde_json::from_str(
         r#"[{"name": "a", "require": "not beside lane {masters, \"raw cuts\"}"}, {"name": "b", "prefer": "spot", "weight": 3, "waitS": 1.5}]"#,
     )
@@ -311,38 +311,38 @@
 
 proptest! {
     #[test]
-    fn what_is_printed_reads_the_same(e in expr()) {
+    fn printed_expressions_parse_to_themselves(e in expr()) {
         let text = e.to_string();
         prop_assert_eq!(text.parse::<Expr>().map_err(|x| format!("{text}: {x}")), Ok(e));
     }
 
-    /// A class of equal machines is judged once; each machine of it must come out as if judged alone.
+    /// A class of equal machines is evaluated once; each of its machines must get the result of its own evaluation.
     #[test]
-    fn classes_judge_as_machine_by_machine(e in expr(), t in traits(), bits in any::<u64>()) {
+    fn evaluation_by_class_equals_evaluation_by_machine(e in expr(), t in traits(), bits in any::<u64>()) {
         prop_assert_eq!(e.reduce(&t).holds(&Drawn(bits)), e.holds(&t, &Drawn(bits)));
     }
 
-    /// What is reported rules out every place, and nothing smaller does.
+    /// The reported set excludes every place, and no smaller set does.
     #[test]
-    fn the_clash_is_real_and_smallest(places in prop::collection::vec(0..256u128, 0..9)) {
-        let rules_out = |set: u128| places.iter().all(|p| p & set != 0);
+    fn smallest_clash_excludes_every_place(places in prop::collection::vec(0..256u128, 0..9)) {
+        let excludes_all = |set: u128| places.iter().all(|p| p & set != 0);
         match smallest(&places) {
             None => prop_assert!(places.contains(&0)),
             Some(set) => {
-                prop_assert!(rules_out(set));
-                prop_assert!((0..256u128).all(|s| s.count_ones() >= set.count_ones() || !rules_out(s)));
+                prop_assert!(excludes_all(set));
+                prop_assert!((0..256u128).all(|s| s.count_ones() >= set.count_ones() || !excludes_all(s)));
             }
         }
     }
 
     #[test]
-    fn no_text_is_too_much(text in "\\PC{0,200}") {
+    fn arbitrary_text_does_not_panic(text in "\\PC{0,200}") {
         let _ = text.parse::<Expr>();
     }
 
-    /// Pieces of the language in any order get further into the parser than noise does.
+    /// Tokens of the language in any order get further into the parser than arbitrary text.
     #[test]
-    fn no_heap_of_words_is_too_much(parts in prop::collection::vec(prop::sample::select(&[
+    fn arbitrary_tokens_do_not_panic(parts in prop::collection::vec(prop::sample::select(&[
         "(", ")", "{", "}", ",", "\"", "\\", "not", "and", "or", "in", "has", "all", "any", "holds", "own", "beside",
         "lane", "present", "zone", "=", "<=", "16", "GB", "1.5", "\n", "é", "7x",
     ][..]), 0..120)) {
--- a/src/scheduler/boot_times/tests.rs
+++ b/src/scheduler/boot_times/tests.rs
@@ -5,7 +5,7 @@
 const NOMINAL: Micros = Micros::secs(30);
 
 #[test]
-fn late_boots_show_before_they_end() {
+fn boots_that_are_late_raise_the_estimate_before_they_end() {
     let boots = BootTimeEstimates::default();
     let expected = |ages: &[u64]| {
         boots.expected(
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn quick_boots_are_learned_and_forgotten() {
+fn quick_boots_lower_the_estimate_until_they_are_too_old() {
     let mut boots = BootTimeEstimates::default();
     for i in 0..4 {
         boots.ended("x", Micros::secs(100 + i), Micros::secs(1));
@@ -39,12 +39,12 @@
     assert_eq!(
         expected(110, &[5, 5, 5]),
         NOMINAL,
-        "those that come now are not as quick"
+        "boots under way are not as quick"
     );
     assert_eq!(expected(300, &[]), NOMINAL);
     assert_eq!(
         expected(180, &[90, 90, 90, 90, 90, 90]),
         Micros::secs(1),
-        "others came up meanwhile"
+        "stuck boots, which later ones overtook, do not count"
     );
 }
--- a/src/scheduler/fair_shares/tests.rs
+++ b/src/scheduler/fair_shares/tests.rs
@@ -12,8 +12,8 @@
     }
 }
 
-/// How much each may take ahead of its turn.
-fn left_behind(room: u64, shares: &[Share]) -> Vec<u64> {
+/// How much each may be assigned ahead of the order.
+fn ahead(room: u64, shares: &[Share]) -> Vec<u64> {
     deficits(room, shares)
         .into_iter()
         .map(|d| d.ahead)
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn room_is_shared_evenly_by_those_who_want_more_than_their_part() {
+fn room_is_shared_evenly_by_those_whose_demand_exceeds_their_share() {
     let shares = [
         share(10, 0, false),
         share(0, 500, false),
@@ -32,11 +32,11 @@
 }
 
 #[test]
-fn only_who_is_late_and_has_less_than_half_while_another_has_more_goes_first() {
+fn only_a_late_share_below_half_goes_ahead_while_another_exceeds_half() {
     let (hungry, full) = (share(40, 900, true), share(560, 900, false));
-    assert_eq!(left_behind(600, &[hungry, full]), [110, 0]);
+    assert_eq!(ahead(600, &[hungry, full]), [110, 0]);
     assert_eq!(
-        left_behind(
+        ahead(
             600,
             &[
                 Share {
@@ -48,17 +48,17 @@
         ),
         [0, 0]
     );
-    // What wants little has its part already.
-    assert_eq!(left_behind(600, &[share(40, 10, true), full]), [0, 0]);
-    // Nobody has anything: it is not the order that is to blame.
+    // A small demand is satisfied already.
+    assert_eq!(ahead(600, &[share(40, 10, true), full]), [0, 0]);
+    // Nothing is assigned to anyone, so the order is not the cause.
     assert_eq!(
-        left_behind(600, &[share(0, 900, true), share(0, 900, true)]),
+        ahead(600, &[share(0, 900, true), share(0, 900, true)]),
         [0, 0]
     );
 }
 
-fn any_parts() -> impl Strategy<Value = Vec<Share>> {
-    let one = (0..5_000u64, 0..5_000u64, any::<bool>()).prop_map(|(b, w, late)| share(b, w, late));
+fn any_shares() -> impl Strategy<Value = Vec<Share>> {
+    let one = (0..5_000u64, 0..5_000u64, any::<bool>()).prop_map(|(assigned, waiting, late)| share(assigned, waiting, late));
     prop::collection::vec(one, 1..8)
 }
 
@@ -66,37 +66,37 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn fair_parts_fill_the_room_and_no_more(room in 0..20_000u64, shares in any_parts()) {
+    fn fair_shares_fill_the_room_and_no_more(room in 0..20_000u64, shares in any_shares()) {
         let given = fair(room, &shares);
-        let wanted: u64 = shares.iter().map(|p| p.assigned + p.waiting).sum();
+        let wanted: u64 = shares.iter().map(|share| share.assigned + share.waiting).sum();
         prop_assert!(given.iter().sum::<u64>() <= room);
-        // But for what a division leaves.
+        // Except for the remainders of divisions.
         prop_assert!(given.iter().sum::<u64>() + shares.len() as u64 >= room.min(wanted));
     }
 
-    /// Rounds that take room from whoever is first in the ordinary order, as their tasks end, and give it as told
-    /// here: after as many as it takes to turn everything over nobody who is late is left below half.
+    /// In each round, tasks of the largest share end, and their room goes to a share that is ahead of the order. Once
+    /// everything was reassigned, no late share is below half.
     #[test]
-    fn nobody_late_stays_below_half_while_others_have_more(mut shares in any_parts(), step in 1..200u64) {
-        let room: u64 = shares.iter().map(|p| p.assigned).sum();
+    fn late_shares_reach_half_while_others_exceed_it(mut shares in any_shares(), step in 1..200u64) {
+        let room: u64 = shares.iter().map(|share| share.assigned).sum();
         for _ in 0..(room / step + 1) * 2 {
-            // Something of the largest ends; it wants as much again.
-            let Some(most) = (0..shares.len()).max_by_key(|i| shares[*i].assigned) else { break };
-            let freed = shares[most].assigned.min(step);
-            shares[most].assigned -= freed;
-            shares[most].waiting += freed;
-            let ahead = left_behind(room, &shares);
-            let first = (0..shares.len()).find(|i| ahead[*i] > 0).unwrap_or(most);
+            // Tasks of the largest share end, and as many become pending.
+            let Some(largest) = (0..shares.len()).max_by_key(|i| shares[*i].assigned) else { break };
+            let freed = shares[largest].assigned.min(step);
+            shares[largest].assigned -= freed;
+            shares[largest].waiting += freed;
+            let ahead = ahead(room, &shares);
+            let first = (0..shares.len()).find(|i| ahead[*i] > 0).unwrap_or(largest);
             let taken = freed.min(shares[first].waiting).min(if ahead[first] > 0 { ahead[first] } else { freed });
             shares[first].assigned += taken;
             shares[first].waiting -= taken;
-            // What is left of it goes by the ordinary order.
-            shares[most].assigned += freed - taken;
-            shares[most].waiting -= freed - taken;
+            // The rest is assigned by the order.
+            shares[largest].assigned += freed - taken;
+            shares[largest].waiting -= freed - taken;
         }
         let given = fair(room, &shares);
-        for (p, fair) in shares.iter().zip(&given) {
-            prop_assert!(!p.late || p.assigned + step >= fair / 2, "{p:?} of {fair}, {shares:?}");
+        for (share, fair) in shares.iter().zip(&given) {
+            prop_assert!(!share.late || share.assigned + step >= fair / 2, "{share:?} of {fair}, {shares:?}");
         }
     }
 }
--- a/src/scheduler/provisioning.rs
+++ b/src/scheduler/provisioning.rs
@@ -83,7 +83,7 @@
             work: self.unplaced_work + demand.task_work() * u128::from(missing),
         };
         for pool in self.pools.feasible(demand, prices) {
-            let usable_cores = need.times_in(&pool.all, u64::from(u32::MAX)) * need.cores;
+            let usable_cores = need.times_in(&pool.capacity, u64::from(u32::MAX)) * need.cores;
             if usable_cores > 0 {
                 backlog.cores += u128::from(usable_cores * pool.count);
                 backlog.work += pool.work;
--- a/src/scheduler/provisioning/pools.rs
+++ b/src/scheduler/provisioning/pools.rs
@@ -17,7 +17,7 @@
     /// Whether they are spot machines.
     pub spot: bool,
     /// Total capacity of one machine.
-    pub all: Amount,
+    pub capacity: Amount,
     /// Price per core.
     pub price: u64,
     /// Number of machines.
@@ -42,7 +42,7 @@
             machine_type,
             zone,
             spot,
-            all: entry.map_or(Amount::default(), |entry| entry.room),
+            capacity: entry.map_or(Amount::default(), |entry| entry.room),
             price: entry.map_or(0, |entry| core_price(entry, spot)),
             count: 0,
             work: 0,
@@ -94,7 +94,7 @@
         let pool = self.pool((machine_type, zone, spot), catalog, class);
         pool.count += count;
         pool.work += work * u128::from(count);
-        let free = free.unwrap_or((pool.all, None));
+        let free = free.unwrap_or((pool.capacity, None));
         if free.0.cores > 0 {
             pool.free.extend((0..count).map(|_| free));
         }
--- a/src/scheduler/zone_health/tests.rs
+++ b/src/scheduler/zone_health/tests.rs
@@ -1,4 +1,4 @@
-//! How suspicion of a zone is formed and ends.
+//! Tests of `zone_health`.
 
 use super::*;
 use proptest::prelude::*;
@@ -31,15 +31,15 @@
 }
 
 #[test]
-fn it_takes_silence_and_questions_without_an_answer() {
+fn zone_is_lost_after_silence_and_unanswered_probes() {
     let mut zone = Zone::default();
     assert_eq!(zone.note(Micros::secs(1), REPORT, &heard(200)), None);
-    // Whoever hears nobody at all learns nothing about a zone, nor does one silent machine tell.
-    let deaf = Evidence {
+    // Neither silence of all zones nor of a single machine is conclusive.
+    let disconnected = Evidence {
         others_heard: false,
         ..silent(200, 3)
     };
-    assert_eq!(zone.note(Micros::secs(2), REPORT, &deaf), None);
+    assert_eq!(zone.note(Micros::secs(2), REPORT, &disconnected), None);
     assert_eq!(zone.note(Micros::secs(3), REPORT, &silent(1, 1)), None);
     assert_eq!(
         zone.note(Micros::secs(4), REPORT, &silent(200, 0)),
@@ -47,7 +47,7 @@
     );
     assert!(zone.is_in_doubt() && zone.share(Micros::secs(4)) == 100);
     assert_eq!(zone.note(Micros::secs(5), REPORT, &silent(200, 2)), None);
-    // One word, and all was a coincidence.
+    // One heartbeat ends the suspicion.
     assert_eq!(
         zone.note(Micros::secs(6), REPORT, &heard(200)),
         Some(State::Well)
@@ -77,10 +77,10 @@
     );
 }
 
-/// A controller whose slices went to others while a zone was lost went on to hold it for lost, and kept its jobs from all
-/// machines there, for ever.
+/// A controller whose shards moved to others while a zone was lost considered it lost for ever, and kept its jobs off all
+/// machines there.
 #[test]
-fn who_answers_nobody_there_does_not_hold_it_for_lost() {
+fn lost_zone_recovers_if_the_controller_serves_no_machine_there() {
     let mut zone = Zone::default();
     lost(&mut zone, 10);
     let none = Evidence {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn each_loss_makes_the_return_slower_until_it_is_forgotten() {
+fn each_loss_doubles_the_recovery_until_it_is_forgotten() {
     let mut zone = Zone::default();
     let mut at = 1_000;
     for span in [20, 40, 80, 160, 160] {
@@ -149,26 +149,26 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever it is told: never lost at once, never without others being heard, and the share never falls while it
-    /// returns.
+    /// Whatever the evidence: a zone is lost only after it was suspected and while other zones send heartbeats, and the
+    /// share never falls during a recovery.
     #[test]
-    fn suspicion_is_formed_in_steps(
-        told in prop::collection::vec((0..5u64, 0..60u64, 0..6usize, 0..6usize, 0..9usize, any::<bool>()), 1..60),
+    fn zone_is_lost_only_after_suspicion(
+        observations in prop::collection::vec((0..5u64, 0..60u64, 0..6usize, 0..6usize, 0..9usize, any::<bool>()), 1..60),
     ) {
         let (mut zone, mut now) = (Zone::default(), Micros::ZERO);
-        for (step, quiet, machines, unanswered, heard_again, others_heard) in told {
+        for (step, quiet, machines, unanswered, heard_again, others_heard) in observations {
             let (before, share) = (zone.state(), zone.share(now));
             now += Micros::secs(step);
-            let e = Evidence { machines, quiet: Micros::secs(quiet), unanswered, heard_again, others_heard };
-            let after = zone.note(now, REPORT, &e);
+            let evidence = Evidence { machines, quiet: Micros::secs(quiet), unanswered, heard_again, others_heard };
+            let after = zone.note(now, REPORT, &evidence);
             if after == Some(State::Lost) {
                 prop_assert!(before == State::Doubtful && others_heard && unanswered > 0);
             }
             if before == State::Returning && after.is_none() {
                 prop_assert!(zone.share(now) >= share);
             }
-            let taking = (0..1_000).filter(|m| zone.takes_work(*m, now)).count() as u64;
-            prop_assert!(taking.abs_diff(zone.share(now) * 10) < 60, "{taking} of {}", zone.share(now));
+            let accepting = (0..1_000).filter(|machine| zone.takes_work(*machine, now)).count() as u64;
+            prop_assert!(accepting.abs_diff(zone.share(now) * 10) < 60, "{accepting} of {}", zone.share(now));
         }
     }
 }
