--- a/src/coordination/constraints/mod.rs
+++ b/src/coordination/constraints/mod.rs
@@ -168,19 +168,21 @@
     jobs
 }
 
-/// What rules may ask about a machine with this record, where `residents` have tasks.
+/// What rules may ask about a machine with this record, where `resident_jobs` have tasks.
 fn machine_context<'a>(
     context: &PlacementContext<'_>,
     class: ClassId,
     record: &'a MachineRecord,
-    residents: &'a [JobId],
+    resident_jobs: &'a [JobId],
 ) -> MachineContext<'a> {
     MachineContext {
         class,
         images: &record.images,
         fetches: None,
-        there: residents,
-        has_exclusions: residents.iter().any(|job| context.excludes_newcomers(*job)),
+        there: resident_jobs,
+        has_exclusions: resident_jobs
+            .iter()
+            .any(|job| context.excludes_newcomers(*job)),
     }
 }
 
--- a/src/scheduler/constraints/machine_context.rs
+++ b/src/scheduler/constraints/machine_context.rs
@@ -54,7 +54,7 @@
     pub fetches: Option<&'a str>,
     /// Jobs with tasks there.
     pub there: &'a [JobId],
-    /// Whether [`PlacementContext::excludes_newcomers`] is true for one of these jobs.
+    /// Whether rules of one of these jobs restrict which jobs may be colocated with it.
     pub has_exclusions: bool,
 }
 
--- a/src/scheduler/fair_shares/tests.rs
+++ b/src/scheduler/fair_shares/tests.rs
@@ -58,7 +58,8 @@
 }
 
 fn any_shares() -> impl Strategy<Value = Vec<Share>> {
-    let one = (0..5_000u64, 0..5_000u64, any::<bool>()).prop_map(|(assigned, waiting, late)| share(assigned, waiting, late));
+    let one = (0..5_000u64, 0..5_000u64, any::<bool>())
+        .prop_map(|(assigned, waiting, late)| share(assigned, waiting, late));
     prop::collection::vec(one, 1..8)
 }
 
--- a/src/scheduler/zone_health/tests.rs
+++ b/src/scheduler/zone_health/tests.rs
@@ -14,6 +14,13 @@
     }
 }
 
+fn returned(machines: usize, heard_again: usize) -> Evidence {
+    Evidence {
+        heard_again,
+        ..heard(machines)
+    }
+}
+
 fn silent(machines: usize, unanswered: usize) -> Evidence {
     Evidence {
         quiet: Micros::secs(30),
@@ -53,26 +60,9 @@
         Some(State::Well)
     );
     lost(&mut zone, 10);
+    assert_eq!(zone.note(Micros::secs(14), REPORT, &returned(200, 1)), None);
     assert_eq!(
-        zone.note(
-            Micros::secs(14),
-            REPORT,
-            &Evidence {
-                heard_again: 1,
-                ..heard(200)
-            }
-        ),
-        None
-    );
-    assert_eq!(
-        zone.note(
-            Micros::secs(15),
-            REPORT,
-            &Evidence {
-                heard_again: 9,
-                ..heard(200)
-            }
-        ),
+        zone.note(Micros::secs(15), REPORT, &returned(200, 9)),
         Some(State::Returning)
     );
 }
@@ -108,14 +98,7 @@
     for span in [20, 40, 80, 160, 160] {
         lost(&mut zone, at);
         at += 10;
-        zone.note(
-            Micros::secs(at),
-            REPORT,
-            &Evidence {
-                heard_again: 9,
-                ..heard(200)
-            },
-        );
+        zone.note(Micros::secs(at), REPORT, &returned(200, 9));
         assert_eq!(zone.share(Micros::secs(at)), 10, "{span}");
         assert!(
             (50..60).contains(&zone.share(Micros::secs(at + span / 2))),
@@ -132,14 +115,7 @@
         at += span + 10;
     }
     lost(&mut zone, at + 700);
-    zone.note(
-        Micros::secs(at + 710),
-        REPORT,
-        &Evidence {
-            heard_again: 9,
-            ..heard(200)
-        },
-    );
+    zone.note(Micros::secs(at + 710), REPORT, &returned(200, 9));
     assert_eq!(
         zone.note(Micros::secs(at + 731), REPORT, &heard(200)),
         Some(State::Well)
