--- a/crates/constraints/src/lib.rs
+++ b/crates/constraints/src/lib.rs
@@ -7,7 +7,7 @@
 //! evaluates for a single machine only what is left then.
 //!
 //! ```
-//! use cometlead_constraints::judge::Empty;
+//! use cometlead_constraints::evaluation::EmptyMachine;
 //! use cometlead_constraints::{BadRules, RuleSet, Subject, Traits, Value};
 //!
 //! # fn main() -> Result<(), BadRules> {
@@ -26,7 +26,7 @@
 //! // The rule concerns the job, and a machine without that font does not meet it.
 //! for rule in rules.concerning(&job) {
 //!     assert!(rule.is_hard());
-//!     assert!(!rule.expr.holds(&machine, &Empty));
+//!     assert!(!rule.expr.holds(&machine, &EmptyMachine));
 //! }
 //! assert_eq!(rules.concerning(&job).count(), 1);
 //! # Ok(())
