--- a/src/main.rs
+++ b/src/main.rs
@@ -224,7 +224,7 @@
             settings.others.len(),
         ));
         for other in &settings.others {
-            tokio::spawn(peers::tell(Arc::clone(&node), other.back));
+            tokio::spawn(peers::send_hints(Arc::clone(&node), other.back));
         }
         node.run().await;
     });
--- a/src/transport/admission.rs
+++ b/src/transport/admission.rs
@@ -1,4 +1,4 @@
-//! Carries out the admission of connections: registers those that come and go, and ends those that are too slow.
+//! Applies the admission of connections to the server: registers connections, and closes those that are too slow.
 
 use super::clock::Clock;
 use crate::coordination::api::connections::{
@@ -13,15 +13,38 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How often connections are looked for that are too slow.
-const SWEEP: Duration = Duration::from_millis(500);
+/// How often slow connections are closed.
+const SLOW_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// How often the counts are logged, in microseconds.
+const LOG_INTERVAL_MICROS: u64 = 30_000_000;
+
+/// An open connection.
+struct OpenConnection {
+    id: ConnectionId,
+    control: ConnCtrl,
+}
 
 struct Inner {
     connections: Connections,
-    /// By the address of the other end, which names a connection as long as it is open.
-    open: HashMap<SocketAddr, (ConnectionId, ConnCtrl)>,
-    next: ConnectionId,
-    told: ConnectionCounts,
+    /// By the client's address, which identifies a connection while it is open.
+    open: HashMap<SocketAddr, OpenConnection>,
+    next_id: ConnectionId,
+    /// The counts that were logged last.
+    logged: ConnectionCounts,
+}
+
+impl Inner {
+    fn id_of(&self, remote: SocketAddr) -> Option<ConnectionId> {
+        self.open.get(&remote).map(|connection| connection.id)
+    }
+
+    fn close(&mut self, id: ConnectionId, remote: SocketAddr) {
+        self.connections.closed(id);
+        // A new connection of the same address may be registered before the old one is dropped.
+        if self.id_of(remote) == Some(id) {
+            self.open.remove(&remote);
+        }
+    }
 }
 
 /// The connections of the server.
@@ -30,7 +53,7 @@
     clock: Clock,
 }
 
-/// Lives as long as its connection.
+/// Reports the end of its connection when it is dropped.
 struct Registered {
     admission: Arc<Admission>,
     id: ConnectionId,
@@ -41,19 +64,11 @@
 
 impl Drop for Registered {
     fn drop(&mut self) {
-        let mut inner = self.admission.lock();
-        inner.connections.closed(self.id);
-        if inner
-            .open
-            .get(&self.remote)
-            .is_some_and(|(id, _)| *id == self.id)
-        {
-            inner.open.remove(&self.remote);
-        }
+        self.admission.lock().close(self.id, self.remote);
     }
 }
 
-/// Registers each connection that is accepted.
+/// Registers each accepted connection.
 pub struct Register(pub Arc<Admission>);
 
 #[async_trait]
@@ -74,14 +89,13 @@
 }
 
 impl Admission {
-    /// Nothing is open yet; `served` connections may be.
-    pub fn new(served: usize) -> Arc<Admission> {
-        let connections = Connections::new(served);
+    /// A server without connections, of which at most `limit` may be open.
+    pub fn new(limit: usize) -> Arc<Admission> {
         let inner = Inner {
-            connections,
+            connections: Connections::new(limit),
             open: HashMap::new(),
-            next: 1,
-            told: ConnectionCounts::default(),
+            next_id: 1,
+            logged: ConnectionCounts::default(),
         };
         Arc::new(Admission {
             inner: Mutex::new(inner),
@@ -99,41 +113,39 @@
 
     fn opened(&self, remote: SocketAddr, control: ConnCtrl) -> ConnectionId {
         let mut inner = self.lock();
-        let id = inner.next;
-        inner.next += 1;
+        let id = inner.next_id;
+        inner.next_id += 1;
         inner.connections.opened(self.now(), id);
-        inner.open.insert(remote, (id, control));
+        inner.open.insert(remote, OpenConnection { id, control });
         id
     }
 
-    /// The head of a request came by the connection from `remote`.
+    /// The head of a request has arrived by the connection from `remote`.
     pub fn requested(&self, remote: SocketAddr, request: Request) -> Verdict {
         let mut inner = self.lock();
-        let Some((id, _)) = inner.open.get(&remote) else {
-            return Verdict::Serve;
-        };
-        let id = *id;
-        inner.connections.requested(self.now(), id, request)
+        match inner.id_of(remote) {
+            Some(id) => inner.connections.requested(self.now(), id, request),
+            None => Verdict::Serve,
+        }
     }
 
-    /// The answer is about to leave; whether the connection is to be closed with it.
+    /// The response is about to be sent. Returns whether the connection is to be closed with it.
     pub fn answered(&self, remote: SocketAddr) -> bool {
         let mut inner = self.lock();
-        let Some((id, _)) = inner.open.get(&remote) else {
-            return false;
-        };
-        let id = *id;
-        inner.connections.answered(self.now(), id)
+        match inner.id_of(remote) {
+            Some(id) => inner.connections.answered(self.now(), id),
+            None => false,
+        }
     }
 
-    /// Ends connections that are too slow, for ever.
+    /// Closes slow connections and logs the counts; never returns.
     pub async fn run(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(SWEEP).await;
+            tokio::time::sleep(SLOW_CHECK_INTERVAL).await;
             for control in self.too_slow() {
                 control.abort();
             }
-            self.tell();
+            self.log_counts();
         }
     }
 
@@ -146,20 +158,20 @@
         inner
             .open
             .values()
-            .filter(|(id, _)| slow.contains(id))
-            .map(|(_, control)| control.clone())
+            .filter(|connection| slow.contains(&connection.id))
+            .map(|connection| connection.control.clone())
             .collect()
     }
 
-    /// Logs what was refused or given back since this was last logged.
-    fn tell(&self) {
+    /// Logs the counts if they have changed and it is time.
+    fn log_counts(&self) {
         let mut inner = self.lock();
         let counts = inner.connections.counts();
-        let open = inner.connections.open();
-        if counts == inner.told || !self.is_time_to_tell() {
+        if counts == inner.logged || !self.is_log_due() {
             return;
         }
-        inner.told = counts;
+        let open = inner.connections.open();
+        inner.logged = counts;
         drop(inner);
         tracing::info!(
             open = open.total,
@@ -171,13 +183,12 @@
             aborts_refused = counts.aborts_refused,
             submits_refused = counts.submits_refused,
             queries_refused = counts.queries_refused,
-            "connections so far"
+            "connection counts"
         );
     }
 
-    /// Every half minute.
-    fn is_time_to_tell(&self) -> bool {
-        const INTERVAL: u64 = 30_000_000;
-        self.now().0 % INTERVAL < SWEEP.as_micros() as u64
+    /// Whether a log interval began since the last check.
+    fn is_log_due(&self) -> bool {
+        self.now().0 % LOG_INTERVAL_MICROS < SLOW_CHECK_INTERVAL.as_micros() as u64
     }
 }
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client: pooled connections, a time limit on every call, bounded sockets.
+//! The HTTP client: pooled connections, a timeout for every call, a bounded number of sockets.
 
 use crate::time::Micros;
 use bytes::Bytes;
@@ -15,145 +15,195 @@
 use thiserror::Error;
 use tokio::sync::Semaphore;
 
-/// How long a connection is kept that nothing uses. After a takeover by one controller of all slices there is one for each
-/// machine that it commands, beside the one by which that reports.
-const IDLE: Duration = Duration::from_secs(6);
+/// How long an idle connection is kept. After a failover that leaves one controller leading all shards there is one to
+/// each agent that it commands, beside the connection by which the agent sends its heartbeats.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Idle connections that are kept to one address.
+const IDLE_PER_HOST: usize = 4;
 
 /// The client.
 #[derive(Debug)]
 pub struct HttpClient {
     inner: Client<HttpConnector, Full<Bytes>>,
+    /// Calls that may still begin.
     calls: Semaphore,
-    /// When connections to workers were last left open, of those that may still be.
-    kept: Mutex<VecDeque<Instant>>,
-    most_kept: usize,
+    kept: KeptConnections,
     /// Largest body that is read, in bytes.
     body_limit: usize,
 }
 
-/// What came back: status and body.
-pub type Answer = (u16, Vec<u8>);
+/// Status and body of a response.
+pub type HttpResponse = (u16, Vec<u8>);
 
-/// Why nothing came back that can be used.
+/// Why a call has no response that can be used.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum NoAnswer {
-    /// None within the time, or the connection failed.
+pub enum HttpError {
+    /// No call could begin, the connection failed, or no response arrived in time.
     #[error("no answer")]
-    None,
-    /// There was one, with a larger body than is read.
+    NoResponse,
+    /// The response has a larger body than is read.
     #[error("the answer is too large")]
-    TooLarge,
+    ResponseTooLarge,
+}
+
+/// Counts the connections to agents that may be open and idle.
+#[derive(Debug)]
+struct KeptConnections {
+    /// When connections were last kept, oldest first.
+    since: Mutex<VecDeque<Instant>>,
+    limit: usize,
+}
+
+impl KeptConnections {
+    /// Whether a connection may be kept after a call. An agent that is commanded several times counts each time, so
+    /// rather fewer are kept than allowed.
+    fn try_keep(&self) -> bool {
+        let mut since = self.since.lock().unwrap_or_else(PoisonError::into_inner);
+        while since.front().is_some_and(|at| at.elapsed() > IDLE_TIMEOUT) {
+            since.pop_front();
+        }
+        let keep = since.len() < self.limit;
+        if keep {
+            since.push_back(Instant::now());
+        }
+        keep
+    }
+}
+
+/// A request, and how it is sent.
+struct Call<'a> {
+    host: &'a str,
+    method: &'static str,
+    path: &'a str,
+    body: Vec<u8>,
+    timeout: Micros,
+    /// The connection may be used for further calls.
+    keep_alive: bool,
+}
+
+impl Call<'_> {
+    fn into_request(self) -> Result<Request<Full<Bytes>>, HttpError> {
+        let mut request = Request::builder()
+            .method(self.method)
+            .uri(format!("http://{}{}", self.host, self.path))
+            .header(CONTENT_TYPE, "application/json");
+        if !self.keep_alive {
+            request = request.header(CONNECTION, "close");
+        }
+        request
+            .body(Full::new(Bytes::from(self.body)))
+            .map_err(|_| HttpError::NoResponse)
+    }
 }
 
 impl HttpClient {
-    /// A client that has at most `calls` calls under way, keeps at most `most_kept` connections to workers and reads bodies of
-    /// at most `body_limit` bytes.
+    /// A client that makes at most `calls` calls at a time, keeps at most `most_kept` idle connections to agents and reads
+    /// bodies of at most `body_limit` bytes.
     pub fn new(calls: usize, most_kept: usize, body_limit: usize) -> HttpClient {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(Duration::from_secs(2)));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let inner = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE)
-            .pool_max_idle_per_host(4)
+            .pool_idle_timeout(IDLE_TIMEOUT)
+            .pool_max_idle_per_host(IDLE_PER_HOST)
             .build(connector);
         HttpClient {
             inner,
             calls: Semaphore::new(calls),
-            kept: Mutex::default(),
-            most_kept,
+            kept: KeptConnections {
+                since: Mutex::default(),
+                limit: most_kept,
+            },
             body_limit,
         }
     }
 
-    /// Whether a connection to a worker may stay open after a call. A worker that is commanded again and again counts
-    /// each time, so rather fewer are kept than may be.
-    fn may_keep(&self) -> bool {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        while kept.front().is_some_and(|at| at.elapsed() > IDLE) {
-            kept.pop_front();
-        }
-        let may = kept.len() < self.most_kept;
-        if may {
-            kept.push_back(Instant::now());
-        }
-        may
-    }
-
-    /// Commands a worker; its connection is given up afterwards if too many are kept already.
+    /// Sends commands to an agent; the connection is closed afterwards if too many are kept already.
+    ///
+    /// # Errors
+    /// [`HttpError`] if there is no usable response within `timeout`.
     pub async fn command(
         &self,
         host: &str,
         path: &str,
         body: Vec<u8>,
-        limit: Micros,
-    ) -> Result<Answer, NoAnswer> {
-        let keep = self.may_keep();
-        self.send(host, ("POST", path), body, limit, keep).await
+        timeout: Micros,
+    ) -> Result<HttpResponse, HttpError> {
+        self.send(Call {
+            host,
+            method: "POST",
+            path,
+            body,
+            timeout,
+            keep_alive: self.kept.try_keep(),
+        })
+        .await
     }
 
-    /// Sends a request, and waits for its answer for at most `limit`.
+    /// Sends a request.
+    ///
+    /// # Errors
+    /// [`HttpError`] if there is no usable response within `timeout`.
     pub async fn call(
         &self,
         host: &str,
         method: &'static str,
         path: &str,
         body: Vec<u8>,
-        limit: Micros,
-    ) -> Result<Answer, NoAnswer> {
-        self.send(host, (method, path), body, limit, true).await
+        timeout: Micros,
+    ) -> Result<HttpResponse, HttpError> {
+        self.send(Call {
+            host,
+            method,
+            path,
+            body,
+            timeout,
+            keep_alive: true,
+        })
+        .await
     }
 
-    async fn send(
-        &self,
-        host: &str,
-        (method, path): (&'static str, &str),
-        body: Vec<u8>,
-        limit: Micros,
-        keep: bool,
-    ) -> Result<Answer, NoAnswer> {
-        let _permit = self.calls.try_acquire().map_err(|_| NoAnswer::None)?;
-        let mut request = Request::builder()
-            .method(method)
-            .uri(format!("http://{host}{path}"))
-            .header(CONTENT_TYPE, "application/json");
-        if !keep {
-            request = request.header(CONNECTION, "close");
-        }
-        let request = request
-            .body(Full::new(Bytes::from(body)))
-            .map_err(|_| NoAnswer::None)?;
-        let exchange = async {
-            let response = self
-                .inner
-                .request(request)
-                .await
-                .map_err(|_| NoAnswer::None)?;
-            let status = response.status().as_u16();
-            Ok((status, read(response.into_body(), self.body_limit).await?))
-        };
-        tokio::time::timeout(Duration::from_micros(limit.0), exchange)
+    async fn send(&self, call: Call<'_>) -> Result<HttpResponse, HttpError> {
+        let _permit = self
+            .calls
+            .try_acquire()
+            .map_err(|_| HttpError::NoResponse)?;
+        let timeout = Duration::from_micros(call.timeout.0);
+        let exchange = self.exchange(call.into_request()?);
+        tokio::time::timeout(timeout, exchange)
+            .await
+            .unwrap_or(Err(HttpError::NoResponse))
+    }
+
+    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<HttpResponse, HttpError> {
+        let response = self
+            .inner
+            .request(request)
             .await
-            .unwrap_or(Err(NoAnswer::None))
+            .map_err(|_| HttpError::NoResponse)?;
+        let status = response.status().as_u16();
+        let body = read_body(response.into_body(), self.body_limit).await?;
+        Ok((status, body))
     }
 }
 
-/// Reads a body into one piece of memory, unless it is larger than `limit`: one whose length is told beforehand is not
-/// begun then.
-async fn read(mut body: Incoming, limit: usize) -> Result<Vec<u8>, NoAnswer> {
-    let told = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
-    if told > limit {
-        return Err(NoAnswer::TooLarge);
+/// Reads a body into one allocation. A body whose declared length is above `limit` is not read at all.
+async fn read_body(mut body: Incoming, limit: usize) -> Result<Vec<u8>, HttpError> {
+    let declared = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
+    if declared > limit {
+        return Err(HttpError::ResponseTooLarge);
     }
-    let mut whole = Vec::with_capacity(told);
+    let mut bytes = Vec::with_capacity(declared);
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.map_err(|_| NoAnswer::None)?.into_data() else {
+        let Ok(data) = frame.map_err(|_| HttpError::NoResponse)?.into_data() else {
             continue;
         };
-        if whole.len() + data.len() > limit {
-            return Err(NoAnswer::TooLarge);
+        if bytes.len() + data.len() > limit {
+            return Err(HttpError::ResponseTooLarge);
         }
-        whole.extend_from_slice(&data);
+        bytes.extend_from_slice(&data);
     }
-    Ok(whole)
+    Ok(bytes)
 }
--- a/src/transport/clock.rs
+++ b/src/transport/clock.rs
@@ -2,7 +2,10 @@
 
 use crate::coordination::Now;
 use crate::time::Micros;
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+/// Longest time ahead for which an instant is computed, in microseconds: as good as never, without an overflow.
+const ONE_YEAR_MICROS: u64 = 365 * 86_400_000_000;
 
 /// A steady clock that starts with the process, and the time of day.
 #[derive(Clone, Copy, Debug)]
@@ -11,14 +14,14 @@
 }
 
 impl Clock {
-    /// Starts now.
+    /// A clock whose steady time starts now.
     pub fn start() -> Clock {
         Clock {
             start: Instant::now(),
         }
     }
 
-    /// The time.
+    /// The time by both clocks.
     pub fn now(&self) -> Now {
         let day = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -31,8 +34,7 @@
 
     /// The instant at which the steady clock shows `at`.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
-        // Far enough for "never", near enough not to overflow.
-        let span = at.0.min(86_400_000_000 * 365);
-        tokio::time::Instant::from_std(self.start + std::time::Duration::from_micros(span))
+        let span = Duration::from_micros(at.0.min(ONE_YEAR_MICROS));
+        tokio::time::Instant::from_std(self.start + span)
     }
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP server and client, the peer link, clocks and timers.
+//! Input and output of a controller: HTTP server and client, the link between controllers, clocks and timers.
 
 pub mod admission;
 pub mod client;
--- a/src/transport/node.rs
+++ b/src/transport/node.rs
@@ -1,40 +1,60 @@
-//! Drives the controller: hands it events, carries out its effects.
+//! Drives the controller: passes events to it and executes its effects.
 
-use super::client::{HttpClient, NoAnswer};
+use super::client::{HttpClient, HttpError};
 use super::clock::Clock;
 use crate::coordination::api::connections::SocketPlan;
 use crate::coordination::{CallId, Controller, Effect, Event};
+use crate::protocol::cloud::{self, CloudRequest};
 use crate::protocol::peer::PeerHint;
 use crate::protocol::settings::Settings;
-use crate::protocol::state::CallError;
+use crate::protocol::state::{self, CallError, StateRequest};
 use crate::protocol::user::{UserRequest, UserResponse};
 use crate::protocol::worker::{Heartbeat, HeartbeatResponse};
-use crate::protocol::{cloud, state};
 use crate::storage::ids::JobId;
+use crate::time::Micros;
 use std::borrow::Cow;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{Notify, oneshot, watch};
 
+/// The call of a heartbeat: its response is taken from the effects at once, so no call needs to be told from another.
+const HEARTBEAT_CALL: CallId = CallId(0);
+/// Path at which agents take pushed commands.
+const COMMANDS_PATH: &str = "/commands";
+
 struct Inner {
     controller: Controller,
+    /// Users' requests that wait for a response.
     users: HashMap<CallId, oneshot::Sender<UserResponse>>,
     next_call: u64,
 }
 
+impl Inner {
+    fn add_user(&mut self) -> (CallId, oneshot::Receiver<UserResponse>) {
+        let (sender, receiver) = oneshot::channel();
+        let call = CallId(self.next_call);
+        self.next_call += 1;
+        self.users.insert(call, sender);
+        (call, receiver)
+    }
+}
+
 /// A running controller.
 pub struct Node {
     inner: Mutex<Inner>,
+    /// Signals that the controller wants to be woken sooner.
     timer: Notify,
     client: HttpClient,
     clock: Clock,
+    /// Address of the cloud's API.
     cloud: String,
+    /// Address of the state store.
     state: String,
     hints: watch::Sender<Option<PeerHint>>,
 }
 
 impl Node {
-    /// Wraps a controller.
+    /// Creates the node of a controller; [`Node::run`] keeps its timers.
     pub fn new(controller: Controller, settings: &Settings) -> Arc<Node> {
         let sockets = SocketPlan::new(settings.connections, settings.others.len());
         Arc::new(Node {
@@ -52,7 +72,7 @@
         })
     }
 
-    /// What this node last wanted its peers to know.
+    /// The latest hint for the controller's peers.
     pub fn hints(&self) -> watch::Receiver<Option<PeerHint>> {
         self.hints.subscribe()
     }
@@ -61,39 +81,39 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the node can take requests.
+    /// Whether the controller can serve requests.
     pub fn healthy(&self) -> bool {
         self.lock().controller.healthy(self.clock.now())
     }
 
-    /// Whether a peer has told of itself.
+    /// Whether a hint of the peer has arrived.
     pub fn knows_peer(&self, name: &str) -> bool {
         self.lock().controller.knows_peer(name)
     }
 
-    /// Hands an event over and carries out what comes of it.
+    /// Passes an event to the controller and executes the effects.
     pub fn post(self: &Arc<Self>, event: Event) {
         let effects = self.handle(event);
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
     fn handle(&self, event: Event) -> Vec<Effect> {
         let mut inner = self.lock();
-        let before = inner.controller.wake();
+        let wake_before = inner.controller.wake();
         let effects = inner.controller.handle(self.clock.now(), event);
-        if inner.controller.wake() < before {
+        if inner.controller.wake() < wake_before {
             self.timer.notify_one();
         }
         effects
     }
 
-    /// Keeps the controller's time.
+    /// Wakes the controller whenever it is due; never returns.
     pub async fn run(self: Arc<Self>) {
         loop {
             let wake = self.lock().controller.wake();
             if wake <= self.clock.now().steady {
                 self.post(Event::Tick);
-                // A wake-up that stays in the past must not keep everything else from running.
+                // A wake-up time that stays in the past must not keep other tasks from running.
                 tokio::task::yield_now().await;
                 continue;
             }
@@ -104,80 +124,49 @@
         }
     }
 
-    /// A user's request; the answer comes once it is decided.
+    /// Serves a user's request; returns once it is decided.
     pub async fn user(self: &Arc<Self>, request: UserRequest) -> UserResponse {
-        self.ask(|call| Event::User(call, request)).await
+        self.request(|call| Event::User(call, request)).await
     }
 
-    /// A malformed submission that names a job.
+    /// Serves an invalid submission that names a job.
     pub async fn bad_submission(
         self: &Arc<Self>,
         job: JobId,
         why: Cow<'static, str>,
     ) -> UserResponse {
-        self.ask(|call| Event::BadSubmission(call, job, why)).await
+        self.request(|call| Event::BadSubmission(call, job, why))
+            .await
     }
 
-    async fn ask(self: &Arc<Self>, event: impl FnOnce(CallId) -> Event) -> UserResponse {
-        let (sender, receiver) = oneshot::channel();
-        let call = {
-            let mut inner = self.lock();
-            let call = CallId(inner.next_call);
-            inner.next_call += 1;
-            inner.users.insert(call, sender);
-            call
-        };
+    async fn request(self: &Arc<Self>, event: impl FnOnce(CallId) -> Event) -> UserResponse {
+        let (call, receiver) = self.lock().add_user();
         self.post(event(call));
         receiver.await.unwrap_or(UserResponse::RetryAfter(1))
     }
 
-    /// A worker's report; it is answered at once.
+    /// Serves an agent's heartbeat; it is answered at once.
     pub fn heartbeat(self: &Arc<Self>, heartbeat: Heartbeat) -> HeartbeatResponse {
-        let mut effects = self.handle(Event::Heartbeat(CallId(0), heartbeat));
-        let at = effects
+        let mut effects = self.handle(Event::Heartbeat(HEARTBEAT_CALL, heartbeat));
+        let response = effects
             .iter()
-            .position(|e| matches!(e, Effect::Heartbeat(..)));
-        let answer = at.map(|i| effects.remove(i));
-        self.carry_out(effects);
-        match answer {
-            Some(Effect::Heartbeat(_, answer)) => answer,
+            .position(|effect| matches!(effect, Effect::Heartbeat(..)))
+            .map(|index| effects.remove(index));
+        self.execute(effects);
+        match response {
+            Some(Effect::Heartbeat(_, response)) => response,
             _ => HeartbeatResponse::Unavailable,
         }
     }
 
-    fn carry_out(self: &Arc<Self>, effects: Vec<Effect>) {
+    fn execute(self: &Arc<Self>, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::State(call, request, limit) => {
-                    let node = Arc::clone(self);
-                    tokio::spawn(async move {
-                        let (method, path, body) = state::http(&request);
-                        let answer = node
-                            .client
-                            .call(&node.state, method, &path, body, limit)
-                            .await;
-                        let result = match answer {
-                            Ok((status, body)) => state::parse(&request, status, &body),
-                            Err(NoAnswer::TooLarge) => Err(CallError::TooLarge),
-                            Err(NoAnswer::None) => Err(CallError::Unknown),
-                        };
-                        node.post(Event::State(call, result));
-                    });
+                Effect::State(call, request, timeout) => {
+                    tokio::spawn(Arc::clone(self).call_state(call, request, timeout));
                 }
-                Effect::Cloud(call, request, limit) => {
-                    let node = Arc::clone(self);
-                    tokio::spawn(async move {
-                        let (method, path, body) = cloud::http(&request);
-                        let answer = node
-                            .client
-                            .call(&node.cloud, method, &path, body, limit)
-                            .await;
-                        let result = match answer {
-                            Ok((status, body)) => cloud::parse(&request, status, &body),
-                            Err(_) => Err(CallError::Unknown),
-                        };
-                        node.post(Event::Cloud(call, result));
-                    });
+                Effect::Cloud(call, request, timeout) => {
+                    tokio::spawn(Arc::clone(self).call_cloud(call, request, timeout));
                 }
                 Effect::PushCommand {
                     call,
@@ -185,29 +174,10 @@
                     body,
                     limit,
                 } => {
-                    let node = Arc::clone(self);
-                    tokio::spawn(async move {
-                        let answer = node
-                            .client
-                            .command(&endpoint, "/commands", body, limit)
-                            .await;
-                        // Any other status comes from a worker that has not carried it out either,
-                        // but without a report nothing is known of it.
-                        let result = answer
-                            .ok()
-                            .filter(|(status, _)| matches!(status, 200 | 409))
-                            .and_then(|(status, body)| {
-                                Some((status == 200, Heartbeat::parse(&body)?))
-                            });
-                        node.post(Event::PushCommand(call, result));
-                    });
-                }
-                Effect::User(call, answer) => {
-                    if let Some(sender) = self.lock().users.remove(&call) {
-                        // The user may have gone.
-                        let _ = sender.send(answer);
-                    }
+                    tokio::spawn(Arc::clone(self).push_command(call, endpoint, body, limit));
                 }
+                Effect::User(call, response) => self.respond_to_user(call, response),
+                // Taken from the effects by `heartbeat`.
                 Effect::Heartbeat(..) => {}
                 Effect::Peers(hint) => {
                     self.hints.send_replace(Some(hint));
@@ -215,4 +185,67 @@
             }
         }
     }
+
+    async fn call_state(self: Arc<Self>, call: CallId, request: StateRequest, timeout: Micros) {
+        let (method, path, body) = state::http(&request);
+        let response = self
+            .client
+            .call(&self.state, method, &path, body, timeout)
+            .await;
+        let result = match response {
+            Ok((status, body)) => state::parse(&request, status, &body),
+            Err(HttpError::ResponseTooLarge) => Err(CallError::TooLarge),
+            Err(HttpError::NoResponse) => Err(CallError::Unknown),
+        };
+        self.post(Event::State(call, result));
+    }
+
+    async fn call_cloud(self: Arc<Self>, call: CallId, request: CloudRequest, timeout: Micros) {
+        let (method, path, body) = cloud::http(&request);
+        let response = self
+            .client
+            .call(&self.cloud, method, &path, body, timeout)
+            .await;
+        let result = match response {
+            Ok((status, body)) => cloud::parse(&request, status, &body),
+            Err(_) => Err(CallError::Unknown),
+        };
+        self.post(Event::Cloud(call, result));
+    }
+
+    async fn push_command(
+        self: Arc<Self>,
+        call: CallId,
+        endpoint: String,
+        body: Vec<u8>,
+        timeout: Micros,
+    ) {
+        let response = self
+            .client
+            .command(&endpoint, COMMANDS_PATH, body, timeout)
+            .await;
+        let result = response
+            .ok()
+            .and_then(|(status, body)| parse_command_response(status, &body));
+        self.post(Event::PushCommand(call, result));
+    }
+
+    fn respond_to_user(&self, call: CallId, response: UserResponse) {
+        let sender = self.lock().users.remove(&call);
+        if let Some(sender) = sender {
+            // Fails only if the user has disconnected.
+            let _ = sender.send(response);
+        }
+    }
+}
+
+/// Whether the agent carried the commands out (200) or rejected them (409), with the heartbeat that it responded with.
+/// With any other status it has not carried them out either, but says nothing about its tasks.
+fn parse_command_response(status: u16, body: &[u8]) -> Option<(bool, Heartbeat)> {
+    let carried_out = match status {
+        200 => true,
+        409 => false,
+        _ => return None,
+    };
+    Some((carried_out, Heartbeat::parse(body)?))
 }
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -1,4 +1,4 @@
-//! The link between controllers: length-delimited frames of MessagePack on `back`.
+//! The link between controllers: length-delimited frames of MessagePack over TCP.
 
 use super::node::Node;
 use crate::coordination::Event;
@@ -9,29 +9,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::Semaphore;
+use tokio::sync::{Semaphore, watch};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 const FRAME_LIMIT: usize = 64 * 1024;
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
-const SEND_LIMIT: Duration = Duration::from_secs(3);
-/// A peer that said nothing for this long is not there any more.
-const QUIET_LIMIT: Duration = Duration::from_secs(10);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const SEND_TIMEOUT: Duration = Duration::from_secs(3);
+/// A connection without a hint for this long is closed.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(10);
+const RECONNECT_DELAY: Duration = Duration::from_secs(1);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(500);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Incoming connections per peer: old ones may linger beside the current one.
+const CONNECTIONS_PER_PEER: usize = 4;
 
-fn framed(stream: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
+type Frames = Framed<TcpStream, LengthDelimitedCodec>;
+
+fn framed(stream: TcpStream) -> Frames {
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(FRAME_LIMIT)
         .new_codec();
     Framed::new(stream, codec)
 }
 
-/// Takes the peers' hints, for ever.
+/// Receives the hints of up to `peers` peers at the address `at`; never returns.
 pub async fn listen(node: Arc<Node>, at: SocketAddrV4, peers: usize) {
-    // A peer's old connection may linger beside its new one.
-    let connections = Arc::new(Semaphore::new(peers.max(1) * 4));
+    let connections = Arc::new(Semaphore::new(peers.max(1) * CONNECTIONS_PER_PEER));
     loop {
         let Ok(listener) = TcpListener::bind(at).await else {
-            tokio::time::sleep(Duration::from_millis(500)).await;
+            tokio::time::sleep(BIND_RETRY_DELAY).await;
             continue;
         };
         while let Ok((stream, _)) = listener.accept().await {
@@ -41,45 +47,52 @@
             let node = Arc::clone(&node);
             tokio::spawn(async move {
                 let _permit = permit;
-                let mut frames = framed(stream);
-                while let Ok(Some(Ok(frame))) =
-                    tokio::time::timeout(QUIET_LIMIT, frames.next()).await
-                {
-                    if let Ok(hint) = rmp_serde::from_slice::<PeerHint>(&frame) {
-                        node.post(Event::Peer(hint));
-                    }
-                }
+                receive_hints(&node, framed(stream)).await;
             });
         }
-        tokio::time::sleep(Duration::from_millis(100)).await;
+        tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
     }
 }
 
-/// Tells one peer every new hint, for ever.
-pub async fn tell(node: Arc<Node>, to: SocketAddrV4) {
+/// Receives hints by one connection until it ends.
+async fn receive_hints(node: &Arc<Node>, mut frames: Frames) {
+    while let Ok(Some(Ok(frame))) = tokio::time::timeout(RECEIVE_TIMEOUT, frames.next()).await {
+        if let Ok(hint) = rmp_serde::from_slice::<PeerHint>(&frame) {
+            node.post(Event::Peer(hint));
+        }
+    }
+}
+
+/// Sends every new hint to the peer at `to`; never returns.
+pub async fn send_hints(node: Arc<Node>, to: SocketAddrV4) {
     let mut hints = node.hints();
     loop {
-        let stream = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(to)).await;
-        if let Ok(Ok(stream)) = stream {
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await;
+        if let Ok(Ok(stream)) = connected {
+            // Hints are small: without this option they would be delayed. Nothing else depends on it.
             let _ = stream.set_nodelay(true);
-            let mut frames = framed(stream);
-            loop {
-                // A peer says nothing here. That the connection is over is heard only by listening: who was away for
-                // long would go on writing into one that the peer has given up meanwhile.
-                tokio::select! {
-                    changed = hints.changed() => if changed.is_err() { break },
-                    _ = frames.next() => break,
-                }
-                let hint = hints.borrow_and_update().clone();
-                let Some(Ok(frame)) = hint.map(|h| rmp_serde::to_vec(&h)) else {
-                    continue;
-                };
-                let sent = tokio::time::timeout(SEND_LIMIT, frames.send(Bytes::from(frame))).await;
-                if !matches!(sent, Ok(Ok(()))) {
-                    break;
-                }
-            }
+            send_hints_by(framed(stream), &mut hints).await;
+        }
+        tokio::time::sleep(RECONNECT_DELAY).await;
+    }
+}
+
+/// Sends hints by one connection until it ends.
+async fn send_hints_by(mut frames: Frames, hints: &mut watch::Receiver<Option<PeerHint>>) {
+    loop {
+        // The peer sends nothing here, but only a read shows that it has closed the connection: after a long pause of
+        // this process, writes would go on into a connection that the peer gave up meanwhile.
+        tokio::select! {
+            changed = hints.changed() => if changed.is_err() { return },
+            _ = frames.next() => return,
+        }
+        let hint = hints.borrow_and_update().clone();
+        let Some(Ok(frame)) = hint.map(|hint| rmp_serde::to_vec(&hint)) else {
+            continue;
+        };
+        let sent = tokio::time::timeout(SEND_TIMEOUT, frames.send(Bytes::from(frame))).await;
+        if !matches!(sent, Ok(Ok(()))) {
+            return;
         }
-        tokio::time::sleep(Duration::from_secs(1)).await;
     }
 }
--- /dev/null
+++ b/src/transport/server/response.rs
@@ -0,0 +1,69 @@
+//! Writes responses.
+
+use crate::protocol::user::UserResponse;
+use crate::protocol::worker::{HeartbeatResponse, elsewhere_body, heartbeat_response_body};
+use salvo::http::StatusCode;
+use salvo::http::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
+use salvo::prelude::Response;
+
+/// Writes a response with a body of JSON.
+pub(super) fn write_json(response: &mut Response, status: StatusCode, body: Vec<u8>) {
+    response.status_code(status);
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    // Fails only if a body was written already.
+    let _ = response.write_body(body);
+}
+
+/// Writes a response with an empty JSON object.
+pub(super) fn write_empty(response: &mut Response, status: StatusCode) {
+    write_json(response, status, b"{}".to_vec());
+}
+
+fn write_error(response: &mut Response, status: StatusCode, why: &str) {
+    let body = serde_json::json!({ "error": why });
+    write_json(response, status, body.to_string().into_bytes());
+}
+
+/// Writes the response to a user's request.
+pub(super) fn write_user_response(response: &mut Response, decided: UserResponse) {
+    match decided {
+        UserResponse::Accepted(status) => {
+            write_json(response, StatusCode::CREATED, status.body());
+        }
+        UserResponse::Is(status) => write_json(response, StatusCode::OK, status.body()),
+        UserResponse::Unknown => write_error(response, StatusCode::NOT_FOUND, "no such job"),
+        UserResponse::Never(why) => {
+            write_error(response, StatusCode::UNPROCESSABLE_ENTITY, &why);
+        }
+        UserResponse::Bad(why) => write_error(response, StatusCode::BAD_REQUEST, &why),
+        UserResponse::RetryAfter(seconds) => {
+            response
+                .headers_mut()
+                .insert(RETRY_AFTER, HeaderValue::from(seconds));
+            write_error(response, StatusCode::SERVICE_UNAVAILABLE, "not now");
+        }
+    }
+}
+
+/// Writes the response to a heartbeat.
+pub(super) fn write_heartbeat_response(response: &mut Response, decided: HeartbeatResponse) {
+    match decided {
+        HeartbeatResponse::Commands {
+            fencing_token,
+            commands,
+        } => {
+            let body = heartbeat_response_body(fencing_token, &commands);
+            write_json(response, StatusCode::OK, body);
+        }
+        HeartbeatResponse::Elsewhere(leader) => {
+            let body = elsewhere_body(leader.as_deref());
+            write_json(response, StatusCode::MISDIRECTED_REQUEST, body);
+        }
+        HeartbeatResponse::Unavailable => {
+            write_empty(response, StatusCode::SERVICE_UNAVAILABLE);
+        }
+        HeartbeatResponse::Malformed => write_empty(response, StatusCode::BAD_REQUEST),
+    }
+}
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -4,7 +4,7 @@
 use cometlead::protocol::operator::OperatorSettings;
 use cometlead::protocol::settings::Settings;
 use cometlead::time::Micros;
-use cometlead::transport::client::{HttpClient, NoAnswer};
+use cometlead::transport::client::{HttpClient, HttpError};
 use cometlead::transport::node::Node;
 use cometlead::transport::{peers, server};
 use serde_json::json;
@@ -195,7 +195,7 @@
     };
     assert_eq!(
         tokio::join!(first, second),
-        (Err(NoAnswer::None), Err(NoAnswer::None))
+        (Err(HttpError::NoResponse), Err(HttpError::NoResponse))
     );
     silent.abort();
 }
@@ -210,13 +210,13 @@
         format!("transfer-encoding: chunked\r\n\r\n1c2\r\n{body}\r\n1c2\r\n{body}\r\n0\r\n\r\n");
     for (rest, limit, expected) in [
         (&told, 900, Ok((200, format!("{body}{body}").into_bytes()))),
-        (&told, 899, Err(NoAnswer::TooLarge)),
+        (&told, 899, Err(HttpError::ResponseTooLarge)),
         (
             &untold,
             900,
             Ok((200, format!("{body}{body}").into_bytes())),
         ),
-        (&untold, 899, Err(NoAnswer::TooLarge)),
+        (&untold, 899, Err(HttpError::ResponseTooLarge)),
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap().to_string();
@@ -249,7 +249,7 @@
         Controller::new(Arc::clone(&s0), OperatorSettings::default(), 7),
         &s0,
     );
-    tokio::spawn(peers::tell(Arc::clone(&n0), at));
+    tokio::spawn(peers::send_hints(Arc::clone(&n0), at));
     tokio::spawn(Arc::clone(&n0).run());
     let (mut first, _) = peer.accept().await.unwrap();
     first.shutdown().await.unwrap();
@@ -277,7 +277,7 @@
     };
     let (n0, n1) = (start(&s0), start(&s1));
     tokio::spawn(peers::listen(Arc::clone(&n1), back1, 1));
-    tokio::spawn(peers::tell(Arc::clone(&n0), back1));
+    tokio::spawn(peers::send_hints(Arc::clone(&n0), back1));
     tokio::spawn(Arc::clone(&n0).run());
     while !n1.knows_peer("n0") {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
