--- a/src/cli/queues.rs
+++ b/src/cli/queues.rs
@@ -4,8 +4,8 @@
 use super::config::{folder_of, read};
 use super::error::CliError;
 use super::{print_line, runtime, start_log};
-use cometlead_queues::settings::QueueSettings;
 use cometlead_queues::runtime::QueueService;
+use cometlead_queues::settings::QueueSettings;
 use std::process::ExitCode;
 use tokio::signal::unix::{SignalKind, signal};
 
