--- a/src/storage/completion_bitmap.rs
+++ b/src/storage/completion_bitmap.rs
@@ -142,7 +142,7 @@
     }
 
     fn from_plain_text(text: &str) -> Result<CompletionBitmap, BitmapError> {
-        if !text.is_ascii() || text.len() % WORD_DIGITS != 0 {
+        if !text.is_ascii() || !text.len().is_multiple_of(WORD_DIGITS) {
             return Err(BitmapError::Length);
         }
         let words = (0..text.len() / WORD_DIGITS)
