--- a/benches/rules.rs
+++ b/benches/rules.rs
@@ -4,7 +4,9 @@
 mod common;
 
 use cometlead::scheduler::constraints::{ClassTraits, JobConstraints, PlacementContext, traits};
-use cometlead::scheduler::placement::{Candidate, GroupAllowance, PlacementRequest, Rules, plan};
+use cometlead::scheduler::placement::{
+    Candidate, GroupAllowance, PlacementRequest, PlacementRules, plan,
+};
 use cometlead::storage::catalog::Catalog;
 use cometlead::storage::cell_state::Job;
 use cometlead::storage::completion_bitmap::CompletionBitmap;
@@ -59,7 +61,7 @@
         serde_json::json!({"s": serde_json::to_value(&spec).expect("a job"), "t": i}),
     )
     .expect("");
-    let dependency_state = DependencyState::alone(&spec);
+    let dependency_state = DependencyState::independent(&spec);
     Job {
         record,
         mod_revision: 1,
@@ -73,7 +75,7 @@
     fn new(colocated: bool) -> Cluster {
         let catalog = catalog();
         let mut classes = Classes::default();
-        classes.offer(&catalog);
+        classes.set_catalog(&catalog);
         for m in 0..MACHINES {
             let machine_type = if m % 5 == 0 { "large" } else { "small" };
             let zone = if m % 2 == 0 { "a" } else { "b" };
@@ -83,7 +85,7 @@
                 spot: m % 3 > 0,
                 machine: None,
             };
-            classes.come(MachineId(m), class);
+            classes.add_to_class(MachineId(m), class);
         }
         let sets = vec![Arc::new(RuleSet::parse(RULES).expect("rules"))];
         let traits: Vec<ClassTraits> = classes
@@ -131,22 +133,22 @@
                     zone: &c.zone,
                     spot: c.spot,
                     price: t.price_of(c.spot),
-                    all: t.room,
+                    capacity: t.room,
                     free: Amount {
                         cores: left,
                         ..t.room
                     },
                     reserved: false,
                     images: &self.images[m as usize],
-                    fetches: None,
+                    fetching_image: None,
                     running: Vec::new(),
                     class,
-                    has_exclusions: colocated
+                    restricts_colocation: colocated
                         && self
                             .job_constraints
                             .get(&JobId(m % JOBS))
                             .is_some_and(JobConstraints::tests_colocation),
-                    there: if colocated {
+                    residents: if colocated {
                         vec![JobId(m % JOBS)]
                     } else {
                         Vec::new()
@@ -173,13 +175,13 @@
                 most: u64::MAX,
                 price_limit: u64::MAX,
                 owner: (id.0 % 3) as usize,
-                mine: true,
+                is_local: true,
                 preempts: false,
                 guaranteed: false,
-                takes_leftovers: false,
-                all_or_nothing: false,
+                uses_leftovers_only: false,
+                gang: false,
                 avoid: &[],
-                rules: rules.map(|context| Rules {
+                rules: rules.map(|context| PlacementRules {
                     context,
                     constraints,
                     required_preferences: 0,
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -9,7 +9,7 @@
 use cometlead::storage::ids::{Attempt, JobId, MachineId, TaskId};
 use cometlead::storage::job::JobRecord;
 use cometlead::storage::records::{
-    Assignment, GroupRecord, Key, LAYOUT, MachineHealth, MachineRecord, MetaRecord,
+    Assignment, GroupRecord, Key, LATEST_FORMAT, MachineHealth, MachineRecord, MetaRecord,
 };
 use cometlead::storage::resources::Amount;
 use common::{CLAIMS, catalog};
@@ -69,7 +69,7 @@
 /// The records of a cluster, as the state service has them.
 fn records(machines: u64, waiting: u64) -> Vec<(Key, Content)> {
     let meta = MetaRecord {
-        layout: LAYOUT,
+        record_format: LATEST_FORMAT,
         shards: SHARDS as usize,
         teams: BTreeMap::new(),
     };
@@ -87,7 +87,10 @@
             .insert(MachineId(m), machine(m));
     }
     let groups = groups.into_iter().map(|((k, n), g)| {
-        let g = GroupRecord { terse: true, ..g };
+        let g = GroupRecord {
+            compact_encoding: true,
+            ..g
+        };
         (Key::Group(k as usize, n as u32), Content::Group(g))
     });
     all.extend(groups);
@@ -143,7 +146,7 @@
                     zone: &r.zone,
                     spot: r.spot,
                     price: t.price_of(r.spot),
-                    all: t.room,
+                    capacity: t.room,
                     free: if m.0 % 2 == 0 {
                         Amount::default()
                     } else {
@@ -151,11 +154,11 @@
                     },
                     reserved: false,
                     images: &r.images,
-                    fetches: None,
+                    fetching_image: None,
                     running: Vec::new(),
                     class: 0,
-                    has_exclusions: false,
-                    there: Vec::new(),
+                    restricts_colocation: false,
+                    residents: Vec::new(),
                 }
             };
             cell.machines().map(slot).collect()
@@ -174,11 +177,11 @@
                     price_limit: u64::MAX,
                     owner: (id.0 % SHARDS) as usize,
                     // One in five is this controller's; the others' take their turn.
-                    mine: id.0 % SHARDS == 0,
+                    is_local: id.0 % SHARDS == 0,
                     preempts: false,
                     guaranteed: false,
-                    takes_leftovers: false,
-                    all_or_nothing: false,
+                    uses_leftovers_only: false,
+                    gang: false,
                     avoid: &[],
                     rules: None,
                 }
--- a/crates/constraints/src/explain.rs
+++ b/crates/constraints/src/explain.rs
@@ -37,7 +37,7 @@
     pub allowed: bool,
     /// Total weight of the preferences that hold.
     #[serde(rename = "worth")]
-    pub worth: u32,
+    pub total_weight: u32,
     /// Rule by rule.
     pub findings: Vec<Finding>,
 }
@@ -49,14 +49,14 @@
     state: &dyn MachineState,
 ) -> Verdict {
     let findings: Vec<Finding> = rules.map(|rule| Finding::of(rule, traits, state)).collect();
-    let worth = findings
+    let total_weight = findings
         .iter()
         .filter(|finding| finding.met)
         .filter_map(|finding| finding.weight)
         .sum();
     Verdict {
         allowed: findings.iter().all(|finding| finding.met || !finding.hard),
-        worth,
+        total_weight,
         findings,
     }
 }
--- a/src/cli/rules.rs
+++ b/src/cli/rules.rs
@@ -84,7 +84,7 @@
         let mut head = [
             machine.host.clone(),
             yes_or_no(machine.allowed),
-            machine.verdict.worth.to_string(),
+            machine.verdict.total_weight.to_string(),
         ];
         for row in rows {
             table.add_row(std::mem::take(&mut head).into_iter().chain(row));
--- a/src/coordination/agents/agent.rs
+++ b/src/coordination/agents/agent.rs
@@ -293,7 +293,7 @@
         } else {
             UNCONFIRMED_HEARTBEATS_LIMIT
         };
-        self.may_be_asked() && self.unconfirmed_heartbeats >= limit
+        self.can_be_probed() && self.unconfirmed_heartbeats >= limit
     }
 
     /// When it last sent a new heartbeat or answered a pushed command in this term.
@@ -307,7 +307,7 @@
     }
 
     /// Whether a command can be pushed to it now.
-    pub fn may_be_asked(&self) -> bool {
+    pub fn can_be_probed(&self) -> bool {
         !self.launches.is_push_in_flight() && self.has_endpoint()
     }
 
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -7,10 +7,10 @@
 use super::launch_policy::{PreemptionWindow, beyond_limit, grace_period, has_room};
 use crate::coordination::Controller;
 use crate::coordination::commit::Rounds;
-use crate::coordination::constraints::{Rules, log_forbidden};
+use crate::coordination::constraints::{Rules, log_forbidden_launch};
 use crate::coordination::leadership::Leadership;
 use crate::protocol::settings::Settings;
-use crate::protocol::worker::{Command, Ended, TaskState};
+use crate::protocol::worker::{Command, ExitReason, TaskState};
 use crate::storage::cell_state::{CellState, Job};
 use crate::storage::ids::{Attempt, MachineId, ShardId};
 use crate::storage::records::{Assignment, MachineHealth, MachineRecord};
@@ -81,15 +81,15 @@
     }
 
     /// An assigned task has ended: its assignment is released.
-    fn on_exited(&mut self, attempt: Attempt, ended: Ended) {
+    fn on_exited(&mut self, attempt: Attempt, ended: ExitReason) {
         // A heartbeat of an earlier term proves nothing about who commands the agent.
         if !self.agent.has_current_token() {
             return;
         }
         let outcome = match ended {
-            Ended::Done => Outcome::Done,
-            Ended::Error => Outcome::Failed,
-            _ => Outcome::Again,
+            ExitReason::Completed => Outcome::Done,
+            ExitReason::Failed => Outcome::Failed,
+            _ => Outcome::Reassign,
         };
         if self
             .rounds
@@ -112,7 +112,7 @@
                 }
             }
             Outcome::Done => self.agent.on_task_done(),
-            Outcome::Again => {}
+            Outcome::Reassign => {}
         }
     }
 
@@ -132,8 +132,8 @@
         if self.is_preempted(&attempt) {
             return Some(grace_period(Some(job)));
         }
-        if state == TaskState::Fetching && self.rules.forbid_start(self.cell, self.machine, id) {
-            log_forbidden(attempt.task, self.machine);
+        if state == TaskState::Fetching && self.rules.forbids_start(self.cell, self.machine, id) {
+            log_forbidden_launch(attempt.task, self.machine);
             return Some(Micros::ZERO);
         }
         let reclaimed_at = self
@@ -199,7 +199,7 @@
         let id = attempt.task.job;
         if self
             .rules
-            .forbid_launch(self.cell, self.machine, record, id)
+            .forbids_launch(self.cell, self.machine, record, id)
         {
             return Some(LaunchRefusal::Forbidden);
         }
@@ -241,12 +241,12 @@
         }
         if !self
             .rounds
-            .release(self.machine, attempt, Outcome::Again, self.now)
+            .release(self.machine, attempt, Outcome::Reassign, self.now)
         {
             return;
         }
         match refusal {
-            LaunchRefusal::Forbidden => log_forbidden(attempt.task, self.machine),
+            LaunchRefusal::Forbidden => log_forbidden_launch(attempt.task, self.machine),
             LaunchRefusal::BeyondQuota => {
                 tracing::info!(task = %attempt, machine = %self.machine, "assignment given back: team beyond its quota");
             }
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -18,7 +18,7 @@
         &mut self,
         heartbeat: &Heartbeat,
     ) -> HeartbeatResponse {
-        if !self.replica.ready() || self.cell.shards() == 0 {
+        if !self.replica.is_ready() || self.cell.shards() == 0 {
             return HeartbeatResponse::Unavailable;
         }
         let machine = heartbeat.machine;
@@ -65,7 +65,7 @@
                     .is_some_and(|node| node.value.run == leader.run)
         });
         match leader {
-            Some(leader) => HeartbeatResponse::Elsewhere(Some(leader.node.clone())),
+            Some(leader) => HeartbeatResponse::NotLeader(Some(leader.node.clone())),
             None => HeartbeatResponse::Unavailable,
         }
     }
@@ -76,7 +76,7 @@
         let newer = heartbeat.fencing_token > fencing_token;
         if newer {
             tracing::info!(machine = %heartbeat.machine, theirs = heartbeat.fencing_token, ours = fencing_token, "agent has a newer fencing token");
-            self.replica.want_barrier();
+            self.replica.request_barrier();
         }
         newer
     }
@@ -146,7 +146,7 @@
             .get(&machine)
             .is_some_and(|agent| agent.needs_probe(marked));
         if probe {
-            self.command(machine, Vec::new(), Vec::new());
+            self.push_commands(machine, Vec::new(), Vec::new());
         }
     }
 
@@ -162,7 +162,7 @@
         agent.apply(now, heartbeat, leader_term.first);
         let lost = agent.heartbeats_are_lost(
             now,
-            leader_term.since.max(self.stall.back()),
+            leader_term.since.max(self.stall.resumed_at()),
             HeartbeatLossLimits::of(&self.settings),
         );
         match self.cell.machine(heartbeat.machine) {
@@ -171,7 +171,7 @@
                 if agent.has_current_token()
                     || term_age >= self.settings.lease * Self::LEASES_OF_DUPLICATES
                 {
-                    self.rounds.add(heartbeat.machine);
+                    self.rounds.add_machine(heartbeat.machine);
                 }
             }
             Some(record) => {
--- a/src/coordination/agents/liveness.rs
+++ b/src/coordination/agents/liveness.rs
@@ -62,7 +62,7 @@
     /// When this process last came back from a stall: silence before that says nothing.
     stall_end: Micros,
     /// The silence of agents says something about this node rather than about them.
-    cannot_hear_agents: bool,
+    is_isolated_from_agents: bool,
     /// Machines whose agents have to be probed.
     probes: Vec<MachineId>,
 }
@@ -155,7 +155,7 @@
         }
         for assignment in &record.tasks {
             self.rounds
-                .release(machine, assignment.attempt(), Outcome::Again, self.now);
+                .release(machine, assignment.attempt(), Outcome::Reassign, self.now);
         }
     }
 
@@ -170,7 +170,7 @@
         silence: Micros,
     ) {
         let counts = agent.last_sign_of_life().is_some() || silence > self.limits.longest_silence;
-        if self.cannot_hear_agents || record.health >= MachineHealth::Unreachable || !counts {
+        if self.is_isolated_from_agents || record.health >= MachineHealth::Unreachable || !counts {
             return;
         }
         if !agent.is_unreachable() && agent.has_endpoint() {
@@ -184,10 +184,10 @@
 impl Controller {
     /// Checks periodically which agents are silent.
     pub(in crate::coordination) fn tick_agents(&mut self) {
-        if self.rounds.pausing() {
+        if self.rounds.has_suspects() {
             self.rounds.request();
         }
-        let cannot_hear_agents = self.cannot_hear_agents();
+        let is_isolated_from_agents = self.is_isolated_from_agents();
         let mut check = LivenessCheck {
             cell: &self.cell,
             cancelled: &self.cancelled,
@@ -196,15 +196,15 @@
             counters: &mut self.counters,
             limits: SilenceLimits::of(&self.settings),
             now: self.now.steady,
-            stall_end: self.stall.back(),
-            cannot_hear_agents,
+            stall_end: self.stall.resumed_at(),
+            is_isolated_from_agents,
             probes: Vec::new(),
         };
         for (machine, agent) in &mut self.agents {
             check.check(*machine, agent);
         }
         for machine in check.probes {
-            self.command(machine, Vec::new(), Vec::new());
+            self.push_commands(machine, Vec::new(), Vec::new());
         }
     }
 }
--- a/src/coordination/agents/mod.rs
+++ b/src/coordination/agents/mod.rs
@@ -26,7 +26,7 @@
     /// The task failed on its machine.
     Failed,
     /// The task is not on the machine and will not get there: it is assigned again.
-    Again,
+    Reassign,
 }
 
 /// A change to a machine's record.
@@ -65,7 +65,7 @@
         let cell = &self.cell;
         let is_of_shard = |machine: MachineId| cell.shard_of_machine(machine) == shard;
         self.agents.retain(|machine, _| !is_of_shard(*machine));
-        self.rounds.drop_machines(is_of_shard);
+        self.rounds.drop_requests_for_machines(is_of_shard);
     }
 
     /// A machine's record changed or was removed.
@@ -111,9 +111,9 @@
         };
         let cancelled = job.cancelled();
         if cancelled {
-            self.cancelled.note(id, self.replica.before());
+            self.cancelled.note(id, self.replica.previous_contact());
         }
-        let (suspect, errors) = (job.suspect(), job.record.errors);
+        let (suspect, errors) = (job.is_suspect(), job.record.errors);
         self.update_suspicion(id, suspect, errors);
         if cancelled {
             self.command_machines_of(id);
--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -67,7 +67,7 @@
             && !beyond_limit(self.cell, self.settings, job)
             && !self
                 .rules
-                .forbid_launch(self.cell, self.machine, self.record, job)
+                .forbids_launch(self.cell, self.machine, self.record, job)
     }
 }
 
@@ -127,7 +127,7 @@
         }
         let (commands, launches) = (builder.commands, builder.launches);
         if !commands.is_empty() {
-            self.command(machine, commands, launches);
+            self.push_commands(machine, commands, launches);
         }
     }
 
@@ -170,7 +170,7 @@
     }
 
     /// Pushes commands to an agent. There may be none: then the answer only shows whether the agent receives commands.
-    pub(in crate::coordination) fn command(
+    pub(in crate::coordination) fn push_commands(
         &mut self,
         machine: MachineId,
         commands: Vec<Command>,
@@ -178,7 +178,7 @@
     ) {
         let shard = self.cell.shard_of_machine(machine);
         let fencing_token = self.cell.leaders[shard].mod_revision;
-        let Some(agent) = self.agents.get(&machine).filter(|a| a.may_be_asked()) else {
+        let Some(agent) = self.agents.get(&machine).filter(|a| a.can_be_probed()) else {
             return;
         };
         let (endpoint, incarnation) = (agent.endpoint().to_owned(), agent.incarnation());
--- a/src/coordination/api/cancellations.rs
+++ b/src/coordination/api/cancellations.rs
@@ -2,7 +2,9 @@
 
 use super::PendingRequest;
 use crate::coordination::{Controller, Purpose};
-use crate::protocol::state::{CallError, Put, StateReply, StateRequest, Txn, encode};
+use crate::protocol::state::{
+    CallError, KeyChange, StateRequest, StateResponse, Transaction, encode,
+};
 use crate::protocol::user::{JobStatus, JobStatusResponse, UserResponse};
 use crate::storage::cell_state::{CellChanges, Change, Content};
 use crate::storage::ids::JobId;
@@ -18,7 +20,7 @@
     pub(super) fn admit_cancellation(&mut self, request: PendingRequest) {
         match self.live_status(request.job) {
             Some(status) if status.status == JobStatus::Cancelled => {
-                self.respond(&request, UserResponse::Is(status));
+                self.respond(&request, UserResponse::Status(status));
             }
             _ => self.users.push_cancellation(request),
         }
@@ -26,7 +28,7 @@
 
     /// Sends queued cancellations. Fails with the time at which the rates allow the next one.
     pub(super) fn drive_cancellations(&mut self) -> Result<(), Micros> {
-        let round = self.limits.txn_ops();
+        let round = self.limits.max_changes();
         while let Some(request) = self.users.pop_cancellation() {
             if let Err(at) = self.budget.spend_for_users(self.now.steady, 1, round) {
                 self.users.push_cancellation(request);
@@ -43,31 +45,36 @@
         };
         let record = JobRecord {
             cancelled: true,
-            ..job.record.clone().terse(self.cell.terse())
+            ..job
+                .record
+                .clone()
+                .with_compact_encoding(self.cell.uses_compact_encoding())
         };
         let key = Key::Job(request.job);
-        let txn = Txn {
+        let txn = Transaction {
             when: vec![(key.clone(), job.mod_revision)],
-            then: vec![Put {
+            changes: vec![KeyChange {
                 key,
                 value: encode(&record),
                 lease_id: None,
             }],
         };
-        self.ask_state(Purpose::Abort(request), StateRequest::Txn(txn));
+        self.ask_state(Purpose::Abort(request), StateRequest::Transaction(txn));
     }
 
-    pub(in crate::coordination) fn on_aborted(
+    pub(in crate::coordination) fn on_cancellation_result(
         &mut self,
         request: PendingRequest,
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) {
         match result {
-            Ok(StateReply::Applied(revision)) => self.on_cancellation_applied(&request, revision),
-            Ok(_) | Err(CallError::Unknown) => {
+            Ok(StateResponse::Applied(revision)) => {
+                self.on_cancellation_applied(&request, revision)
+            }
+            Ok(_) | Err(CallError::OutcomeUnknown) => {
                 self.verify_by_read(request, Self::CANCELLATION_ATTEMPTS);
             }
-            Err(CallError::TooMany) => self.retry_after_pause(request),
+            Err(CallError::RateLimited) => self.retry_after_pause(request),
             Err(_) => self.respond(&request, Self::RETRY_AFTER),
         }
     }
@@ -82,7 +89,7 @@
             running: 0,
             reason: None,
         };
-        self.respond(request, UserResponse::Is(status));
+        self.respond(request, UserResponse::Status(status));
     }
 
     /// Marks a live job as cancelled in the replica. Returns how many of its tasks have completed.
--- a/src/coordination/api/connections/mod.rs
+++ b/src/coordination/api/connections/mod.rs
@@ -63,7 +63,7 @@
     /// The request is served.
     Serve,
     /// The request is rejected at once; its client retries after this many seconds.
-    TurnAway(u32),
+    Reject(u32),
 }
 
 /// Numbers of closed connections and rejected requests since the start.
@@ -282,7 +282,7 @@
             return Verdict::Serve;
         }
         *rejected += 1;
-        Verdict::TurnAway(1 + (self.rejected.total() % Self::RETRY_SPREAD) as u32)
+        Verdict::Reject(1 + (self.rejected.total() % Self::RETRY_SPREAD) as u32)
     }
 
     /// The response to a request is about to be sent. Returns whether the connection is to be closed with it.
--- a/src/coordination/api/dependencies.rs
+++ b/src/coordination/api/dependencies.rs
@@ -1,11 +1,11 @@
 //! Lookups of how jobs ended that live jobs depend on.
 
 use crate::coordination::{Controller, Purpose};
-use crate::protocol::state::{CallError, StateReply, StateRequest};
+use crate::protocol::state::{CallError, StateRequest, StateResponse};
 use crate::storage::cell_state::CellChanges;
 use crate::storage::ids::JobId;
 use crate::storage::job::FinalRecord;
-use crate::storage::records::{Key, PIPED};
+use crate::storage::records::{DEPENDENCIES_FORMAT, Key};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -51,12 +51,12 @@
             .meta
             .value
             .as_ref()
-            .is_some_and(|meta| meta.layout >= PIPED)
+            .is_some_and(|meta| meta.record_format >= DEPENDENCIES_FORMAT)
     }
 
     /// Looks up how jobs ended that live jobs depend on; until that is known, these wait.
     pub(in crate::coordination) fn drive_dependencies(&mut self) {
-        if !self.replica.ready() {
+        if !self.replica.is_ready() {
             return;
         }
         let unknown = self.cell.dependencies.unknown();
@@ -88,7 +88,7 @@
         }
         let mut changes_seen = CellChanges::default();
         for (job, end) in known {
-            self.cell.learn(job, end, &mut changes_seen);
+            self.cell.on_end_learned(job, end, &mut changes_seen);
         }
         self.on_cell_changed(&changes_seen);
     }
@@ -111,9 +111,9 @@
     pub(in crate::coordination) fn on_dependency_lookup(
         &mut self,
         job: JobId,
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) {
-        let Ok(StateReply::Value(Some(value))) = result else {
+        let Ok(StateResponse::Value(Some(value))) = result else {
             // The record of an accepted job is live or final: this replica is behind.
             return self.dependency_lookups.on_missing(job, self.now.steady);
         };
@@ -123,7 +123,7 @@
         tracing::debug!(%job, cancelled = end.cancelled, "dependency end known");
         self.users.remember(job, end);
         let mut changes_seen = CellChanges::default();
-        self.cell.learn(job, end, &mut changes_seen);
+        self.cell.on_end_learned(job, end, &mut changes_seen);
         self.on_cell_changed(&changes_seen);
     }
 }
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -12,7 +12,7 @@
 mod requests;
 mod submissions;
 
-pub use requests::{PendingRequest, Polls, Users};
+pub use requests::{PendingRequest, QueryCounts, UserRequests};
 
 use crate::coordination::constraints::Rejection;
 use crate::coordination::{CallId, Controller, Effect, Purpose};
@@ -45,7 +45,7 @@
     /// The response to requests that cannot be decided now.
     const RETRY_AFTER: UserResponse = UserResponse::RetryAfter(1);
     /// Share of the request budget that queries leave for everything else.
-    pub(super) const POLLS: f64 = 0.4;
+    pub(super) const QUERY_RESERVE: f64 = 0.4;
     /// Without contact to the state store for longer than this no request could be decided in time.
     const CONTACT_TIMEOUT: Micros = Micros::millis(4_500);
     /// Lookups of final records that may wait in addition to those of one second.
@@ -72,7 +72,7 @@
     /// The status of a live job; `None` while it may be cancelled because of a dependency whose end is unknown.
     fn live_status(&self, id: JobId) -> Option<JobStatusResponse> {
         let job = self.cell.jobs.get(&id)?;
-        if job.dependency_state.doubtful {
+        if job.dependency_state.cancellation_unknown {
             return None;
         }
         let running = self.cell.assigned_count(id);
@@ -90,8 +90,13 @@
         })
     }
 
-    pub(super) fn on_bad_submission(&mut self, call: CallId, id: JobId, why: Cow<'static, str>) {
-        self.admit(call, id, RequestKind::Refuse(UserResponse::Bad(why)));
+    pub(super) fn on_invalid_submission(
+        &mut self,
+        call: CallId,
+        id: JobId,
+        why: Cow<'static, str>,
+    ) {
+        self.admit(call, id, RequestKind::Refuse(UserResponse::Invalid(why)));
     }
 
     pub(super) fn on_user(&mut self, call: CallId, request: UserRequest) {
@@ -116,9 +121,9 @@
             attempts: 0,
         };
         if let Some(end) = self.users.end_of(job) {
-            return self.respond(&request, UserResponse::Is(final_status(job, end)));
+            return self.respond(&request, UserResponse::Status(final_status(job, end)));
         }
-        let reachable = self.replica.ready() && self.contact_age() <= Self::CONTACT_TIMEOUT;
+        let reachable = self.replica.is_ready() && self.contact_age() <= Self::CONTACT_TIMEOUT;
         if !reachable || self.users.is_full() {
             return self.respond(&request, Self::RETRY_AFTER);
         }
@@ -138,7 +143,7 @@
         match self.validate(spec) {
             Err(Rejection::RetryAfter) => self.respond(&request, Self::RETRY_AFTER),
             Err(Rejection::Never(why)) => {
-                request.kind = RequestKind::Refuse(UserResponse::Never(why.into()));
+                request.kind = RequestKind::Refuse(UserResponse::Unsatisfiable(why.into()));
                 self.await_read(request);
             }
             Ok(()) if spec.dependencies.is_empty() => self.users.push_submission(request),
@@ -171,7 +176,7 @@
             return Some("a task fits no allowed machine type");
         }
         let team = self.settings.team(&spec.team)?;
-        let tasks = if spec.together() {
+        let tasks = if spec.runs_all_tasks_at_once() {
             u64::from(spec.task_count)
         } else {
             1
@@ -203,7 +208,7 @@
         let now = self.now.steady;
         while let Some(lookup) = self.users.pop_final_lookup() {
             let reserve = if lookup.request.is_query() {
-                Self::POLLS
+                Self::QUERY_RESERVE
             } else {
                 0.0
             };
--- a/src/coordination/api/reads.rs
+++ b/src/coordination/api/reads.rs
@@ -3,7 +3,7 @@
 use super::requests::RequestKind;
 use super::{PendingRequest, final_status};
 use crate::coordination::Controller;
-use crate::protocol::state::{CallError, StateReply};
+use crate::protocol::state::{CallError, StateResponse};
 use crate::protocol::user::{JobStatus, UserResponse};
 use crate::storage::ids::JobId;
 use crate::storage::job::{FinalRecord, JobSpec};
@@ -28,13 +28,13 @@
         let RequestKind::Submit(spec) = &request.kind else {
             return;
         };
-        if !self.replica.ready() {
+        if !self.replica.is_ready() {
             // While the replica is read anew, jobs that it does not show may be live.
             return self.respond(&request, Self::RETRY_AFTER);
         }
         match self.find_dependencies(request.job, spec, after_read) {
             DependencyCheck::Never(why) => {
-                request.kind = RequestKind::Refuse(UserResponse::Never(why.into()));
+                request.kind = RequestKind::Refuse(UserResponse::Unsatisfiable(why.into()));
                 self.await_read(request);
             }
             DependencyCheck::Accepted => self.users.push_submission(request),
@@ -81,26 +81,26 @@
         request.read_after = self.next_call - 1;
         // Queries wait for a read that serves many of them.
         if request.is_query() {
-            self.replica.want_read();
+            self.replica.request_read();
         } else {
-            self.replica.want_barrier();
+            self.replica.request_barrier();
         }
         self.users.push_read(request);
     }
 
     /// Continues the requests whose read has completed.
-    pub(in crate::coordination) fn users_after_read(&mut self) {
+    pub(in crate::coordination) fn on_users_read_completed(&mut self) {
         if !self.users.has_reads() {
             return;
         }
         let replica = &self.replica;
         let ready = self
             .users
-            .take_reads(|request| replica.passed(request.read_after));
+            .take_reads(|request| replica.has_read_since(request.read_after));
         if self.users.has_urgent_reads() {
-            self.replica.want_barrier();
+            self.replica.request_barrier();
         } else if self.users.has_reads() {
-            self.replica.want_read();
+            self.replica.request_read();
         }
         for request in ready {
             if self.cell.jobs.contains_key(&request.job) {
@@ -116,7 +116,7 @@
         let is_cancellation = matches!(request.kind, RequestKind::Cancel);
         match self.live_status(request.job) {
             Some(status) if !is_cancellation || status.status == JobStatus::Cancelled => {
-                self.respond(&request, UserResponse::Is(status));
+                self.respond(&request, UserResponse::Status(status));
             }
             // A job can be cancelled whatever became of the jobs that it depends on.
             _ if is_cancellation => self.users.push_cancellation(request),
@@ -128,7 +128,7 @@
     fn resolve_not_live(&mut self, request: PendingRequest) {
         if let Some(end) = self.users.end_of(request.job) {
             let status = final_status(request.job, end);
-            self.respond(&request, UserResponse::Is(status));
+            self.respond(&request, UserResponse::Status(status));
         } else if request.has_dependencies() {
             self.check_dependencies(request, true);
         } else if self.users.is_absent(request.job) {
@@ -144,13 +144,13 @@
     }
 
     /// Continues a request that has waited for the final record of `job`: its own job, or one that this depends on.
-    pub(in crate::coordination) fn on_final(
+    pub(in crate::coordination) fn on_final_lookup(
         &mut self,
         request: PendingRequest,
         job: JobId,
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) {
-        let Ok(StateReply::Value(value)) = result else {
+        let Ok(StateResponse::Value(value)) = result else {
             return self.respond(&request, Self::RETRY_AFTER);
         };
         let Some(value) = value else {
@@ -165,7 +165,7 @@
     fn on_final_record(&mut self, request: PendingRequest, job: JobId, end: FinalRecord) {
         self.users.remember(job, end);
         if job == request.job {
-            self.respond(&request, UserResponse::Is(final_status(job, end)));
+            self.respond(&request, UserResponse::Status(final_status(job, end)));
         } else {
             self.check_dependencies(request, true);
         }
@@ -186,7 +186,7 @@
     fn resolve_absent(&mut self, request: PendingRequest) {
         match &request.kind {
             RequestKind::Query | RequestKind::Cancel => {
-                self.respond(&request, UserResponse::Unknown);
+                self.respond(&request, UserResponse::NotFound);
             }
             RequestKind::Refuse(response) => {
                 let response = response.clone();
@@ -197,7 +197,7 @@
     }
 
     /// A read has failed: the users of all requests that wait for one have to retry.
-    pub(in crate::coordination) fn users_without_contact(&mut self) {
+    pub(in crate::coordination) fn on_users_read_failed(&mut self) {
         for request in self.users.take_reads(|_| true) {
             self.respond(&request, Self::RETRY_AFTER);
         }
--- a/src/coordination/api/requests.rs
+++ b/src/coordination/api/requests.rs
@@ -72,7 +72,7 @@
 
 /// Numbers of responses to queries.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Polls {
+pub struct QueryCounts {
     /// Responses with a status, or that there is no such job.
     pub answered: u64,
     /// Requests to retry, after a wait.
@@ -83,19 +83,19 @@
 
 /// The pending requests of users, and the history of jobs that answers them.
 #[derive(Debug, Default)]
-pub struct Users {
+pub struct UserRequests {
     submissions: Vec<PendingRequest>,
     cancellations: Vec<PendingRequest>,
     /// Requests that wait for a read of the state store.
     reads: Vec<PendingRequest>,
     final_lookups: VecDeque<FinalLookup>,
     history: JobHistory,
-    query_counts: Polls,
+    query_counts: QueryCounts,
     /// Nothing is sent before this time, since the state store has rejected a request for its rate.
     paused_until: Micros,
 }
 
-impl Users {
+impl UserRequests {
     /// Most pending requests.
     const CAPACITY: usize = 512;
 
@@ -130,7 +130,7 @@
     }
 
     /// Numbers of responses to queries so far.
-    pub fn polls(&self) -> Polls {
+    pub fn query_counts(&self) -> QueryCounts {
         self.query_counts
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// How long the oldest request that waits for a read has waited.
-    pub fn oldest_read(&self, now: Micros) -> Option<Micros> {
+    pub fn oldest_pending_read(&self, now: Micros) -> Option<Micros> {
         self.reads
             .iter()
             .map(|request| now.since(request.arrived))
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -3,7 +3,9 @@
 use super::PendingRequest;
 use super::requests::RequestKind;
 use crate::coordination::{Controller, Purpose};
-use crate::protocol::state::{CallError, Put, StateReply, StateRequest, Txn, encode};
+use crate::protocol::state::{
+    CallError, KeyChange, StateRequest, StateResponse, Transaction, encode,
+};
 use crate::protocol::user::{JobStatus, JobStatusResponse, UserResponse};
 use crate::storage::cell_state::{CellChanges, Change, Content};
 use crate::storage::job::{JobRecord, JobSpec};
@@ -24,7 +26,7 @@
 
     /// Sends queued submissions. Fails with the time at which the rates allow the next transaction.
     pub(super) fn drive_submissions(&mut self) -> Result<(), Micros> {
-        let round = self.limits.txn_ops();
+        let round = self.limits.max_changes();
         let limit = round.min(Self::SUBMISSIONS_PER_TRANSACTION);
         while self.users.submission_count() > 0 {
             let count = self.users.submission_count().min(limit);
@@ -54,7 +56,7 @@
 
     /// Sends a transaction with as many submissions as fit into it; the others are queued again.
     fn send_submissions(&mut self, batch: Vec<PendingRequest>) {
-        let mut txn = Txn::default();
+        let mut txn = Transaction::default();
         let mut sent = Vec::new();
         let mut bytes = 0;
         for request in batch {
@@ -62,10 +64,10 @@
                 continue;
             };
             let record = self.new_record(spec, request.arrived_day);
-            let value = encode(&record.terse(self.cell.terse()));
+            let value = encode(&record.with_compact_encoding(self.cell.uses_compact_encoding()));
             let size = value.as_ref().map_or(0, |value| value.get().len());
             if size + growth_reserve(spec) > self.limits.value_bytes() {
-                self.respond(&request, UserResponse::Bad("too large".into()));
+                self.respond(&request, UserResponse::Invalid("too large".into()));
                 continue;
             }
             if bytes + size > Self::SUBMITTED_BYTES && !sent.is_empty() {
@@ -75,7 +77,7 @@
             bytes += size;
             txn.when.push((Key::Job(request.job), 0));
             txn.when.push((Key::Final(request.job), 0));
-            txn.then.push(Put {
+            txn.changes.push(KeyChange {
                 key: Key::Job(request.job),
                 value,
                 lease_id: None,
@@ -83,7 +85,7 @@
             sent.push(request);
         }
         if !sent.is_empty() {
-            self.ask_state(Purpose::Submit(sent), StateRequest::Txn(txn));
+            self.ask_state(Purpose::Submit(sent), StateRequest::Transaction(txn));
         }
     }
 
@@ -98,28 +100,28 @@
             submitted,
             cancelled: false,
             finished: Default::default(),
-            more: 0,
-            full: 0,
+            finished_in_chunks: 0,
+            complete_chunks: 0,
             errors: 0,
-            avoid: Vec::new(),
+            failed_machines: Vec::new(),
         }
     }
 
-    pub(in crate::coordination) fn on_submitted(
+    pub(in crate::coordination) fn on_submissions_result(
         &mut self,
         batch: Vec<PendingRequest>,
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) {
-        if let Ok(StateReply::Applied(revision)) = result {
+        if let Ok(StateResponse::Applied(revision)) = result {
             return self.on_submissions_applied(batch, revision);
         }
         for request in batch {
             match &result {
                 // A conflict means that a job is known already; that, and an unknown outcome, is resolved by a read.
-                Ok(_) | Err(CallError::Unknown) => {
+                Ok(_) | Err(CallError::OutcomeUnknown) => {
                     self.verify_by_read(request, Self::SUBMISSION_ATTEMPTS);
                 }
-                Err(CallError::TooMany) => self.retry_after_pause(request),
+                Err(CallError::RateLimited) => self.retry_after_pause(request),
                 Err(_) => self.respond(&request, Self::RETRY_AFTER),
             }
         }
@@ -158,7 +160,8 @@
     /// unknown whether a job that it depends on is cancelled: then a read decides.
     fn respond_accepted(&mut self, request: PendingRequest) {
         let job = self.cell.jobs.get(&request.job);
-        let Some(job) = job.filter(|job| !job.record.cancelled && !job.dependency_state.doubtful)
+        let Some(job) =
+            job.filter(|job| !job.record.cancelled && !job.dependency_state.cancellation_unknown)
         else {
             return self.await_read(request);
         };
--- a/src/coordination/autoscaler/catalog.rs
+++ b/src/coordination/autoscaler/catalog.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::{Controller, Purpose};
 use crate::protocol::cloud::CloudReply;
-use crate::protocol::state::{CallError, StateReply, encode};
+use crate::protocol::state::{CallError, StateResponse, encode};
 use crate::storage::catalog::Catalog;
 use crate::storage::cell_state::{CellChanges, Change, Content};
 use crate::storage::records::Key;
@@ -58,10 +58,10 @@
     pub(in crate::coordination) fn on_types_written(
         &mut self,
         types: Catalog,
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) {
         match result {
-            Ok(StateReply::Applied(mod_revision)) => {
+            Ok(StateResponse::Applied(mod_revision)) => {
                 let change = Change {
                     key: Key::Types,
                     content: Some(Content::Types(types)),
@@ -73,7 +73,7 @@
             }
             _ => {
                 self.autoscaler.catalog.next = self.now.steady + RETRY_INTERVAL;
-                self.replica.want_barrier();
+                self.replica.request_barrier();
             }
         }
     }
--- a/src/coordination/autoscaler/cloud_responses.rs
+++ b/src/coordination/autoscaler/cloud_responses.rs
@@ -38,7 +38,7 @@
         }
         if matches!(
             result,
-            Err(CallError::Unavailable | CallError::TooMany | CallError::Unknown)
+            Err(CallError::Unavailable | CallError::RateLimited | CallError::OutcomeUnknown)
         ) {
             self.autoscaler.cloud_backoff_until = self.now.steady + BACKOFF;
         }
@@ -56,7 +56,7 @@
         autoscaler.schedule_check();
         match result {
             Ok(CloudReply::Provisioned(machines)) => self.add_provisioned(request, machines),
-            Ok(CloudReply::NoCapacity) | Err(CallError::Refused) => self.on_no_capacity(request),
+            Ok(CloudReply::NoCapacity) | Err(CallError::Rejected) => self.on_no_capacity(request),
             // The machines may have been provisioned: the record keeps them counted until a list would hold them.
             other => {
                 tracing::info!(
@@ -107,7 +107,7 @@
                 tracing::info!(machine = %id, "machine released");
                 self.autoscaler.rented.remove(id);
                 self.autoscaler.releases.on_confirmed(*id);
-                self.rounds.gone(*id);
+                self.rounds.remove_machine(*id);
             }
         }
     }
--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -33,7 +33,7 @@
     }
 
     fn waiting_jobs(&self) -> Vec<WaitingJob<'_>> {
-        let lost = self.lost_with_zones();
+        let lost = self.tasks_to_replace();
         let mut jobs: Vec<_> = self
             .cell
             .jobs
@@ -82,14 +82,14 @@
     fn demand<'a>(&'a self, waiting: &WaitingJob<'a>, count: u64) -> Option<Demand<'a>> {
         let job = waiting.job;
         let spec = job.spec();
-        let places = self.places_for(waiting.id, job).ok()?;
+        let placement_filter = self.placement_filter_for(waiting.id, job).ok()?;
         Some(Demand {
             spec,
             count,
             slack: self.latest_start(job).since(self.now.day),
             run: spec.estimated_runtime,
             price_limit: self.price_limit(job),
-            places,
+            placement_filter,
         })
     }
 
@@ -103,7 +103,7 @@
             })
         };
         !job.cancelled()
-            && !job.dependency_state.doubtful
+            && !job.dependency_state.cancellation_unknown
             && job.spec().dependencies.iter().all(has_started)
     }
 
@@ -118,7 +118,7 @@
             }
             if record.health == MachineHealth::Schedulable
                 && spec.allows(&record.machine_type, &record.zone, record.spot)
-                && self.may_use(id, machine)
+                && self.rules_allow_machine(id, machine)
                 && let Some(machine_type) = self.cell.machine_type(&record.machine_type)
             {
                 left -= spec.need.times_in(&machine_type.room, left);
--- a/src/coordination/autoscaler/fleet_record.rs
+++ b/src/coordination/autoscaler/fleet_record.rs
@@ -5,7 +5,9 @@
 use super::{CloudPurpose, FLEET_SHARD};
 use crate::coordination::{Controller, Purpose};
 use crate::protocol::cloud::CloudRequest;
-use crate::protocol::state::{CallError, Put, StateReply, StateRequest, Txn, encode};
+use crate::protocol::state::{
+    CallError, KeyChange, StateRequest, StateResponse, Transaction, encode,
+};
 use crate::storage::cell_state::{CellChanges, Change, Content};
 use crate::storage::records::{FleetRecord, Key, ProvisionRecord};
 use crate::time::Micros;
@@ -30,7 +32,7 @@
 
     /// Writes the fleet record. `new`: the provision requests in it that are sent once it is written.
     pub(super) fn write_fleet(&mut self, record: FleetRecord, new: Vec<ProvisionRecord>) {
-        let limit = self.limits.taken_bytes();
+        let limit = self.limits.stored_value_bytes();
         let Some(value) = encode(&record).filter(|value| value.get().len() <= limit) else {
             // It was written under larger limits. It shrinks as requests settle and releases are confirmed.
             return;
@@ -55,16 +57,16 @@
     ) {
         let leader = Key::ShardLeader(FLEET_SHARD);
         let leader_revision = self.cell.mod_revision(&leader);
-        let txn = Txn {
+        let txn = Transaction {
             when: vec![(leader, leader_revision), (key.clone(), mod_revision)],
-            then: vec![Put {
+            changes: vec![KeyChange {
                 key,
                 value,
                 lease_id: None,
             }],
         };
-        self.budget.force(self.now.steady, 1);
-        self.ask_state(purpose, StateRequest::Txn(txn));
+        self.budget.charge(self.now.steady, 1);
+        self.ask_state(purpose, StateRequest::Transaction(txn));
     }
 
     /// The fleet record was written, or not. Which provision requests are new in it is known from what was written,
@@ -72,13 +74,13 @@
     pub(in crate::coordination) fn on_fleet_written(
         &mut self,
         (record, new): (FleetRecord, Vec<ProvisionRecord>),
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) {
         self.autoscaler.writing_fleet = false;
         self.autoscaler.schedule_check();
-        let Ok(StateReply::Applied(mod_revision)) = result else {
+        let Ok(StateResponse::Applied(mod_revision)) = result else {
             tracing::debug!(?result, "fleet record not written");
-            self.replica.want_barrier();
+            self.replica.request_barrier();
             return;
         };
         let change = Change {
@@ -90,7 +92,7 @@
         if !self.leads(FLEET_SHARD) {
             return;
         }
-        if self.stall.in_doubt() {
+        if self.stall.is_recovering() {
             // Planned before a stall: by now another leader may have provisioned for the same demand. The record keeps these
             // requests counted for as long as one without an answer.
             tracing::info!(
--- a/src/coordination/autoscaler/machine_list.rs
+++ b/src/coordination/autoscaler/machine_list.rs
@@ -27,7 +27,7 @@
         result: Result<CloudReply, CallError>,
     ) {
         let now = self.now.steady;
-        let Ok(CloudReply::Hosts(page, more)) = result else {
+        let Ok(CloudReply::Machines(page, more)) = result else {
             self.autoscaler.lists.poll.end(now + RETRY_INTERVAL);
             return;
         };
@@ -58,7 +58,7 @@
         let now = self.now.steady;
         if machine.status == CloudMachineState::Failed && self.cell.machine(machine.id).is_some() {
             tracing::info!(machine = %machine.id, "machine failed according to the cloud");
-            self.rounds.gone(machine.id);
+            self.rounds.remove_machine(machine.id);
         }
         let nominal_boot = self.nominal_boot(&machine.machine_type);
         let requested_at = self.autoscaler.lists.last_requested_at;
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -145,13 +145,13 @@
             provision_counter,
             ..Autoscaler::default()
         };
-        self.rounds.drop_fleet();
+        self.rounds.drop_fleet_requests();
     }
 
     /// Runs the autoscaler, if that is due.
     pub(super) fn drive_autoscaler(&mut self) {
         let now = self.now.steady;
-        if !self.leads(FLEET_SHARD) || !self.replica.ready() {
+        if !self.leads(FLEET_SHARD) || !self.replica.is_ready() {
             return;
         }
         if now < self.autoscaler.next_run {
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -85,7 +85,7 @@
     }
 
     fn survey_fleet(&self) -> FleetSurvey {
-        let urgent_in_lost_zones = self.is_surplus();
+        let urgent_in_lost_zones = self.lost_machines_to_release();
         let mut survey = FleetSurvey::default();
         for (_, id, record) in self.cell.machines() {
             self.survey_machine(&mut survey, &urgent_in_lost_zones, id, record);
@@ -137,7 +137,7 @@
     ) -> Option<ReleaseReason> {
         // The machines of a lost zone are judged together; while a zone is suspected they wait for that.
         let is_urgent = || {
-            if self.zones.is_in_doubt(&record.zone) {
+            if self.zones.is_suspected(&record.zone) {
                 urgent_in_lost_zones.contains(&id)
             } else {
                 let mut tasks = record.tasks.iter();
@@ -222,7 +222,7 @@
 
     fn decommission(&mut self, machines: Vec<(MachineId, ReleaseReason)>) {
         for (machine, reason) in machines {
-            if self.rounds.releasing(machine) {
+            if self.rounds.decommission(machine) {
                 let unneeded = matches!(reason, ReleaseReason::Idle | ReleaseReason::Surplus);
                 self.counters.unneeded += u64::from(unneeded);
                 tracing::info!(%machine, %reason, "machine decommissioning");
--- a/src/coordination/calls.rs
+++ b/src/coordination/calls.rs
@@ -2,7 +2,7 @@
 
 use super::events::{CallId, Effect};
 use super::{Controller, api, autoscaler, commit};
-use crate::protocol::state::{CallError, StateReply, StateRequest};
+use crate::protocol::state::{CallError, StateRequest, StateResponse};
 use crate::storage::catalog::Catalog;
 use crate::storage::ids::{JobId, MachineId, ShardId};
 use crate::storage::records::{FleetRecord, ProvisionRecord};
@@ -90,9 +90,9 @@
             _ => STATE_TIMEOUT,
         };
         let id = self.call(purpose);
-        if let (StateRequest::Txn(txn), Some(call)) = (&request, self.calls.get_mut(&id)) {
+        if let (StateRequest::Transaction(txn), Some(call)) = (&request, self.calls.get_mut(&id)) {
             call.size = Some(TransactionSize {
-                changes: txn.then.len(),
+                changes: txn.changes.len(),
                 largest_value: txn.largest(),
             });
         }
@@ -101,34 +101,39 @@
     }
 
     /// Handles the state store's answer to a call.
-    pub(super) fn on_state(&mut self, id: CallId, result: Result<StateReply, CallError>) {
+    pub(super) fn on_state(&mut self, id: CallId, result: Result<StateResponse, CallError>) {
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
         match &result {
-            Err(CallError::TooMany) => self.on_state_throttled(),
-            Err(CallError::Refused) => self.on_state_refused(&call),
+            Err(CallError::RateLimited) => self.on_state_throttled(),
+            Err(CallError::Rejected) => self.on_state_refused(&call),
             _ => {}
         }
         self.route_state_reply(id, call, result);
     }
 
     /// Passes an answer on to the component that asked.
-    fn route_state_reply(&mut self, id: CallId, call: Call, result: Result<StateReply, CallError>) {
+    fn route_state_reply(
+        &mut self,
+        id: CallId,
+        call: Call,
+        result: Result<StateResponse, CallError>,
+    ) {
         match call.purpose {
             Purpose::Watch => self.on_watch_answered(id, call.sent, result),
             Purpose::Barrier => self.on_barrier_answered(id, call.sent, result),
             Purpose::Page { first } => self.on_page(first, result),
-            Purpose::LeaseGrant => self.on_lease_granted(result),
-            Purpose::LeaseKeepAlive => self.on_lease_kept_alive(call.sent, result),
-            Purpose::Node => self.on_node_written(result),
-            Purpose::Meta => self.replica.want_barrier(),
-            Purpose::Claim(shards) => self.on_claimed(&shards, result),
-            Purpose::Submit(batch) => self.on_submitted(batch, result),
-            Purpose::Abort(request) => self.on_aborted(request, result),
-            Purpose::Final(request, job) => self.on_final(request, job, result),
+            Purpose::LeaseGrant => self.on_lease_grant_answered(result),
+            Purpose::LeaseKeepAlive => self.on_lease_keep_alive_answered(call.sent, result),
+            Purpose::Node => self.on_node_record_written(result),
+            Purpose::Meta => self.replica.request_barrier(),
+            Purpose::Claim(shards) => self.on_claim_answered(&shards, result),
+            Purpose::Submit(batch) => self.on_submissions_result(batch, result),
+            Purpose::Abort(request) => self.on_cancellation_result(request, result),
+            Purpose::Final(request, job) => self.on_final_lookup(request, job, result),
             Purpose::DependencyLookup(job) => self.on_dependency_lookup(job, result),
-            Purpose::Round(round) => self.on_round(*round, result),
+            Purpose::Round(round) => self.on_round_result(*round, result),
             Purpose::Rules => self.on_rules_written(),
             Purpose::Types(types) => self.on_types_written(types, result),
             Purpose::Fleet(record) => self.on_fleet_written(*record, result),
@@ -139,8 +144,8 @@
     /// The state store refused a request for its rate.
     fn on_state_throttled(&mut self) {
         self.counters.refused += 1;
-        self.budget.refused(self.now.steady);
-        if self.limits.throttled(self.now.steady) {
+        self.budget.on_refused(self.now.steady);
+        if self.limits.on_throttled(self.now.steady) {
             self.on_limits_lowered("rate refused");
         }
     }
@@ -151,7 +156,7 @@
             changes,
             largest_value,
         } = call.size.unwrap_or_default();
-        if self.limits.refused(changes, largest_value) {
+        if self.limits.on_refused(changes, largest_value) {
             self.on_limits_lowered("transaction refused");
         } else {
             tracing::info!(purpose = ?call.purpose, changes, largest_value, "state request refused as invalid");
@@ -160,16 +165,16 @@
 
     /// The state store's announced lower limits are in force from now on.
     fn on_limits_lowered(&mut self, reason: &'static str) {
-        let rate = self.limits.write_rps();
+        let rate = self.limits.writes_per_second();
         tracing::info!(
             reason,
-            changes = self.limits.txn_ops(),
-            bytes = self.limits.taken_bytes(),
+            changes = self.limits.max_changes(),
+            bytes = self.limits.stored_value_bytes(),
             rate,
             "state store limits lowered"
         );
         self.budget
-            .set_writes(rate / self.settings.controllers() as f64);
+            .set_write_rate(rate / self.settings.controllers() as f64);
         self.rounds.request();
     }
 }
--- a/src/coordination/commit/assignment.rs
+++ b/src/coordination/commit/assignment.rs
@@ -9,7 +9,7 @@
 use crate::coordination::commit::transaction::{MachineAttempt, TransactionBuilder};
 use crate::scheduler::constraints::PlacementContext;
 use crate::scheduler::placement::{
-    Claim, GroupAllowance, PlacementRequest, Preemption, Running, plan, preempt,
+    Claim, GroupAllowance, PlacementRequest, PreemptibleTask, Preemption, plan, preempt,
 };
 use crate::storage::cell_state::Job;
 use crate::storage::ids::{JobId, MachineId};
@@ -28,7 +28,7 @@
     /// All claims, with those that preempt others.
     all_claims: Vec<Claim>,
     /// Jobs of which all tasks are assigned or none.
-    all_or_nothing: BTreeSet<JobId>,
+    gang: BTreeSet<JobId>,
 }
 
 /// Puts the number of the leader in place of the shard, see [`Controller::owner_numbers`].
@@ -45,7 +45,7 @@
             groups,
             claims: Vec::new(),
             all_claims: Vec::new(),
-            all_or_nothing: BTreeSet::new(),
+            gang: BTreeSet::new(),
         }
     }
 
@@ -62,9 +62,8 @@
             &mut self.groups,
             claims_left,
         );
-        let all_or_nothing = requests.iter().filter(|request| request.all_or_nothing);
-        self.all_or_nothing
-            .extend(all_or_nothing.map(|request| request.job));
+        let gang = requests.iter().filter(|request| request.gang);
+        self.gang.extend(gang.map(|request| request.job));
         self.claims.extend(&new);
         self.all_claims.extend(&new);
         new
@@ -74,7 +73,7 @@
     fn preempt(
         &mut self,
         requests: &[PlacementRequest<'a>],
-        running: &dyn Fn(MachineId) -> Vec<Running>,
+        running: &dyn Fn(MachineId) -> Vec<PreemptibleTask>,
     ) -> Vec<Preemption> {
         let preemptions = preempt(
             &mut self.candidates.usable,
@@ -131,7 +130,7 @@
     /// Leaves only own jobs that must start at once to this round; the others keep their turns.
     fn limit_to_urgent(&self, requests: &mut [PlacementRequest<'_>]) {
         for request in requests {
-            request.mine &= self.starts_at_once(request.spec);
+            request.is_local &= self.starts_at_once(request.spec);
         }
     }
 
@@ -145,7 +144,7 @@
     ) -> Vec<PlannedAssignment> {
         if !requests
             .iter()
-            .any(|request| request.mine && request.preempts)
+            .any(|request| request.is_local && request.preempts)
         {
             return Vec::new();
         }
@@ -214,7 +213,7 @@
         let mut assigned = Vec::new();
         for claims in plan.claims.chunk_by(|a, b| a.job == b.job) {
             let planned = self.planned(claims);
-            if !plan.all_or_nothing.contains(&claims[0].job) {
+            if !plan.gang.contains(&claims[0].job) {
                 assigned.extend(planned.into_iter().filter(|assignment| {
                     transaction.assign(assignment.claim.machine, assignment.attempt())
                 }));
--- a/src/coordination/commit/budget.rs
+++ b/src/coordination/commit/budget.rs
@@ -92,7 +92,7 @@
     }
 
     /// Changes a second since the last call.
-    pub fn spending(&mut self, now: Micros) -> f64 {
+    pub fn take_spending_rate(&mut self, now: Micros) -> f64 {
         let restarted = Spending {
             changes: 0.0,
             since: now,
@@ -109,7 +109,7 @@
     /// Takes over what the others leave of their shares, by the changes a second that they said they
     /// spend: `None` for one without a recent message. This is only a matter of speed: a controller
     /// that turns out to have taken too much is refused, and retries later.
-    pub fn lend(&mut self, now: Micros, others: impl Iterator<Item = Option<f64>>) {
+    pub fn borrow_unused(&mut self, now: Micros, others: impl Iterator<Item = Option<f64>>) {
         self.refill(now);
         let unused_of = |spends: f64| {
             let expected = spends * PEER_GROWTH;
@@ -120,7 +120,7 @@
     }
 
     /// Sets this controller's share of another rate of changes a second.
-    pub fn set_writes(&mut self, writes: f64) {
+    pub fn set_write_rate(&mut self, writes: f64) {
         self.even_share = writes * SHARE_MARGIN;
         self.writes.rate = self.writes.rate.min(self.even_share);
         self.writes.set_capacity(self.even_share.max(1.0));
@@ -158,7 +158,7 @@
             .time_until(requests_needed)
             .max(wait_for_writes);
         Self::admit(now, wait)?;
-        self.force(now, writes);
+        self.charge(now, writes);
         Ok(())
     }
 
@@ -181,7 +181,7 @@
         };
         let wait_for_requests = self.requests.time_until(1.0 - self.requests.capacity);
         Self::admit(now, wait_for_requests.max(wait_for_writes))?;
-        self.force(now, writes);
+        self.charge(now, writes);
         Ok(())
     }
 
@@ -211,7 +211,7 @@
     }
 
     /// Spends one request with `writes` changes whatever is there: for what must not wait.
-    pub fn force(&mut self, now: Micros, writes: usize) {
+    pub fn charge(&mut self, now: Micros, writes: usize) {
         self.refill(now);
         self.requests.level -= 1.0;
         self.writes.level -= writes as f64;
@@ -219,7 +219,7 @@
     }
 
     /// The store refused a request for its rate: some controller spends more than was assumed.
-    pub fn refused(&mut self, now: Micros) {
+    pub fn on_refused(&mut self, now: Micros) {
         self.refill(now);
         self.requests.empty();
         self.writes.empty();
--- a/src/coordination/commit/candidates.rs
+++ b/src/coordination/commit/candidates.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::commit::transaction::TransactionBuilder;
-use crate::coordination::constraints::jobs_there;
+use crate::coordination::constraints::distinct_jobs;
 use crate::scheduler::constraints::PlacementContext;
 use crate::scheduler::placement::{Candidate, GroupAllowance, PlacementRequest};
 use crate::scheduler::provisioning::core_price;
@@ -64,14 +64,14 @@
                 continue;
             };
             let now = self.now.steady;
-            let takes_work = self.zones.takes_work(&record.zone, machine.machine, now);
-            if !takes_work && starved.is_empty() {
+            let accepts_tasks = self.zones.accepts_tasks(&record.zone, machine.machine, now);
+            if !accepts_tasks && starved.is_empty() {
                 continue;
             }
             let Some(candidate) = self.candidate(machine, transaction, context, owners) else {
                 continue;
             };
-            if takes_work {
+            if accepts_tasks {
                 candidates.usable.push(candidate);
             } else {
                 candidates.recovering.push(candidate);
@@ -110,14 +110,17 @@
     ) -> Option<Candidate<'a>> {
         let record = self.cell.machine(machine.machine)?;
         let machine_type = self.cell.machine_type(&record.machine_type)?;
-        let there = match context {
+        let residents = match context {
             Some(context) if context.colocated => transaction
                 .machine(machine.machine)
-                .map_or(Vec::new(), |record| jobs_there(&record.tasks)),
+                .map_or(Vec::new(), |record| distinct_jobs(&record.tasks)),
             _ => Vec::new(),
         };
-        let has_exclusions =
-            context.is_some_and(|context| there.iter().any(|job| context.excludes_newcomers(*job)));
+        let restricts_colocation = context.is_some_and(|context| {
+            residents
+                .iter()
+                .any(|job| context.restricts_colocation(*job))
+        });
         Some(Candidate {
             machine: machine.machine,
             group: machine.group,
@@ -126,17 +129,17 @@
             zone: &record.zone,
             spot: record.spot,
             price: core_price(machine_type, record.spot),
-            all: machine_type.room,
+            capacity: machine_type.room,
             free: machine.free,
             reserved: false,
             images: &record.images,
-            fetches: None,
+            fetching_image: None,
             running: Vec::new(),
             class: context
                 .and_then(|_| self.cell.classes.of(machine.machine))
                 .unwrap_or_default(),
-            there,
-            has_exclusions,
+            residents,
+            restricts_colocation,
         })
     }
 
@@ -150,7 +153,7 @@
     ) -> usize {
         let mut shards: Vec<ShardId> = requests
             .iter()
-            .filter(|request| request.mine)
+            .filter(|request| request.is_local)
             .map(|request| request.owner)
             .collect();
         shards.sort_unstable();
--- a/src/coordination/commit/compaction_round.rs
+++ b/src/coordination/commit/compaction_round.rs
@@ -9,8 +9,8 @@
 impl Controller {
     /// Looks for own records that are larger than the next limits allow. Once all controllers have
     /// this version none is written any more, so this runs at that time, and after takeovers.
-    pub(in crate::coordination) fn find_large(&mut self) {
-        if !self.cell.terse() {
+    pub(in crate::coordination) fn find_oversized_records(&mut self) {
+        if !self.cell.uses_compact_encoding() {
             return;
         }
         let value_bytes = self.limits.value_bytes();
--- a/src/coordination/commit/job_order.rs
+++ b/src/coordination/commit/job_order.rs
@@ -121,10 +121,10 @@
         })
     }
 
-    /// Whether a job's team has no shard yet, see [`Controller::has_no_shard`].
+    /// Whether a job's team has no shard yet, see [`Controller::lacks_shard`].
     pub(in crate::coordination) fn belongs_to_team_without_shard(&self, job: &Job) -> bool {
         self.settings
             .team(&job.spec().team)
-            .is_some_and(|team| self.has_no_shard(team))
+            .is_some_and(|team| self.lacks_shard(team))
     }
 }
--- a/src/coordination/commit/limits.rs
+++ b/src/coordination/commit/limits.rs
@@ -7,7 +7,7 @@
 
 /// The limits that hold, as far as this process has learned.
 #[derive(Debug)]
-pub struct InForce {
+pub struct EffectiveLimits {
     current: StateLimits,
     next: StateLimits,
     /// A transaction was refused that the current limits allow and the next ones do not.
@@ -18,7 +18,7 @@
     rate_refusals: VecDeque<Micros>,
 }
 
-impl InForce {
+impl EffectiveLimits {
     /// How long refusals for the rate count.
     const REFUSAL_WINDOW: Micros = Micros::secs(15);
 
@@ -27,8 +27,8 @@
     const MIN_REFUSALS: usize = 12;
 
     /// The limits of the settings, the current and the next.
-    pub fn new(settings: &Settings) -> InForce {
-        InForce {
+    pub fn new(settings: &Settings) -> EffectiveLimits {
+        EffectiveLimits {
             current: settings.limits,
             next: settings.next_limits,
             next_sizes_hold: false,
@@ -38,10 +38,10 @@
     }
 
     /// The current limits of the settings alone: as a controller behaves that knows of no others.
-    pub fn unaware(settings: &Settings) -> InForce {
-        InForce {
+    pub fn without_next(settings: &Settings) -> EffectiveLimits {
+        EffectiveLimits {
             next: settings.limits,
-            ..InForce::new(settings)
+            ..EffectiveLimits::new(settings)
         }
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Most changes of one transaction.
-    pub fn txn_ops(&self) -> usize {
+    pub fn max_changes(&self) -> usize {
         self.sizes().txn_ops
     }
 
@@ -70,12 +70,12 @@
     }
 
     /// Bytes of the largest value that the store takes.
-    pub fn taken_bytes(&self) -> usize {
+    pub fn stored_value_bytes(&self) -> usize {
         self.sizes().value_bytes
     }
 
     /// Changes a second that the store takes from all controllers together.
-    pub fn write_rps(&self) -> f64 {
+    pub fn writes_per_second(&self) -> f64 {
         if self.is_next_rate() {
             self.next.write_rps
         } else {
@@ -85,7 +85,7 @@
 
     /// The store refused a transaction of this many changes, the largest value of so many bytes, as
     /// invalid. Whether that shows that the next limits hold from now on.
-    pub fn refused(&mut self, changes: usize, largest_value: usize) -> bool {
+    pub fn on_refused(&mut self, changes: usize, largest_value: usize) -> bool {
         let is_within =
             |limits: &StateLimits| changes <= limits.txn_ops && largest_value <= limits.value_bytes;
         let is_proof = !self.next_sizes_hold && is_within(&self.current) && !is_within(&self.next);
@@ -95,7 +95,7 @@
 
     /// The store refused a request for its rate. Whether that shows that the next rate holds from now
     /// on.
-    pub fn throttled(&mut self, now: Micros) -> bool {
+    pub fn on_throttled(&mut self, now: Micros) -> bool {
         if self.is_next_rate() || self.next.write_rps >= self.current.write_rps {
             return false;
         }
--- a/src/coordination/commit/mod.rs
+++ b/src/coordination/commit/mod.rs
@@ -100,7 +100,7 @@
         if !self.is_round_due() {
             return;
         }
-        self.refresh_unschedulable();
+        self.refresh_unschedulable_jobs();
         let Some(scope) = self.admit_round() else {
             return;
         };
@@ -118,7 +118,7 @@
 
     fn is_round_due(&mut self) -> bool {
         let now = self.now.steady;
-        if !self.rounds.is_due() || !self.replica.ready() {
+        if !self.rounds.is_due() || !self.replica.is_ready() {
             return false;
         }
         if now < self.rounds.not_before() {
@@ -154,13 +154,13 @@
     }
 
     fn transaction_limits(&self) -> TransactionLimits {
-        let changes = self.limits.txn_ops();
+        let changes = self.limits.max_changes();
         TransactionLimits {
             changes,
             conditions: changes * Self::CONDITIONS_PER_CHANGE,
             value_bytes: self.limits.value_bytes(),
-            stored_value_bytes: self.limits.taken_bytes(),
-            oversized_may_grow: !self.cell.terse(),
+            stored_value_bytes: self.limits.stored_value_bytes(),
+            oversized_may_grow: !self.cell.uses_compact_encoding(),
             group_bytes: self.part_bytes(),
         }
     }
@@ -172,8 +172,8 @@
             released,
         } = planned;
         let now = self.now.steady;
-        let changes = commit.txn.then.len();
-        self.budget.force(now, changes);
+        let changes = commit.txn.changes.len();
+        self.budget.charge(now, changes);
         // A job's end has no room where fewer changes are left, so a full round may be a little short.
         let unusable_changes = (limits.changes / 6).min(Self::JOB_END_CHANGES);
         let full = changes + unusable_changes >= limits.changes;
@@ -186,7 +186,7 @@
         };
         self.ask_state(
             Purpose::Round(Box::new(in_flight)),
-            StateRequest::Txn(commit.txn),
+            StateRequest::Transaction(commit.txn),
         );
     }
 
@@ -197,7 +197,7 @@
         let now = self.now.steady;
         if let Some(read) = self.rounds.barrier_read() {
             let timeout_at = read.requested_at + READ_TIMEOUT;
-            if !self.replica.passed(read.after_call) && now < timeout_at {
+            if !self.replica.has_read_since(read.after_call) && now < timeout_at {
                 self.wake_at(timeout_at);
                 return false;
             }
@@ -214,7 +214,7 @@
             after_call: self.next_call - 1,
             requested_at: now,
         }));
-        self.replica.want_barrier();
+        self.replica.request_barrier();
         self.wake_at(now + READ_TIMEOUT);
         false
     }
@@ -225,7 +225,7 @@
         const HINT_VALID_FOR: Micros = Micros::secs(3);
         let now = self.now.steady;
         let is_recent = |received: Micros| now.since(received) < HINT_VALID_FOR;
-        !self.rounds.saturated(now)
+        !self.rounds.is_saturated(now)
             && self
                 .peers
                 .values()
--- a/src/coordination/commit/ordering.rs
+++ b/src/coordination/commit/ordering.rs
@@ -3,7 +3,7 @@
 use crate::coordination::Controller;
 use crate::protocol::settings::ObjectiveKind;
 use crate::storage::cell_state::Job;
-use crate::storage::dependency_graph::expected_run;
+use crate::storage::dependency_graph::expected_runtime;
 use crate::storage::job::JobSpec;
 use crate::time::Micros;
 
@@ -20,9 +20,9 @@
         );
         let due = job
             .dependency_state
-            .wanted_by
-            .map_or(own_due, |wanted_by| wanted_by.min(own_due));
-        let latest_start = due - (expected_run(spec) + self.shortest_fetch(spec));
+            .required_by
+            .map_or(own_due, |required_by| required_by.min(own_due));
+        let latest_start = due - (expected_runtime(spec) + self.shortest_fetch(spec));
         let start_objective = self
             .start_objective(spec)
             .filter(|objective| *objective >= self.shortest_boot());
--- a/src/coordination/commit/partial_sets.rs
+++ b/src/coordination/commit/partial_sets.rs
@@ -11,13 +11,13 @@
 impl Controller {
     /// Groups that one transaction can write beside a usage record.
     fn max_groups_of_round(&self) -> usize {
-        self.limits.txn_ops() - 1
+        self.limits.max_changes() - 1
     }
 
     /// Whether there is room for all tasks of a set, but not on as many groups as one transaction can
     /// write. Then it is assigned in parts, round after round: a gang's tasks wait for each other.
     pub(super) fn needs_parts(&self, id: JobId, spec: &JobSpec) -> bool {
-        if !spec.together() {
+        if !spec.runs_all_tasks_at_once() {
             return false;
         }
         let tasks = u64::from(spec.task_count);
@@ -27,9 +27,11 @@
         };
         let mut room_by_group: BTreeMap<_, u64> = BTreeMap::new();
         for (_, machine, record) in self.cell.machines() {
-            if is_allowed(record) && self.may_use(id, machine) {
+            if is_allowed(record) && self.rules_allow_machine(id, machine) {
                 let room = spec.need.times_in(&self.cell.free(record), tasks);
-                *room_by_group.entry(self.cell.home(machine)).or_default() += room;
+                *room_by_group
+                    .entry(self.cell.group_of_machine(machine))
+                    .or_default() += room;
             }
         }
         let mut room: Vec<u64> = room_by_group.into_values().collect();
@@ -46,7 +48,7 @@
             .assigned(id)
             .into_iter()
             .flat_map(|assigned| assigned.values())
-            .filter_map(|place| self.cell.home(place.machine))
+            .filter_map(|place| self.cell.group_of_machine(place.machine))
             .collect();
         groups.len() >= self.max_groups_of_round()
     }
--- a/src/coordination/commit/pending.rs
+++ b/src/coordination/commit/pending.rs
@@ -111,32 +111,32 @@
     }
 
     /// Requests that a machine is added to a group.
-    pub fn add(&mut self, machine: MachineId) {
+    pub fn add_machine(&mut self, machine: MachineId) {
         self.requested = true;
         self.machines_to_add.insert(machine);
     }
 
     /// Requests the removal of a machine that is proven gone.
-    pub fn gone(&mut self, machine: MachineId) {
+    pub fn remove_machine(&mut self, machine: MachineId) {
         self.requested = true;
         self.machines_gone.insert(machine);
     }
 
     /// Requests that a machine is marked before it is returned; false if that was requested already.
-    pub fn releasing(&mut self, machine: MachineId) -> bool {
+    pub fn decommission(&mut self, machine: MachineId) -> bool {
         self.requested = true;
         self.machines_to_decommission.insert(machine)
     }
 
     /// Drops requests for machines whose shard this process leads no more.
-    pub fn drop_machines(&mut self, lost: impl Fn(MachineId) -> bool) {
+    pub fn drop_requests_for_machines(&mut self, lost: impl Fn(MachineId) -> bool) {
         self.releases.retain(|(machine, _), _| !lost(*machine));
         self.health_changes.retain(|machine, _| !lost(*machine));
         self.machines_to_add.retain(|machine| !lost(*machine));
     }
 
     /// Drops requests of the fleet's owner.
-    pub fn drop_fleet(&mut self) {
+    pub fn drop_fleet_requests(&mut self) {
         self.machines_gone.clear();
         self.machines_to_decommission.clear();
     }
@@ -157,7 +157,7 @@
     }
 
     /// Whether some job waits for the end of its back-off.
-    pub fn pausing(&self) -> bool {
+    pub fn has_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
 
@@ -181,12 +181,12 @@
     }
 
     /// How many assignments wait to be released.
-    pub fn waiting(&self) -> usize {
+    pub fn pending_releases(&self) -> usize {
         self.releases.len()
     }
 
     /// Whether more waits than rounds have had room for lately.
-    pub fn saturated(&self, now: Micros) -> bool {
+    pub fn is_saturated(&self, now: Micros) -> bool {
         const SATURATED_FOR: Micros = Micros::secs(3);
         self.last_full_at
             .is_some_and(|full_at| now.since(full_at) < SATURATED_FOR)
@@ -303,9 +303,16 @@
         let mut weights: HashMap<_, u64> = HashMap::new();
         for release in self.releases.values() {
             let waited = now.since(release.requested_at) + HEAD_START;
-            *weights.entry(cell.home(release.machine)).or_default() += waited.0;
+            *weights
+                .entry(cell.group_of_machine(release.machine))
+                .or_default() += waited.0;
         }
-        let weight = |machine: MachineId| weights.get(&cell.home(machine)).copied().unwrap_or(0);
+        let weight = |machine: MachineId| {
+            weights
+                .get(&cell.group_of_machine(machine))
+                .copied()
+                .unwrap_or(0)
+        };
         let mut in_order: Vec<_> = self
             .releases
             .values()
--- a/src/coordination/commit/placement_requests.rs
+++ b/src/coordination/commit/placement_requests.rs
@@ -40,22 +40,22 @@
         let controller = self.controller;
         let spec = job.spec();
         let shard = controller.cell.shard_of_job(id, spec);
-        let mine = controller.leads(shard);
+        let is_local = controller.leads(shard);
         let team = controller.settings.team(&spec.team);
         let most = self.tasks_within_limits(shard, spec, team);
         let suspect = controller.rounds.is_suspect(id);
         if most == 0 || controller.waits_for_running_tasks(id, spec, suspect) {
             return None;
         }
-        let all_or_nothing = controller.is_all_or_nothing(id, spec);
-        let max_tasks = self.max_tasks(turn, suspect, all_or_nothing);
+        let gang = controller.is_all_or_nothing(id, spec);
+        let max_tasks = self.max_tasks(turn, suspect, gang);
         let tasks: Vec<u32> = controller.cell.pending(id, job).take(max_tasks).collect();
-        if mine {
+        if is_local {
             self.own_tasks += tasks.len();
         }
         let allowed = (tasks.len() as u64).min(most);
         // Once the other claims are planned nothing is saved for sets that exceed the limits now.
-        if all_or_nothing && allowed < tasks.len() as u64 && self.claimed.is_some() {
+        if gang && allowed < tasks.len() as u64 && self.claimed.is_some() {
             return None;
         }
         self.count(spec, allowed);
@@ -72,13 +72,13 @@
                 controller.price_limit_among(id, job, &self.machine_kinds)
             },
             owner: shard,
-            mine,
+            is_local,
             // What goes ahead for its class or team waits for room; it preempts nothing.
             preempts: controller.preempts(job) && !suspect && !turn.ahead,
-            takes_leftovers: suspect,
+            uses_leftovers_only: suspect,
             guaranteed: team.is_some_and(Team::has_share) && !controller.borrows(job, shard),
-            all_or_nothing,
-            avoid: &job.record.avoid,
+            gang,
+            avoid: &job.record.failed_machines,
             rules: controller.rules_for(id, job, self.context),
         })
     }
@@ -123,17 +123,17 @@
     }
 
     /// Most tasks that a job requests in its turn.
-    fn max_tasks(&self, turn: &Turn<'_>, suspect: bool, all_or_nothing: bool) -> usize {
+    fn max_tasks(&self, turn: &Turn<'_>, suspect: bool, gang: bool) -> usize {
         let spec = turn.job.spec();
         let left = Controller::MAX_CLAIMS - self.own_tasks;
-        let of_job = if suspect && !spec.together() {
+        let of_job = if suspect && !spec.runs_all_tasks_at_once() {
             1
-        } else if all_or_nothing {
+        } else if gang {
             left.max(spec.task_count as usize)
         } else {
             left
         };
-        if all_or_nothing {
+        if gang {
             of_job
         } else {
             of_job.min(usize::try_from(turn.max_tasks).unwrap_or(usize::MAX))
@@ -241,7 +241,7 @@
 
     /// Whether all tasks of a job are assigned in one transaction, or none.
     fn is_all_or_nothing(&self, id: JobId, spec: &JobSpec) -> bool {
-        spec.together()
+        spec.runs_all_tasks_at_once()
             && self.cell.assigned(id).is_none()
             && (spec.task_count as usize) <= Self::MAX_CLAIMS
             && !self.needs_parts(id, spec)
--- a/src/coordination/commit/preemption.rs
+++ b/src/coordination/commit/preemption.rs
@@ -2,7 +2,7 @@
 
 use super::fair_shares::FairShares;
 use crate::coordination::Controller;
-use crate::scheduler::placement::Running;
+use crate::scheduler::placement::PreemptibleTask;
 use crate::storage::cell_state::Job;
 use crate::storage::records::{Assignment, MachineRecord};
 use crate::time::Micros;
@@ -18,11 +18,11 @@
         record: &MachineRecord,
         planned: Option<&MachineRecord>,
         fair_shares: &FairShares<'_>,
-    ) -> Vec<Running> {
+    ) -> Vec<PreemptibleTask> {
         let stays = |assignment: &Assignment| {
             planned.is_some_and(|planned| planned.tasks.contains(assignment))
         };
-        let mut running: Vec<Running> = record
+        let mut running: Vec<PreemptibleTask> = record
             .tasks
             .iter()
             .filter(|assignment| !record.preempted.contains(assignment) && stays(assignment))
@@ -37,7 +37,7 @@
         &self,
         assignment: &Assignment,
         fair_shares: &FairShares<'_>,
-    ) -> Option<Running> {
+    ) -> Option<PreemptibleTask> {
         let id = assignment.attempt().task.job;
         let job = self.cell.jobs.get(&id)?;
         if fair_shares.protects(id) {
@@ -49,7 +49,7 @@
             let (cores, _) = self.cell.used(shard, &spec.team);
             cores > team.guarantee.0 + spec.need.cores
         });
-        Some(Running {
+        Some(PreemptibleTask {
             assignment: *assignment,
             need: spec.need,
             priority: job.priority(),
--- a/src/coordination/commit/price.rs
+++ b/src/coordination/commit/price.rs
@@ -62,7 +62,7 @@
                 spec.need.fits(&catalog_type.room)
                     && spec.allows(machine_type, zone, spot)
                     && core_price(catalog_type, spot) <= limit
-                    && self.may_provision(id, machine_type, zone, spot)
+                    && self.rules_allow_offer(id, machine_type, zone, spot)
             })
     }
 
--- a/src/coordination/commit/result.rs
+++ b/src/coordination/commit/result.rs
@@ -2,7 +2,7 @@
 
 use super::{InFlight, PlannedAssignment};
 use crate::coordination::Controller;
-use crate::protocol::state::{CallError, StateReply};
+use crate::protocol::state::{CallError, StateResponse};
 use crate::storage::cell_state::{CellChanges, Change};
 use crate::storage::ids::JobId;
 use crate::storage::job::FinalRecord;
@@ -19,18 +19,18 @@
 
 impl Controller {
     /// Takes the result of the round in flight.
-    pub(in crate::coordination) fn on_round(
+    pub(in crate::coordination) fn on_round_result(
         &mut self,
         round: InFlight,
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) {
         self.rounds.on_result();
         match result {
-            Ok(StateReply::Applied(revision)) => self.on_round_applied(round, revision),
-            Ok(StateReply::Clash(keys, revision)) => {
+            Ok(StateResponse::Applied(revision)) => self.on_round_applied(round, revision),
+            Ok(StateResponse::Conflict(keys, revision)) => {
                 self.on_round_conflict(&round, &keys, revision);
             }
-            Err(CallError::Unavailable | CallError::TooMany) => {
+            Err(CallError::Unavailable | CallError::RateLimited) => {
                 self.rounds.delay_until(self.now.steady + RETRY_DELAY);
             }
             _ => self.on_round_outcome_unknown(round),
@@ -97,7 +97,7 @@
         self.counters.dropped += round.assigned.len() as u64;
         tracing::debug!(?keys, claims = round.assigned.len(), "commit conflict");
         self.rounds.hold_until_revision(revision);
-        self.replica.want_barrier();
+        self.replica.request_barrier();
     }
 
     fn on_round_outcome_unknown(&mut self, round: InFlight) {
@@ -112,11 +112,11 @@
                 log_end(job, end);
             }
         }
-        self.replica.want_barrier();
+        self.replica.request_barrier();
     }
 
     /// A job has left the replica: if a round with unknown outcome ended it, its end is logged now.
-    pub(in crate::coordination) fn on_job_gone(&mut self, job: JobId) {
+    pub(in crate::coordination) fn on_job_removed(&mut self, job: JobId) {
         if let Some(end) = self.rounds.take_unknown_end(job) {
             log_end(job, end);
         }
--- a/src/coordination/commit/round.rs
+++ b/src/coordination/commit/round.rs
@@ -86,7 +86,8 @@
             let mut all_released = true;
             for assignment in &record.tasks {
                 let attempt = assignment.attempt();
-                all_released &= transaction.release(*machine, attempt, Outcome::Again, FLEET_SHARD);
+                all_released &=
+                    transaction.release(*machine, attempt, Outcome::Reassign, FLEET_SHARD);
                 released += 1;
             }
             if all_released {
@@ -192,7 +193,7 @@
         const READ_SHARE: f64 = 0.05;
         const MIN_BYTES: usize = 4_096;
         let read_rate = READ_BYTES_PER_CORE * READ_SHARE;
-        let affordable = self.settings.core_share * read_rate / self.limits.write_rps();
+        let affordable = self.settings.core_share * read_rate / self.limits.writes_per_second();
         let value_bytes = self.limits.value_bytes();
         (affordable as usize)
             .max(MIN_BYTES)
@@ -213,7 +214,10 @@
             .values()
             .map(|job| job.spec().need.times_in(&room, MAX_TASKS))
             .max();
-        GroupRecord::usual_bytes(tasks.unwrap_or(0).max(1), self.cell.terse())
+        GroupRecord::estimated_machine_bytes(
+            tasks.unwrap_or(0).max(1),
+            self.cell.uses_compact_encoding(),
+        )
     }
 
     /// Bytes that a machine's record takes when the machine is full, by type.
--- a/src/coordination/commit/transaction/compaction.rs
+++ b/src/coordination/commit/transaction/compaction.rs
@@ -84,7 +84,7 @@
 
     fn empty_group(&self) -> GroupRecord {
         GroupRecord {
-            terse: self.compact_encoding,
+            compact_encoding: self.compact_encoding,
             ..GroupRecord::default()
         }
     }
@@ -108,7 +108,7 @@
     }
 
     /// Moves machines of a group to new ones. If it is too large to be written at all they are copied,
-    /// and the copies count, until what is left can be written: see [`CellState::is_stale`]. Every step
+    /// and the copies count, until what is left can be written: see [`CellState::is_superseded`]. Every step
     /// of that raises the shard's term, on which every write to its groups is conditional: so nothing
     /// that was planned on the group itself can still be applied, nor the same step twice.
     fn compact_group(
@@ -122,7 +122,7 @@
             return false;
         };
         let rest = GroupRecord {
-            terse: self.compact_encoding,
+            compact_encoding: self.compact_encoding,
             ..before.value.clone()
         };
         let bytes = size_of(&rest);
--- a/src/coordination/commit/transaction/compaction/tests.rs
+++ b/src/coordination/commit/transaction/compaction/tests.rs
@@ -9,7 +9,7 @@
 use crate::storage::completion_bitmap::CompletionBitmap;
 use crate::storage::ids::{Attempt, TaskId};
 use crate::storage::job::{JobRecord, JobSpec, Priority};
-use crate::storage::records::{Assignment, Incarnation, LAYOUT, UsageRecord};
+use crate::storage::records::{Assignment, Incarnation, LATEST_FORMAT, UsageRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Bytes that a value may have.
@@ -49,7 +49,7 @@
 
 /// Many machines in one group, each with a task of a job of its own.
 fn large_group(machines: u64) -> CellState {
-    let mut cell = replica_of(LAYOUT);
+    let mut cell = replica_of(LATEST_FORMAT);
     let mut group = GroupRecord::default();
     let mut changes = Vec::new();
     for m in 1..=machines {
@@ -95,7 +95,7 @@
 ) {
     assert!(holds(cell, commit));
     assert!(
-        commit.txn.then.len() <= 4 && commit.txn.when.len() <= 16,
+        commit.txn.changes.len() <= 4 && commit.txn.when.len() <= 16,
         "{key}"
     );
     assert!(
@@ -138,7 +138,7 @@
         // that is copied now is released.
         let (m, record) = cell.groups[0][&0].value.machines.last_key_value().unwrap();
         let mut planned_before = TransactionBuilder::new(&cell, limits(16 * 1_024));
-        assert!(planned_before.release(*m, record.tasks[0].attempt(), Outcome::Again, 7));
+        assert!(planned_before.release(*m, record.tasks[0].attempt(), Outcome::Reassign, 7));
         let planned_before = planned_before.commit();
         let commit = step(&cell, &key, MAX_BYTES).expect("a step");
         let again = step(&cell, &key, MAX_BYTES).expect("a step");
@@ -152,7 +152,7 @@
         assert!(!holds(&cell, &again), "the step is applied twice");
         assert_eq!(machines(&cell), all, "after step {mod_revision}");
         // A controller that starts now reads the keys in their order.
-        let mut fresh = replica_of(LAYOUT);
+        let mut fresh = replica_of(LATEST_FORMAT);
         let listed = store.iter().map(|(k, (content, mod_revision))| Change {
             key: Key::parse(k).unwrap(),
             content: Some(content.clone()),
@@ -167,12 +167,12 @@
         if let Some(stale) = cell
             .machines()
             .map(|(_, m, _)| m)
-            .find(|m| cell.is_stale(*m))
+            .find(|m| cell.is_superseded(*m))
         {
             copied += 1;
             let mut transaction = TransactionBuilder::new(&cell, limits(MAX_BYTES));
             let assignment = cell.machine(stale).unwrap().tasks[0].attempt();
-            assert!(transaction.release(stale, assignment, Outcome::Again, 0));
+            assert!(transaction.release(stale, assignment, Outcome::Reassign, 0));
             assert!(
                 !transaction.remove(stale),
                 "the removed machine would reappear"
@@ -180,7 +180,7 @@
         }
     }
     assert!(copied > 1, "nothing was copied");
-    assert!(cell.machines().all(|(_, m, _)| !cell.is_stale(m)));
+    assert!(cell.machines().all(|(_, m, _)| !cell.is_superseded(m)));
     assert!(
         cell.groups[0]
             .values()
@@ -208,7 +208,7 @@
         mod_revision += 1;
         apply(&mut cell, commit, mod_revision);
         assert_eq!(machines(&cell), all, "after step {mod_revision}");
-        assert!(cell.machines().all(|(_, m, _)| !cell.is_stale(m)));
+        assert!(cell.machines().all(|(_, m, _)| !cell.is_superseded(m)));
     }
 }
 
@@ -216,7 +216,7 @@
 #[test]
 fn no_completion_is_lost_when_an_oversized_usage_record_is_compacted() {
     for stored_value_bytes in [16 * 1_024, MAX_BYTES] {
-        let mut cell = replica_of(LAYOUT);
+        let mut cell = replica_of(LATEST_FORMAT);
         let mut usage = UsageRecord::default();
         let mut changes = Vec::new();
         for j in 1..=90 {
@@ -242,7 +242,7 @@
         let mut mod_revision = 2;
         while too_large(&cell, &Key::Usage(0), MAX_BYTES) {
             let commit = step(&cell, &Key::Usage(0), stored_value_bytes).expect("a step");
-            assert!(commit.txn.then.len() <= 4);
+            assert!(commit.txn.changes.len() <= 4);
             assert!(stored_value_bytes > MAX_BYTES || commit.txn.largest() <= MAX_BYTES);
             mod_revision += 1;
             apply(&mut cell, commit, mod_revision);
--- a/src/coordination/commit/transaction/edits.rs
+++ b/src/coordination/commit/transaction/edits.rs
@@ -3,7 +3,7 @@
 use super::limits::{PRUNED_IMAGES, SPARE_BYTES};
 use crate::protocol::state::encode;
 use crate::storage::cell_state::Job;
-use crate::storage::completion_bitmap::{CHUNK, CompletionBitmap};
+use crate::storage::completion_bitmap::{CompletionBitmap, TASKS_PER_CHUNK};
 use crate::storage::job::{FinalRecord, JobRecord};
 use crate::storage::records::{GroupRecord, UsageRecord};
 use std::collections::BTreeMap;
@@ -105,11 +105,11 @@
     }
     /// Completes a task. `job`: as it was before the transaction.
     pub fn complete(&mut self, index: u32, job: &Job) {
-        let chunk_index = index / CHUNK;
+        let chunk_index = index / TASKS_PER_CHUNK;
         if chunk_index == 0 {
             self.record.finished.insert(index);
-        } else if self.record.full >> chunk_index & 1 == 0 {
-            self.complete_in_chunk(chunk_index, index % CHUNK, job);
+        } else if self.record.complete_chunks >> chunk_index & 1 == 0 {
+            self.complete_in_chunk(chunk_index, index % TASKS_PER_CHUNK, job);
         }
     }
 
@@ -123,10 +123,11 @@
                 .unwrap_or_default()
         });
         if chunk.insert(index) {
-            self.record.more += 1;
-            let size = CHUNK.min(self.record.spec.task_count - chunk_index * CHUNK);
+            self.record.finished_in_chunks += 1;
+            let size =
+                TASKS_PER_CHUNK.min(self.record.spec.task_count - chunk_index * TASKS_PER_CHUNK);
             if chunk.count() == size {
-                self.record.full |= 1 << chunk_index;
+                self.record.complete_chunks |= 1 << chunk_index;
             }
         }
     }
--- a/src/coordination/commit/transaction/job_ends.rs
+++ b/src/coordination/commit/transaction/job_ends.rs
@@ -16,7 +16,7 @@
         let end = FinalRecord {
             cancelled: false,
             done: job.spec().task_count,
-            at: self.cell.today,
+            at: self.cell.time_of_day,
         };
         self.end(id, job, end)
     }
@@ -37,7 +37,7 @@
         let end = FinalRecord {
             cancelled: true,
             done: job.done(),
-            at: self.cell.today,
+            at: self.cell.time_of_day,
         };
         self.end(id, job, end)
     }
--- a/src/coordination/commit/transaction/machines.rs
+++ b/src/coordination/commit/transaction/machines.rs
@@ -142,7 +142,7 @@
         let (Some(record), Some(group)) = (self.machine(machine), self.home(machine)) else {
             return true;
         };
-        if self.cell.is_stale(machine) || !record.tasks.is_empty() {
+        if self.cell.is_superseded(machine) || !record.tasks.is_empty() {
             return false;
         }
         let needs = Needs {
--- a/src/coordination/commit/transaction/mod.rs
+++ b/src/coordination/commit/transaction/mod.rs
@@ -18,7 +18,7 @@
 pub use limits::TransactionLimits;
 pub use view::TeamUsage;
 
-use crate::protocol::state::Txn;
+use crate::protocol::state::Transaction;
 use crate::storage::cell_state::{CellState, Change};
 use crate::storage::ids::{Attempt, GroupIndex, JobId, MachineId, ShardId};
 use crate::storage::job::FinalRecord;
@@ -76,7 +76,7 @@
 #[derive(Debug)]
 pub struct PlannedTransaction {
     /// The transaction.
-    pub txn: Txn,
+    pub txn: Transaction,
     /// Its changes; their revisions are set when it has one.
     pub changes: Vec<Change>,
     /// Jobs that it ends.
@@ -98,7 +98,7 @@
             removed_chunks: BTreeSet::new(),
             conditions: BTreeSet::new(),
             bytes: 0,
-            compact_encoding: cell.terse(),
+            compact_encoding: cell.uses_compact_encoding(),
             usage_from_groups: cell.fenced(),
             term_update: None,
         }
--- a/src/coordination/commit/transaction/model/mod.rs
+++ b/src/coordination/commit/transaction/model/mod.rs
@@ -11,7 +11,7 @@
 use crate::storage::cell_state::{Change, Content};
 use crate::storage::completion_bitmap::CompletionBitmap;
 use crate::storage::ids::{JobId, MachineId};
-use crate::storage::records::{FENCED, Key, TERSE, UsageRecord};
+use crate::storage::records::{COMPACT_FORMAT, FENCED_FORMAT, Key, UsageRecord};
 use state::State;
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -30,16 +30,16 @@
 }
 
 /// Plays every interleaving; returns how many states there are, and in how many the job has ended.
-fn play_all(layout: u32) -> (usize, usize) {
+fn play_all(record_format: u32) -> (usize, usize) {
     let mut seen = HashSet::new();
-    let mut left = vec![State::new(layout)];
+    let mut left = vec![State::new(record_format)];
     let mut ended = 0;
     while let Some(state) = left.pop() {
         if !seen.insert(state.digest()) {
             continue;
         }
         if let Err(violation) = state.check_invariants() {
-            panic!("layout {layout}: {violation}\n{:#?}", state.log);
+            panic!("layout {record_format}: {violation}\n{:#?}", state.log);
         }
         let steps = state.steps();
         let has_ended = state.store().jobs.is_empty();
@@ -56,12 +56,12 @@
 #[test]
 fn every_interleaving_keeps_the_invariants() {
     let layouts = if max_failures() > 0 {
-        vec![TERSE, FENCED]
+        vec![COMPACT_FORMAT, FENCED_FORMAT]
     } else {
-        vec![FENCED]
+        vec![FENCED_FORMAT]
     };
-    for layout in layouts {
-        let (states, ended) = play_all(layout);
+    for record_format in layouts {
+        let (states, ended) = play_all(record_format);
         assert!(ended > 0 && states > 1_000, "{states} states, {ended} ends");
     }
 }
@@ -69,7 +69,7 @@
 /// Completions that an earlier layout left in a usage record count in later ones.
 #[test]
 fn completions_in_a_usage_record_of_an_earlier_layout_count() {
-    let mut state = State::new(FENCED);
+    let mut state = State::new(FENCED_FORMAT);
     let mut ends = CompletionBitmap::default();
     ends.insert(1);
     let mut usage = UsageRecord::default();
--- a/src/coordination/commit/transaction/model/state.rs
+++ b/src/coordination/commit/transaction/model/state.rs
@@ -83,12 +83,12 @@
 }
 
 /// What the store holds at first: two shards with a leader and a machine each, and the job.
-fn first_transaction(layout: u32) -> Vec<Change> {
+fn first_transaction(record_format: u32) -> Vec<Change> {
     let text =
         r#"{"s":{"l":"lane","w":"red","u":"2","n":2,"r":{"c":1000},"i":"img","g":9000000},"t":1}"#;
     let job: JobRecord = serde_json::from_str(text).expect("a job");
     let meta = MetaRecord {
-        layout,
+        record_format,
         shards: 2,
         teams: BTreeMap::from([(TEAM.to_owned(), 0)]),
     };
@@ -103,9 +103,9 @@
 }
 
 impl State {
-    pub fn new(layout: u32) -> State {
+    pub fn new(record_format: u32) -> State {
         State {
-            log: vec![Rc::new(first_transaction(layout))],
+            log: vec![Rc::new(first_transaction(record_format))],
             processes: vec![
                 Process::new(0, 1, Vec::new()),
                 Process::new(1, 1, Vec::new()),
--- a/src/coordination/commit/transaction/model/steps.rs
+++ b/src/coordination/commit/transaction/model/steps.rs
@@ -129,7 +129,7 @@
             }
             let mut loss = transaction(cell);
             if self.failures < max_failures()
-                && loss.release(machine, attempt, Outcome::Again, shard)
+                && loss.release(machine, attempt, Outcome::Reassign, shard)
             {
                 let mut next = self.send(process, loss.commit(), Vec::new());
                 next.failures += 1;
@@ -142,7 +142,7 @@
         let mut next = self.clone();
         let writes = commit
             .txn
-            .then
+            .changes
             .iter()
             .map(|put| {
                 let value = put.value.as_ref().map(|value| value.get().to_owned());
--- a/src/coordination/commit/transaction/output.rs
+++ b/src/coordination/commit/transaction/output.rs
@@ -2,7 +2,7 @@
 
 use super::edits::{GroupEdit, JobEdit};
 use super::{GroupId, PlannedTransaction, TransactionBuilder};
-use crate::protocol::state::{Put, Txn, encode};
+use crate::protocol::state::{KeyChange, Transaction, encode};
 use crate::storage::cell_state::{CellState, Change, Content};
 use crate::storage::ids::JobId;
 use crate::storage::job::FinalRecord;
@@ -13,7 +13,7 @@
 struct Output<'a> {
     cell: &'a CellState,
     conditions: BTreeSet<Key>,
-    writes: Vec<Put>,
+    writes: Vec<KeyChange>,
     changes: Vec<Change>,
     ended: Vec<(JobId, FinalRecord)>,
 }
@@ -30,7 +30,7 @@
             _ => None,
         };
         self.conditions.insert(key.clone());
-        self.writes.push(Put {
+        self.writes.push(KeyChange {
             key: key.clone(),
             value,
             lease_id: None,
@@ -53,11 +53,11 @@
     }
 
     fn put_job(&mut self, id: JobId, mut edit: JobEdit, compact_encoding: bool) {
-        edit.record.finished.terse(compact_encoding);
+        edit.record.finished.set_compact_encoding(compact_encoding);
         for (index, mut chunk) in edit.chunks {
-            chunk.terse(compact_encoding);
+            chunk.set_compact_encoding(compact_encoding);
             let key = Key::Chunk(id, index);
-            let is_complete = edit.record.full >> index & 1 == 1;
+            let is_complete = edit.record.complete_chunks >> index & 1 == 1;
             let exists = self.cell.mod_revision(&key) > 0;
             if !is_complete {
                 self.put(key, Some(Content::Chunk(chunk)));
@@ -79,7 +79,7 @@
         for (id, end) in &self.ended {
             let key = Key::Final(*id);
             self.conditions.insert(key.clone());
-            self.writes.push(Put {
+            self.writes.push(KeyChange {
                 key,
                 value: encode(end),
                 lease_id: None,
@@ -98,9 +98,9 @@
             })
             .collect();
         PlannedTransaction {
-            txn: Txn {
+            txn: Transaction {
                 when: conditions,
-                then: self.writes,
+                changes: self.writes,
             },
             changes: self.changes,
             ended: self.ended,
@@ -123,7 +123,7 @@
         }
         for (shard, mut edit) in self.usage {
             for ends in edit.record.ends.values_mut() {
-                ends.terse(self.compact_encoding);
+                ends.set_compact_encoding(self.compact_encoding);
             }
             output.put(Key::Usage(shard), Some(Content::Usage(edit.record)));
         }
--- a/src/coordination/commit/transaction/releases.rs
+++ b/src/coordination/commit/transaction/releases.rs
@@ -6,7 +6,7 @@
 use super::{GroupId, TransactionBuilder};
 use crate::coordination::agents::Outcome;
 use crate::storage::cell_state::Job;
-use crate::storage::completion_bitmap::{CHUNK, CompletionBitmap};
+use crate::storage::completion_bitmap::{CompletionBitmap, TASKS_PER_CHUNK};
 use crate::storage::ids::{Attempt, JobId, MachineId, ShardId};
 use crate::storage::job::FinalRecord;
 use crate::storage::records::{Assignment, Key};
@@ -107,7 +107,7 @@
         } else {
             job_shard
         };
-        let record = if outcome == Outcome::Again || job.cancelled() {
+        let record = if outcome == Outcome::Reassign || job.cancelled() {
             OutcomeRecord::None
         } else if outcome == Outcome::Done && self.is_kept_in_usage(job, attempt, usage_shard) {
             OutcomeRecord::Usage
@@ -195,12 +195,12 @@
     fn completion_changes(&self, job: &Job, attempt: Attempt) -> usize {
         let id = attempt.task.job;
         let edit = self.jobs.get(&id);
-        let chunk = attempt.task.index / CHUNK;
+        let chunk = attempt.task.index / TASKS_PER_CHUNK;
         let opens_chunk = chunk > 0 && edit.is_none_or(|edit| !edit.chunks.contains_key(&chunk));
         let completed = edit.map_or_else(
             || {
                 let ends = self.ends_in_usage(id, job);
-                job.record.finished.count_with(&ends) + job.record.more
+                job.record.finished.count_with(&ends) + job.record.finished_in_chunks
             },
             |edit| edit.record.done(),
         );
@@ -238,7 +238,7 @@
             edit.ended = Some(FinalRecord {
                 cancelled: false,
                 done: completed,
-                at: self.cell.today,
+                at: self.cell.time_of_day,
             });
         }
     }
--- a/src/coordination/commit/transaction/reservation.rs
+++ b/src/coordination/commit/transaction/reservation.rs
@@ -4,7 +4,7 @@
 use super::limits::MAX_TRANSACTION_BYTES;
 use super::{GroupId, TransactionBuilder};
 use crate::storage::cell_state::Job;
-use crate::storage::completion_bitmap::{CHUNK, CompletionBitmap};
+use crate::storage::completion_bitmap::{CompletionBitmap, TASKS_PER_CHUNK};
 use crate::storage::ids::{JobId, ShardId};
 use crate::storage::records::{GroupRecord, Key};
 
@@ -150,7 +150,7 @@
             .map(|group| group.value.clone())
             .unwrap_or_default();
         let record = GroupRecord {
-            terse: self.compact_encoding,
+            compact_encoding: self.compact_encoding,
             ..record
         };
         let bytes = size_of(&record);
@@ -161,7 +161,7 @@
         let mut record = self.cell.usage[shard].value.clone();
         record.ends.retain(|id, ends| self.is_needed(*id, ends));
         for ends in record.ends.values_mut() {
-            ends.terse(self.compact_encoding);
+            ends.set_compact_encoding(self.compact_encoding);
         }
         if self.usage_from_groups {
             record.teams.clear();
@@ -218,7 +218,8 @@
 fn max_job_bytes(job: &Job) -> usize {
     const OVERHEAD_BYTES: usize = 512;
     const BITMAP_OVERHEAD_BYTES: usize = 16;
-    let bitmap_bytes = job.spec().task_count.min(CHUNK) as usize / 4 + BITMAP_OVERHEAD_BYTES;
+    let bitmap_bytes =
+        job.spec().task_count.min(TASKS_PER_CHUNK) as usize / 4 + BITMAP_OVERHEAD_BYTES;
     let bitmaps = 1 + job.spec().extra_chunks().min(1) as usize;
     size_of(&job.record) + OVERHEAD_BYTES + bitmap_bytes * bitmaps
 }
--- a/src/coordination/commit/transaction/tests.rs
+++ b/src/coordination/commit/transaction/tests.rs
@@ -4,11 +4,11 @@
 use crate::coordination::agents::Outcome;
 use crate::storage::cell_state::CellChanges;
 use crate::storage::cell_state::{CellState, Change, Content};
-use crate::storage::completion_bitmap::CHUNK;
+use crate::storage::completion_bitmap::TASKS_PER_CHUNK;
 use crate::storage::ids::{Attempt, JobId, MachineId};
 use crate::storage::job::JobRecord;
 use crate::storage::records::{Assignment, GroupRecord, Key, MachineHealth, MachineRecord};
-use crate::storage::records::{FIRST_LAYOUT, MetaRecord, TERSE};
+use crate::storage::records::{COMPACT_FORMAT, INITIAL_FORMAT, MetaRecord};
 use std::collections::BTreeMap;
 
 pub(super) fn machine() -> MachineRecord {
@@ -66,14 +66,14 @@
 }
 
 fn first_replica() -> CellState {
-    replica_of(FIRST_LAYOUT)
+    replica_of(INITIAL_FORMAT)
 }
 
 /// An empty replica of this layout.
-pub(super) fn replica_of(layout: u32) -> CellState {
+pub(super) fn replica_of(record_format: u32) -> CellState {
     let mut cell = CellState::default();
     let meta = MetaRecord {
-        layout,
+        record_format,
         shards: 1,
         teams: BTreeMap::new(),
     };
@@ -96,7 +96,7 @@
         (1..=4).for_each(|id| add(transaction, id))
     });
     apply(&mut cell, commit, 2);
-    assert_eq!(cell.home(MachineId(4)), Some((0, 1)));
+    assert_eq!(cell.group_of_machine(MachineId(4)), Some((0, 1)));
     let unknown_outcome = planned(&cell, |transaction| add(transaction, 5));
     let commit = planned(&cell, |transaction| {
         assert!(transaction.remove(MachineId(3)))
@@ -104,7 +104,7 @@
     apply(&mut cell, commit, 3);
     let commit = planned(&cell, |transaction| add(transaction, 5));
     apply(&mut cell, commit, 4);
-    assert_eq!(cell.home(MachineId(5)), Some((0, 1)));
+    assert_eq!(cell.group_of_machine(MachineId(5)), Some((0, 1)));
     assert!(!holds(&cell, &unknown_outcome), "it is in two groups now");
 }
 
@@ -128,17 +128,17 @@
 /// job are committed one after the other, and no reader in between takes it for less than done.
 #[test]
 fn a_large_job_ends_in_two_steps_where_a_transaction_has_few_changes() {
-    let mut cell = replica_of(TERSE);
+    let mut cell = replica_of(COMPACT_FORMAT);
     let text = r#"{"s":{"l":"lane","w":"free","u":"2","n":8193,"r":{"c":1000},"i":"img","g":9000000},"t":1}"#;
     let mut job: JobRecord = serde_json::from_str(text).unwrap();
-    (0..CHUNK).for_each(|index| {
+    (0..TASKS_PER_CHUNK).for_each(|index| {
         job.finished.insert(index);
     });
     let id = JobId(7);
     let last = Attempt {
         task: crate::storage::ids::TaskId {
             job: id,
-            index: CHUNK,
+            index: TASKS_PER_CHUNK,
         },
         number: 2,
     };
@@ -173,19 +173,19 @@
         "never released"
     );
     let commit = transaction.commit();
-    assert!(commit.txn.then.len() <= 4 && commit.ended.is_empty());
+    assert!(commit.txn.changes.len() <= 4 && commit.ended.is_empty());
     assert!(
         commit.txn.largest() <= 2_048,
         "{} bytes",
         commit.txn.largest()
     );
     apply(&mut cell, commit, 3);
-    assert_eq!(cell.jobs[&id].done(), CHUNK + 1);
+    assert_eq!(cell.jobs[&id].done(), TASKS_PER_CHUNK + 1);
     let mut transaction = TransactionBuilder::new(&cell, limits);
     assert!(transaction.end_done(id));
     let commit = transaction.commit();
     assert_eq!(commit.ended.len(), 1);
-    assert_eq!(commit.ended[0].1.done, CHUNK + 1);
+    assert_eq!(commit.ended[0].1.done, TASKS_PER_CHUNK + 1);
     apply(&mut cell, commit, 4);
     assert!(cell.jobs.is_empty());
 }
--- a/src/coordination/commit/transaction/view.rs
+++ b/src/coordination/commit/transaction/view.rs
@@ -80,7 +80,7 @@
         self.added
             .get(&machine)
             .copied()
-            .or_else(|| self.cell.home(machine))
+            .or_else(|| self.cell.group_of_machine(machine))
     }
 
     /// The machine as this transaction would leave it.
--- a/src/coordination/constraints/declaration.rs
+++ b/src/coordination/constraints/declaration.rs
@@ -2,7 +2,7 @@
 
 use super::Rules;
 use crate::coordination::{Controller, Purpose};
-use crate::protocol::state::{Put, StateRequest, Txn, encode};
+use crate::protocol::state::{KeyChange, StateRequest, Transaction, encode};
 use crate::storage::records::Key;
 use crate::time::Micros;
 use cometlead_constraints::RuleSet;
@@ -50,7 +50,7 @@
 
 impl Controller {
     /// Records which rule sets the live controllers were started with.
-    pub(in crate::coordination) fn note_declared(&mut self) {
+    pub(in crate::coordination) fn record_declared_rules(&mut self) {
         for (name, node) in &self.cell.nodes {
             self.rules
                 .declaration
@@ -62,7 +62,9 @@
     /// Declares this controller's rule set if it is missing; otherwise withdraws one that no controller uses.
     pub(in crate::coordination) fn drive_rules(&mut self) {
         let now = self.now.steady;
-        if !self.replica.ready() || !self.enforces_rules() || !self.rules.declaration.may_write(now)
+        if !self.replica.is_ready()
+            || !self.enforces_rules()
+            || !self.rules.declaration.may_write(now)
         {
             return;
         }
@@ -70,26 +72,26 @@
             return;
         };
         self.rules.declaration.begin_write(now);
-        self.budget.force(now, 1);
-        self.ask_state(Purpose::Rules, StateRequest::Txn(txn));
+        self.budget.charge(now, 1);
+        self.ask_state(Purpose::Rules, StateRequest::Transaction(txn));
     }
 
     /// A write of rule sets was answered, whatever its outcome.
     pub(in crate::coordination) fn on_rules_written(&mut self) {
         self.rules.declaration.writing = false;
-        self.replica.want_barrier();
+        self.replica.request_barrier();
     }
 
     /// The transaction that declares this controller's rule set, if it is missing.
-    fn declaration(&self) -> Option<Txn> {
+    fn declaration(&self) -> Option<Transaction> {
         let own = self
             .rules
             .undeclared(|digest| self.cell.rules.contains_key(&digest))?;
         tracing::info!(rules = format!("{:016x}", own.digest), "rule set declared");
         let key = Key::Rules(own.digest);
-        Some(Txn {
+        Some(Transaction {
             when: vec![(key.clone(), 0)],
-            then: vec![Put {
+            changes: vec![KeyChange {
                 key,
                 value: encode(own),
                 lease_id: None,
@@ -98,7 +100,7 @@
     }
 
     /// The transaction that withdraws a rule set which no configured controller was last seen with.
-    fn withdrawal(&self) -> Option<Txn> {
+    fn withdrawal(&self) -> Option<Transaction> {
         if !self.leads(0) {
             return None;
         }
@@ -118,11 +120,11 @@
         let when = [(key.clone(), set.mod_revision)]
             .into_iter()
             .chain(nodes)
-            .take(self.limits.txn_ops() * CHECKS_PER_OPERATION)
+            .take(self.limits.max_changes() * CHECKS_PER_OPERATION)
             .collect();
-        Some(Txn {
+        Some(Transaction {
             when,
-            then: vec![Put {
+            changes: vec![KeyChange {
                 key,
                 value: None,
                 lease_id: None,
--- a/src/coordination/constraints/job_constraints.rs
+++ b/src/coordination/constraints/job_constraints.rs
@@ -1,6 +1,6 @@
 //! The constraints of each job that a rule concerns, kept up to date with the cell state.
 
-use super::{Rules, jobs_there, machine_context};
+use super::{Rules, distinct_jobs, machine_context};
 use crate::coordination::Controller;
 use crate::scheduler::constraints::{ClassTraits, JobConstraints, JobRef, traits};
 use crate::storage::catalog::Catalog;
@@ -168,7 +168,7 @@
         }
     }
 
-    fn refresh_unschedulable(&mut self, cell: &CellState) {
+    fn refresh_unschedulable_jobs(&mut self, cell: &CellState) {
         let unschedulable = self
             .jobs
             .constraints
@@ -212,7 +212,7 @@
     ) -> bool {
         let context = self.context(cell);
         let admits = |class: ClassId, record: &MachineRecord| {
-            let residents = jobs_there(&record.tasks);
+            let residents = distinct_jobs(&record.tasks);
             let machine = machine_context(&context, class, record, &residents);
             context.admits(job, Some(constraints), 0, machine)
         };
@@ -226,7 +226,7 @@
 
 impl Controller {
     /// A job was submitted, changed or ended.
-    pub(in crate::coordination) fn note_rules_of(&mut self, id: JobId) {
+    pub(in crate::coordination) fn on_rules_of_job_changed(&mut self, id: JobId) {
         self.rules.note_job(&self.cell, id);
     }
 
@@ -237,10 +237,10 @@
 
     /// Brings the rules up to date, and with them the jobs that no machine that is up may run: they are left out of
     /// the plan.
-    pub(in crate::coordination) fn refresh_unschedulable(&mut self) {
+    pub(in crate::coordination) fn refresh_unschedulable_jobs(&mut self) {
         self.refresh_rules();
         if self.rules.active() {
-            self.rules.refresh_unschedulable(&self.cell);
+            self.rules.refresh_unschedulable_jobs(&self.cell);
         }
     }
 }
--- a/src/coordination/constraints/mod.rs
+++ b/src/coordination/constraints/mod.rs
@@ -20,7 +20,9 @@
 use crate::storage::cell_state::CellState;
 use crate::storage::ids::{JobId, MachineId, TaskId};
 use crate::storage::machine_classes::ClassId;
-use crate::storage::records::{Assignment, FENCED, FENCED_RULED, MachineRecord, is_ruled};
+use crate::storage::records::{
+    Assignment, FENCED_FORMAT, FENCED_RULES_FORMAT, MachineRecord, format_has_rules,
+};
 use crate::time::Micros;
 use cometlead_constraints::RuleSet;
 use declaration::Declaration;
@@ -79,7 +81,7 @@
 
     /// Whether the launch of an assigned task is forbidden: since the assignment, its rules or the jobs on its
     /// machine have changed.
-    pub fn forbid_launch(
+    pub fn forbids_launch(
         &self,
         cell: &CellState,
         machine: MachineId,
@@ -96,7 +98,7 @@
         let (Some(class), Some(job)) = (cell.classes.of(machine), cell.jobs.get(&id)) else {
             return false;
         };
-        let residents = jobs_there(&record.tasks);
+        let residents = distinct_jobs(&record.tasks);
         let context = self.context(cell);
         let spec = job.spec();
         !context.admits(
@@ -108,7 +110,7 @@
     }
 
     /// Whether a task that has not started must be stopped: its job may not run on machines of this class any more.
-    pub fn forbid_start(&self, cell: &CellState, machine: MachineId, id: JobId) -> bool {
+    pub fn forbids_start(&self, cell: &CellState, machine: MachineId, id: JobId) -> bool {
         let Some(constraints) = self.jobs.get(id) else {
             return false;
         };
@@ -137,13 +139,18 @@
     /// rules are used.
     pub(super) fn wanted_layout(&self) -> u32 {
         let uses_rules = self.rules.own.is_some() || self.enforces_rules();
-        let required = if uses_rules { FENCED_RULED } else { FENCED };
-        self.layout.min(required.max(self.cell.layout()))
+        let required = if uses_rules {
+            FENCED_RULES_FORMAT
+        } else {
+            FENCED_FORMAT
+        };
+        self.record_format
+            .min(required.max(self.cell.record_format()))
     }
 
     /// Whether every controller enforces rules.
     fn enforces_rules(&self) -> bool {
-        is_ruled(self.cell.layout())
+        format_has_rules(self.cell.record_format())
     }
 
     /// The current state that rules ask about.
@@ -161,7 +168,7 @@
 }
 
 /// The jobs of some assignments, each once.
-pub(super) fn jobs_there(tasks: &[Assignment]) -> Vec<JobId> {
+pub(super) fn distinct_jobs(tasks: &[Assignment]) -> Vec<JobId> {
     let mut jobs: Vec<JobId> = tasks.iter().map(|assignment| assignment.job).collect();
     jobs.sort_unstable();
     jobs.dedup();
@@ -178,15 +185,15 @@
     MachineContext {
         class,
         images: &record.images,
-        fetches: None,
-        there: resident_jobs,
-        has_exclusions: resident_jobs
+        fetching_image: None,
+        residents: resident_jobs,
+        restricts_colocation: resident_jobs
             .iter()
-            .any(|job| context.excludes_newcomers(*job)),
+            .any(|job| context.restricts_colocation(*job)),
     }
 }
 
 /// Logs that rules forbid the launch of an assigned task.
-pub(super) fn log_forbidden(task: TaskId, machine: MachineId) {
+pub(super) fn log_forbidden_launch(task: TaskId, machine: MachineId) {
     tracing::info!(%task, %machine, "task launch forbidden by rules");
 }
--- a/src/coordination/constraints/placement_filter.rs
+++ b/src/coordination/constraints/placement_filter.rs
@@ -1,6 +1,6 @@
 //! The constraints of a job, as placement and provisioning ask for them.
 
-use super::{jobs_there, machine_context};
+use super::{distinct_jobs, machine_context};
 use crate::coordination::Controller;
 use crate::scheduler::constraints::{
     JobConstraints, JobRef, PlacementContext, RequiredPreferences,
@@ -26,11 +26,11 @@
         id: JobId,
         job: &Job,
         context: Option<&'b PlacementContext<'b>>,
-    ) -> Option<placement::Rules<'b>> {
+    ) -> Option<placement::PlacementRules<'b>> {
         let context = context?;
         let constraints = self.rules.jobs.get(id);
         let required_preferences = self.required_preferences(id, job);
-        (constraints.is_some() || context.colocated).then_some(placement::Rules {
+        (constraints.is_some() || context.colocated).then_some(placement::PlacementRules {
             context,
             constraints,
             required_preferences,
@@ -38,7 +38,7 @@
     }
 
     /// Whether rules allow a job on machines of a type, zone and kind.
-    pub(in crate::coordination) fn may_provision(
+    pub(in crate::coordination) fn rules_allow_offer(
         &self,
         id: JobId,
         machine_type: &str,
@@ -54,7 +54,11 @@
     }
 
     /// Whether rules allow a job on a machine, by its class.
-    pub(in crate::coordination) fn may_use(&self, id: JobId, machine: MachineId) -> bool {
+    pub(in crate::coordination) fn rules_allow_machine(
+        &self,
+        id: JobId,
+        machine: MachineId,
+    ) -> bool {
         self.rules.jobs.get(id).is_none_or(|constraints| {
             self.cell
                 .classes
@@ -67,7 +71,7 @@
     ///
     /// # Errors
     /// [`NoUsefulMachine`] if no machine that could be provisioned may run the job, or none may yet.
-    pub(in crate::coordination) fn places_for<'a>(
+    pub(in crate::coordination) fn placement_filter_for<'a>(
         &'a self,
         id: JobId,
         job: &'a Job,
@@ -158,7 +162,7 @@
         let Some(record) = self.controller.cell.machine(machine) else {
             return false;
         };
-        let residents = jobs_there(&record.tasks);
+        let residents = distinct_jobs(&record.tasks);
         let context = self.controller.context();
         context.admits(
             self.job,
--- a/src/coordination/constraints/preferences.rs
+++ b/src/coordination/constraints/preferences.rs
@@ -66,7 +66,7 @@
         };
         let is_possible = |id: &ClassId| {
             let class = &classes.all()[*id];
-            classes.possible(*id)
+            classes.is_possible(*id)
                 && spec.allows(&class.machine_type, &class.zone, class.spot)
                 && has_room(class)
         };
--- a/src/coordination/constraints/waiting_reasons.rs
+++ b/src/coordination/constraints/waiting_reasons.rs
@@ -1,6 +1,6 @@
 //! Why jobs wait, where rules are the cause.
 
-use super::{jobs_there, machine_context};
+use super::{distinct_jobs, machine_context};
 use crate::coordination::Controller;
 use crate::scheduler::constraints::{JobConstraints, JobRef, clash};
 use crate::storage::cell_state::Job;
@@ -23,11 +23,11 @@
     /// Updates the reasons why jobs wait, and plans again while jobs wait for preferences, which end with time.
     pub(in crate::coordination) fn tick_rules(&mut self) {
         let now = self.now.steady;
-        if now < self.rules.next_reasons || !self.replica.ready() {
+        if now < self.rules.next_reasons || !self.replica.is_ready() {
             return;
         }
         self.rules.next_reasons = now + REASONS_INTERVAL;
-        self.refresh_unschedulable();
+        self.refresh_unschedulable_jobs();
         if !self.rules.active() {
             return;
         }
@@ -90,7 +90,7 @@
                 Some(MatchingMachine {
                     class: self.cell.classes.of(machine)?,
                     record,
-                    residents: jobs_there(&record.tasks),
+                    residents: distinct_jobs(&record.tasks),
                 })
             })
             .collect();
--- a/src/coordination/counters.rs
+++ b/src/coordination/counters.rs
@@ -60,12 +60,12 @@
         }
         self.next_count = self.now.steady + Self::COUNTER_INTERVAL;
         self.log_counters();
-        self.log_served();
+        self.log_throughput();
     }
 
     fn log_counters(&self) {
         let counters = self.counters;
-        let polls = self.users.polls();
+        let polls = self.users.query_counts();
         tracing::info!(
             commits = counters.commits,
             clashes = counters.clashes,
@@ -84,7 +84,7 @@
             ends = counters.changes.ends,
             preferences = counters.preferences.0,
             preferences_met = counters.preferences.1,
-            waiting = self.rounds.waiting(),
+            waiting = self.rounds.pending_releases(),
             polls = polls.answered,
             polls_delayed = polls.delayed,
             polls_refused = polls.refused,
--- a/src/coordination/events.rs
+++ b/src/coordination/events.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::cloud::{CloudReply, CloudRequest};
 use crate::protocol::peer::PeerHint;
-use crate::protocol::state::{CallError, StateReply, StateRequest};
+use crate::protocol::state::{CallError, StateRequest, StateResponse};
 use crate::protocol::user::{UserRequest, UserResponse};
 use crate::protocol::worker::{Heartbeat, HeartbeatResponse};
 use crate::storage::ids::JobId;
@@ -30,11 +30,11 @@
     /// A user's request; the answer goes to this call.
     User(CallId, UserRequest),
     /// A malformed submission that names its job, with the reason for its refusal.
-    BadSubmission(CallId, JobId, Cow<'static, str>),
+    InvalidSubmission(CallId, JobId, Cow<'static, str>),
     /// An agent's heartbeat; the answer goes to this call.
     Heartbeat(CallId, Heartbeat),
     /// The answer of the state store, or why there is none.
-    State(CallId, Result<StateReply, CallError>),
+    State(CallId, Result<StateResponse, CallError>),
     /// The answer of the cloud, or why there is none.
     Cloud(CallId, Result<CloudReply, CallError>),
     /// The answer of an agent to a pushed command: whether it was carried out, and the agent's
--- a/src/coordination/health/connectivity.rs
+++ b/src/coordination/health/connectivity.rs
@@ -71,7 +71,7 @@
 
 impl Connectivity {
     /// An agent sent a heartbeat or an answer.
-    pub fn heard(&mut self, now: Micros) {
+    pub fn on_agent_contact(&mut self, now: Micros) {
         self.last_contact = Some(now);
         self.failed_probes = 0;
     }
@@ -94,7 +94,7 @@
     fn on_probe_answer(&mut self, answered: bool, now: Micros) {
         self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
         if answered {
-            self.heard(now);
+            self.on_agent_contact(now);
         } else {
             self.failed_probes += 1;
         }
@@ -130,13 +130,13 @@
 
 impl Controller {
     /// Milliseconds since the last contact of any agent; none if there was none yet.
-    pub(in crate::coordination) fn heard_ms(&self) -> Option<u64> {
+    pub(in crate::coordination) fn agent_contact_age_ms(&self) -> Option<u64> {
         let last_contact = self.connectivity.last_contact?;
         Some(self.now.steady.since(last_contact).as_millis())
     }
 
     /// Whether the silence of agents is evidence on this node rather than on them.
-    pub(in crate::coordination) fn cannot_hear_agents(&self) -> bool {
+    pub(in crate::coordination) fn is_isolated_from_agents(&self) -> bool {
         self.connectivity.is_withdrawn() || self.are_agents_silent() && self.are_peers_in_contact()
     }
 
@@ -149,7 +149,7 @@
         if agents == 0 {
             return false;
         }
-        let expected_from = first_term.max(self.stall.back());
+        let expected_from = first_term.max(self.stall.resumed_at());
         let last_contact = self
             .connectivity
             .last_contact
@@ -170,14 +170,14 @@
     fn are_peers_in_contact(&self) -> bool {
         self.peers.values().any(|(received, hint)| {
             let hint_age = self.now.steady.since(*received);
-            hint.heard_ms
+            hint.last_heartbeat_ms
                 .is_some_and(|ms| Micros::millis(ms) + hint_age < PEER_CONTACT_PERIOD)
         })
     }
 
     /// Checks the contact with agents: probes some, withdraws, or ends a withdrawal.
     pub(in crate::coordination) fn tick_connectivity(&mut self) {
-        if !self.replica.ready() {
+        if !self.replica.is_ready() {
             return;
         }
         if let Some(since) = self.connectivity.withdrawn_since {
--- a/src/coordination/health/connectivity/tests.rs
+++ b/src/coordination/health/connectivity/tests.rs
@@ -22,12 +22,12 @@
 fn a_withdrawal_ends_only_after_new_contact_and_its_shortest_time() {
     let withdrawn = Micros::secs(100);
     let mut connectivity = Connectivity::default();
-    connectivity.heard(Micros::secs(99));
+    connectivity.on_agent_contact(Micros::secs(99));
     connectivity.withdraw(withdrawn);
     assert!(!connectivity.is_restored(withdrawn, Micros::secs(104)));
-    connectivity.heard(Micros::secs(102));
+    connectivity.on_agent_contact(Micros::secs(102));
     assert!(!connectivity.is_restored(withdrawn, Micros::secs(103)));
-    connectivity.heard(Micros::secs(104));
+    connectivity.on_agent_contact(Micros::secs(104));
     assert!(connectivity.is_restored(withdrawn, Micros::secs(104)));
     connectivity.on_probe_answer(false, Micros::secs(104));
     assert!(connectivity.is_restored(withdrawn, Micros::secs(104)));
--- a/src/coordination/health/stall.rs
+++ b/src/coordination/health/stall.rs
@@ -27,12 +27,12 @@
 
 impl StallDetector {
     /// When the process last resumed, on the steady clock; silence before that is no evidence.
-    pub fn back(&self) -> Micros {
+    pub fn resumed_at(&self) -> Micros {
         self.resumed_at
     }
 
     /// Whether nothing may be decided yet that rests on silence or idleness.
-    pub fn in_doubt(&self) -> bool {
+    pub fn is_recovering(&self) -> bool {
         self.recovery.is_some()
     }
 }
@@ -51,8 +51,8 @@
             resumed_at: now,
             recovery: Some(self.next_call - 1),
         };
-        if self.replica.ready() {
-            self.replica.want_barrier();
+        if self.replica.is_ready() {
+            self.replica.request_barrier();
         }
         self.autoscaler.on_stall(now, late);
     }
@@ -62,7 +62,7 @@
         let Some(call) = self.stall.recovery else {
             return;
         };
-        if self.replica.passed(call) {
+        if self.replica.has_read_since(call) {
             self.stall.recovery = None;
             let duration = self.now.steady.since(self.stall.resumed_at);
             tracing::info!(%duration, "process stall recovery completed");
--- a/src/coordination/health/zones/mod.rs
+++ b/src/coordination/health/zones/mod.rs
@@ -9,7 +9,7 @@
 mod unreachable;
 
 use crate::coordination::Controller;
-use crate::scheduler::zone_health::{Evidence, State, Zone};
+use crate::scheduler::zone_health::{ZoneEvidence, ZoneHealth, ZoneState};
 use crate::storage::ids::MachineId;
 use crate::time::Micros;
 use std::collections::BTreeMap;
@@ -21,23 +21,23 @@
 /// The health of each zone as this controller judges it.
 #[derive(Debug, Default)]
 pub struct Zones {
-    all: BTreeMap<Arc<str>, Zone>,
+    all: BTreeMap<Arc<str>, ZoneHealth>,
     /// Since when this controller has had unbroken contact to the state store; silence before that is no evidence.
     contact_since: Micros,
 }
 
 impl Zones {
     /// Whether the zone may be lost, or seems to be.
-    pub fn is_in_doubt(&self, zone: &str) -> bool {
-        self.all.get(zone).is_some_and(Zone::is_in_doubt)
+    pub fn is_suspected(&self, zone: &str) -> bool {
+        self.all.get(zone).is_some_and(ZoneHealth::is_suspected)
     }
 
     /// Since when the zone seems to be cut off or dead, if it does.
     fn lost_since(&self, zone: &str) -> Option<Micros> {
         self.all
             .get(zone)
-            .filter(|health| health.state() == State::Lost)
-            .map(Zone::since)
+            .filter(|health| health.state() == ZoneState::Lost)
+            .map(ZoneHealth::since)
     }
 
     /// Whether the zone seems to be cut off or dead.
@@ -49,14 +49,14 @@
     pub fn any_lost(&self) -> bool {
         self.all
             .values()
-            .any(|health| health.state() == State::Lost)
+            .any(|health| health.state() == ZoneState::Lost)
     }
 
     /// Whether a machine of a zone takes new work. In a zone that returns, a growing share of the machines does.
-    pub fn takes_work(&self, zone: &str, machine: MachineId, now: Micros) -> bool {
+    pub fn accepts_tasks(&self, zone: &str, machine: MachineId, now: Micros) -> bool {
         self.all
             .get(zone)
-            .is_none_or(|health| health.takes_work(machine.0, now))
+            .is_none_or(|health| health.accepts_tasks(machine.0, now))
     }
 
     /// Forgets everything: contact to the state store is broken.
@@ -86,25 +86,25 @@
             .values()
             .filter(|observation| observation.is_in_contact(now, interval))
             .count();
-        let isolated = self.cannot_hear_agents();
+        let isolated = self.is_isolated_from_agents();
         let mut machines_to_probe = Vec::new();
         for (zone, observation) in observations {
             let itself = usize::from(observation.is_in_contact(now, interval));
-            let others_heard = !isolated && zones_in_contact > itself;
-            self.update_zone(&zone, &observation.evidence(now, others_heard));
-            if self.zones.is_in_doubt(&zone) {
-                machines_to_probe.extend(observation.longest_silent(Zone::ASKED));
+            let other_zones_connected = !isolated && zones_in_contact > itself;
+            self.update_zone(&zone, &observation.evidence(now, other_zones_connected));
+            if self.zones.is_suspected(&zone) {
+                machines_to_probe.extend(observation.longest_silent(ZoneHealth::PROBED_MACHINES));
             }
         }
         for machine in machines_to_probe {
-            self.command(machine, Vec::new(), Vec::new());
+            self.push_commands(machine, Vec::new(), Vec::new());
         }
         if self.zones.any_lost() {
             self.mark_unreachable_zones();
         }
     }
 
-    fn update_zone(&mut self, zone: &Arc<str>, evidence: &Evidence) {
+    fn update_zone(&mut self, zone: &Arc<str>, evidence: &ZoneEvidence) {
         let health = self.zones.all.entry(zone.clone()).or_default();
         let interval = self.settings.heartbeat_interval;
         let Some(state) = health.note(self.now.steady, interval, evidence) else {
@@ -116,7 +116,7 @@
             machines = evidence.machines,
             silence = %evidence.quiet,
             unanswered = evidence.unanswered,
-            heard_again = evidence.heard_again,
+            reconnected = evidence.reconnected,
             "zone state changed"
         );
         self.rounds.request();
--- a/src/coordination/health/zones/observations.rs
+++ b/src/coordination/health/zones/observations.rs
@@ -1,7 +1,7 @@
 //! What the agents' heartbeats and answers show of each zone.
 
 use crate::coordination::Controller;
-use crate::scheduler::zone_health::{Evidence, Zone};
+use crate::scheduler::zone_health::{ZoneEvidence, ZoneHealth};
 use crate::storage::ids::MachineId;
 use crate::storage::records::MachineHealth;
 use crate::time::Micros;
@@ -18,7 +18,7 @@
     /// Machines with an unanswered probe.
     unanswered: usize,
     /// Machines in contact since the zone was lost.
-    heard_again: usize,
+    reconnected: usize,
     /// Agents that were in contact before and can be probed.
     silent: Vec<SilentAgent>,
 }
@@ -35,17 +35,17 @@
     pub(super) fn is_in_contact(&self, now: Micros, heartbeat_interval: Micros) -> bool {
         self.machines > 0
             && now.since(self.last_contact)
-                <= Zone::usual_silence(self.machines, heartbeat_interval)
+                <= ZoneHealth::usual_silence(self.machines, heartbeat_interval)
     }
 
-    /// `others_heard`: whether agents of other zones are in contact.
-    pub(super) fn evidence(&self, now: Micros, others_heard: bool) -> Evidence {
-        Evidence {
+    /// `other_zones_connected`: whether agents of other zones are in contact.
+    pub(super) fn evidence(&self, now: Micros, other_zones_connected: bool) -> ZoneEvidence {
+        ZoneEvidence {
             machines: self.machines,
             quiet: now.since(self.last_contact),
             unanswered: self.unanswered,
-            heard_again: self.heard_again,
-            others_heard,
+            reconnected: self.reconnected,
+            other_zones_connected,
         }
     }
 
@@ -75,14 +75,14 @@
                 continue;
             };
             let last_contact = last_contact
-                .max(self.stall.back())
+                .max(self.stall.resumed_at())
                 .max(self.zones.contact_since);
             let lost_since = self.zones.lost_since(&record.zone);
             zone.machines += 1;
             zone.last_contact = zone.last_contact.max(last_contact);
-            zone.heard_again += usize::from(lost_since.is_some_and(|since| last_contact > since));
+            zone.reconnected += usize::from(lost_since.is_some_and(|since| last_contact > since));
             zone.unanswered += usize::from(agent.is_unreachable());
-            if agent.may_be_asked() {
+            if agent.can_be_probed() {
                 zone.silent.push(SilentAgent {
                     last_contact,
                     machine: *machine,
--- a/src/coordination/health/zones/releases.rs
+++ b/src/coordination/health/zones/releases.rs
@@ -24,7 +24,7 @@
     /// Machines of lost zones to release, those with the most pressing tasks first, as long as there is room elsewhere
     /// in which their tasks can start. The release of more would prove the loss of tasks that nothing can run yet, while
     /// the machine may return with its work done.
-    pub(in crate::coordination) fn is_surplus(&self) -> BTreeSet<MachineId> {
+    pub(in crate::coordination) fn lost_machines_to_release(&self) -> BTreeSet<MachineId> {
         let mut to_release = BTreeSet::new();
         if !self.zones.any_lost() {
             return to_release;
@@ -46,7 +46,7 @@
         for (_, _, machine) in self.cell.machines() {
             let schedulable = machine.health == MachineHealth::Schedulable;
             let releasing = machine.health == MachineHealth::Decommissioning;
-            if schedulable && !self.zones.is_in_doubt(&machine.zone) {
+            if schedulable && !self.zones.is_suspected(&machine.zone) {
                 free_cores += self.cell.free(machine).cores;
             } else if releasing && self.zones.is_lost(&machine.zone) {
                 free_cores = free_cores.saturating_sub(self.assigned_cores(machine));
--- a/src/coordination/health/zones/replacements.rs
+++ b/src/coordination/health/zones/replacements.rs
@@ -11,7 +11,7 @@
     /// Numbers of tasks by job for which machines are to be provisioned elsewhere: those in lost zones that would be late
     /// if they waited for the lease there and then for a machine to boot. What has more time may still return with its
     /// zone, or finds room that other tasks leave.
-    pub(in crate::coordination) fn lost_with_zones(&self) -> HashMap<JobId, u64> {
+    pub(in crate::coordination) fn tasks_to_replace(&self) -> HashMap<JobId, u64> {
         if !self.zones.any_lost() {
             return HashMap::new();
         }
--- a/src/coordination/leadership/claims.rs
+++ b/src/coordination/leadership/claims.rs
@@ -2,7 +2,9 @@
 
 use super::shard_distribution::ShardDistribution;
 use crate::coordination::{Controller, Purpose};
-use crate::protocol::state::{CallError, Put, StateReply, StateRequest, Txn, encode};
+use crate::protocol::state::{
+    CallError, KeyChange, StateRequest, StateResponse, Transaction, encode,
+};
 use crate::storage::ids::ShardId;
 use crate::storage::records::Key;
 use crate::time::Micros;
@@ -126,7 +128,7 @@
     fn check_claims(&mut self) {
         let now = self.now.steady;
         self.leadership.claims.schedule(now + CHECK_INTERVAL);
-        if self.stall.in_doubt() || !self.is_registered() || self.connectivity.is_withdrawn() {
+        if self.stall.is_recovering() || !self.is_registered() || self.connectivity.is_withdrawn() {
             return;
         }
         if self.is_first_start() {
@@ -138,7 +140,7 @@
             return;
         };
         self.schedule_after(claim.reason);
-        claim.shards.truncate(self.limits.txn_ops());
+        claim.shards.truncate(self.limits.max_changes());
         if !claim.shards.is_empty() {
             self.send_claim(claim);
         }
@@ -170,15 +172,15 @@
     fn send_claim(&mut self, claim: Claim) {
         let node = self.node_key();
         let leader_record = self.leader_record();
-        let mut transaction = Txn {
+        let mut transaction = Transaction {
             when: vec![(node.clone(), self.cell.mod_revision(&node))],
-            then: Vec::new(),
+            changes: Vec::new(),
         };
         for shard in &claim.shards {
             let key = Key::ShardLeader(*shard);
             let revision = self.cell.leaders[*shard].mod_revision;
             transaction.when.push((key.clone(), revision));
-            transaction.then.push(Put {
+            transaction.changes.push(KeyChange {
                 key,
                 value: encode(&leader_record),
                 lease_id: None,
@@ -187,21 +189,24 @@
         let shards = claim.shards;
         tracing::info!(?shards, reason = claim.reason.as_str(), "claiming shards");
         self.leadership.claims.claim_in_flight = true;
-        self.budget.force(self.now.steady, shards.len());
-        self.ask_state(Purpose::Claim(shards), StateRequest::Txn(transaction));
+        self.budget.charge(self.now.steady, shards.len());
+        self.ask_state(
+            Purpose::Claim(shards),
+            StateRequest::Transaction(transaction),
+        );
     }
 
-    pub(in crate::coordination) fn on_claimed(
+    pub(in crate::coordination) fn on_claim_answered(
         &mut self,
         shards: &[ShardId],
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) {
         let claims = &mut self.leadership.claims;
         claims.claim_in_flight = false;
         claims.schedule(self.now.steady + CHECK_AFTER_CLAIM);
         // The replica learns of the claim by a read, so that it holds all changes up to the claim too.
-        self.replica.want_barrier();
-        if !matches!(result, Ok(StateReply::Applied(_))) {
+        self.replica.request_barrier();
+        if !matches!(result, Ok(StateResponse::Applied(_))) {
             tracing::info!(?shards, ?result, "shard claim failed");
         }
     }
--- a/src/coordination/leadership/format_upgrade.rs
+++ b/src/coordination/leadership/format_upgrade.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::Controller;
 use crate::protocol::state::encode;
-use crate::storage::records::{FIRST_LAYOUT, Key, MetaRecord, is_ruled};
+use crate::storage::records::{INITIAL_FORMAT, Key, MetaRecord, format_has_rules};
 use std::collections::BTreeMap;
 
 /// Conditions on node records in an upgrade, as a multiple of the changes that a transaction may have.
@@ -41,11 +41,12 @@
 impl Controller {
     /// Checks whether the layout of the records has changed.
     pub(in crate::coordination) fn on_format_observed(&mut self) {
-        let layout = self.cell.layout();
-        let earlier = std::mem::replace(&mut self.leadership.format_upgrade.in_force, layout);
-        if earlier != layout {
-            tracing::info!(layout, "record layout changed");
-            self.find_large();
+        let record_format = self.cell.record_format();
+        let earlier =
+            std::mem::replace(&mut self.leadership.format_upgrade.in_force, record_format);
+        if earlier != record_format {
+            tracing::info!(record_format, "record layout changed");
+            self.find_oversized_records();
         }
     }
 
@@ -53,8 +54,8 @@
     pub(in crate::coordination) fn update_known_formats(&mut self) {
         let understood = &mut self.leadership.format_upgrade.understood;
         for (name, node) in &self.cell.nodes {
-            let layout = node.value.layout.unwrap_or(FIRST_LAYOUT);
-            understood.insert(name.clone(), layout);
+            let record_format = node.value.record_format.unwrap_or(INITIAL_FORMAT);
+            understood.insert(name.clone(), record_format);
         }
     }
 
@@ -66,23 +67,23 @@
             return;
         };
         let wanted = self.wanted_layout();
-        if metadata.layout >= wanted || self.leadership.metadata.not_before(now).is_some() {
+        if metadata.record_format >= wanted || self.leadership.metadata.not_before(now).is_some() {
             return;
         }
         let waiting = self.controllers_without(wanted);
         let common = self.common_layout().min(wanted);
         self.leadership.format_upgrade.report_waiting(waiting);
         // An upgrade that would turn rules off waits for the controllers that have not registered since rules were turned on.
-        let drops_rules = is_ruled(metadata.layout) && !is_ruled(common);
-        if common <= metadata.layout || drops_rules {
+        let drops_rules = format_has_rules(metadata.record_format) && !format_has_rules(common);
+        if common <= metadata.record_format || drops_rules {
             return;
         }
         let record = MetaRecord {
-            layout: common,
+            record_format: common,
             ..metadata.clone()
         };
         self.leadership.metadata.on_attempt(now);
-        tracing::info!(layout = common, "raising record layout");
+        tracing::info!(record_format = common, "raising record layout");
         let conditions = self.format_upgrade_conditions();
         self.write_metadata(conditions, encode(&record));
     }
@@ -97,13 +98,13 @@
     }
 
     /// Controllers that are not known to understand a layout.
-    fn controllers_without(&self, layout: u32) -> Vec<String> {
+    fn controllers_without(&self, record_format: u32) -> Vec<String> {
         let formats = &self.leadership.format_upgrade;
         self.all_controllers()
             .filter(|name| {
                 formats
                     .understood_by(name)
-                    .is_none_or(|known| known < layout)
+                    .is_none_or(|known| known < record_format)
             })
             .cloned()
             .collect()
@@ -129,7 +130,7 @@
         [(Key::Meta, self.cell.meta.mod_revision)]
             .into_iter()
             .chain(nodes)
-            .take(self.limits.txn_ops() * CONDITIONS_PER_CHANGE)
+            .take(self.limits.max_changes() * CONDITIONS_PER_CHANGE)
             .collect()
     }
 }
--- a/src/coordination/leadership/metadata.rs
+++ b/src/coordination/leadership/metadata.rs
@@ -1,9 +1,9 @@
 //! The cell's metadata record: its creation, and the spacing of all writes of it.
 
 use crate::coordination::{Controller, Purpose};
-use crate::protocol::state::{Put, StateRequest, Txn, encode};
+use crate::protocol::state::{KeyChange, StateRequest, Transaction, encode};
 use crate::storage::ids::ShardId;
-use crate::storage::records::{FIRST_LAYOUT, Key, MetaRecord};
+use crate::storage::records::{INITIAL_FORMAT, Key, MetaRecord};
 use crate::time::Micros;
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
@@ -65,7 +65,7 @@
             .map(|(index, team)| (team.to_owned(), index % shards))
             .collect();
         MetaRecord {
-            layout: FIRST_LAYOUT,
+            record_format: INITIAL_FORMAT,
             shards,
             teams,
         }
@@ -77,15 +77,15 @@
         conditions: Vec<(Key, u64)>,
         value: Option<Box<RawValue>>,
     ) {
-        let transaction = Txn {
+        let transaction = Transaction {
             when: conditions,
-            then: vec![Put {
+            changes: vec![KeyChange {
                 key: Key::Meta,
                 value,
                 lease_id: None,
             }],
         };
-        self.budget.force(self.now.steady, 1);
-        self.ask_state(Purpose::Meta, StateRequest::Txn(transaction));
+        self.budget.charge(self.now.steady, 1);
+        self.ask_state(Purpose::Meta, StateRequest::Transaction(transaction));
     }
 }
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -68,7 +68,7 @@
 
     pub(super) fn drive_leadership(&mut self) {
         self.drive_node_lease();
-        if !self.replica.ready() {
+        if !self.replica.is_ready() {
             return;
         }
         self.leadership.claims.on_replica_ready(self.now.steady);
--- a/src/coordination/leadership/node_lease.rs
+++ b/src/coordination/leadership/node_lease.rs
@@ -1,7 +1,7 @@
 //! The lease in the state store that the node's own record is attached to.
 
 use crate::coordination::{Controller, Purpose};
-use crate::protocol::state::{CallError, StateReply, StateRequest};
+use crate::protocol::state::{CallError, StateRequest, StateResponse};
 use crate::time::Micros;
 
 /// Pause after a lease request that failed.
@@ -59,7 +59,7 @@
         }
         lease.request_in_flight = true;
         let id = lease.id;
-        self.budget.force(now, 0);
+        self.budget.charge(now, 0);
         match id {
             None => {
                 let time_to_live = self.lease_time_to_live();
@@ -71,9 +71,9 @@
         }
     }
 
-    pub(in crate::coordination) fn on_lease_granted(
+    pub(in crate::coordination) fn on_lease_grant_answered(
         &mut self,
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) {
         let now = self.now.steady;
         let next_renewal = now + self.lease_renewal_interval();
@@ -81,24 +81,24 @@
         let lease = &mut self.leadership.lease;
         lease.request_in_flight = false;
         match result {
-            Ok(StateReply::Lease(id)) => lease.on_granted(id, next_renewal),
+            Ok(StateResponse::Lease(id)) => lease.on_granted(id, next_renewal),
             _ => lease.next_request = now + RETRY_DELAY,
         }
     }
 
     /// `sent`: when the renewal was sent; the lease runs from then at the earliest.
-    pub(in crate::coordination) fn on_lease_kept_alive(
+    pub(in crate::coordination) fn on_lease_keep_alive_answered(
         &mut self,
         sent: Micros,
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) {
         let now = self.now.steady;
         let next_renewal = sent + self.lease_renewal_interval();
         let lease = &mut self.leadership.lease;
         lease.request_in_flight = false;
         match result {
-            Ok(StateReply::LeaseKeptAlive) => lease.next_request = next_renewal,
-            Ok(StateReply::NoLease) => {
+            Ok(StateResponse::LeaseKeptAlive) => lease.next_request = next_renewal,
+            Ok(StateResponse::LeaseExpired) => {
                 tracing::info!("node lease expired");
                 lease.on_expired(now);
             }
--- a/src/coordination/leadership/node_record.rs
+++ b/src/coordination/leadership/node_record.rs
@@ -1,8 +1,10 @@
 //! The node's own record, by which all controllers know that this process is alive.
 
 use crate::coordination::{Controller, Purpose};
-use crate::protocol::state::{CallError, Put, StateReply, StateRequest, Txn, encode};
-use crate::storage::records::{FIRST_LAYOUT, Key, NodeRecord};
+use crate::protocol::state::{
+    CallError, KeyChange, StateRequest, StateResponse, Transaction, encode,
+};
+use crate::storage::records::{INITIAL_FORMAT, Key, NodeRecord};
 use crate::storage::restart_history::RestartHistory;
 use crate::time::Micros;
 
@@ -58,23 +60,23 @@
             return;
         }
         let put = self.node_record_put(withdrawn, lease);
-        let transaction = Txn {
+        let transaction = Transaction {
             when: vec![(key, mod_revision)],
-            then: vec![put],
+            changes: vec![put],
         };
         self.leadership.node_record.write_in_flight = true;
-        self.budget.force(now, 1);
-        self.ask_state(Purpose::Node, StateRequest::Txn(transaction));
+        self.budget.charge(now, 1);
+        self.ask_state(Purpose::Node, StateRequest::Transaction(transaction));
     }
 
     /// Removes the record of a withdrawn node, or writes the one of this process under the lease.
-    fn node_record_put(&mut self, withdrawn: bool, lease: u64) -> Put {
+    fn node_record_put(&mut self, withdrawn: bool, lease: u64) -> KeyChange {
         let value = if withdrawn {
             None
         } else {
             encode(&self.new_node_record())
         };
-        Put {
+        KeyChange {
             key: self.node_key(),
             value,
             lease_id: (!withdrawn).then_some(lease),
@@ -82,10 +84,10 @@
     }
 
     fn new_node_record(&mut self) -> NodeRecord {
-        let layout = self.wanted_layout();
+        let record_format = self.wanted_layout();
         NodeRecord {
             run: self.incarnation,
-            layout: (layout > FIRST_LAYOUT).then_some(layout),
+            record_format: (record_format > INITIAL_FORMAT).then_some(record_format),
             rules: self.rules.digest(),
             restart_history: self.restart_history(),
         }
@@ -104,20 +106,20 @@
         self.leadership
             .node_record
             .restart_history
-            .get_or_insert_with(|| earlier.and(day))
+            .get_or_insert_with(|| earlier.with_start(day))
             .clone()
     }
 
-    pub(in crate::coordination) fn on_node_written(
+    pub(in crate::coordination) fn on_node_record_written(
         &mut self,
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) {
         let now = self.now.steady;
         let writer = &mut self.leadership.node_record;
         writer.write_in_flight = false;
         writer.next_write = now + WRITE_SPACING;
-        self.replica.want_barrier();
-        if matches!(result, Ok(StateReply::NoLease)) {
+        self.replica.request_barrier();
+        if matches!(result, Ok(StateResponse::LeaseExpired)) {
             self.leadership.lease.on_expired(now);
         }
     }
--- a/src/coordination/leadership/shard_distribution/tests.rs
+++ b/src/coordination/leadership/shard_distribution/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::storage::cell_state::Versioned;
 use crate::storage::records::{
-    FIRST_LAYOUT, Incarnation, MetaRecord, NodeRecord, ShardLeaderRecord,
+    INITIAL_FORMAT, Incarnation, MetaRecord, NodeRecord, ShardLeaderRecord,
 };
 
 const CURRENT: Incarnation = Incarnation(2);
@@ -13,14 +13,14 @@
 fn cell(controllers: &[&str], leaders: &[Option<(&str, Incarnation)>]) -> CellState {
     let mut cell = CellState::default();
     cell.meta.value = Some(MetaRecord {
-        layout: FIRST_LAYOUT,
+        record_format: INITIAL_FORMAT,
         shards: leaders.len(),
         teams: BTreeMap::new(),
     });
     for controller in controllers {
         let record = NodeRecord {
             run: CURRENT,
-            layout: None,
+            record_format: None,
             rules: None,
             restart_history: Default::default(),
         };
--- a/src/coordination/leadership/team_shards.rs
+++ b/src/coordination/leadership/team_shards.rs
@@ -9,7 +9,7 @@
 impl Controller {
     /// Whether a team of the deploy file has a guarantee or a limit but no shard of its own, because a later deploy file
     /// added it. The jobs of such a team are spread over all shards, so no leader could enforce its limit.
-    pub(in crate::coordination) fn has_no_shard(&self, team: &Team) -> bool {
+    pub(in crate::coordination) fn lacks_shard(&self, team: &Team) -> bool {
         team.has_share()
             && self
                 .cell
@@ -49,7 +49,7 @@
 
     fn teams_without_shard(&self) -> impl Iterator<Item = &Team> {
         let teams = self.settings.teams.iter();
-        teams.filter(|team| self.has_no_shard(team))
+        teams.filter(|team| self.lacks_shard(team))
     }
 
     /// The metadata with a shard for each team that has none and is idle.
--- a/src/coordination/leadership/terms.rs
+++ b/src/coordination/leadership/terms.rs
@@ -96,7 +96,7 @@
         self.leadership.terms.begin(shard, term);
         self.begin_agents(shard);
         self.rounds.request();
-        self.find_large();
+        self.find_oversized_records();
     }
 
     /// A peer has a newer term of a shard that this process took for its own.
--- a/src/coordination/leadership/unsteady_controllers.rs
+++ b/src/coordination/leadership/unsteady_controllers.rs
@@ -29,7 +29,7 @@
         let nodes = &self.cell.nodes;
         let unsteady: BTreeSet<String> = nodes
             .iter()
-            .filter(|(_, node)| !node.value.restart_history.is_steady(day))
+            .filter(|(_, node)| !node.value.restart_history.is_stable(day))
             .map(|(name, _)| name.clone())
             .collect();
         let steady = nodes.len() - unsteady.len();
@@ -42,8 +42,8 @@
     fn time_until_steady(&self, controller: &str) -> Micros {
         let node = self.cell.nodes.get(controller);
         node.map_or(Micros::ZERO, |node| {
-            let steady_from = node.value.restart_history.steady_from();
-            steady_from.since(self.now.day)
+            let stable_from = node.value.restart_history.stable_from();
+            stable_from.since(self.now.day)
         })
     }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -24,7 +24,7 @@
 use crate::protocol::worker::Heartbeat;
 use crate::storage::cell_state::{CellChanges, CellState};
 use crate::storage::ids::{MachineId, ShardId};
-use crate::storage::records::{Incarnation, LAYOUT, TERSE};
+use crate::storage::records::{COMPACT_FORMAT, Incarnation, LATEST_FORMAT};
 use crate::time::Micros;
 use calls::{Call, Purpose};
 use commit::budget::Budget;
@@ -53,8 +53,8 @@
     /// Calls that wait for an answer.
     calls: HashMap<CallId, Call>,
     /// The latest record format that this process understands.
-    layout: u32,
-    limits: commit::limits::InForce,
+    record_format: u32,
+    limits: commit::limits::EffectiveLimits,
     budget: Budget,
     cell: CellState,
     stall: health::stall::StallDetector,
@@ -71,11 +71,11 @@
     largest_fleet: usize,
     connectivity: health::connectivity::Connectivity,
     rounds: commit::Rounds,
-    users: api::Users,
+    users: api::UserRequests,
     dependency_lookups: api::dependencies::DependencyLookups,
     autoscaler: autoscaler::Autoscaler,
     rules: constraints::Rules,
-    served: throughput::Served,
+    served: throughput::Throughput,
     zones: health::zones::Zones,
     /// The last hint of each peer, and when it was received.
     peers: HashMap<String, (Micros, PeerHint)>,
@@ -109,8 +109,8 @@
             next_wake: Micros::ZERO,
             next_call: 1,
             calls: HashMap::new(),
-            layout: LAYOUT,
-            limits: commit::limits::InForce::new(&settings),
+            record_format: LATEST_FORMAT,
+            limits: commit::limits::EffectiveLimits::new(&settings),
             budget: Budget::new(
                 settings.state_rps / share,
                 settings.limits.write_rps / share,
@@ -126,11 +126,11 @@
             largest_fleet: 0,
             connectivity: health::connectivity::Connectivity::default(),
             rounds: commit::Rounds::default(),
-            users: api::Users::default(),
+            users: api::UserRequests::default(),
             dependency_lookups: api::dependencies::DependencyLookups::default(),
             autoscaler: autoscaler::Autoscaler::default(),
             rules: constraints::Rules::default(),
-            served: throughput::Served::default(),
+            served: throughput::Throughput::default(),
             zones: health::zones::Zones::default(),
             peers: HashMap::new(),
             next_tick: Micros::ZERO,
@@ -144,10 +144,10 @@
 
     /// The same controller with support for record formats up to this one only, as in an earlier version.
     /// A version without the compact encoding does not know of announced limits either.
-    pub fn understanding(mut self, layout: u32) -> Controller {
-        self.layout = layout;
-        if layout < TERSE {
-            self.limits = commit::limits::InForce::unaware(&self.settings);
+    pub fn understanding(mut self, record_format: u32) -> Controller {
+        self.record_format = record_format;
+        if record_format < COMPACT_FORMAT {
+            self.limits = commit::limits::EffectiveLimits::without_next(&self.settings);
         }
         self
     }
@@ -158,7 +158,7 @@
             steady: now.steady.max(self.now.steady),
             day: now.day,
         };
-        self.cell.today = now.day;
+        self.cell.time_of_day = now.day;
         self.detect_stall();
         self.dispatch(event);
         self.drive();
@@ -170,9 +170,11 @@
         match event {
             Event::Tick => {}
             Event::User(call, request) => self.on_user(call, request),
-            Event::BadSubmission(call, job, reason) => self.on_bad_submission(call, job, reason),
+            Event::InvalidSubmission(call, job, reason) => {
+                self.on_invalid_submission(call, job, reason)
+            }
             Event::Heartbeat(call, heartbeat) => {
-                self.connectivity.heard(self.now.steady);
+                self.connectivity.on_agent_contact(self.now.steady);
                 let answer = self.on_heartbeat(&heartbeat);
                 self.effects.push(Effect::Heartbeat(call, answer));
             }
@@ -186,7 +188,7 @@
     /// An agent answered a pushed command or a probe, or did not.
     fn on_agent_answer(&mut self, call: CallId, answer: Option<(bool, Heartbeat)>) {
         if answer.is_some() {
-            self.connectivity.heard(self.now.steady);
+            self.connectivity.on_agent_contact(self.now.steady);
         }
         match self.calls.remove(&call).map(|call| call.purpose) {
             Some(Purpose::PushCommand(machine)) => self.on_pushed_command(call, machine, answer),
@@ -205,10 +207,10 @@
     /// Only trouble of its own makes a node unhealthy: while the peers have no contact either, the state store
     /// is away, and nodes that became unhealthy then would return later than it does.
     pub fn healthy(&self, now: Now) -> bool {
-        if !self.replica.ready() {
+        if !self.replica.is_ready() {
             return false;
         }
-        let contact_age = now.steady.since(self.replica.contact());
+        let contact_age = now.steady.since(self.replica.last_contact());
         contact_age < Self::CONTACT_LOST || !self.peer_has_newer_contact(now, contact_age)
     }
 
@@ -248,7 +250,7 @@
         self.drive_dependencies();
         self.drive_rules();
         self.drive_users();
-        if !self.stall.in_doubt() {
+        if !self.stall.is_recovering() {
             self.drive_autoscaler();
             self.drive_rounds();
         }
@@ -260,7 +262,7 @@
     /// Runs the periodic checks. Those that conclude something from silence or idleness wait until the replica
     /// is up to date after a stall.
     fn tick(&mut self) {
-        if !self.stall.in_doubt() {
+        if !self.stall.is_recovering() {
             self.tick_connectivity();
             self.tick_agents();
             self.tick_zones();
@@ -279,7 +281,7 @@
 
     /// Time since the last contact to the state store.
     fn contact_age(&self) -> Micros {
-        self.now.steady.since(self.replica.contact())
+        self.now.steady.since(self.replica.last_contact())
     }
 
     /// Tells the components what changes of the replica concern them.
@@ -291,7 +293,7 @@
         if changes.nodes {
             self.leadership.schedule_check();
             self.update_known_formats();
-            self.note_declared();
+            self.record_declared_rules();
         }
         if changes.rules {
             self.on_rules_changed();
@@ -301,14 +303,14 @@
         }
         for ended in &changes.ended {
             self.served.note(ended);
-            self.on_job_gone(ended.job);
+            self.on_job_removed(ended.job);
             if let Some(end) = ended.how {
                 self.users.remember(ended.job, end);
             }
         }
         for job in &changes.jobs {
             self.users.appeared(*job);
-            self.note_rules_of(*job);
+            self.on_rules_of_job_changed(*job);
             self.on_job_changed(*job);
         }
         if Self::affects_scheduling(changes) {
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -22,7 +22,10 @@
     }
 
     fn send_hint(&mut self) {
-        let contact = self.replica.ready().then(|| self.contact_age().as_millis());
+        let contact = self
+            .replica
+            .is_ready()
+            .then(|| self.contact_age().as_millis());
         let terms = (0..self.cell.leaders.len())
             .map(|shard| (self.cell.leaders[shard].mod_revision, self.leads(shard)))
             .collect();
@@ -32,9 +35,9 @@
             contact_ms: contact,
             revision: self.cell.revision,
             terms,
-            heard_ms: self.heard_ms(),
-            saturated: self.rounds.saturated(self.now.steady),
-            spends: (self.budget.spending(self.now.steady) * 1e3) as u64,
+            last_heartbeat_ms: self.agent_contact_age_ms(),
+            saturated: self.rounds.is_saturated(self.now.steady),
+            spends: (self.budget.take_spending_rate(self.now.steady) * 1e3) as u64,
         };
         self.effects.push(Effect::Peers(hint));
     }
@@ -49,7 +52,7 @@
             .others
             .iter()
             .map(|other| self.peers.get(&other.node).and_then(recent_rate));
-        self.budget.lend(now, rates);
+        self.budget.borrow_unused(now, rates);
     }
 
     /// Takes a peer's hint. A newer term of a shard ends this controller's leadership of it at once.
@@ -61,7 +64,7 @@
             if *leads && self.leads(shard) && *term > self.cell.leaders[shard].mod_revision {
                 tracing::info!(shard, term, peer = hint.node, "peer has a newer term");
                 self.on_newer_term(shard, *term);
-                self.replica.want_barrier();
+                self.replica.request_barrier();
             }
         }
         self.peers
--- a/src/coordination/replication/barrier.rs
+++ b/src/coordination/replication/barrier.rs
@@ -93,7 +93,7 @@
             return;
         };
         if self.replica.barrier.is_in_flight()
-            || !self.replica.ready()
+            || !self.replica.is_ready()
             || self.is_catch_up_in_flight()
         {
             return;
@@ -127,14 +127,14 @@
     /// Part of the request budget that a barrier leaves to other requests.
     fn barrier_reserve(&self, urgency: Urgency) -> f64 {
         match urgency {
-            Urgency::Queries if self.are_queries_patient() => Self::POLLS,
+            Urgency::Queries if self.are_queries_patient() => Self::QUERY_RESERVE,
             _ => 0.0,
         }
     }
 
     /// Whether no query has waited for long.
     fn are_queries_patient(&self) -> bool {
-        let oldest = self.users.oldest_read(self.now.steady);
+        let oldest = self.users.oldest_pending_read(self.now.steady);
         oldest.is_none_or(|waited| waited < PATIENT_QUERY_WAIT)
     }
 }
--- a/src/coordination/replication/changes.rs
+++ b/src/coordination/replication/changes.rs
@@ -2,7 +2,7 @@
 
 use super::Phase;
 use crate::coordination::{CallId, Controller};
-use crate::protocol::state::{CallError, StateReply};
+use crate::protocol::state::{CallError, StateResponse};
 use crate::storage::cell_state::{CellChanges, Change};
 use crate::time::Micros;
 
@@ -19,7 +19,7 @@
         &mut self,
         id: CallId,
         sent: Micros,
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) {
         let now = self.now.steady;
         self.replica.watch.on_answered(now);
@@ -32,13 +32,13 @@
         &mut self,
         id: CallId,
         sent: Micros,
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) {
         let now = self.now.steady;
         self.replica.barrier.on_answered(id);
         if self.on_changes(id, sent, result) == ReadOutcome::Failed {
             self.replica.barrier.on_failed(now);
-            self.users_without_contact();
+            self.on_users_read_failed();
         }
     }
 
@@ -47,15 +47,19 @@
         &mut self,
         id: CallId,
         sent: Micros,
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) -> ReadOutcome {
         match result {
-            Ok(StateReply::Changes(changes, revision)) => {
+            Ok(StateResponse::Changes(changes, revision)) => {
                 self.apply_changes(id, sent, changes, revision);
             }
-            Ok(StateReply::TooOld) => self.list_again("changes are no longer in the state store"),
+            Ok(StateResponse::Compacted) => {
+                self.list_again("changes are no longer in the state store")
+            }
             // A retry would only be larger: all changes come at once, however many there are.
-            Err(CallError::TooLarge) => self.list_again("changes exceed the size of one answer"),
+            Err(CallError::ResponseTooLarge) => {
+                self.list_again("changes exceed the size of one answer")
+            }
             other => {
                 tracing::debug!(?other, "read failed");
                 return ReadOutcome::Failed;
@@ -87,7 +91,7 @@
         let mut changes_seen = CellChanges::default();
         self.cell.apply(changes, &mut changes_seen);
         self.cell.advance(revision);
-        if self.cell.foreign(self.layout) {
+        if self.cell.is_format_unsupported(self.record_format) {
             // Other controllers may raise the layout beyond this version while it runs.
             self.step_down_everywhere();
             self.refuse_layout();
@@ -105,7 +109,7 @@
         self.on_cell_changed(&changes_seen);
         let newest_call = self.replica.progress.newest_call;
         self.rounds.on_read(revision, newest_call);
-        self.users_after_read();
+        self.on_users_read_completed();
     }
 
     /// The replica is complete and consistent: everything in it counts as changed.
--- a/src/coordination/replication/listing.rs
+++ b/src/coordination/replication/listing.rs
@@ -2,7 +2,7 @@
 
 use super::Phase;
 use crate::coordination::{Controller, Purpose};
-use crate::protocol::state::{CallError, StateReply, StateRequest};
+use crate::protocol::state::{CallError, StateRequest, StateResponse};
 use crate::storage::cell_state::CellChanges;
 use crate::time::Micros;
 
@@ -59,16 +59,16 @@
 
     /// `first`: revision of the first page; `after`: the last key of the page before.
     fn request_page(&mut self, first: Option<u64>, after: Option<String>) {
-        self.budget.force(self.now.steady, 0);
+        self.budget.charge(self.now.steady, 0);
         self.ask_state(Purpose::Page { first }, StateRequest::List { after });
     }
 
     pub(in crate::coordination) fn on_page(
         &mut self,
         first: Option<u64>,
-        result: Result<StateReply, CallError>,
+        result: Result<StateResponse, CallError>,
     ) {
-        let Ok(StateReply::Page {
+        let Ok(StateResponse::Page {
             items,
             next,
             revision,
@@ -79,7 +79,7 @@
         };
         let mut changes_seen = CellChanges::default();
         self.cell.apply(items, &mut changes_seen);
-        if self.cell.foreign(self.layout) {
+        if self.cell.is_format_unsupported(self.record_format) {
             self.refuse_layout();
             return;
         }
@@ -103,8 +103,13 @@
     /// Records of an unknown layout would be misread: they are left alone, and the node stays out of service.
     pub(super) fn refuse_layout(&mut self) {
         if self.replica.listing.logs_unknown_layout(self.now.steady) {
-            let found = self.cell.meta.value.as_ref().map_or(0, |meta| meta.layout);
-            let understood = self.layout;
+            let found = self
+                .cell
+                .meta
+                .value
+                .as_ref()
+                .map_or(0, |meta| meta.record_format);
+            let understood = self.record_format;
             tracing::error!(found, understood, "record layout unknown, not in service");
         }
         self.restart_listing(UNKNOWN_LAYOUT_DELAY);
--- a/src/coordination/replication/mod.rs
+++ b/src/coordination/replication/mod.rs
@@ -65,28 +65,28 @@
 
 impl Replica {
     /// Whether the replica is complete and consistent.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.phase == Phase::Ready
     }
 
     /// When the last completed read was sent, on the steady clock.
-    pub fn contact(&self) -> Micros {
+    pub fn last_contact(&self) -> Micros {
         self.progress.contact
     }
 
     /// What the last applied read brought happened after this time.
-    pub fn before(&self) -> Micros {
+    pub fn previous_contact(&self) -> Micros {
         self.progress.previous_contact
     }
 
     /// Requests a read that begins now or later.
-    pub fn want_barrier(&mut self) {
+    pub fn request_barrier(&mut self) {
         self.barrier.request();
     }
 
     /// Requests a read that begins now or later, for queries alone: it may wait a little for others to share it, or for
     /// the watch.
-    pub fn want_read(&mut self) {
+    pub fn request_read(&mut self) {
         self.barrier.request_for_queries();
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Whether a read that began after this call has completed.
-    pub fn passed(&self, call: u64) -> bool {
+    pub fn has_read_since(&self, call: u64) -> bool {
         self.progress.newest_call > call
     }
 
@@ -110,7 +110,7 @@
     /// Whether the replica was so far behind at a time that an answer with all changes since may be large. Then there is
     /// one read at a time, for each would bring the same.
     fn is_far_behind(&self, at: Micros) -> bool {
-        self.ready() && at.since(self.progress.contact) > FAR_BEHIND
+        self.is_ready() && at.since(self.progress.contact) > FAR_BEHIND
     }
 }
 
--- a/src/coordination/replication/watch.rs
+++ b/src/coordination/replication/watch.rs
@@ -60,7 +60,7 @@
             self.wake_at(affordable_at);
             return;
         }
-        let wait = if self.replica.ready() && !far_behind {
+        let wait = if self.replica.is_ready() && !far_behind {
             WAIT
         } else {
             Micros::ZERO
--- a/src/coordination/throughput.rs
+++ b/src/coordination/throughput.rs
@@ -32,9 +32,9 @@
 
 /// Jobs of each class and team that have ended since this process read the cell state.
 #[derive(Debug, Default)]
-pub struct Served(BTreeMap<Owner, Counts>);
+pub struct Throughput(BTreeMap<Owner, Counts>);
 
-impl Served {
+impl Throughput {
     /// Counts a job that has ended, unless it was cancelled or its outcome is unknown.
     pub fn note(&mut self, ended: &EndedJob) {
         if ended.how.is_some_and(|outcome| !outcome.cancelled) {
@@ -47,7 +47,7 @@
 
 impl Controller {
     /// Logs the throughput of each class and team, and which of them are due room ahead of the order.
-    pub(super) fn log_served(&mut self) {
+    pub(super) fn log_throughput(&mut self) {
         if !self.leads(0) {
             return;
         }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -6,7 +6,7 @@
 mod input;
 mod machine_view;
 
-use crate::protocol::user::BadSubmission;
+use crate::protocol::user::InvalidSubmission;
 use crate::scheduler::constraints::{self, ClassTraits, JobConstraints, clash, subject};
 use crate::storage::ids::MachineId;
 use crate::storage::machine_classes::{Class, Classes};
@@ -27,7 +27,7 @@
     Rules(#[source] BadRules),
     /// The submission is invalid.
     #[error("job: {0}")]
-    Job(#[source] BadSubmission),
+    Job(#[source] InvalidSubmission),
     /// A rule of the submission tests an unknown trait, or one of another sort.
     #[error("job: {0}")]
     JobRule(#[source] BadRules),
@@ -178,10 +178,10 @@
     fn classes(&self) -> Classes {
         let mut classes = Classes::default();
         classes.label(self.labelled.clone(), std::iter::empty());
-        classes.offer(&self.input.catalog);
+        classes.set_catalog(&self.input.catalog);
         for machine in &self.input.machines {
             if let Ok(id) = machine.host.parse() {
-                classes.come(id, self.class(machine));
+                classes.add_to_class(id, self.class(machine));
             }
         }
         classes
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -78,7 +78,7 @@
     /// The machines are released.
     Released,
     /// A page of the machine list, and whether more pages follow.
-    Hosts(Vec<CloudMachine>, bool),
+    Machines(Vec<CloudMachine>, bool),
 }
 
 /// Method, path and body of a request.
@@ -188,18 +188,18 @@
             Ok(CloudReply::NoCapacity)
         }
         (_, 503) => Err(CallError::Unavailable),
-        (_, 429) => Err(CallError::TooMany),
-        (_, 400) => Err(CallError::Refused),
+        (_, 429) => Err(CallError::RateLimited),
+        (_, 400) => Err(CallError::Rejected),
         (CloudRequest::Catalog, 200) => parse_catalog(body),
         (CloudRequest::Provision { .. }, 200) => parse_provisioned(body),
         (CloudRequest::Release(_), 200) => Ok(CloudReply::Released),
         (CloudRequest::List(_), 200) => parse_machines(body),
-        _ => Err(CallError::Unknown),
+        _ => Err(CallError::OutcomeUnknown),
     }
 }
 
 fn from_json<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, CallError> {
-    serde_json::from_slice(body).map_err(|_| CallError::Unknown)
+    serde_json::from_slice(body).map_err(|_| CallError::OutcomeUnknown)
 }
 
 fn is_out_of_capacity(body: &[u8]) -> bool {
@@ -229,7 +229,7 @@
         .into_iter()
         .filter_map(CloudMachineWire::parse)
         .collect();
-    Ok(CloudReply::Hosts(machines, wire.more))
+    Ok(CloudReply::Machines(machines, wire.more))
 }
 
 impl From<MachineTypeWire> for MachineType {
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -26,7 +26,7 @@
     pub spends: u64,
     /// Milliseconds since its last heartbeat from any agent; absent if it never had one.
     #[serde(rename = "heard_ms", default)]
-    pub heard_ms: Option<u64>,
+    pub last_heartbeat_ms: Option<u64>,
     /// Whether its commit rounds are full and further changes wait for the write rate.
     #[serde(rename = "pressed", default)]
     pub saturated: bool,
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -20,24 +20,24 @@
 pub enum CallError {
     /// No response, or one that cannot be understood: the request may take effect, now or later.
     #[error("no answer")]
-    Unknown,
+    OutcomeUnknown,
     /// 503: rejected without taking effect.
     #[error("unavailable")]
     Unavailable,
     /// 429: rejected for the rate of requests, without taking effect.
     #[error("too many requests")]
-    TooMany,
+    RateLimited,
     /// The response is larger than what is read at once; whether a transaction took effect is as unknown as without one.
     #[error("the answer is too large")]
-    TooLarge,
+    ResponseTooLarge,
     /// 400: rejected as invalid, without taking effect.
     #[error("refused")]
-    Refused,
+    Rejected,
 }
 
 /// One change of a transaction.
 #[derive(Clone, Debug)]
-pub struct Put {
+pub struct KeyChange {
     /// The key.
     pub key: Key,
     /// Its new value, encoded; `None` removes the key.
@@ -48,17 +48,17 @@
 
 /// A compare-and-swap transaction: all its changes are applied if all its conditions hold, and none otherwise.
 #[derive(Clone, Debug, Default)]
-pub struct Txn {
+pub struct Transaction {
     /// Keys, each with the revision of its last change that it must have; 0 for a key that must not exist.
     pub when: Vec<(Key, u64)>,
     /// The changes.
-    pub then: Vec<Put>,
+    pub changes: Vec<KeyChange>,
 }
 
-impl Txn {
+impl Transaction {
     /// Size of its largest value, in bytes.
     pub fn largest(&self) -> usize {
-        self.then
+        self.changes
             .iter()
             .filter_map(|change| change.value.as_ref())
             .map(|value| value.get().len())
@@ -78,7 +78,7 @@
         after: Option<String>,
     },
     /// A transaction.
-    Txn(Txn),
+    Transaction(Transaction),
     /// A new lease of this duration.
     LeaseGrant(Micros),
     /// The renewal of a lease.
@@ -94,7 +94,7 @@
 
 /// The content of a response.
 #[derive(Clone, Debug)]
-pub enum StateReply {
+pub enum StateResponse {
     /// A key's encoded value; `None` if the key does not exist.
     Value(Option<Box<RawValue>>),
     /// A page of live keys.
@@ -109,20 +109,20 @@
     /// The transaction was applied at this revision.
     Applied(u64),
     /// The conditions on these keys did not hold at this revision; nothing was applied.
-    Clash(Vec<Key>, u64),
+    Conflict(Vec<Key>, u64),
     /// The identifier of a granted lease.
     Lease(u64),
     /// The lease was renewed.
     LeaseKeptAlive,
     /// The lease that was to be renewed or written with has expired.
-    NoLease,
+    LeaseExpired,
     /// The changes up to this revision.
     Changes(Vec<Change>, u64),
     /// The store no longer keeps changes since the given revision: all keys have to be listed again.
-    TooOld,
+    Compacted,
 }
 
-/// Encodes a record as the value of a [`Put`]; `None` if it has no JSON form.
+/// Encodes a record as the value of a [`KeyChange`]; `None` if it has no JSON form.
 pub fn encode<T: Serialize>(value: &T) -> Option<Box<RawValue>> {
     serde_json::value::to_raw_value(value).ok()
 }
--- a/src/protocol/state/request.rs
+++ b/src/protocol/state/request.rs
@@ -1,6 +1,6 @@
 //! The encoding of requests to the state store.
 
-use super::{Put, StateRequest, Txn};
+use super::{KeyChange, StateRequest, Transaction};
 use crate::storage::records::{Key, LIVE};
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -41,7 +41,7 @@
     match request {
         StateRequest::Get(key) => ("GET", format!("/kv/{key}"), Vec::new()),
         StateRequest::List { after } => ("GET", list_path(after.as_deref()), Vec::new()),
-        StateRequest::Txn(txn) => ("POST", "/txn".to_owned(), txn.body()),
+        StateRequest::Transaction(txn) => ("POST", "/txn".to_owned(), txn.body()),
         StateRequest::LeaseGrant(duration) => {
             let body = serde_json::json!({ "lifeMs": duration.as_millis() });
             ("POST", "/leases".to_owned(), body.to_string().into_bytes())
@@ -60,12 +60,12 @@
     format!("/kv?prefix={LIVE}{after}&most={PAGE_SIZE}")
 }
 
-impl Txn {
+impl Transaction {
     /// The body of the request for this transaction.
     pub fn body(&self) -> Vec<u8> {
         let wire = TransactionWire {
             conditions: self.when.iter().map(ConditionWire::new).collect(),
-            changes: self.then.iter().map(ChangeWire::new).collect(),
+            changes: self.changes.iter().map(ChangeWire::new).collect(),
         };
         serde_json::to_vec(&wire).unwrap_or_default()
     }
@@ -81,7 +81,7 @@
 }
 
 impl ChangeWire<'_> {
-    fn new(change: &Put) -> ChangeWire<'_> {
+    fn new(change: &KeyChange) -> ChangeWire<'_> {
         let key = Some(change.key.to_string());
         let (write, remove) = match change.value {
             Some(_) => (key, None),
--- a/src/protocol/state/response.rs
+++ b/src/protocol/state/response.rs
@@ -1,6 +1,6 @@
 //! The decoding of the state store's responses.
 
-use super::{CallError, StateReply, StateRequest};
+use super::{CallError, StateRequest, StateResponse};
 use crate::storage::cell_state::{Change, Content};
 use crate::storage::records::{Key, LIVE};
 use serde::Deserialize;
@@ -89,78 +89,80 @@
 ///
 /// # Errors
 /// [`CallError`] says whether the request may have taken effect.
-pub fn parse(request: &StateRequest, status: u16, body: &[u8]) -> Result<StateReply, CallError> {
+pub fn parse(request: &StateRequest, status: u16, body: &[u8]) -> Result<StateResponse, CallError> {
     match (request, status) {
         (_, 503) => Err(CallError::Unavailable),
-        (_, 429) => Err(CallError::TooMany),
+        (_, 429) => Err(CallError::RateLimited),
         (StateRequest::Get(_), 200) => parse_value(body),
-        (StateRequest::Get(_), 404) => Ok(StateReply::Value(None)),
+        (StateRequest::Get(_), 404) => Ok(StateResponse::Value(None)),
         (StateRequest::List { .. }, 200) => parse_page(body),
-        (StateRequest::Txn(_), 200) => parse_applied(body),
-        (StateRequest::Txn(_), 409) => parse_conflict(body),
-        (StateRequest::Txn(txn), 400) if txn.then.iter().any(|put| put.lease_id.is_some()) => {
+        (StateRequest::Transaction(_), 200) => parse_applied(body),
+        (StateRequest::Transaction(_), 409) => parse_conflict(body),
+        (StateRequest::Transaction(txn), 400)
+            if txn.changes.iter().any(|put| put.lease_id.is_some()) =>
+        {
             parse_rejected_lease(body)
         }
         (StateRequest::LeaseGrant(_), 200) => parse_lease(body),
-        (StateRequest::LeaseKeepAlive(_), 200) => Ok(StateReply::LeaseKeptAlive),
-        (StateRequest::LeaseKeepAlive(_), 404) => Ok(StateReply::NoLease),
+        (StateRequest::LeaseKeepAlive(_), 200) => Ok(StateResponse::LeaseKeptAlive),
+        (StateRequest::LeaseKeepAlive(_), 404) => Ok(StateResponse::LeaseExpired),
         (StateRequest::Changes { .. }, 200) => parse_changes(body),
-        (StateRequest::Changes { .. }, 410) => Ok(StateReply::TooOld),
-        (_, 400) => Err(CallError::Refused),
-        _ => Err(CallError::Unknown),
+        (StateRequest::Changes { .. }, 410) => Ok(StateResponse::Compacted),
+        (_, 400) => Err(CallError::Rejected),
+        _ => Err(CallError::OutcomeUnknown),
     }
 }
 
 fn from_json<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, CallError> {
-    serde_json::from_slice(body).map_err(|_| CallError::Unknown)
+    serde_json::from_slice(body).map_err(|_| CallError::OutcomeUnknown)
 }
 
-fn parse_value(body: &[u8]) -> Result<StateReply, CallError> {
+fn parse_value(body: &[u8]) -> Result<StateResponse, CallError> {
     let wire: ValueWire = from_json(body)?;
-    Ok(StateReply::Value(Some(wire.value.to_owned())))
+    Ok(StateResponse::Value(Some(wire.value.to_owned())))
 }
 
-fn parse_page(body: &[u8]) -> Result<StateReply, CallError> {
+fn parse_page(body: &[u8]) -> Result<StateResponse, CallError> {
     let wire: PageWire = from_json(body)?;
     let last = wire.items.last().filter(|_| wire.more);
     let items = wire
         .items
         .iter()
         .filter_map(|item| change(&item.key, Some(item.value), item.mod_revision));
-    Ok(StateReply::Page {
+    Ok(StateResponse::Page {
         items: items.collect(),
         next: last.map(|item| item.key.to_string()),
         revision: wire.revision,
     })
 }
 
-fn parse_applied(body: &[u8]) -> Result<StateReply, CallError> {
+fn parse_applied(body: &[u8]) -> Result<StateResponse, CallError> {
     let wire: AppliedWire = from_json(body)?;
-    Ok(StateReply::Applied(wire.revision))
+    Ok(StateResponse::Applied(wire.revision))
 }
 
-fn parse_conflict(body: &[u8]) -> Result<StateReply, CallError> {
+fn parse_conflict(body: &[u8]) -> Result<StateResponse, CallError> {
     let wire: ConflictWire = from_json(body)?;
     let keys = wire.failed.iter().filter_map(|key| Key::parse(key));
-    Ok(StateReply::Clash(keys.collect(), wire.revision))
+    Ok(StateResponse::Conflict(keys.collect(), wire.revision))
 }
 
 /// Tells an expired lease from other reasons to reject a transaction with a lease: only the error's text differs.
-fn parse_rejected_lease(body: &[u8]) -> Result<StateReply, CallError> {
+fn parse_rejected_lease(body: &[u8]) -> Result<StateResponse, CallError> {
     let wire: ErrorWire = serde_json::from_slice(body).unwrap_or_default();
     if wire.error.contains("lease") {
-        Ok(StateReply::NoLease)
+        Ok(StateResponse::LeaseExpired)
     } else {
-        Err(CallError::Refused)
+        Err(CallError::Rejected)
     }
 }
 
-fn parse_lease(body: &[u8]) -> Result<StateReply, CallError> {
+fn parse_lease(body: &[u8]) -> Result<StateResponse, CallError> {
     let wire: LeaseWire = from_json(body)?;
-    Ok(StateReply::Lease(wire.lease_id))
+    Ok(StateResponse::Lease(wire.lease_id))
 }
 
-fn parse_changes(body: &[u8]) -> Result<StateReply, CallError> {
+fn parse_changes(body: &[u8]) -> Result<StateResponse, CallError> {
     let wire: ChangesWire = from_json(body)?;
     let last = last_group_changes(&wire.log);
     let is_superseded =
@@ -174,7 +176,7 @@
             None => true,
         })
         .filter_map(|(_, entry)| entry.change());
-    Ok(StateReply::Changes(changes.collect(), wire.revision))
+    Ok(StateResponse::Changes(changes.collect(), wire.revision))
 }
 
 /// Index in the log of the last change of each machine group.
--- a/src/protocol/state/tests.rs
+++ b/src/protocol/state/tests.rs
@@ -26,7 +26,7 @@
         after: 10,
         wait: Micros::ZERO,
     };
-    let Ok(StateReply::Changes(changes, 17)) = parse(&request, 200, body.as_bytes()) else {
+    let Ok(StateResponse::Changes(changes, 17)) = parse(&request, 200, body.as_bytes()) else {
         panic!("no changes")
     };
     let revisions: Vec<u64> = changes.iter().map(|change| change.mod_revision).collect();
--- a/src/protocol/user.rs
+++ b/src/protocol/user.rs
@@ -22,7 +22,7 @@
 
 /// Why a submission is invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
-pub enum BadSubmission {
+pub enum InvalidSubmission {
     /// The body is no JSON object, or a field is missing or of the wrong type.
     #[error("{0}")]
     Malformed(String),
@@ -85,17 +85,17 @@
 /// Parses the body of a submission. Every field has to be there, of its type and in its range.
 ///
 /// # Errors
-/// [`BadSubmission`] with the first field that is not.
-pub fn parse_submission(body: &[u8]) -> Result<(JobId, JobSpec), BadSubmission> {
+/// [`InvalidSubmission`] with the first field that is not.
+pub fn parse_submission(body: &[u8]) -> Result<(JobId, JobSpec), InvalidSubmission> {
     if !is_json_object(body) {
-        return Err(BadSubmission::Malformed("not a JSON object".to_owned()));
+        return Err(InvalidSubmission::Malformed("not a JSON object".to_owned()));
     }
     let submission: Submission = serde_json::from_slice(body)
-        .map_err(|error| BadSubmission::Malformed(error.to_string()))?;
+        .map_err(|error| InvalidSubmission::Malformed(error.to_string()))?;
     let id = submission
         .id
         .parse()
-        .map_err(|_| BadSubmission::Field("nameId"))?;
+        .map_err(|_| InvalidSubmission::Field("nameId"))?;
     Ok((id, submission.into_spec()?))
 }
 
@@ -106,7 +106,7 @@
 
 impl Submission {
     /// Validates the fields. Their order here decides which of several invalid fields is reported.
-    fn into_spec(self) -> Result<JobSpec, BadSubmission> {
+    fn into_spec(self) -> Result<JobSpec, InvalidSubmission> {
         let task_count = parse_task_count(self.task_count)?;
         let dependencies = parse_dependencies(&self.dependencies.unwrap_or_default())?;
         let rules = read_own(&self.rules.unwrap_or_default())?;
@@ -157,66 +157,66 @@
 }
 
 impl Shape {
-    fn parse(text: &str) -> Result<Shape, BadSubmission> {
+    fn parse(text: &str) -> Result<Shape, InvalidSubmission> {
         match text {
             "sweep" => Ok(Shape::Array),
             "group" => Ok(Shape::Gang),
             "standing" => Ok(Shape::Service),
-            _ => Err(BadSubmission::Field("shape")),
+            _ => Err(InvalidSubmission::Field("shape")),
         }
     }
 }
 
-fn parse_priority(text: &str) -> Result<Priority, BadSubmission> {
+fn parse_priority(text: &str) -> Result<Priority, InvalidSubmission> {
     match text {
         "critical" => Ok(Priority::Critical),
         "high" => Ok(Priority::High),
         "standard" => Ok(Priority::Standard),
         "low" => Ok(Priority::Low),
-        _ => Err(BadSubmission::Field("urgency")),
+        _ => Err(InvalidSubmission::Field("urgency")),
     }
 }
 
-fn parse_task_count(count: u64) -> Result<u32, BadSubmission> {
+fn parse_task_count(count: u64) -> Result<u32, InvalidSubmission> {
     if (1..=TASK_COUNT_LIMIT).contains(&count) {
         Ok(count as u32)
     } else {
-        Err(BadSubmission::Field("pieces"))
+        Err(InvalidSubmission::Field("pieces"))
     }
 }
 
 /// The jobs that are awaited, each once and in order.
-fn parse_dependencies(names: &[String]) -> Result<Vec<JobId>, BadSubmission> {
+fn parse_dependencies(names: &[String]) -> Result<Vec<JobId>, InvalidSubmission> {
     let dependencies: BTreeSet<JobId> = names
         .iter()
         .map(|name| name.parse())
         .collect::<Result<_, _>>()
-        .map_err(|_| BadSubmission::Field("awaits"))?;
+        .map_err(|_| InvalidSubmission::Field("awaits"))?;
     Ok(dependencies.into_iter().collect())
 }
 
-fn parse_text(field: &'static str, text: String) -> Result<String, BadSubmission> {
+fn parse_text(field: &'static str, text: String) -> Result<String, InvalidSubmission> {
     if (1..=NAME_LIMIT).contains(&text.len()) {
         Ok(text)
     } else {
-        Err(BadSubmission::Field(field))
+        Err(InvalidSubmission::Field(field))
     }
 }
 
-fn parse_number(field: &'static str, number: f64) -> Result<f64, BadSubmission> {
+fn parse_number(field: &'static str, number: f64) -> Result<f64, InvalidSubmission> {
     if (0.0..=AMOUNT_LIMIT).contains(&number) {
         Ok(number)
     } else {
-        Err(BadSubmission::Field(field))
+        Err(InvalidSubmission::Field(field))
     }
 }
 
 /// An amount that a task takes, in thousandths.
-fn parse_amount(field: &'static str, number: f64) -> Result<u64, BadSubmission> {
+fn parse_amount(field: &'static str, number: f64) -> Result<u64, InvalidSubmission> {
     parse_number(field, number).map(taken)
 }
 
-fn parse_duration(field: &'static str, seconds: f64) -> Result<Micros, BadSubmission> {
+fn parse_duration(field: &'static str, seconds: f64) -> Result<Micros, InvalidSubmission> {
     parse_number(field, seconds).map(Micros::from_secs_f64)
 }
 
@@ -306,13 +306,13 @@
     /// 201: the job is accepted.
     Accepted(JobStatusResponse),
     /// 200: the status of a job that was accepted before.
-    Is(JobStatusResponse),
+    Status(JobStatusResponse),
     /// 404: no such job was ever accepted.
-    Unknown,
+    NotFound,
     /// 422: the job can never run, with the reason.
-    Never(Cow<'static, str>),
+    Unsatisfiable(Cow<'static, str>),
     /// 400: the submission is invalid, with the reason.
-    Bad(Cow<'static, str>),
+    Invalid(Cow<'static, str>),
     /// 503: undecided; the user retries after this many seconds.
     RetryAfter(u32),
 }
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -42,19 +42,19 @@
 
 /// Why a task is no longer running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum ExitReason {
     /// The task ran to its end.
-    Done,
+    Completed,
     /// A command stopped it.
-    Halted,
+    Stopped,
     /// The task failed.
-    Error,
+    Failed,
     /// The launch was refused: the machine has too little capacity left.
-    Full,
+    InsufficientCapacity,
     /// The launch was refused: another attempt of the task is on the machine.
-    InUse,
+    OtherAttemptPresent,
     /// The launch was refused: the agent knows no such job.
-    NoSuch,
+    UnknownJob,
     /// A reason that this version does not know.
     Other,
 }
@@ -67,9 +67,9 @@
     /// The task runs, or is in a state that this version does not know.
     Running,
     /// The task was asked to stop and writes its checkpoint.
-    Flushing,
+    Checkpointing,
     /// The task is no longer running.
-    Exited(Ended),
+    Exited(ExitReason),
 }
 
 /// Orders the heartbeats of one agent: the larger one is the newer.
@@ -168,22 +168,22 @@
     fn state(&self) -> TaskState {
         match self.status.as_str() {
             "fetching" => TaskState::Fetching,
-            "flushing" => TaskState::Flushing,
+            "flushing" => TaskState::Checkpointing,
             "exited" => TaskState::Exited(exit_reason(self.cause.as_deref())),
             _ => TaskState::Running,
         }
     }
 }
 
-fn exit_reason(cause: Option<&str>) -> Ended {
+fn exit_reason(cause: Option<&str>) -> ExitReason {
     match cause {
-        Some("done") => Ended::Done,
-        Some("halted") => Ended::Halted,
-        Some("error") => Ended::Error,
-        Some("full") => Ended::Full,
-        Some("in_use") => Ended::InUse,
-        Some("no_such") => Ended::NoSuch,
-        _ => Ended::Other,
+        Some("done") => ExitReason::Completed,
+        Some("halted") => ExitReason::Stopped,
+        Some("error") => ExitReason::Failed,
+        Some("full") => ExitReason::InsufficientCapacity,
+        Some("in_use") => ExitReason::OtherAttemptPresent,
+        Some("no_such") => ExitReason::UnknownJob,
+        _ => ExitReason::Other,
     }
 }
 
@@ -239,7 +239,7 @@
         commands: Vec<Command>,
     },
     /// 421: another controller leads the shard; its name, if known.
-    Elsewhere(Option<String>),
+    NotLeader(Option<String>),
     /// 503: this controller cannot renew leases now.
     Unavailable,
     /// 400: the body is no heartbeat.
@@ -280,7 +280,7 @@
 }
 
 /// The body of a 421, with the name of the controller to send heartbeats to.
-pub fn elsewhere_body(node: Option<&str>) -> Vec<u8> {
+pub fn not_leader_body(node: Option<&str>) -> Vec<u8> {
     match node {
         Some(node) => {
             serde_json::to_vec(&serde_json::json!({ "answerTo": node })).unwrap_or_default()
--- a/src/scheduler/constraints/conflicts.rs
+++ b/src/scheduler/constraints/conflicts.rs
@@ -80,7 +80,7 @@
         .all()
         .iter()
         .enumerate()
-        .filter(|(id, _)| classes.possible(*id))
+        .filter(|(id, _)| classes.is_possible(*id))
 }
 
 /// The classes of labelled machines that have not come up yet, which may be of any type that is offered. Of machines
@@ -90,7 +90,7 @@
     classes: &'a Classes,
 ) -> impl Iterator<Item = Class> + 'a {
     let mut seen_labels: Vec<Vec<Option<&LabelTable>>> = Vec::new();
-    let distinct = classes.unseen().filter(move |machine| {
+    let distinct = classes.labelled_not_up().filter(move |machine| {
         let name = machine.to_string();
         let labels = sets
             .iter()
