--- a/src/scheduler/constraints/machine_context.rs
+++ b/src/scheduler/constraints/machine_context.rs
@@ -51,11 +51,11 @@
     /// Images that it holds or fetches.
     pub images: &'a [(Arc<str>, u64)],
     /// One more image, which it has to fetch for the plan.
-    pub fetches: Option<&'a str>,
+    pub fetching_image: Option<&'a str>,
     /// Jobs with tasks there.
-    pub there: &'a [JobId],
+    pub residents: &'a [JobId],
     /// Whether rules of one of these jobs restrict which jobs may be colocated with it.
-    pub has_exclusions: bool,
+    pub restricts_colocation: bool,
 }
 
 /// A machine as the rules of one job see it.
@@ -70,7 +70,7 @@
 
 impl MachineView<'_> {
     fn has_image(&self, image: &str) -> bool {
-        self.machine.fetches == Some(image)
+        self.machine.fetching_image == Some(image)
             || self.machine.images.iter().any(|(name, _)| **name == *image)
     }
 }
@@ -85,7 +85,7 @@
     }
 
     fn has_colocated(&self, field: Field, words: &Words) -> bool {
-        let others = self.machine.there.iter().filter(|id| **id != self.job);
+        let others = self.machine.residents.iter().filter(|id| **id != self.job);
         let known = others.filter_map(|id| {
             let spec = self.context.jobs.get(id)?.spec();
             Some(JobRef { id: *id, spec })
@@ -98,7 +98,7 @@
 
 impl PlacementContext<'_> {
     /// Whether rules of a job restrict which jobs may be colocated with it.
-    pub fn excludes_newcomers(&self, job: JobId) -> bool {
+    pub fn restricts_colocation(&self, job: JobId) -> bool {
         self.colocated
             && self
                 .job_constraints
@@ -123,8 +123,8 @@
 
     /// Whether the rules of all jobs on a machine admit another job.
     fn residents_admit(&self, newcomer: JobRef<'_>, machine: MachineContext<'_>) -> bool {
-        !machine.has_exclusions
-            || machine.there.iter().all(|resident| {
+        !machine.restricts_colocation
+            || machine.residents.iter().all(|resident| {
                 *resident == newcomer.id || self.resident_admits(*resident, newcomer, machine)
             })
     }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -8,9 +8,9 @@
 mod request;
 mod reservation;
 
-pub use candidate::{Candidate, GroupAllowance, Running};
+pub use candidate::{Candidate, GroupAllowance, PreemptibleTask};
 pub use preemption::{Preemption, preempt};
-pub use request::{Claim, PlacementRequest, Rules};
+pub use request::{Claim, PlacementRequest, PlacementRules};
 
 use crate::storage::ids::MachineId;
 use request::RequestShape;
@@ -33,7 +33,7 @@
         if planner.is_full() || planner.live.is_empty() {
             break;
         }
-        if request.mine || planner.followed < most {
+        if request.is_local || planner.followed < most {
             planner.plan_request(request);
         }
     }
@@ -113,11 +113,11 @@
         }
         let placed = self.claims.len() - first_claim;
         let missing = request.tasks.len() - placed;
-        if request.all_or_nothing && missing > 0 {
+        if request.gang && missing > 0 {
             self.release(request, first_claim);
         }
         reserve(self.candidates, &self.live, request, missing as u64);
-        if !request.mine {
+        if !request.is_local {
             self.followed += placed;
             self.claims.truncate(first_claim);
         }
@@ -136,7 +136,7 @@
             if let Some(candidate) = candidate {
                 candidate.free += request.spec.need;
                 // No task of a gang is assigned before all of them are.
-                candidate.there.retain(|job| *job != request.job);
+                candidate.residents.retain(|job| *job != request.job);
             }
         }
     }
@@ -157,7 +157,9 @@
             // Rules about the current state are evaluated here and not in the ranking, because the turn of most
             // machines never comes.
             let candidate = &self.candidates[best.candidate];
-            if !request.admitted(candidate) || request.mine && !self.groups.take(candidate.group) {
+            if !request.admitted(candidate)
+                || request.is_local && !self.groups.take(candidate.group)
+            {
                 continue;
             }
             placed += self.fill_machine(best.candidate, request, placed..task_count);
@@ -172,7 +174,7 @@
             request.spec.need.fits(&candidate.free)
                 && request.matches_request(candidate)
                 && zone.is_none_or(|zone| zone == candidate.zone)
-                && (!request.mine || self.groups.may(candidate.group))
+                && (!request.is_local || self.groups.may(candidate.group))
                 && request.class_admitted(candidate)
         };
         self.live
--- a/src/scheduler/placement/candidate.rs
+++ b/src/scheduler/placement/candidate.rs
@@ -26,7 +26,7 @@
     /// Price per core.
     pub price: u64,
     /// Total capacity.
-    pub all: Amount,
+    pub capacity: Amount,
     /// Unassigned capacity.
     pub free: Amount,
     /// Reserved for a request of higher precedence that found no room.
@@ -34,15 +34,15 @@
     /// Images that the machine holds or fetches.
     pub images: &'a [(Arc<str>, u64)],
     /// Image that the machine has to fetch for tasks placed by this plan.
-    pub fetches: Option<&'a str>,
+    pub fetching_image: Option<&'a str>,
     /// Tasks that may be preempted, the latest started last.
-    pub running: Vec<Running>,
+    pub running: Vec<PreemptibleTask>,
     /// Machine class, where rules need it.
     pub class: ClassId,
     /// Jobs with tasks on the machine, where rules need them.
-    pub there: Vec<JobId>,
+    pub residents: Vec<JobId>,
     /// Whether rules of one of these jobs restrict which jobs may be colocated with it.
-    pub has_exclusions: bool,
+    pub restricts_colocation: bool,
 }
 
 impl<'a> Candidate<'a> {
@@ -51,15 +51,15 @@
         MachineContext {
             class: self.class,
             images: self.images,
-            fetches: self.fetches,
-            there: &self.there,
-            has_exclusions: self.has_exclusions,
+            fetching_image: self.fetching_image,
+            residents: &self.residents,
+            restricts_colocation: self.restricts_colocation,
         }
     }
 
     /// Whether the machine holds or fetches an image.
     pub(super) fn has_image(&self, image: &str) -> bool {
-        self.fetches == Some(image) || self.images.iter().any(|(name, _)| **name == *image)
+        self.fetching_image == Some(image) || self.images.iter().any(|(name, _)| **name == *image)
     }
 
     /// Whether this plan may still place tasks on the machine.
@@ -70,7 +70,7 @@
     /// Assigns one task that needs `need` and runs `image`.
     pub(super) fn assign(&mut self, need: Amount, image: &'a str) {
         self.free -= need;
-        self.fetches = Some(image);
+        self.fetching_image = Some(image);
     }
 }
 
@@ -105,7 +105,7 @@
 
 /// An assigned task that may be preempted.
 #[derive(Clone, Copy, Debug)]
-pub struct Running {
+pub struct PreemptibleTask {
     /// Its assignment.
     pub assignment: Assignment,
     /// Resources that it holds.
--- a/src/scheduler/placement/preemption.rs
+++ b/src/scheduler/placement/preemption.rs
@@ -1,6 +1,6 @@
 //! Preemption: room for urgent tasks on machines that run tasks of lower precedence.
 
-use super::candidate::{Candidate, Running};
+use super::candidate::{Candidate, PreemptibleTask};
 use super::request::{Claim, PlacementRequest};
 use crate::storage::ids::MachineId;
 use crate::storage::records::Assignment;
@@ -59,7 +59,7 @@
     requests: &[PlacementRequest<'_>],
     claims: &[Claim],
     most: usize,
-    running: &dyn Fn(MachineId) -> Vec<Running>,
+    running: &dyn Fn(MachineId) -> Vec<PreemptibleTask>,
 ) -> Vec<Preemption> {
     let mut preemptions = Vec::new();
     let mut running_loaded = false;
@@ -90,14 +90,17 @@
 /// Whether a request may preempt. Gangs and jobs that are bound to a zone or spread over machines may not: a single
 /// machine does not decide whether their tasks can start.
 fn may_preempt(request: &PlacementRequest<'_>) -> bool {
-    request.mine
+    request.is_local
         && request.preempts
-        && !request.all_or_nothing
+        && !request.gang
         && !request.spec.single_zone
         && !request.spec.anti_affinity
 }
 
-fn load_running(candidates: &mut [Candidate<'_>], running: &dyn Fn(MachineId) -> Vec<Running>) {
+fn load_running(
+    candidates: &mut [Candidate<'_>],
+    running: &dyn Fn(MachineId) -> Vec<PreemptibleTask>,
+) {
     for candidate in candidates {
         candidate.running = running(candidate.machine);
     }
@@ -113,7 +116,7 @@
         .iter()
         .enumerate()
         .filter(|(_, candidate)| {
-            request.is_feasible(candidate) && request.spec.need.fits(&candidate.all)
+            request.is_feasible(candidate) && request.spec.need.fits(&candidate.capacity)
         })
         .filter_map(|(index, candidate)| preemption_option(index, candidate, request, missing))
         .min_by_key(|option| option.cost)
@@ -174,7 +177,7 @@
     best
 }
 
-fn is_preemptible(task: &Running, request: &PlacementRequest<'_>) -> bool {
+fn is_preemptible(task: &PreemptibleTask, request: &PlacementRequest<'_>) -> bool {
     task.priority > request.priority || (task.borrowed && request.guaranteed)
 }
 
--- a/src/scheduler/placement/request.rs
+++ b/src/scheduler/placement/request.rs
@@ -30,24 +30,24 @@
     pub owner: usize,
     /// Whether this controller places the job. The plan follows jobs of other controllers as well, so that
     /// nothing of lower precedence takes the room that they are about to claim.
-    pub mine: bool,
+    pub is_local: bool,
     /// Whether it must start at once and may preempt other tasks.
     pub preempts: bool,
     /// Whether it is within the guarantee of its team.
     pub guaranteed: bool,
     /// Whether it uses leftover capacity only and never reserves a machine.
-    pub takes_leftovers: bool,
+    pub uses_leftovers_only: bool,
     /// Whether it is a gang: all of its tasks are placed or none.
-    pub all_or_nothing: bool,
+    pub gang: bool,
     /// Machines to use only if no other machine fits.
     pub avoid: &'a [MachineId],
     /// The rules that apply, if any.
-    pub rules: Option<Rules<'a>>,
+    pub rules: Option<PlacementRules<'a>>,
 }
 
 /// The rules that restrict where the tasks of a job are placed.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules<'a> {
+pub struct PlacementRules<'a> {
     /// Current state that rules ask about.
     pub context: &'a PlacementContext<'a>,
     /// Constraints of the job itself; without them, rules of colocated jobs may still apply.
@@ -115,9 +115,9 @@
         let Some(rules) = self.rules.filter(|rules| rules.context.colocated) else {
             return;
         };
-        if !candidate.there.contains(&self.job) {
-            candidate.there.push(self.job);
-            candidate.has_exclusions |= rules.context.excludes_newcomers(self.job);
+        if !candidate.residents.contains(&self.job) {
+            candidate.residents.push(self.job);
+            candidate.restricts_colocation |= rules.context.restricts_colocation(self.job);
         }
     }
 }
@@ -142,7 +142,7 @@
     zone: Option<&'a str>,
     spot: bool,
     price_limit: u64,
-    mine: bool,
+    is_local: bool,
 }
 
 impl<'a> RequestShape<'a> {
@@ -158,7 +158,7 @@
             zone: spec.zone.as_deref(),
             spot: spec.spot_allowed,
             price_limit: request.price_limit,
-            mine: request.mine,
+            is_local: request.is_local,
         })
     }
 }
--- a/src/scheduler/placement/reservation.rs
+++ b/src/scheduler/placement/reservation.rs
@@ -17,11 +17,11 @@
     missing: u64,
 ) {
     let mut missing = missing.min(request.most);
-    if missing == 0 || request.takes_leftovers {
+    if missing == 0 || request.uses_leftovers_only {
         return;
     }
     let suitable = suitable_machines(candidates, live, request);
-    if !request.all_or_nothing && has_room(candidates, &suitable, request) {
+    if !request.gang && has_room(candidates, &suitable, request) {
         // The bounds of the round are exhausted, not the machines.
         return;
     }
@@ -40,7 +40,7 @@
         };
         let candidate = &mut candidates[index];
         candidate.reserved = true;
-        let capacity = request.spec.need.times_in(&candidate.all, missing);
+        let capacity = request.spec.need.times_in(&candidate.capacity, missing);
         missing = missing.saturating_sub(capacity);
     }
 }
@@ -52,7 +52,7 @@
     request: &PlacementRequest<'_>,
 ) -> Vec<usize> {
     let fits = |candidate: &Candidate<'_>| {
-        request.spec.need.fits(&candidate.all) && request.is_feasible(candidate)
+        request.spec.need.fits(&candidate.capacity) && request.is_feasible(candidate)
     };
     live.iter()
         .copied()
--- a/src/scheduler/placement/tests.rs
+++ b/src/scheduler/placement/tests.rs
@@ -44,19 +44,19 @@
         zone: if index.is_multiple_of(2) { "a" } else { "b" },
         spot: false,
         price: 1,
-        all: cores(6_000),
+        capacity: cores(6_000),
         free: cores(free_cores),
         reserved: false,
         images: &[],
-        fetches: None,
+        fetching_image: None,
         running: Vec::new(),
         class: 0,
-        has_exclusions: false,
-        there: Vec::new(),
+        restricts_colocation: false,
+        residents: Vec::new(),
     }
 }
 
-fn request(index: usize, spec: &JobSpec, mine: bool, price_limit: u64) -> PlacementRequest<'_> {
+fn request(index: usize, spec: &JobSpec, is_local: bool, price_limit: u64) -> PlacementRequest<'_> {
     PlacementRequest {
         job: JobId(index as u64),
         spec,
@@ -66,11 +66,11 @@
         most: u64::MAX,
         price_limit,
         owner: 0,
-        mine,
+        is_local,
         preempts: false,
         guaranteed: false,
-        takes_leftovers: false,
-        all_or_nothing: spec.together(),
+        uses_leftovers_only: false,
+        gang: spec.runs_all_tasks_at_once(),
         avoid: &[],
         rules: None,
     }
@@ -83,7 +83,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let specs: Vec<JobSpec> = (0..30).map(|_| random_spec(&mut rng)).collect();
         let free: Vec<u64> = (0..12).map(|_| rng.random_range(0..6) * 1_000).collect();
-        let mine: Vec<bool> = specs.iter().map(|_| rng.random()).collect();
+        let is_local: Vec<bool> = specs.iter().map(|_| rng.random()).collect();
         let claims = |distinct_shapes: bool| {
             let mut candidates: Vec<Candidate<'_>> = free
                 .iter()
@@ -95,7 +95,7 @@
             let mut requests: Vec<PlacementRequest<'_>> = specs
                 .iter()
                 .enumerate()
-                .map(|(index, spec)| request(index, spec, mine[index], price_limit(index)))
+                .map(|(index, spec)| request(index, spec, is_local[index], price_limit(index)))
                 .collect();
             let mut groups = GroupAllowance {
                 open: vec![false; free.len() / MACHINES_PER_GROUP],
--- a/src/scheduler/provisioning/demand.rs
+++ b/src/scheduler/provisioning/demand.rs
@@ -29,7 +29,7 @@
     /// Highest price per core of machines for tasks that have time, see [`super::price_limit`].
     pub price_limit: u64,
     /// The machines that rules allow, if any rule applies.
-    pub places: Option<Box<dyn PlacementFilter + 'a>>,
+    pub placement_filter: Option<Box<dyn PlacementFilter + 'a>>,
 }
 
 impl Demand<'_> {
@@ -37,9 +37,12 @@
     pub(super) fn is_feasible(&self, pool: &MachinePool<'_>) -> bool {
         self.spec.allows(pool.machine_type, pool.zone, pool.spot)
             && self
-                .places
+                .placement_filter
                 .as_ref()
-                .is_none_or(|places| pool.class.is_some_and(|class| places.class(class)))
+                .is_none_or(|placement_filter| {
+                    pool.class
+                        .is_some_and(|class| placement_filter.class(class))
+                })
     }
 
     /// Total weight of the preferences that a provisioned machine meets; `None` if it may not run the job.
@@ -47,9 +50,11 @@
         if !self.spec.allows(machine_type, zone, spot) {
             return None;
         }
-        self.places
+        self.placement_filter
             .as_ref()
-            .map_or(Some(0), |places| places.offer(machine_type, zone, spot))
+            .map_or(Some(0), |placement_filter| {
+                placement_filter.offer(machine_type, zone, spot)
+            })
     }
 
     /// Core time of one task, in thousandths of a core times microseconds.
--- a/src/scheduler/provisioning/offers.rs
+++ b/src/scheduler/provisioning/offers.rs
@@ -199,7 +199,7 @@
     /// once, however soon each of them ends.
     fn is_useful(&self, machine_type: &MachineType, tasks: u64) -> bool {
         let min_work = self.demand.task_work() * u128::from(tasks) / MIN_USEFUL_FRACTION;
-        self.demand.spec.together()
+        self.demand.spec.runs_all_tasks_at_once()
             || self.backlog.cores == 0
             || self.backlog.work_after(self.ready_after(machine_type)) >= min_work
     }
--- a/src/scheduler/provisioning/pools.rs
+++ b/src/scheduler/provisioning/pools.rs
@@ -58,8 +58,8 @@
             if missing == 0 {
                 break;
             }
-            if let (Some(places), Some(class)) = (&demand.places, self.class)
-                && !places.machine(class, *machine)
+            if let (Some(placement_filter), Some(class)) = (&demand.placement_filter, self.class)
+                && !placement_filter.machine(class, *machine)
             {
                 continue;
             }
--- a/src/scheduler/zone_health.rs
+++ b/src/scheduler/zone_health.rs
@@ -7,7 +7,7 @@
 
 /// What a controller observes of one zone.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Evidence {
+pub struct ZoneEvidence {
     /// Machines there whose agents it serves and has received heartbeats from.
     pub machines: usize,
     /// Time since the last heartbeat of any of them.
@@ -15,29 +15,29 @@
     /// Machines that were probed since then and did not answer.
     pub unanswered: usize,
     /// Machines that sent a heartbeat since the zone was lost.
-    pub heard_again: usize,
+    pub reconnected: usize,
     /// Whether agents of other zones send heartbeats as usual. If not, the controller itself may be disconnected.
-    pub others_heard: bool,
+    pub other_zones_connected: bool,
 }
 
 /// State of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum ZoneState {
     /// Heartbeats arrive as usual.
     #[default]
-    Well,
+    Healthy,
     /// No heartbeat for longer than usual; some machines are probed.
-    Doubtful,
+    Suspected,
     /// Probed machines do not answer: the zone is disconnected or down.
     Lost,
     /// Heartbeats arrive again; a growing share of the machines accepts new tasks.
-    Returning,
+    Recovering,
 }
 
 /// Health of one zone as one controller sees it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Zone {
-    state: State,
+pub struct ZoneHealth {
+    state: ZoneState,
     since: Micros,
     /// Losses that still count.
     losses: u32,
@@ -45,9 +45,9 @@
     lost_at: Micros,
 }
 
-impl Zone {
+impl ZoneHealth {
     /// Machines that must leave a probe unanswered, or be back, before the state changes; all, if there are fewer.
-    pub const ASKED: usize = 3;
+    pub const PROBED_MACHINES: usize = 3;
     /// Fewest machines whose silence says anything about their zone.
     const MIN_MACHINES: usize = 2;
     /// Time without a loss after which earlier losses do not count any more.
@@ -72,7 +72,7 @@
     const SILENT_INTERVALS: u64 = 6;
 
     /// Its state.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> ZoneState {
         self.state
     }
 
@@ -82,8 +82,8 @@
     }
 
     /// Whether the zone may be lost, so that nothing is decided about a single machine of it.
-    pub fn is_in_doubt(&self) -> bool {
-        matches!(self.state, State::Doubtful | State::Lost)
+    pub fn is_suspected(&self) -> bool {
+        matches!(self.state, ZoneState::Suspected | ZoneState::Lost)
     }
 
     /// Longest usual time between heartbeats of a number of machines, each of which sends one about every `report`.
@@ -93,12 +93,17 @@
     }
 
     /// Applies new evidence; returns the new state, if it changes.
-    pub fn note(&mut self, now: Micros, report: Micros, evidence: &Evidence) -> Option<State> {
+    pub fn note(
+        &mut self,
+        now: Micros,
+        report: Micros,
+        evidence: &ZoneEvidence,
+    ) -> Option<ZoneState> {
         let next = self.next_state(now, report, evidence);
         if next == self.state {
             return None;
         }
-        if next == State::Lost {
+        if next == ZoneState::Lost {
             self.count_loss(now);
         }
         self.state = next;
@@ -106,23 +111,29 @@
         Some(next)
     }
 
-    fn next_state(&self, now: Micros, report: Micros, evidence: &Evidence) -> State {
+    fn next_state(&self, now: Micros, report: Micros, evidence: &ZoneEvidence) -> ZoneState {
         let silent = evidence.quiet > Self::usual_silence(evidence.machines, report);
-        let quorum = Self::ASKED.min(evidence.machines.max(1));
+        let quorum = Self::PROBED_MACHINES.min(evidence.machines.max(1));
         let in_state = now.since(self.since);
         match self.state {
-            State::Well | State::Returning if silent && Self::is_conclusive(evidence) => {
-                State::Doubtful
+            ZoneState::Healthy | ZoneState::Recovering
+                if silent && Self::is_conclusive(evidence) =>
+            {
+                ZoneState::Suspected
             }
-            State::Returning if in_state > self.recovery() => State::Well,
-            State::Doubtful if !silent && self.is_recovering(now) => State::Returning,
-            State::Doubtful if !silent => State::Well,
-            State::Doubtful if evidence.others_heard && evidence.unanswered >= quorum => {
-                State::Lost
+            ZoneState::Recovering if in_state > self.recovery() => ZoneState::Healthy,
+            ZoneState::Suspected if !silent && self.is_recovering(now) => ZoneState::Recovering,
+            ZoneState::Suspected if !silent => ZoneState::Healthy,
+            ZoneState::Suspected
+                if evidence.other_zones_connected && evidence.unanswered >= quorum =>
+            {
+                ZoneState::Lost
             }
-            State::Lost if !silent && evidence.heard_again >= quorum => State::Returning,
-            State::Lost if evidence.machines == 0 && in_state > Self::MAX_LOST_WITHOUT_MACHINES => {
-                State::Returning
+            ZoneState::Lost if !silent && evidence.reconnected >= quorum => ZoneState::Recovering,
+            ZoneState::Lost
+                if evidence.machines == 0 && in_state > Self::MAX_LOST_WITHOUT_MACHINES =>
+            {
+                ZoneState::Recovering
             }
             unchanged => unchanged,
         }
@@ -130,8 +141,8 @@
 
     /// Whether silence says anything about the zone. A single machine may have failed by itself, and a controller
     /// without any heartbeats may be disconnected.
-    fn is_conclusive(evidence: &Evidence) -> bool {
-        evidence.machines >= Self::MIN_MACHINES && evidence.others_heard
+    fn is_conclusive(evidence: &ZoneEvidence) -> bool {
+        evidence.machines >= Self::MIN_MACHINES && evidence.other_zones_connected
     }
 
     /// Whether the recovery from the last loss is not over.
@@ -156,10 +167,10 @@
     /// Share of the machines that accept new tasks, in hundredths.
     pub fn share(&self, now: Micros) -> u64 {
         match self.state {
-            State::Doubtful if self.losses > 0 => Self::FIRST_SHARE,
-            State::Well | State::Doubtful => Self::FULL_SHARE,
-            State::Lost => 0,
-            State::Returning => {
+            ZoneState::Suspected if self.losses > 0 => Self::FIRST_SHARE,
+            ZoneState::Healthy | ZoneState::Suspected => Self::FULL_SHARE,
+            ZoneState::Lost => 0,
+            ZoneState::Recovering => {
                 let elapsed = now.since(self.since).0;
                 let added = elapsed * (Self::FULL_SHARE - Self::FIRST_SHARE) / self.recovery().0;
                 (Self::FIRST_SHARE + added).min(Self::FULL_SHARE)
@@ -169,7 +180,7 @@
 
     /// Whether a machine accepts new tasks, by its number. Hashing spreads the share evenly over the numbers, which
     /// are assigned in the order of provisioning.
-    pub fn takes_work(&self, machine: u64, now: Micros) -> bool {
+    pub fn accepts_tasks(&self, machine: u64, now: Micros) -> bool {
         /// 2^64 divided by the golden ratio, the multiplier of Fibonacci hashing.
         const MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
         const HASH_RANGE: u64 = 0x1_0000;
--- a/src/scheduler/zone_health/tests.rs
+++ b/src/scheduler/zone_health/tests.rs
@@ -6,64 +6,64 @@
 
 const REPORT: Micros = Micros::secs(8);
 
-fn heard(machines: usize) -> Evidence {
-    Evidence {
+fn heard(machines: usize) -> ZoneEvidence {
+    ZoneEvidence {
         machines,
-        others_heard: true,
-        ..Evidence::default()
+        other_zones_connected: true,
+        ..ZoneEvidence::default()
     }
 }
 
-fn returned(machines: usize, heard_again: usize) -> Evidence {
-    Evidence {
-        heard_again,
+fn returned(machines: usize, reconnected: usize) -> ZoneEvidence {
+    ZoneEvidence {
+        reconnected,
         ..heard(machines)
     }
 }
 
-fn silent(machines: usize, unanswered: usize) -> Evidence {
-    Evidence {
+fn silent(machines: usize, unanswered: usize) -> ZoneEvidence {
+    ZoneEvidence {
         quiet: Micros::secs(30),
         unanswered,
         ..heard(machines)
     }
 }
 
-fn lost(zone: &mut Zone, at: u64) {
+fn lost(zone: &mut ZoneHealth, at: u64) {
     zone.note(Micros::secs(at), REPORT, &silent(200, 0));
     assert_eq!(
         zone.note(Micros::secs(at + 3), REPORT, &silent(200, 3)),
-        Some(State::Lost)
+        Some(ZoneState::Lost)
     );
 }
 
 #[test]
 fn zone_is_lost_after_silence_and_unanswered_probes() {
-    let mut zone = Zone::default();
+    let mut zone = ZoneHealth::default();
     assert_eq!(zone.note(Micros::secs(1), REPORT, &heard(200)), None);
     // Neither silence of all zones nor of a single machine is conclusive.
-    let disconnected = Evidence {
-        others_heard: false,
+    let disconnected = ZoneEvidence {
+        other_zones_connected: false,
         ..silent(200, 3)
     };
     assert_eq!(zone.note(Micros::secs(2), REPORT, &disconnected), None);
     assert_eq!(zone.note(Micros::secs(3), REPORT, &silent(1, 1)), None);
     assert_eq!(
         zone.note(Micros::secs(4), REPORT, &silent(200, 0)),
-        Some(State::Doubtful)
+        Some(ZoneState::Suspected)
     );
-    assert!(zone.is_in_doubt() && zone.share(Micros::secs(4)) == 100);
+    assert!(zone.is_suspected() && zone.share(Micros::secs(4)) == 100);
     assert_eq!(zone.note(Micros::secs(5), REPORT, &silent(200, 2)), None);
     // One heartbeat ends the suspicion.
     assert_eq!(
         zone.note(Micros::secs(6), REPORT, &heard(200)),
-        Some(State::Well)
+        Some(ZoneState::Healthy)
     );
     lost(&mut zone, 10);
     assert_eq!(zone.note(Micros::secs(14), REPORT, &returned(200, 1)), None);
     assert_eq!(
         zone.note(Micros::secs(15), REPORT, &returned(200, 9)),
-        Some(State::Returning)
+        Some(ZoneState::Recovering)
     );
 }
 
@@ -71,9 +71,9 @@
 /// machines there.
 #[test]
 fn lost_zone_recovers_if_the_controller_serves_no_machine_there() {
-    let mut zone = Zone::default();
+    let mut zone = ZoneHealth::default();
     lost(&mut zone, 10);
-    let none = Evidence {
+    let none = ZoneEvidence {
         quiet: Micros::secs(500),
         ..heard(0)
     };
@@ -83,17 +83,17 @@
     }
     assert_eq!(
         zone.note(Micros::secs(44), REPORT, &none),
-        Some(State::Returning)
+        Some(ZoneState::Recovering)
     );
     assert_eq!(
         zone.note(Micros::secs(65), REPORT, &none),
-        Some(State::Well)
+        Some(ZoneState::Healthy)
     );
 }
 
 #[test]
 fn each_loss_doubles_the_recovery_until_it_is_forgotten() {
-    let mut zone = Zone::default();
+    let mut zone = ZoneHealth::default();
     let mut at = 1_000;
     for span in [20, 40, 80, 160, 160] {
         lost(&mut zone, at);
@@ -110,7 +110,7 @@
         );
         assert_eq!(
             zone.note(Micros::secs(at + span + 1), REPORT, &heard(200)),
-            Some(State::Well)
+            Some(ZoneState::Healthy)
         );
         at += span + 10;
     }
@@ -118,7 +118,7 @@
     zone.note(Micros::secs(at + 710), REPORT, &returned(200, 9));
     assert_eq!(
         zone.note(Micros::secs(at + 731), REPORT, &heard(200)),
-        Some(State::Well)
+        Some(ZoneState::Healthy)
     );
 }
 
@@ -131,19 +131,19 @@
     fn zone_is_lost_only_after_suspicion(
         observations in prop::collection::vec((0..5u64, 0..60u64, 0..6usize, 0..6usize, 0..9usize, any::<bool>()), 1..60),
     ) {
-        let (mut zone, mut now) = (Zone::default(), Micros::ZERO);
-        for (step, quiet, machines, unanswered, heard_again, others_heard) in observations {
+        let (mut zone, mut now) = (ZoneHealth::default(), Micros::ZERO);
+        for (step, quiet, machines, unanswered, reconnected, other_zones_connected) in observations {
             let (before, share) = (zone.state(), zone.share(now));
             now += Micros::secs(step);
-            let evidence = Evidence { machines, quiet: Micros::secs(quiet), unanswered, heard_again, others_heard };
+            let evidence = ZoneEvidence { machines, quiet: Micros::secs(quiet), unanswered, reconnected, other_zones_connected };
             let after = zone.note(now, REPORT, &evidence);
-            if after == Some(State::Lost) {
-                prop_assert!(before == State::Doubtful && others_heard && unanswered > 0);
+            if after == Some(ZoneState::Lost) {
+                prop_assert!(before == ZoneState::Suspected && other_zones_connected && unanswered > 0);
             }
-            if before == State::Returning && after.is_none() {
+            if before == ZoneState::Recovering && after.is_none() {
                 prop_assert!(zone.share(now) >= share);
             }
-            let accepting = (0..1_000).filter(|machine| zone.takes_work(*machine, now)).count() as u64;
+            let accepting = (0..1_000).filter(|machine| zone.accepts_tasks(*machine, now)).count() as u64;
             prop_assert!(accepting.abs_diff(zone.share(now) * 10) < 60, "{accepting} of {}", zone.share(now));
         }
     }
--- a/src/storage/cell_state/changes.rs
+++ b/src/storage/cell_state/changes.rs
@@ -209,7 +209,7 @@
     }
 
     fn put_catalog(&mut self, catalog: Catalog, mod_revision: u64, changes_seen: &mut CellChanges) {
-        self.classes.offer(&catalog);
+        self.classes.set_catalog(&catalog);
         self.types = Versioned::new(Some(catalog), mod_revision);
         changes_seen.usage = true;
         changes_seen.rules = true;
--- a/src/storage/cell_state/jobs.rs
+++ b/src/storage/cell_state/jobs.rs
@@ -9,7 +9,7 @@
 
 impl CellState {
     /// Stores how a job ended on which live ones depend, and of which that was not known.
-    pub fn learn(&mut self, id: JobId, end: FinalRecord, changes_seen: &mut CellChanges) {
+    pub fn on_end_learned(&mut self, id: JobId, end: FinalRecord, changes_seen: &mut CellChanges) {
         self.dependencies
             .on_end_learned(id, end, &mut self.jobs, &mut changes_seen.jobs);
     }
@@ -49,7 +49,7 @@
 
     fn add_job(&mut self, id: JobId, record: Versioned<JobRecord>, changes_seen: &mut CellChanges) {
         let job = Job {
-            dependency_state: DependencyState::alone(&record.value.spec),
+            dependency_state: DependencyState::independent(&record.value.spec),
             record: record.value,
             mod_revision: record.mod_revision,
             chunks: BTreeMap::new(),
@@ -66,7 +66,7 @@
             let how = self.dependencies.on_job_ended(
                 id,
                 &job,
-                self.today,
+                self.time_of_day,
                 &mut self.jobs,
                 &mut changes_seen.jobs,
             );
--- a/src/storage/cell_state/mod.rs
+++ b/src/storage/cell_state/mod.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 pub struct CellState {
     /// The time of day, as last set by the controller.
-    pub today: Micros,
+    pub time_of_day: Micros,
     /// All changes up to this revision are applied.
     pub revision: u64,
     /// The latest revision of which any change is applied; at least `revision`.
@@ -86,7 +86,7 @@
     /// Forgets everything before a full reread, since the revisions start anew; keeps the time of day.
     pub fn clear(&mut self) {
         *self = CellState {
-            today: self.today,
+            time_of_day: self.time_of_day,
             ..CellState::default()
         };
     }
--- a/src/storage/cell_state/queries.rs
+++ b/src/storage/cell_state/queries.rs
@@ -5,7 +5,7 @@
 use crate::storage::catalog::MachineType;
 use crate::storage::ids::{GroupIndex, JobId, MachineId, ShardId, TaskId};
 use crate::storage::job::JobSpec;
-use crate::storage::records::{FIRST_LAYOUT, Key, MachineHealth, MachineRecord, RecordFormat};
+use crate::storage::records::{INITIAL_FORMAT, Key, MachineHealth, MachineRecord, RecordFormat};
 use crate::storage::resources::Amount;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -43,19 +43,19 @@
     }
 
     /// Number of the format of the stored records; see [`RecordFormat`].
-    pub fn layout(&self) -> u32 {
+    pub fn record_format(&self) -> u32 {
         self.meta
             .value
             .as_ref()
-            .map_or(FIRST_LAYOUT, |meta| meta.layout)
+            .map_or(INITIAL_FORMAT, |meta| meta.record_format)
     }
 
     fn known_format(&self) -> RecordFormat {
-        RecordFormat::newest_up_to(self.layout())
+        RecordFormat::newest_up_to(self.record_format())
     }
 
     /// Whether every controller can read the compact encodings.
-    pub fn terse(&self) -> bool {
+    pub fn uses_compact_encoding(&self) -> bool {
         self.known_format().has_compact_encoding()
     }
 
@@ -66,8 +66,8 @@
 
     /// Whether the stored records are of a format that a version which knows formats up to `understood` cannot read.
     /// It must not write them then.
-    pub fn foreign(&self, understood: u32) -> bool {
-        !(FIRST_LAYOUT..=understood).contains(&self.layout())
+    pub fn is_format_unsupported(&self, understood: u32) -> bool {
+        !(INITIAL_FORMAT..=understood).contains(&self.record_format())
     }
 
     /// The revision of a key in the replica; 0 if the key does not exist.
@@ -100,14 +100,14 @@
 /// Machines.
 impl CellState {
     /// The group that holds a machine.
-    pub fn home(&self, machine: MachineId) -> Option<(ShardId, GroupIndex)> {
+    pub fn group_of_machine(&self, machine: MachineId) -> Option<(ShardId, GroupIndex)> {
         let group = self.locations.group_of(machine)?;
         Some((self.shard_of_machine(machine), group))
     }
 
     /// The machine's record.
     pub fn machine(&self, machine: MachineId) -> Option<&MachineRecord> {
-        let (shard, group) = self.home(machine)?;
+        let (shard, group) = self.group_of_machine(machine)?;
         self.groups
             .get(shard)?
             .get(&group)?
@@ -118,7 +118,7 @@
 
     /// Whether a lower group of its shard still lists a machine that was moved. It must stay in its group then, or it
     /// would be found in the lower one again.
-    pub fn is_stale(&self, machine: MachineId) -> bool {
+    pub fn is_superseded(&self, machine: MachineId) -> bool {
         self.locations.is_superseded(machine)
     }
 
--- a/src/storage/completion_bitmap.rs
+++ b/src/storage/completion_bitmap.rs
@@ -12,7 +12,7 @@
 use std::borrow::Cow;
 
 /// Number of tasks of one chunk: 8,192 bits are 2 KiB in the plain encoding, 1.3 KiB in the compact one.
-pub const CHUNK: u32 = 8_192;
+pub const TASKS_PER_CHUNK: u32 = 8_192;
 
 /// First character of the compact encoding; no hexadecimal number has it.
 const COMPACT_PREFIX: char = '=';
@@ -32,7 +32,7 @@
 pub struct CompletionBitmap {
     words: Vec<u64>,
     count: u32,
-    terse: bool,
+    compact_encoding: bool,
 }
 
 impl PartialEq for CompletionBitmap {
@@ -44,11 +44,11 @@
 impl Eq for CompletionBitmap {}
 
 impl CompletionBitmap {
-    fn new(words: Vec<u64>, terse: bool) -> CompletionBitmap {
+    fn new(words: Vec<u64>, compact_encoding: bool) -> CompletionBitmap {
         CompletionBitmap {
             count: count_ones(&words),
             words,
-            terse,
+            compact_encoding,
         }
     }
 
@@ -68,8 +68,8 @@
     }
 
     /// Sets whether it is to be written in the compact encoding: only if every controller can read it.
-    pub fn terse(&mut self, terse: bool) {
-        self.terse = terse;
+    pub fn set_compact_encoding(&mut self, compact_encoding: bool) {
+        self.compact_encoding = compact_encoding;
     }
 
     /// Whether all tasks of the other are in it.
@@ -183,7 +183,7 @@
 
 impl Serialize for CompletionBitmap {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let text = if self.terse {
+        let text = if self.compact_encoding {
             self.compact_text()
         } else {
             self.plain_text()
--- a/src/storage/completion_bitmap/tests.rs
+++ b/src/storage/completion_bitmap/tests.rs
@@ -15,7 +15,7 @@
     let read = stored_and_read(&bitmap, 2_100);
     assert_eq!(read, bitmap);
     assert_eq!(read.count(), 2);
-    bitmap.terse(true);
+    bitmap.set_compact_encoding(true);
     assert_eq!(stored_and_read(&bitmap, 1_380), bitmap);
 }
 
--- a/src/storage/dependency_graph/mod.rs
+++ b/src/storage/dependency_graph/mod.rs
@@ -20,32 +20,32 @@
     /// A job that it depends on, directly or through others, is cancelled.
     pub cancelled: bool,
     /// It is not known how some job before it ended, so it may be cancelled.
-    pub doubtful: bool,
+    pub cancellation_unknown: bool,
     /// When the last job that it depends on was done, by the time of day; zero if it depends on none.
     pub ready_at: Micros,
     /// The highest of its own priority and that of all jobs that depend on it.
     pub priority: Priority,
     /// When it must be done, by the time of day, for the jobs that depend on it to meet their deadlines.
-    pub wanted_by: Option<Micros>,
+    pub required_by: Option<Micros>,
 }
 
 impl DependencyState {
     /// The state of a job without dependencies on which no other depends.
-    pub fn alone(spec: &JobSpec) -> DependencyState {
+    pub fn independent(spec: &JobSpec) -> DependencyState {
         DependencyState {
             blocked: false,
             cancelled: false,
-            doubtful: false,
+            cancellation_unknown: false,
             ready_at: Micros::ZERO,
             priority: spec.priority,
-            wanted_by: None,
+            required_by: None,
         }
     }
 }
 
 /// How long the tasks of a job are expected to run: the estimate and a quarter of it, since estimates are often wrong,
 /// and of many tasks some run longer.
-pub fn expected_run(spec: &JobSpec) -> Micros {
+pub fn expected_runtime(spec: &JobSpec) -> Micros {
     spec.estimated_runtime + Micros(spec.estimated_runtime.0 / 4)
 }
 
--- a/src/storage/dependency_graph/propagation.rs
+++ b/src/storage/dependency_graph/propagation.rs
@@ -3,7 +3,7 @@
 //! Cancellation and readiness go from a job to those that depend on it; urgency goes from a job to those that it
 //! depends on.
 
-use super::{DependencyGraph, DependencyState, expected_run};
+use super::{DependencyGraph, DependencyState, expected_runtime};
 use crate::storage::ids::JobId;
 use crate::storage::job::Priority;
 use crate::storage::live_job::Job;
@@ -14,20 +14,20 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Urgency {
     priority: Priority,
-    wanted_by: Option<Micros>,
+    required_by: Option<Micros>,
 }
 
 impl DependencyState {
     fn urgency(&self) -> Urgency {
         Urgency {
             priority: self.priority,
-            wanted_by: self.wanted_by,
+            required_by: self.required_by,
         }
     }
 
     fn set_urgency(&mut self, urgency: Urgency) {
         self.priority = urgency.priority;
-        self.wanted_by = urgency.wanted_by;
+        self.required_by = urgency.required_by;
     }
 }
 
@@ -57,7 +57,9 @@
                 job.dependency_state = new;
             }
             self.changed.push(id);
-            if (new.cancelled, new.doubtful) != (old.cancelled, old.doubtful) {
+            if (new.cancelled, new.cancellation_unknown)
+                != (old.cancelled, old.cancellation_unknown)
+            {
                 pending.extend(self.graph.dependents_of(id));
             }
         }
@@ -68,7 +70,7 @@
         let mut state = DependencyState {
             blocked: false,
             cancelled: false,
-            doubtful: false,
+            cancellation_unknown: false,
             ..job.dependency_state
         };
         for dependency in &job.spec().dependencies {
@@ -76,7 +78,7 @@
                 (Some(live), _) => {
                     state.blocked = true;
                     state.cancelled |= live.cancelled();
-                    state.doubtful |= live.dependency_state.doubtful;
+                    state.cancellation_unknown |= live.dependency_state.cancellation_unknown;
                 }
                 (None, Some(end)) => {
                     state.blocked |= end.cancelled;
@@ -85,12 +87,12 @@
                 }
                 (None, None) => {
                     state.blocked = true;
-                    state.doubtful = true;
+                    state.cancellation_unknown = true;
                 }
             }
         }
         // A cancelled job stays cancelled, whatever else is not known.
-        state.doubtful &= !state.cancelled && !job.record.cancelled;
+        state.cancellation_unknown &= !state.cancelled && !job.record.cancelled;
         state
     }
 
@@ -110,7 +112,7 @@
                 let old = job.dependency_state.urgency();
                 let new = Urgency {
                     priority: old.priority.min(priority),
-                    wanted_by: old.wanted_by.into_iter().chain(start_by).min(),
+                    required_by: old.required_by.into_iter().chain(start_by).min(),
                 };
                 if new != old {
                     job.dependency_state.set_urgency(new);
@@ -145,13 +147,13 @@
     fn derive_urgency(&self, id: JobId, job: &Job) -> Urgency {
         let mut urgency = Urgency {
             priority: job.spec().priority,
-            wanted_by: None,
+            required_by: None,
         };
         let dependents = self.graph.dependents.get(&id).into_iter().flatten();
         for dependent in dependents.filter_map(|dependent| self.jobs.get(dependent)) {
             let start_by = latest_start(dependent);
             urgency.priority = urgency.priority.min(dependent.dependency_state.priority);
-            urgency.wanted_by = urgency.wanted_by.into_iter().chain(start_by).min();
+            urgency.required_by = urgency.required_by.into_iter().chain(start_by).min();
         }
         urgency
     }
@@ -165,7 +167,7 @@
         .map(|deadline| job.record.submitted + deadline);
     let done_by = own_deadline
         .into_iter()
-        .chain(job.dependency_state.wanted_by)
+        .chain(job.dependency_state.required_by)
         .min()?;
-    Some(done_by - expected_run(job.spec()))
+    Some(done_by - expected_runtime(job.spec()))
 }
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -1,7 +1,7 @@
 //! Jobs: what their users request, and their records.
 
 use crate::storage::catalog::MachineType;
-use crate::storage::completion_bitmap::{CHUNK, CompletionBitmap};
+use crate::storage::completion_bitmap::{CompletionBitmap, TASKS_PER_CHUNK};
 use crate::storage::ids::{JobId, MachineId};
 use crate::storage::resources::{Amount, is_zero};
 use crate::time::Micros;
@@ -134,7 +134,7 @@
     }
 
     /// Whether all of its tasks must be able to run at the same time.
-    pub fn together(&self) -> bool {
+    pub fn runs_all_tasks_at_once(&self) -> bool {
         self.service || self.gang
     }
 
@@ -149,7 +149,7 @@
 
     /// Number of chunks of its completion bitmap beyond the one in the job's own record.
     pub fn extra_chunks(&self) -> u32 {
-        self.task_count.saturating_sub(1) / CHUNK
+        self.task_count.saturating_sub(1) / TASKS_PER_CHUNK
     }
 }
 
@@ -174,27 +174,27 @@
     pub finished: CompletionBitmap,
     /// Number of finished tasks of all further chunks together.
     #[serde(rename = "m", default, skip_serializing_if = "is_no_count")]
-    pub more: u32,
+    pub finished_in_chunks: u32,
     /// Further chunks that are complete, as a bitmap by chunk number; they have no record any more.
     #[serde(rename = "c", default, skip_serializing_if = "is_no_count")]
-    pub full: u32,
+    pub complete_chunks: u32,
     /// Number of failures of its tasks.
     #[serde(rename = "e", default, skip_serializing_if = "is_no_count")]
     pub errors: u32,
     /// Machines on which a task failed, the latest last.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
-    pub avoid: Vec<MachineId>,
+    pub failed_machines: Vec<MachineId>,
 }
 
 impl JobRecord {
     /// Number of finished tasks.
     pub fn done(&self) -> u32 {
-        self.finished.count() + self.more
+        self.finished.count() + self.finished_in_chunks
     }
 
     /// The same record, with its completion bitmap to be written in the compact form or not.
-    pub fn terse(mut self, terse: bool) -> JobRecord {
-        self.finished.terse(terse);
+    pub fn with_compact_encoding(mut self, compact_encoding: bool) -> JobRecord {
+        self.finished.set_compact_encoding(compact_encoding);
         self
     }
 
@@ -204,10 +204,10 @@
     /// Remembers that a task failed on a machine.
     pub fn failed_on(&mut self, machine: MachineId) {
         self.errors = self.errors.saturating_add(1);
-        self.avoid.retain(|other| *other != machine);
-        self.avoid.push(machine);
-        if self.avoid.len() > Self::REMEMBERED_MACHINES {
-            self.avoid.remove(0);
+        self.failed_machines.retain(|other| *other != machine);
+        self.failed_machines.push(machine);
+        if self.failed_machines.len() > Self::REMEMBERED_MACHINES {
+            self.failed_machines.remove(0);
         }
     }
 }
--- a/src/storage/live_job.rs
+++ b/src/storage/live_job.rs
@@ -1,6 +1,6 @@
 //! Live jobs in the replica of the cell's state.
 
-use crate::storage::completion_bitmap::{CHUNK, CompletionBitmap};
+use crate::storage::completion_bitmap::{CompletionBitmap, TASKS_PER_CHUNK};
 use crate::storage::dependency_graph::DependencyState;
 use crate::storage::job::{JobRecord, JobSpec, Priority};
 use std::collections::BTreeMap;
@@ -57,25 +57,25 @@
 
     /// Number of finished tasks.
     pub fn done(&self) -> u32 {
-        self.record.finished.count_with(&self.ends) + self.record.more
+        self.record.finished.count_with(&self.ends) + self.record.finished_in_chunks
     }
 
     /// Whether the task with this number is finished.
     pub fn finished(&self, index: u32) -> bool {
-        match index / CHUNK {
+        match index / TASKS_PER_CHUNK {
             0 => self.record.finished.has(index) || self.ends.has(index),
-            chunk if self.record.full >> chunk & 1 == 1 => true,
+            chunk if self.record.complete_chunks >> chunk & 1 == 1 => true,
             chunk => self
                 .chunks
                 .get(&chunk)
-                .is_some_and(|bitmap| bitmap.value.has(index % CHUNK)),
+                .is_some_and(|bitmap| bitmap.value.has(index % TASKS_PER_CHUNK)),
         }
     }
 
     /// Whether the job itself rather than its machines seems to be the cause of its failures: its tasks failed on
     /// several machines, and more often than they finished. Since the replicas of a service never finish, a service is
     /// allowed as many failures as a job of which some tasks finished.
-    pub fn suspect(&self) -> bool {
+    pub fn is_suspect(&self) -> bool {
         const SUSPECT_MACHINES: usize = 2;
         const SUSPECT_FAILURES: u32 = 2;
         const SUSPECT_FAILURES_BEYOND_DONE: u32 = 4;
@@ -86,7 +86,8 @@
         } else {
             done.saturating_add(SUSPECT_FAILURES_BEYOND_DONE)
         };
-        self.record.avoid.len() >= SUSPECT_MACHINES && self.record.errors >= suspect_failures
+        self.record.failed_machines.len() >= SUSPECT_MACHINES
+            && self.record.errors >= suspect_failures
     }
 
     /// What its user requested.
--- a/src/storage/machine_classes.rs
+++ b/src/storage/machine_classes.rs
@@ -50,11 +50,11 @@
             spot: record.spot,
             machine: is_labelled.then_some(machine),
         };
-        self.come(machine, class);
+        self.add_to_class(machine, class);
     }
 
     /// Adds a machine of a class, or moves it to the class.
-    pub fn come(&mut self, machine: MachineId, class: Class) {
+    pub fn add_to_class(&mut self, machine: MachineId, class: Class) {
         let id = self.ensure_class(class);
         if let Some(old) = self.class_of.insert(machine, id) {
             self.counts[old] -= 1;
@@ -70,7 +70,7 @@
     }
 
     /// Sets the catalog. What it offers has classes even before any such machine is up.
-    pub fn offer(&mut self, catalog: &Catalog) {
+    pub fn set_catalog(&mut self, catalog: &Catalog) {
         self.offered.fill(false);
         for machine_type in &catalog.types {
             for zone in &machine_type.zones {
@@ -125,7 +125,7 @@
     }
 
     /// Whether machines of a class are up or offered.
-    pub fn possible(&self, id: ClassId) -> bool {
+    pub fn is_possible(&self, id: ClassId) -> bool {
         self.offered[id] || self.is_up(id)
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// Machines with labels of their own that are not known to be up.
-    pub fn unseen(&self) -> impl Iterator<Item = MachineId> {
+    pub fn labelled_not_up(&self) -> impl Iterator<Item = MachineId> {
         self.labelled
             .iter()
             .copied()
--- a/src/storage/machine_group/encoding/reader.rs
+++ b/src/storage/machine_group/encoding/reader.rs
@@ -89,7 +89,7 @@
     }
     Some(GroupRecord {
         machines,
-        terse: compact,
+        compact_encoding: compact,
     })
 }
 
--- a/src/storage/machine_group/encoding/tests.rs
+++ b/src/storage/machine_group/encoding/tests.rs
@@ -46,7 +46,7 @@
     };
     GroupRecord {
         machines: [(MachineId(5), fenced), (MachineId(9), plain)].into(),
-        terse: compact,
+        compact_encoding: compact,
     }
 }
 
--- a/src/storage/machine_group/encoding/writer.rs
+++ b/src/storage/machine_group/encoding/writer.rs
@@ -14,15 +14,15 @@
 
 impl Serialize for GroupRecord {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let mut writer = GroupWriter::new(self.terse);
-        if self.terse {
+        let mut writer = GroupWriter::new(self.compact_encoding);
+        if self.compact_encoding {
             writer.add_attempts_in_order(self);
         }
         for (id, record) in &self.machines {
             writer.add_machine(*id, record);
         }
         let fields = writer.finish();
-        if self.terse {
+        if self.compact_encoding {
             fields
                 .into_compact_text()
                 .map_err(S::Error::custom)?
--- a/src/storage/machine_group/mod.rs
+++ b/src/storage/machine_group/mod.rs
@@ -122,7 +122,7 @@
     /// Machines, by number.
     pub machines: BTreeMap<MachineId, MachineRecord>,
     /// Whether it is to be written in the compact form: only if every controller can read it.
-    pub terse: bool,
+    pub compact_encoding: bool,
 }
 
 /// Upper bounds and estimates of the size of the stored form, in either form.
@@ -171,8 +171,8 @@
     }
 
     /// About as many bytes as a machine with this many assignments takes on average, since names are shared between
-    /// machines. `terse`: in the compact form, in which tasks of one attempt share their entry.
-    pub fn usual_bytes(assignments: u64, terse: bool) -> usize {
+    /// machines. `compact_encoding`: in the compact form, in which tasks of one attempt share their entry.
+    pub fn estimated_machine_bytes(assignments: u64, compact_encoding: bool) -> usize {
         const COMPACT_MACHINE: usize = 16;
         const COMPACT_ASSIGNMENT: usize = 4;
         const MACHINE: usize = 20;
@@ -180,7 +180,7 @@
         const ASSIGNMENT: usize = 12;
 
         let assignments = assignments as usize;
-        if terse {
+        if compact_encoding {
             COMPACT_MACHINE + COMPACT_ASSIGNMENT * assignments
         } else {
             MACHINE + IMAGE * MachineRecord::IMAGES / 2 + ASSIGNMENT * assignments
--- a/src/storage/machine_group/tests.rs
+++ b/src/storage/machine_group/tests.rs
@@ -67,7 +67,7 @@
 
 fn measured_group(compact: bool) -> GroupRecord {
     let mut group = MeasuredGroup(GroupRecord {
-        terse: compact,
+        compact_encoding: compact,
         ..GroupRecord::default()
     });
     for i in 0..130u64 {
--- a/src/storage/records/format.rs
+++ b/src/storage/records/format.rs
@@ -1,7 +1,7 @@
 //! Versions of the format of the live records.
 //!
 //! A deployment starts with the initial format. A later one is used once all of its controllers can read it, so that
-//! they can be upgraded one at a time. The format in use is stored in [`MetaRecord::layout`](super::MetaRecord::layout)
+//! they can be upgraded one at a time. The format in use is stored in [`MetaRecord::record_format`](super::MetaRecord::layout)
 //! as its number, and each controller stores the newest one that it can read in its own record. Both may be of a
 //! version that this one does not know, so they are kept as numbers.
 
@@ -78,26 +78,26 @@
 }
 
 /// Number of the newest format that this version reads.
-pub const LAYOUT: u32 = RecordFormat::FencedRules.number();
+pub const LATEST_FORMAT: u32 = RecordFormat::FencedRules.number();
 
 /// Number of the first format in which jobs may depend on others.
-pub const PIPED: u32 = RecordFormat::Compact.number();
+pub const DEPENDENCIES_FORMAT: u32 = RecordFormat::Compact.number();
 
 /// Number of the first fenced format, which is without rules.
-pub const FENCED: u32 = RecordFormat::Fenced.number();
+pub const FENCED_FORMAT: u32 = RecordFormat::Fenced.number();
 
 /// Number of the first fenced format with rules.
-pub const FENCED_RULED: u32 = RecordFormat::FencedRules.number();
+pub const FENCED_RULES_FORMAT: u32 = RecordFormat::FencedRules.number();
 
 /// Number of the first format with compact encodings.
-pub const TERSE: u32 = RecordFormat::Compact.number();
+pub const COMPACT_FORMAT: u32 = RecordFormat::Compact.number();
 
 /// Number of the format that a deployment starts with.
-pub const FIRST_LAYOUT: u32 = RecordFormat::Initial.number();
+pub const INITIAL_FORMAT: u32 = RecordFormat::Initial.number();
 
 /// Whether records of the format of this number may have rules; false for a format that is not known.
-pub fn is_ruled(layout: u32) -> bool {
-    RecordFormat::from_number(layout).is_some_and(RecordFormat::has_rules)
+pub fn format_has_rules(record_format: u32) -> bool {
+    RecordFormat::from_number(record_format).is_some_and(RecordFormat::has_rules)
 }
 
 #[cfg(test)]
--- a/src/storage/records/format/tests.rs
+++ b/src/storage/records/format/tests.rs
@@ -7,8 +7,14 @@
 fn stored_numbers_are_those_of_earlier_versions() {
     let numbers = RecordFormat::ALL.map(RecordFormat::number);
     assert_eq!(numbers, [2, 3, 4, 5, 6]);
-    assert_eq!((FIRST_LAYOUT, PIPED, TERSE), (2, 3, 3));
-    assert_eq!((FENCED, FENCED_RULED, LAYOUT), (5, 6, 6));
+    assert_eq!(
+        (INITIAL_FORMAT, DEPENDENCIES_FORMAT, COMPACT_FORMAT),
+        (2, 3, 3)
+    );
+    assert_eq!(
+        (FENCED_FORMAT, FENCED_RULES_FORMAT, LATEST_FORMAT),
+        (5, 6, 6)
+    );
 }
 
 #[test]
@@ -22,7 +28,7 @@
 
 #[test]
 fn formats_with_rules_are_the_fourth_and_the_sixth() {
-    let ruled: Vec<u32> = (0..9).filter(|number| is_ruled(*number)).collect();
+    let ruled: Vec<u32> = (0..9).filter(|number| format_has_rules(*number)).collect();
     assert_eq!(ruled, [4, 6]);
 }
 
--- a/src/storage/records/mod.rs
+++ b/src/storage/records/mod.rs
@@ -11,7 +11,8 @@
 use crate::storage::restart_history::RestartHistory;
 use crate::time::Micros;
 pub use format::{
-    FENCED, FENCED_RULED, FIRST_LAYOUT, LAYOUT, PIPED, RecordFormat, TERSE, is_ruled,
+    COMPACT_FORMAT, DEPENDENCIES_FORMAT, FENCED_FORMAT, FENCED_RULES_FORMAT, INITIAL_FORMAT,
+    LATEST_FORMAT, RecordFormat, format_has_rules,
 };
 pub use key::{Key, LIVE};
 use serde::{Deserialize, Serialize};
@@ -22,7 +23,7 @@
 pub struct MetaRecord {
     /// Number of the format of the live records; see [`RecordFormat`]. The very first format did not store it.
     #[serde(rename = "layout", default)]
-    pub layout: u32,
+    pub record_format: u32,
     /// Number of shards; never changed.
     #[serde(rename = "slices")]
     pub shards: usize,
@@ -44,7 +45,7 @@
     pub run: Incarnation,
     /// Number of the newest record format that it can read. Versions before [`RecordFormat::Compact`] did not store it.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
-    pub layout: Option<u32>,
+    pub record_format: Option<u32>,
     /// The digest of the rules that it was started with; `None` without any.
     #[serde(rename = "u", default, skip_serializing_if = "Option::is_none")]
     pub rules: Option<u64>,
--- a/src/storage/restart_history.rs
+++ b/src/storage/restart_history.rs
@@ -34,7 +34,7 @@
     }
 
     /// This history with one more start at `day`, by the time of day. Starts before the window are left out.
-    pub fn and(&self, day: Micros) -> RestartHistory {
+    pub fn with_start(&self, day: Micros) -> RestartHistory {
         let now = day.0 / MICROS_PER_SECOND;
         let mut starts = self.0.clone();
         starts.retain(|start| is_recent(*start, now));
@@ -44,7 +44,7 @@
     }
 
     /// When the process that started last may first acquire shards, by the time of day.
-    pub fn steady_from(&self) -> Micros {
+    pub fn stable_from(&self) -> Micros {
         let Some(last) = self.0.last() else {
             return Micros::ZERO;
         };
@@ -57,8 +57,8 @@
     }
 
     /// Whether the process that started last has been up for long enough to acquire shards.
-    pub fn is_steady(&self, day: Micros) -> bool {
-        day >= self.steady_from()
+    pub fn is_stable(&self, day: Micros) -> bool {
+        day >= self.stable_from()
     }
 }
 
--- a/src/storage/restart_history/tests.rs
+++ b/src/storage/restart_history/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 fn after(starts: &[u64]) -> RestartHistory {
-    starts
-        .iter()
-        .fold(RestartHistory::default(), |s, t| s.and(Micros::secs(*t)))
+    starts.iter().fold(RestartHistory::default(), |s, t| {
+        s.with_start(Micros::secs(*t))
+    })
 }
 
 #[test]
@@ -21,10 +21,10 @@
     ] {
         let last = *starts.last().unwrap();
         let all = after(&starts);
-        assert_eq!(all.is_steady(Micros::secs(last)), lives == 0, "{starts:?}");
-        assert!(all.is_steady(Micros::secs(last + lives)), "{starts:?}");
+        assert_eq!(all.is_stable(Micros::secs(last)), lives == 0, "{starts:?}");
+        assert!(all.is_stable(Micros::secs(last + lives)), "{starts:?}");
         assert!(
-            lives == 0 || !all.is_steady(Micros::secs(last + lives - 1)),
+            lives == 0 || !all.is_stable(Micros::secs(last + lives - 1)),
             "{starts:?}"
         );
         assert!(serde_json::to_string(&all).unwrap().len() < 100);
--- a/src/transport/node.rs
+++ b/src/transport/node.rs
@@ -130,12 +130,12 @@
     }
 
     /// Serves an invalid submission that names a job.
-    pub async fn bad_submission(
+    pub async fn invalid_submission(
         self: &Arc<Self>,
         job: JobId,
         why: Cow<'static, str>,
     ) -> UserResponse {
-        self.request(|call| Event::BadSubmission(call, job, why))
+        self.request(|call| Event::InvalidSubmission(call, job, why))
             .await
     }
 
@@ -194,8 +194,8 @@
             .await;
         let result = match response {
             Ok((status, body)) => state::parse(&request, status, &body),
-            Err(HttpError::ResponseTooLarge) => Err(CallError::TooLarge),
-            Err(HttpError::NoResponse) => Err(CallError::Unknown),
+            Err(HttpError::ResponseTooLarge) => Err(CallError::ResponseTooLarge),
+            Err(HttpError::NoResponse) => Err(CallError::OutcomeUnknown),
         };
         self.post(Event::State(call, result));
     }
@@ -208,7 +208,7 @@
             .await;
         let result = match response {
             Ok((status, body)) => cloud::parse(&request, status, &body),
-            Err(_) => Err(CallError::Unknown),
+            Err(_) => Err(CallError::OutcomeUnknown),
         };
         self.post(Event::Cloud(call, result));
     }
--- a/src/transport/server/mod.rs
+++ b/src/transport/server/mod.rs
@@ -6,7 +6,7 @@
 use super::node::Node;
 use crate::coordination::api::connections::{Request as RequestKind, Verdict};
 use crate::protocol::user::{
-    BODY_LIMIT, BadSubmission, UserRequest, UserResponse, parse_submission,
+    BODY_LIMIT, InvalidSubmission, UserRequest, UserResponse, parse_submission,
 };
 use crate::protocol::worker::{Heartbeat, HeartbeatResponse};
 use crate::storage::ids::JobId;
@@ -83,7 +83,7 @@
         });
         match verdict {
             Verdict::Serve => self.serve(request, response).await,
-            Verdict::TurnAway(seconds) => {
+            Verdict::Reject(seconds) => {
                 write_user_response(response, UserResponse::RetryAfter(seconds));
             }
         }
@@ -131,15 +131,15 @@
     }
 
     /// A retry with an invalid body does not undo an accepted submission: if the body names a job, its status counts.
-    async fn reject_submission(&self, body: &[u8], error: &BadSubmission) -> UserResponse {
+    async fn reject_submission(&self, body: &[u8], error: &InvalidSubmission) -> UserResponse {
         let why: Cow<'static, str> = match error {
-            BadSubmission::Field(field) => (*field).into(),
-            BadSubmission::Malformed(_) => "body".into(),
-            BadSubmission::Rules(_) => error.to_string().into(),
+            InvalidSubmission::Field(field) => (*field).into(),
+            InvalidSubmission::Malformed(_) => "body".into(),
+            InvalidSubmission::Rules(_) => error.to_string().into(),
         };
         match named_job(body) {
-            Some(id) => self.node.bad_submission(id, why).await,
-            None => UserResponse::Bad(why),
+            Some(id) => self.node.invalid_submission(id, why).await,
+            None => UserResponse::Invalid(why),
         }
     }
 
@@ -164,7 +164,7 @@
         let decided = match id {
             Some(id) => self.node.user(user_request(id)).await,
             // No job of such a name was ever accepted.
-            None => UserResponse::Unknown,
+            None => UserResponse::NotFound,
         };
         write_user_response(response, decided);
     }
--- a/src/transport/server/response.rs
+++ b/src/transport/server/response.rs
@@ -1,7 +1,7 @@
 //! Writes responses.
 
 use crate::protocol::user::UserResponse;
-use crate::protocol::worker::{HeartbeatResponse, elsewhere_body, heartbeat_response_body};
+use crate::protocol::worker::{HeartbeatResponse, heartbeat_response_body, not_leader_body};
 use salvo::http::StatusCode;
 use salvo::http::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use salvo::prelude::Response;
@@ -32,12 +32,12 @@
         UserResponse::Accepted(status) => {
             write_json(response, StatusCode::CREATED, status.body());
         }
-        UserResponse::Is(status) => write_json(response, StatusCode::OK, status.body()),
-        UserResponse::Unknown => write_error(response, StatusCode::NOT_FOUND, "no such job"),
-        UserResponse::Never(why) => {
+        UserResponse::Status(status) => write_json(response, StatusCode::OK, status.body()),
+        UserResponse::NotFound => write_error(response, StatusCode::NOT_FOUND, "no such job"),
+        UserResponse::Unsatisfiable(why) => {
             write_error(response, StatusCode::UNPROCESSABLE_ENTITY, &why);
         }
-        UserResponse::Bad(why) => write_error(response, StatusCode::BAD_REQUEST, &why),
+        UserResponse::Invalid(why) => write_error(response, StatusCode::BAD_REQUEST, &why),
         UserResponse::RetryAfter(seconds) => {
             response
                 .headers_mut()
@@ -57,8 +57,8 @@
             let body = heartbeat_response_body(fencing_token, &commands);
             write_json(response, StatusCode::OK, body);
         }
-        HeartbeatResponse::Elsewhere(leader) => {
-            let body = elsewhere_body(leader.as_deref());
+        HeartbeatResponse::NotLeader(leader) => {
+            let body = not_leader_body(leader.as_deref());
             write_json(response, StatusCode::MISDIRECTED_REQUEST, body);
         }
         HeartbeatResponse::Unavailable => {
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -197,8 +197,7 @@
     let mut pauses = BTreeMap::new();
     for id in 0..SERVED as u64 {
         connections.opened(Micros::ZERO, id);
-        if let Verdict::TurnAway(seconds) = connections.requested(Micros::ZERO, id, Request::Query)
-        {
+        if let Verdict::Reject(seconds) = connections.requested(Micros::ZERO, id, Request::Query) {
             *pauses.entry(seconds).or_insert(0) += 1;
             connections.answered(Micros::ZERO, id);
             connections.closed(id);
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -6,10 +6,11 @@
 use cometlead::protocol::operator::OperatorSettings;
 use cometlead::protocol::peer::PeerHint;
 use cometlead::protocol::settings::Settings;
-use cometlead::protocol::state::{self, Put, StateReply, StateRequest, Txn};
+use cometlead::protocol::state::{self, KeyChange, StateRequest, StateResponse, Transaction};
 use cometlead::protocol::user::parse_submission;
 use cometlead::protocol::worker::{
-    Command, Ended, Heartbeat, TaskState, command_body, elsewhere_body, heartbeat_response_body,
+    Command, ExitReason, Heartbeat, TaskState, command_body, heartbeat_response_body,
+    not_leader_body,
 };
 use cometlead::storage::cell_state::Content;
 use cometlead::storage::ids::JobId;
@@ -87,7 +88,7 @@
         let Some(Content::Group(mut group)) = state::decode(&key, &raw(text)) else {
             panic!("{name}")
         };
-        group.terse = !group.terse;
+        group.compact_encoding = !group.compact_encoding;
         let other = state::encode(&group).unwrap();
         assert_eq!(again(&key, other.get()), other.get());
         writeln!(got, "{name} {other}").unwrap();
@@ -130,17 +131,17 @@
     let reason = match state {
         TaskState::Fetching => return "Fetching".to_owned(),
         TaskState::Running => return "Running".to_owned(),
-        TaskState::Flushing => return "Flushing".to_owned(),
+        TaskState::Checkpointing => return "Flushing".to_owned(),
         TaskState::Exited(reason) => reason,
     };
     let reason = match reason {
-        Ended::Done => "Done",
-        Ended::Halted => "Halted",
-        Ended::Error => "Error",
-        Ended::Full => "Full",
-        Ended::InUse => "InUse",
-        Ended::NoSuch => "NoSuch",
-        Ended::Other => "Other",
+        ExitReason::Completed => "Done",
+        ExitReason::Stopped => "Halted",
+        ExitReason::Failed => "Error",
+        ExitReason::InsufficientCapacity => "Full",
+        ExitReason::OtherAttemptPresent => "InUse",
+        ExitReason::UnknownJob => "NoSuch",
+        ExitReason::Other => "Other",
     };
     format!("Exited({reason})")
 }
@@ -190,7 +191,7 @@
             got.push('\n');
         }
     }
-    for body in [elsewhere_body(None), elsewhere_body(Some("n1"))] {
+    for body in [not_leader_body(None), not_leader_body(Some("n1"))] {
         got += &String::from_utf8(body).unwrap();
         got.push('\n');
     }
@@ -227,7 +228,7 @@
             let read = match cloud::parse(request, status.parse().unwrap(), body.as_bytes()) {
                 Ok(CloudReply::Catalog(c)) => state::encode(&c).unwrap().get().to_owned(),
                 Ok(CloudReply::Provisioned(m)) => m.iter().map(|m| format!("{m},")).collect(),
-                Ok(CloudReply::Hosts(hosts, more)) => {
+                Ok(CloudReply::Machines(hosts, more)) => {
                     hosts.iter().fold(more.to_string(), |t, h| {
                         t + &format!(
                             " {} {} {} {} {:?} {};",
@@ -248,16 +249,16 @@
 #[test]
 fn what_the_state_service_gets_and_sends() {
     let key = Key::parse("c/own/1").unwrap();
-    let put = |value: Option<&str>, lease_id| Put {
+    let put = |value: Option<&str>, lease_id| KeyChange {
         key: key.clone(),
         value: value.map(raw),
         lease_id,
     };
     let own = Some(r#"{"node":"n0","run":7}"#);
-    let txn = |then| {
-        StateRequest::Txn(Txn {
+    let txn = |changes| {
+        StateRequest::Transaction(Transaction {
             when: vec![(key.clone(), 0), (Key::Meta, 9)],
-            then,
+            changes,
         })
     };
     let requests = [
@@ -294,23 +295,23 @@
                     .collect()
             };
             let read = match state::parse(request, status.parse().unwrap(), body.as_bytes()) {
-                Ok(StateReply::Value(v)) => format!("value {:?}", v.map(|v| v.to_string())),
-                Ok(StateReply::Page {
+                Ok(StateResponse::Value(v)) => format!("value {:?}", v.map(|v| v.to_string())),
+                Ok(StateResponse::Page {
                     items,
                     next,
                     revision,
                 }) => {
                     format!("page {next:?} {revision}{}", changes(&items))
                 }
-                Ok(StateReply::Applied(n)) => format!("applied {n}"),
-                Ok(StateReply::Clash(keys, n)) => keys
+                Ok(StateResponse::Applied(n)) => format!("applied {n}"),
+                Ok(StateResponse::Conflict(keys, n)) => keys
                     .iter()
                     .fold(format!("clash {n}"), |t, k| format!("{t} {k}")),
-                Ok(StateReply::Lease(n)) => format!("lease {n}"),
-                Ok(StateReply::LeaseKeptAlive) => "touched".into(),
-                Ok(StateReply::NoLease) => "no lease".into(),
-                Ok(StateReply::Changes(all, n)) => format!("changes {n}{}", changes(&all)),
-                Ok(StateReply::TooOld) => "too old".into(),
+                Ok(StateResponse::Lease(n)) => format!("lease {n}"),
+                Ok(StateResponse::LeaseKeptAlive) => "touched".into(),
+                Ok(StateResponse::LeaseExpired) => "no lease".into(),
+                Ok(StateResponse::Changes(all, n)) => format!("changes {n}{}", changes(&all)),
+                Ok(StateResponse::Compacted) => "too old".into(),
                 Err(e) => e.to_string(),
             };
             writeln!(got, "  {status} {body}\n    {read}").unwrap();
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -50,7 +50,7 @@
         Content::Node(r) => encode(&r),
         Content::ShardLeader(r) => encode(&r),
         Content::Group(mut r) => {
-            r.terse = false;
+            r.compact_encoding = false;
             encode(&r)
         }
         Content::Usage(r) => encode(&r),
@@ -85,7 +85,7 @@
             &mut CellChanges::default(),
         );
     }
-    assert!(!cell.foreign(3) && cell.layout() == 2);
+    assert!(!cell.is_format_unsupported(3) && cell.record_format() == 2);
     assert!(cell.machines().count() > 5 && cell.jobs.len() > 3);
     assert!(cell.jobs.values().all(|j| j.ready() || j.cancelled()));
     assert!(
@@ -137,7 +137,7 @@
         .collect();
     let ours: PeerHint = rmp_serde::from_slice(&bytes).unwrap();
     assert_eq!(
-        (ours.spends, ours.heard_ms, ours.saturated),
+        (ours.spends, ours.last_heartbeat_ms, ours.saturated),
         (3100, Some(40), true)
     );
     let written = rmp_serde::to_vec(&ours).unwrap();
@@ -149,13 +149,13 @@
 #[test]
 fn says_what_it_understands_in_a_record_that_production_reads() {
     let new: NodeRecord = serde_json::from_str(r#"{"run":7,"v":3}"#).unwrap();
-    assert_eq!(new.layout, Some(3));
+    assert_eq!(new.record_format, Some(3));
     let old: frozen::NodeRecord = serde_json::from_str(r#"{"run":7,"v":3}"#).unwrap();
     assert_eq!(old.run.0, 7);
     assert_eq!(
         serde_json::from_str::<NodeRecord>(r#"{"run":7}"#)
             .unwrap()
-            .layout,
+            .record_format,
         None
     );
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,7 +3,9 @@
 use cometlead::explain::report;
 use cometlead::protocol::operator::OperatorSettings;
 use cometlead::scheduler::constraints::{JobConstraints, PlacementContext, traits};
-use cometlead::scheduler::placement::{Candidate, GroupAllowance, PlacementRequest, Rules, plan};
+use cometlead::scheduler::placement::{
+    Candidate, GroupAllowance, PlacementRequest, PlacementRules, plan,
+};
 use cometlead::scheduler::provisioning::{self, Demand, MachinePools, PlacementFilter};
 use cometlead::storage::catalog::{Catalog, MachineType};
 use cometlead::storage::cell_state::Job;
@@ -43,7 +45,7 @@
     let allowed: Vec<(&str, bool, u32)> = found
         .machines
         .iter()
-        .map(|m| (m.host.as_str(), m.allowed, m.verdict.worth))
+        .map(|m| (m.host.as_str(), m.allowed, m.verdict.total_weight))
         .collect();
     assert_eq!(
         allowed,
@@ -110,7 +112,7 @@
         serde_json::json!({"s": serde_json::to_value(&spec).unwrap(), "t": 1}),
     )
     .unwrap();
-    let dependency_state = DependencyState::alone(&spec);
+    let dependency_state = DependencyState::independent(&spec);
     Job {
         record,
         mod_revision: 1,
@@ -169,14 +171,14 @@
         Some((Amount::default(), None)),
         0,
     );
-    let places: Box<dyn PlacementFilter> = Box::new(SecondOnly);
+    let placement_filter: Box<dyn PlacementFilter> = Box::new(SecondOnly);
     let demand = Demand {
         spec: &spec,
         count: 4,
         slack: Micros::secs(500),
         run: Micros::secs(10),
         price_limit: u64::MAX,
-        places: Some(places),
+        placement_filter: Some(placement_filter),
     };
     let hires = provisioning::plan(&catalog, &[demand], &mut pools, &|_| true, &|o| {
         Some(usize::from(o.machine_type == "second"))
@@ -199,7 +201,7 @@
         types: vec![kind("small")],
     };
     let mut classes = Classes::default();
-    classes.offer(&catalog);
+    classes.set_catalog(&catalog);
     let class = classes.of_offer("small", "a", false).unwrap();
     let judged: Vec<_> = classes
         .all()
@@ -222,7 +224,7 @@
         job_constraints: &job_constraints,
         colocated: true,
     };
-    let ask = |id: u64, all_or_nothing: bool| {
+    let ask = |id: u64, gang: bool| {
         let spec = jobs[&JobId(id)].spec();
         PlacementRequest {
             job: JobId(id),
@@ -233,20 +235,20 @@
             most: 100,
             price_limit: u64::MAX,
             owner: 0,
-            mine: true,
+            is_local: true,
             preempts: false,
             guaranteed: false,
-            takes_leftovers: true,
-            all_or_nothing,
+            uses_leftovers_only: true,
+            gang,
             avoid: &[],
-            rules: Some(Rules {
+            rules: Some(PlacementRules {
                 context: &context,
                 constraints: job_constraints.get(&JobId(id)),
                 required_preferences: 0,
             }),
         }
     };
-    let placed = |all_or_nothing: bool| {
+    let placed = |gang: bool| {
         let mut candidates = [Candidate {
             machine: MachineId(1),
             group: 0,
@@ -255,15 +257,15 @@
             zone: "a",
             spot: false,
             price: 1,
-            all: room,
+            capacity: room,
             free: room,
             reserved: false,
             images: &[],
-            fetches: None,
+            fetching_image: None,
             running: Vec::new(),
             class,
-            there: Vec::new(),
-            has_exclusions: false,
+            residents: Vec::new(),
+            restricts_colocation: false,
         }];
         let mut groups = GroupAllowance {
             open: vec![false],
@@ -271,7 +273,7 @@
         };
         let claims = plan(
             &mut candidates,
-            &mut [ask(1, all_or_nothing), ask(2, false)],
+            &mut [ask(1, gang), ask(2, false)],
             &mut groups,
             100,
         );
--- a/tests/runner/effects.rs
+++ b/tests/runner/effects.rs
@@ -2,7 +2,7 @@
 
 use cometlead::coordination::Effect;
 use cometlead::protocol::user::UserResponse;
-use cometlead::protocol::worker::{HeartbeatResponse, elsewhere_body, heartbeat_response_body};
+use cometlead::protocol::worker::{HeartbeatResponse, heartbeat_response_body, not_leader_body};
 use cometlead::protocol::{cloud, state};
 
 /// FNV-1a with 64 bits: the same on every machine and in every version of Rust.
@@ -109,10 +109,10 @@
 fn user(answer: &UserResponse) -> (u64, Vec<u8>) {
     match answer {
         UserResponse::Accepted(a) => (201, a.body()),
-        UserResponse::Is(a) => (200, a.body()),
-        UserResponse::Unknown => (404, Vec::new()),
-        UserResponse::Never(why) => (422, why.as_bytes().to_vec()),
-        UserResponse::Bad(why) => (400, why.as_bytes().to_vec()),
+        UserResponse::Status(a) => (200, a.body()),
+        UserResponse::NotFound => (404, Vec::new()),
+        UserResponse::Unsatisfiable(why) => (422, why.as_bytes().to_vec()),
+        UserResponse::Invalid(why) => (400, why.as_bytes().to_vec()),
         UserResponse::RetryAfter(seconds) => (503, seconds.to_string().into_bytes()),
     }
 }
@@ -123,7 +123,7 @@
             fencing_token,
             commands,
         } => (200, heartbeat_response_body(*fencing_token, commands)),
-        HeartbeatResponse::Elsewhere(owner) => (421, elsewhere_body(owner.as_deref())),
+        HeartbeatResponse::NotLeader(owner) => (421, not_leader_body(owner.as_deref())),
         HeartbeatResponse::Unavailable => (503, Vec::new()),
         HeartbeatResponse::Malformed => (400, Vec::new()),
     }
--- a/tests/runner/looks.rs
+++ b/tests/runner/looks.rs
@@ -2,13 +2,13 @@
 //! reports that are kept for the next owner.
 
 use super::{Happening, Message, World};
-use cometlead::protocol::state::{StateRequest, Txn};
+use cometlead::protocol::state::{StateRequest, Transaction};
 use cometlead::storage::records::Key;
 use serde_json::{Value, json};
 
 /// What a transaction is for, as scenarios name it.
-fn kind_of(txn: &Txn) -> &'static str {
-    let writes = |of: fn(&Key) -> bool| txn.then.iter().any(|p| of(&p.key));
+fn kind_of(txn: &Transaction) -> &'static str {
+    let writes = |of: fn(&Key) -> bool| txn.changes.iter().any(|p| of(&p.key));
     let mod_revision = |key: &Key| {
         txn.when
             .iter()
@@ -18,7 +18,7 @@
     if writes(|k| matches!(k, Key::Final(_))) {
         "end"
     } else if txn
-        .then
+        .changes
         .iter()
         .any(|p| matches!(p.key, Key::Group(..)) && mod_revision(&p.key) == 0)
     {
@@ -34,7 +34,7 @@
     } else if writes(|k| matches!(k, Key::Meta)) {
         "meta"
     } else if txn
-        .then
+        .changes
         .iter()
         .all(|p| matches!(p.key, Key::Job(_)) && mod_revision(&p.key) == 0)
     {
@@ -54,7 +54,7 @@
 
     /// Whether the answer to a transaction is lost, though it is carried out.
     pub(super) fn loses_answer(&mut self, request: &StateRequest) -> bool {
-        let StateRequest::Txn(txn) = request else {
+        let StateRequest::Transaction(txn) = request else {
             return false;
         };
         let (now, kind) = (self.now, kind_of(txn));
--- a/tests/runner/mod.rs
+++ b/tests/runner/mod.rs
@@ -24,9 +24,9 @@
 use cometlead::protocol::state::{CallError, StateRequest};
 use cometlead::protocol::user::{JobStatusResponse, UserRequest, UserResponse, parse_submission};
 use cometlead::protocol::worker::{
-    Heartbeat, HeartbeatResponse, elsewhere_body, heartbeat_response_body,
+    Heartbeat, HeartbeatResponse, heartbeat_response_body, not_leader_body,
 };
-use cometlead::storage::records::{FIRST_LAYOUT, LAYOUT, is_ruled};
+use cometlead::storage::records::{INITIAL_FORMAT, LATEST_FORMAT, format_has_rules};
 use cometlead::time::Micros;
 use cometlead_constraints::RuleSet;
 pub use cometlead_emulator::standins::{cloud, state, worker};
@@ -361,20 +361,20 @@
             shards: self.script.slices,
             ..OperatorSettings::default()
         };
-        let layout = if self.old.contains(&n) {
-            FIRST_LAYOUT
+        let record_format = if self.old.contains(&n) {
+            INITIAL_FORMAT
         } else {
-            LAYOUT
+            LATEST_FORMAT
         };
         let rules = self.rules[n]
             .as_ref()
-            .filter(|_| layout == LAYOUT)
+            .filter(|_| record_format == LATEST_FORMAT)
             .map(|name| {
                 let file = serde_json::from_value(self.script.rules[name].clone()).expect("rules");
                 Arc::new(RuleSet::of(file).expect("rules"))
             });
         let controller = Controller::new(Arc::clone(&self.settings[n]), operator, seed);
-        let controller = controller.understanding(layout).with_rules(rules);
+        let controller = controller.understanding(record_format).with_rules(rules);
         self.nodes[n] = Some(Node {
             controller,
             life: self.lives,
@@ -537,10 +537,10 @@
                     let wait = self.nodes[n].as_mut().and_then(|x| x.waits.remove(&call));
                     if let Some((user, attempt)) = wait {
                         let job = self.users[user].job;
-                        if let UserResponse::Never(why) = &answer {
+                        if let UserResponse::Unsatisfiable(why) = &answer {
                             self.check.refusals.insert(job, why.to_string());
                         }
-                        if let UserResponse::Is(JobStatusResponse {
+                        if let UserResponse::Status(JobStatusResponse {
                             reason: Some(why), ..
                         }) = &answer
                         {
@@ -552,10 +552,10 @@
                         }
                         let (status, state) = match answer {
                             UserResponse::Accepted(a) => (201, Some(a)),
-                            UserResponse::Is(a) => (200, Some(a)),
-                            UserResponse::Unknown => (404, None),
-                            UserResponse::Never(_) => (422, None),
-                            UserResponse::Bad(_) => (400, None),
+                            UserResponse::Status(a) => (200, Some(a)),
+                            UserResponse::NotFound => (404, None),
+                            UserResponse::Unsatisfiable(_) => (422, None),
+                            UserResponse::Invalid(_) => (400, None),
                             UserResponse::RetryAfter(_) => (503, None),
                         };
                         let state = state.map(|a| {
@@ -652,11 +652,11 @@
                 if self.nodes[node].as_ref().is_none_or(|n| n.life != life) {
                     return;
                 }
-                let none = || Err(CallError::Unknown);
+                let none = || Err(CallError::OutcomeUnknown);
                 let most = (self.script.body_kb * 1024.0) as usize;
                 let event = match ask {
                     Ask::State(_) if answer.as_ref().is_some_and(|(_, b)| b.len() > most) => {
-                        Event::State(call, Err(CallError::TooLarge))
+                        Event::State(call, Err(CallError::ResponseTooLarge))
                     }
                     Ask::State(r) => Event::State(
                         call,
@@ -664,7 +664,7 @@
                     ),
                     Ask::Cloud(r) => Event::Cloud(
                         call,
-                        answer.map_or(Err(CallError::Unknown), |(s, b)| {
+                        answer.map_or(Err(CallError::OutcomeUnknown), |(s, b)| {
                             cloud_wire::parse(&r, s, &b)
                         }),
                     ),
@@ -691,7 +691,7 @@
                         fencing_token,
                         commands,
                     } => (200, heartbeat_response_body(fencing_token, &commands)),
-                    HeartbeatResponse::Elsewhere(owner) => (421, elsewhere_body(owner.as_deref())),
+                    HeartbeatResponse::NotLeader(owner) => (421, not_leader_body(owner.as_deref())),
                     HeartbeatResponse::Unavailable => (503, Vec::new()),
                     HeartbeatResponse::Malformed => panic!("a good report was refused"),
                 };
@@ -731,7 +731,7 @@
                                 Event::User(call, UserRequest::Submit(id, Box::new(spec)))
                             }
                             // As the server has it, which reads the name alone then.
-                            Err(_) => Event::BadSubmission(call, id, "body".into()),
+                            Err(_) => Event::InvalidSubmission(call, id, "body".into()),
                         };
                         self.event(node, event);
                         return;
@@ -761,8 +761,8 @@
         let answer = match &ask {
             Ask::State(request) => {
                 let (method, path, body) = state_wire::http(request);
-                let late =
-                    matches!(request, StateRequest::Txn(_)) && self.drawn(|w| &w.late_writes);
+                let late = matches!(request, StateRequest::Transaction(_))
+                    && self.drawn(|w| &w.late_writes);
                 if self.is_among(&self.refused, node) {
                     Some((503, json!({})))
                 } else if late {
@@ -1168,10 +1168,11 @@
                 Happening::Sweep => {
                     self.check.sweep(self.now);
                     self.note_waiting();
-                    let ruled = self
-                        .state
-                        .values("c/meta")
-                        .any(|(_, v)| v["layout"].as_u64().is_some_and(|l| is_ruled(l as u32)));
+                    let ruled = self.state.values("c/meta").any(|(_, v)| {
+                        v["layout"]
+                            .as_u64()
+                            .is_some_and(|l| format_has_rules(l as u32))
+                    });
                     self.check.laws.note(self.now, ruled, &self.rules);
                     self.recorded();
                     self.at(self.now + 1_000_000, Happening::Sweep);
--- a/tests/runner/script.rs
+++ b/tests/runner/script.rs
@@ -285,7 +285,7 @@
     FewSilenced(u64),
     FewUnneeded(u64),
     /// Of a class's or team's jobs, this share was done within the time of their submission.
-    Served {
+    Throughput {
         name: String,
         within: u64,
         share: f64,
@@ -617,7 +617,7 @@
                     "absences" => Expect::Absences(w.word(2, whole)?),
                     "silenced-at-most" => Expect::FewSilenced(w.word(2, whole)?),
                     "unneeded-at-most" => Expect::FewUnneeded(w.word(2, whole)?),
-                    "served" => Expect::Served {
+                    "served" => Expect::Throughput {
                         name: w.word(2, |t| Some(t.to_owned()))?,
                         within: w.need("within", micros)?,
                         share: w.need("share", real)?,
--- a/tests/runner/verdict.rs
+++ b/tests/runner/verdict.rs
@@ -158,7 +158,7 @@
                 }
                 Expect::FewSilenced(n) => self.counters.silenced <= *n,
                 Expect::FewUnneeded(n) => self.counters.unneeded <= *n,
-                Expect::Served {
+                Expect::Throughput {
                     name,
                     within,
                     share,
