--- a/crates/constraints/src/lib.rs
+++ b/crates/constraints/src/lib.rs
@@ -35,6 +35,16 @@
 //!
 //! `docs/constraints.md` describes the language.
 
+#![cfg_attr(
+    not(test),
+    warn(
+        clippy::expect_used,
+        clippy::panic,
+        clippy::too_many_lines,
+        clippy::unwrap_used
+    )
+)]
+
 pub mod clash;
 pub mod evaluation;
 pub mod explain;
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -58,7 +58,7 @@
         let name = one.name.clone();
         let progress = bar.clone();
         let result = run(&one, binary, out, &move |text| {
-            progress.set_message(format!("{name}: {text}"))
+            progress.set_message(format!("{name}: {text}"));
         })?;
         result.write(out)?;
         bar.suspend(|| println!("{}\n{}\n", result.name, result.table()));
--- a/crates/queues/examples/submit.rs
+++ b/crates/queues/examples/submit.rs
@@ -10,6 +10,10 @@
 const USAGE: &str = "submit HOST PORT USER PASSWORD QUEUE < job.json";
 
 /// Submits `job` through `queue` and returns its final answer.
+///
+/// # Errors
+///
+/// If the broker cannot be reached or the answer does not come.
 pub async fn submit(
     login: &OpenConnectionArguments,
     queue: &str,
--- a/crates/queues/src/lib.rs
+++ b/crates/queues/src/lib.rs
@@ -38,6 +38,16 @@
 //! assert_eq!(job, "req-000041");
 //! ```
 
+#![cfg_attr(
+    not(test),
+    warn(
+        clippy::expect_used,
+        clippy::panic,
+        clippy::too_many_lines,
+        clippy::unwrap_used
+    )
+)]
+
 pub mod counters;
 pub mod limits;
 pub mod message;
--- a/crates/queues/src/message.rs
+++ b/crates/queues/src/message.rs
@@ -132,6 +132,10 @@
     ///
     /// A job without a name gets one derived from the message, so that every delivery submits the same job and
     /// repeated submissions are idempotent.
+    ///
+    /// # Errors
+    ///
+    /// If the body is not a JSON object or a field is missing or not allowed; the error names the field.
     pub fn job_request(&self) -> Result<JobRequest, InvalidRequest> {
         let mut fields = self.body_fields()?;
         let job = self.job_name(&fields)?;
--- a/crates/queues/src/wire/state_service.rs
+++ b/crates/queues/src/wire/state_service.rs
@@ -103,6 +103,10 @@
 }
 
 /// Encodes a compare-and-swap of the open segment.
+///
+/// # Errors
+///
+/// If a segment has no JSON form.
 pub fn compare_and_swap_body(
     keys: &LogKeys,
     request: &CompareAndSwap,
@@ -178,6 +182,10 @@
 }
 
 /// Reads the open segment.
+///
+/// # Errors
+///
+/// If the body is not a response with a segment.
 pub fn decode_open_segment(body: &[u8]) -> Result<OpenSegment, StateWireError> {
     let key: KeyBody = serde_json::from_slice(body).map_err(malformed("the open segment"))?;
     Ok(OpenSegment {
@@ -187,6 +195,10 @@
 }
 
 /// Reads a page of closed segments. Keys without a number are skipped.
+///
+/// # Errors
+///
+/// If the body is not a page of segments.
 pub fn decode_page(body: &[u8]) -> Result<SegmentPage, StateWireError> {
     let page: PageBody = serde_json::from_slice(body).map_err(malformed("a page of segments"))?;
     let segment = |item: &PageItem| {
@@ -203,6 +215,10 @@
 }
 
 /// Reads the revision at which a transaction was carried out.
+///
+/// # Errors
+///
+/// If the body has no revision.
 pub fn decode_applied_revision(body: &[u8]) -> Result<u64, StateWireError> {
     let body: TransactionBody = serde_json::from_slice(body).map_err(malformed("a transaction"))?;
     Ok(body.revision)
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -58,7 +58,7 @@
         /// Path of the file.
         path: String,
         /// What is wrong with it, or with a file that it names.
-        source: cometlead_queues::settings::SettingsError,
+        source: Box<cometlead_queues::settings::SettingsError>,
     },
     /// `queues` has no settings file.
     #[cfg(feature = "queues")]
--- a/src/cli/queues.rs
+++ b/src/cli/queues.rs
@@ -34,7 +34,7 @@
         .and_then(|settings| QueueService::new(settings, folder_of(path)))
         .map_err(|source| CliError::Queues {
             path: path.to_owned(),
-            source,
+            source: Box::new(source),
         })
 }
 
--- a/src/coordination/api/cancellations.rs
+++ b/src/coordination/api/cancellations.rs
@@ -69,7 +69,7 @@
     ) {
         match result {
             Ok(StateResponse::Applied(revision)) => {
-                self.on_cancellation_applied(&request, revision)
+                self.on_cancellation_applied(&request, revision);
             }
             Ok(_) | Err(CallError::OutcomeUnknown) => {
                 self.verify_by_read(request, Self::CANCELLATION_ATTEMPTS);
--- a/src/coordination/commit/transaction/tests.rs
+++ b/src/coordination/commit/transaction/tests.rs
@@ -93,13 +93,13 @@
 fn an_addition_with_unknown_outcome_conflicts_with_a_later_one() {
     let mut cell = first_replica();
     let commit = planned(&cell, |transaction| {
-        (1..=4).for_each(|id| add(transaction, id))
+        (1..=4).for_each(|id| add(transaction, id));
     });
     apply(&mut cell, commit, 2);
     assert_eq!(cell.group_of_machine(MachineId(4)), Some((0, 1)));
     let unknown_outcome = planned(&cell, |transaction| add(transaction, 5));
     let commit = planned(&cell, |transaction| {
-        assert!(transaction.remove(MachineId(3)))
+        assert!(transaction.remove(MachineId(3)));
     });
     apply(&mut cell, commit, 3);
     let commit = planned(&cell, |transaction| add(transaction, 5));
--- a/src/coordination/constraints/preferences.rs
+++ b/src/coordination/constraints/preferences.rs
@@ -2,7 +2,7 @@
 
 use super::Rules;
 use crate::coordination::Controller;
-use crate::scheduler::constraints::RequiredPreferences;
+use crate::scheduler::constraints::{JobConstraints, RequiredPreferences};
 use crate::storage::cell_state::Job;
 use crate::storage::ids::{JobId, MachineId};
 use crate::storage::job::JobSpec;
@@ -12,10 +12,7 @@
 impl Rules {
     /// Whether any job waits for a preference.
     pub(super) fn any_preference_waits(&self) -> bool {
-        self.jobs
-            .constraints()
-            .values()
-            .any(|constraints| constraints.waits())
+        self.jobs.constraints().values().any(JobConstraints::waits)
     }
 }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -171,7 +171,7 @@
             Event::Tick => {}
             Event::User(call, request) => self.on_user(call, request),
             Event::InvalidSubmission(call, job, reason) => {
-                self.on_invalid_submission(call, job, reason)
+                self.on_invalid_submission(call, job, reason);
             }
             Event::Heartbeat(call, heartbeat) => {
                 self.connectivity.on_agent_contact(self.now.steady);
--- a/src/coordination/replication/changes.rs
+++ b/src/coordination/replication/changes.rs
@@ -54,11 +54,11 @@
                 self.apply_changes(id, sent, changes, revision);
             }
             Ok(StateResponse::Compacted) => {
-                self.list_again("changes are no longer in the state store")
+                self.list_again("changes are no longer in the state store");
             }
             // A retry would only be larger: all changes come at once, however many there are.
             Err(CallError::ResponseTooLarge) => {
-                self.list_again("changes exceed the size of one answer")
+                self.list_again("changes exceed the size of one answer");
             }
             other => {
                 tracing::debug!(?other, "read failed");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -36,6 +36,16 @@
 //! # }
 //! ```
 
+#![cfg_attr(
+    not(test),
+    warn(
+        clippy::expect_used,
+        clippy::panic,
+        clippy::too_many_lines,
+        clippy::unwrap_used
+    )
+)]
+
 pub mod coordination;
 pub mod explain;
 pub mod protocol;
--- a/tests/days/mod.rs
+++ b/tests/days/mod.rs
@@ -72,7 +72,7 @@
                 text += &format!(
                     "at {at} submit req-{:06} pieces=4 cores=1 run=8 awaits=req-{job:06}\n",
                     100 + job
-                )
+                );
             }
             _ => {}
         }
@@ -192,7 +192,7 @@
                 text += &format!(
                     "at {at} submit req-{:06} pieces=4 cores=1 run=8 awaits=req-{job:06}\n",
                     100 + job
-                )
+                );
             }
             _ => {}
         }
--- a/tests/runner/mod.rs
+++ b/tests/runner/mod.rs
@@ -514,10 +514,10 @@
         for e in effects {
             match e {
                 Effect::State(call, request, limit) => {
-                    self.ask(n, life, call, Ask::State(request), limit)
+                    self.ask(n, life, call, Ask::State(request), limit);
                 }
                 Effect::Cloud(call, request, limit) => {
-                    self.ask(n, life, call, Ask::Cloud(request), limit)
+                    self.ask(n, life, call, Ask::Cloud(request), limit);
                 }
                 Effect::PushCommand {
                     call,
@@ -911,7 +911,7 @@
                 down,
             } => self.crash(n, down),
             Step::Crash { node: None, down } => {
-                (0..self.script.nodes).for_each(|n| self.crash(n, down))
+                (0..self.script.nodes).for_each(|n| self.crash(n, down));
             }
             Step::Die { zone, down } => {
                 self.cloud.dark.push((zone.clone(), now + down));
@@ -962,7 +962,7 @@
                 to: CopiesTo::Same,
             } => self.late_reports.push((share, now + span)),
             Step::LateReports { share, span, to } => {
-                self.keeping.push((share, now + span, to == CopiesTo::All))
+                self.keeping.push((share, now + span, to == CopiesTo::All));
             }
             Step::Mute {
                 machine,
--- a/tests/runner/script.rs
+++ b/tests/runner/script.rs
@@ -508,7 +508,7 @@
             "seed" => self.seed = w.word(1, whole)?,
             "nodes" => self.nodes = w.word(1, whole)? as usize,
             "zones" => {
-                self.zones = w.word(1, |t| Some(t.split(',').map(str::to_owned).collect()))?
+                self.zones = w.word(1, |t| Some(t.split(',').map(str::to_owned).collect()))?;
             }
             "end" => self.end = w.word(1, micros)?,
             "lease" => self.lease = w.word(1, real)?,
--- a/tests/runner/users.rs
+++ b/tests/runner/users.rs
@@ -191,13 +191,13 @@
         let over = matches!(state, Some("done" | "cancelled"));
         match kind {
             "query" if !over && repeats => {
-                self.at(self.now + 3_000_000, Happening::UserAgain(user))
+                self.at(self.now + 3_000_000, Happening::UserAgain(user));
             }
             "submit" if repeats && matches!(status, 200 | 201) => {
                 self.user(job, "query", Vec::new(), None);
             }
             "submit" | "abort" if repeats && status == 503 => {
-                self.at(self.now + 1_000_000, Happening::UserAgain(user))
+                self.at(self.now + 1_000_000, Happening::UserAgain(user));
             }
             _ => {}
         }
