--- a/src/coordination/agents/mod.rs
+++ b/src/coordination/agents/mod.rs
@@ -1,7 +1,7 @@
 //! Agents of the machines: their incarnations, the commands they get, and when an assignment may be released.
 //!
 //! An assignment is released only on proof that its attempt is not on the machine and cannot get there:
-//! see `docs/design.md`, "When a booking may be cleared".
+//! see `docs/design.md`, "When an assignment may be released".
 
 mod agent;
 pub(super) mod cancellations;
--- a/src/coordination/commit/transaction/tests.rs
+++ b/src/coordination/commit/transaction/tests.rs
@@ -113,12 +113,12 @@
 fn groups_are_added_when_full_and_removed_when_empty() {
     let mut cell = first_replica();
     let commit = planned(&cell, |transaction| {
-        (1..=5).for_each(|id| add(transaction, id))
+        (1..=5).for_each(|id| add(transaction, id));
     });
     apply(&mut cell, commit, 2);
     assert_eq!(cell.groups[0].len(), 3);
     let commit = planned(&cell, |transaction| {
-        (1..=5).for_each(|id| assert!(transaction.remove(MachineId(id))))
+        (1..=5).for_each(|id| assert!(transaction.remove(MachineId(id))));
     });
     apply(&mut cell, commit, 3);
     assert_eq!(cell.groups[0].keys().copied().collect::<Vec<_>>(), [0]);
