--- a/crates/queues/src/settings.rs
+++ b/crates/queues/src/settings.rs
@@ -188,42 +188,106 @@
 impl QueueSettings {
     /// Reads the text of a settings file and checks every range.
     pub fn parse(text: &[u8]) -> Result<QueueSettings, BadSettings> {
-        let s: QueueSettings = serde_json::from_slice(text).map_err(|e| BadSettings::Malformed(e.to_string()))?;
+        let s: QueueSettings =
+            serde_json::from_slice(text).map_err(|e| BadSettings::Malformed(e.to_string()))?;
         s.check()?;
         Ok(s)
     }
 
     fn check(&self) -> Result<(), BadSettings> {
-        let check = |field, ok: bool, what| if ok { Ok(()) } else { Err(BadSettings::Field(field, what)) };
-        let address = |a: &String| a.rsplit_once(':').is_some_and(|(h, p)| !h.is_empty() && p.parse::<u16>().is_ok());
+        let check = |field, ok: bool, what| {
+            if ok {
+                Ok(())
+            } else {
+                Err(BadSettings::Field(field, what))
+            }
+        };
+        let address = |a: &String| {
+            a.rsplit_once(':')
+                .is_some_and(|(h, p)| !h.is_empty() && p.parse::<u16>().is_ok())
+        };
         let controllers = !self.controllers.is_empty() && self.controllers.iter().all(address);
         check("controllers", controllers, "one or more of host:port")?;
         check("state.address", address(&self.state.address), "host:port")?;
-        check("metrics", self.metrics.as_ref().is_none_or(address), "host:port")?;
+        check(
+            "metrics",
+            self.metrics.as_ref().is_none_or(address),
+            "host:port",
+        )?;
         let p = &self.state.prefix;
         let own = !["c/", "final/"].iter().any(|other| p.starts_with(other));
-        let plain = p.len() <= 64 && p.bytes().all(|b| b.is_ascii_alphanumeric() || b"/-_.".contains(&b));
-        check("state.prefix", own && plain && p.len() > 1 && p.ends_with('/'), "a prefix of its own that ends with /")?;
-        check("state.rounds_per_s", (1..=1_000).contains(&self.state.rounds_per_s), "1 to 1000")?;
-        check("state.value_bytes", (700..=60_000).contains(&self.state.value_bytes), "700 to 60000")?;
-        check("broker.host", !self.broker.host.is_empty(), "a name or an address")?;
+        let plain = p.len() <= 64
+            && p.bytes()
+                .all(|b| b.is_ascii_alphanumeric() || b"/-_.".contains(&b));
+        check(
+            "state.prefix",
+            own && plain && p.len() > 1 && p.ends_with('/'),
+            "a prefix of its own that ends with /",
+        )?;
+        check(
+            "state.rounds_per_s",
+            (1..=1_000).contains(&self.state.rounds_per_s),
+            "1 to 1000",
+        )?;
+        check(
+            "state.value_bytes",
+            (700..=60_000).contains(&self.state.value_bytes),
+            "700 to 60000",
+        )?;
+        check(
+            "broker.host",
+            !self.broker.host.is_empty(),
+            "a name or an address",
+        )?;
         check("broker.port", self.broker.port > 0, "1 to 65535")?;
-        check("broker.vhost", self.broker.vhost.len() <= 255, "at most 255 bytes")?;
-        check("broker.heartbeat_s", (1..=600).contains(&self.broker.heartbeat_s), "1 to 600")?;
-        check("broker.credentials", !self.broker.credentials.as_os_str().is_empty(), "the path of a file")?;
+        check(
+            "broker.vhost",
+            self.broker.vhost.len() <= 255,
+            "at most 255 bytes",
+        )?;
+        check(
+            "broker.heartbeat_s",
+            (1..=600).contains(&self.broker.heartbeat_s),
+            "1 to 600",
+        )?;
+        check(
+            "broker.credentials",
+            !self.broker.credentials.as_os_str().is_empty(),
+            "the path of a file",
+        )?;
         check("calls", (1..=256).contains(&self.calls), "1 to 256")?;
-        check("submits_per_s", (1..=10_000).contains(&self.submits_per_s), "1 to 10000")?;
-        check("polls_per_s", (1..=10_000).contains(&self.polls_per_s), "1 to 10000")?;
+        check(
+            "submits_per_s",
+            (1..=10_000).contains(&self.submits_per_s),
+            "1 to 10000",
+        )?;
+        check(
+            "polls_per_s",
+            (1..=10_000).contains(&self.polls_per_s),
+            "1 to 10000",
+        )?;
         check("poll_s", (0.1..=300.0).contains(&self.poll_s), "0.1 to 300")?;
         check("keep_days", (1..=365).contains(&self.keep_days), "1 to 365")?;
         check("stop_s", (1..=300).contains(&self.stop_s), "1 to 300")?;
         let names: BTreeSet<&String> = self.queues.iter().map(|q| &q.name).collect();
-        check("queues", !names.is_empty() && names.len() == self.queues.len(), "one or more, each named once")?;
+        check(
+            "queues",
+            !names.is_empty() && names.len() == self.queues.len(),
+            "one or more, each named once",
+        )?;
         for q in &self.queues {
             let name = |n: &String| (1..=255).contains(&n.len());
             check("queues.name", name(&q.name), "1 to 255 bytes")?;
-            check("queues.prefetch", (1..=10_000).contains(&q.prefetch), "1 to 10000")?;
-            check("queues.dead_letter", q.dead_letter.as_ref().is_none_or(name), "1 to 255 bytes")?;
+            check(
+                "queues.prefetch",
+                (1..=10_000).contains(&q.prefetch),
+                "1 to 10000",
+            )?;
+            check(
+                "queues.dead_letter",
+                q.dead_letter.as_ref().is_none_or(name),
+                "1 to 255 bytes",
+            )?;
             let other = q.dead_letter.as_ref().is_none_or(|d| !names.contains(d));
             check("queues.dead_letter", other, "a queue that is not served")?;
         }
@@ -237,7 +301,11 @@
             without_reply: q.without_reply,
             dead_letter: q.dead_letter.clone(),
         };
-        let queues: BTreeMap<String, QueueRule> = self.queues.iter().map(|q| (q.name.clone(), rule(q))).collect();
+        let queues: BTreeMap<String, QueueRule> = self
+            .queues
+            .iter()
+            .map(|q| (q.name.clone(), rule(q)))
+            .collect();
         Limits {
             calls: self.calls,
             submits_per_s: self.submits_per_s,
@@ -278,13 +346,20 @@
     pub fn load(base: &Path, settings: &BrokerSettings) -> Result<Credentials, BadSettings> {
         let path = base.join(&settings.credentials);
         let bad = |what: String| BadSettings::File("broker.credentials", what);
-        let text = std::fs::read_to_string(&path).map_err(|e| bad(format!("{}: {e}", path.display())))?;
+        let text =
+            std::fs::read_to_string(&path).map_err(|e| bad(format!("{}: {e}", path.display())))?;
         let mut lines = text.lines().map(str::trim).filter(|l| !l.is_empty());
         match (lines.next(), lines.next()) {
             (Some(user), Some(password)) if user.len() < 256 && password.len() < 4_096 => {
-                Ok(Credentials { user: user.to_owned(), password: password.to_owned() })
+                Ok(Credentials {
+                    user: user.to_owned(),
+                    password: password.to_owned(),
+                })
             }
-            _ => Err(bad(format!("{}: two lines are wanted, a name and a password", path.display()))),
+            _ => Err(bad(format!(
+                "{}: two lines are wanted, a name and a password",
+                path.display()
+            ))),
         }
     }
 }
--- a/crates/queues/src/shell/broker.rs
+++ b/crates/queues/src/shell/broker.rs
@@ -14,13 +14,15 @@
 use crate::settings::{BadSettings, Credentials, QueueSettings};
 use amqprs::callbacks::{ChannelCallback, ConnectionCallback};
 use amqprs::channel::{
-    BasicAckArguments, BasicConsumeArguments, BasicPublishArguments, BasicQosArguments, Channel, ConsumerMessage,
-    QueueDeclareArguments, QueueDeleteArguments,
+    BasicAckArguments, BasicConsumeArguments, BasicPublishArguments, BasicQosArguments, Channel,
+    ConsumerMessage, QueueDeclareArguments, QueueDeleteArguments,
 };
 use amqprs::connection::{Connection, OpenConnectionArguments};
 use amqprs::error::Error;
 use amqprs::tls::TlsAdaptor;
-use amqprs::{Ack, BasicProperties, Cancel, Close, CloseChannel, FieldTable, FieldValue, Nack, Return};
+use amqprs::{
+    Ack, BasicProperties, Cancel, Close, CloseChannel, FieldTable, FieldValue, Nack, Return,
+};
 use async_trait::async_trait;
 use parking_lot::Mutex;
 use serde_json::json;
@@ -82,9 +84,17 @@
 }
 
 impl Broker {
-    pub fn new(settings: Arc<QueueSettings>, credentials: Credentials, base: &Path) -> Result<Broker, BadSettings> {
+    pub fn new(
+        settings: Arc<QueueSettings>,
+        credentials: Credentials,
+        base: &Path,
+    ) -> Result<Broker, BadSettings> {
         let target = Target::new(&settings, base)?;
-        Ok(Broker { settings, credentials, target })
+        Ok(Broker {
+            settings,
+            credentials,
+            target,
+        })
     }
 
     /// Connects, after a connection that was lost through a relay that sorts out what `amqprs` cannot read.
@@ -94,9 +104,16 @@
             let (at, way) = relay::open(self.target.clone()).await?;
             (host, port, relay) = (at.ip().to_string(), at.port(), Some(way));
         }
-        let mut args = OpenConnectionArguments::new(&host, port, &self.credentials.user, &self.credentials.password);
+        let mut args = OpenConnectionArguments::new(
+            &host,
+            port,
+            &self.credentials.user,
+            &self.credentials.password,
+        );
         let b = &self.settings.broker;
-        args.virtual_host(&b.vhost).heartbeat(b.heartbeat_s).connection_name("cometlead queues");
+        args.virtual_host(&b.vhost)
+            .heartbeat(b.heartbeat_s)
+            .connection_name("cometlead queues");
         if let Some((connector, name)) = self.target.tls.clone().filter(|_| !by_relay) {
             args.tls_adaptor(TlsAdaptor::new(connector, name));
         }
@@ -127,8 +144,17 @@
             match opened.unwrap_or(Err(End::Silent)) {
                 Ok((connection, relay)) => {
                     pause = AGAIN;
-                    let end = Link::run(&self.settings, connection.clone(), epoch, &mut orders, &events).await;
-                    let close = |limit| tokio::time::timeout(Duration::from_secs(limit), connection.clone().close());
+                    let end = Link::run(
+                        &self.settings,
+                        connection.clone(),
+                        epoch,
+                        &mut orders,
+                        &events,
+                    )
+                    .await;
+                    let close = |limit| {
+                        tokio::time::timeout(Duration::from_secs(limit), connection.clone().close())
+                    };
                     let Err(end) = end else {
                         let _ = close(2).await;
                         return;
@@ -177,7 +203,10 @@
 
     fn end(&self) -> End {
         let closed = self.closed.lock().clone();
-        End::Closed(closed.map_or_else(|| "no reason given".to_owned(), |(code, text)| format!("{code} {text}")))
+        End::Closed(closed.map_or_else(
+            || "no reason given".to_owned(),
+            |(code, text)| format!("{code} {text}"),
+        ))
     }
 }
 
@@ -189,7 +218,10 @@
     }
 
     async fn blocked(&mut self, _: &Connection, reason: String) {
-        tracing::error!(reason, "the broker is short of memory or disk, and takes no answers for now");
+        tracing::error!(
+            reason,
+            "the broker is short of memory or disk, and takes no answers for now"
+        );
     }
 
     async fn unblocked(&mut self, _: &Connection) {
@@ -224,7 +256,9 @@
 }
 
 async fn patiently<T>(call: impl Future<Output = Result<T, Error>>) -> Result<T, End> {
-    Ok(tokio::time::timeout(PATIENCE, call).await.map_err(|_| End::Silent)??)
+    Ok(tokio::time::timeout(PATIENCE, call)
+        .await
+        .map_err(|_| End::Silent)??)
 }
 
 struct Link<'a> {
@@ -301,15 +335,31 @@
         Ok(())
     }
 
-    async fn consume_from(&self, queue: &str, prefetch: u16, exclusive: bool) -> Result<Consumer, End> {
-        patiently(self.channel.basic_qos(BasicQosArguments::new(0, prefetch, false))).await?;
-        let args = BasicConsumeArguments::new(queue, queue).manual_ack(true).exclusive(exclusive).finish();
+    async fn consume_from(
+        &self,
+        queue: &str,
+        prefetch: u16,
+        exclusive: bool,
+    ) -> Result<Consumer, End> {
+        patiently(
+            self.channel
+                .basic_qos(BasicQosArguments::new(0, prefetch, false)),
+        )
+        .await?;
+        let args = BasicConsumeArguments::new(queue, queue)
+            .manual_ack(true)
+            .exclusive(exclusive)
+            .finish();
         Ok(patiently(self.channel.basic_consume_rx(args)).await?.1)
     }
 
     async fn open(&mut self, holder: Holder) -> Result<(), End> {
         let queue = queue_of(holder);
-        patiently(self.channel.queue_declare(QueueDeclareArguments::durable_client_named(&queue))).await?;
+        patiently(
+            self.channel
+                .queue_declare(QueueDeclareArguments::durable_client_named(&queue)),
+        )
+        .await?;
         let mut receipts = self.consume_from(&queue, 0, true).await?;
         self.holder = Some(holder);
         let own = Arc::clone(&self.own);
@@ -326,12 +376,16 @@
 
     async fn consume(&mut self) -> Result<(), End> {
         for queue in &self.settings.queues {
-            let mut messages = self.consume_from(&queue.name, queue.prefetch, false).await?;
+            let mut messages = self
+                .consume_from(&queue.name, queue.prefetch, false)
+                .await?;
             let (events, epoch, name) = (self.events.clone(), self.epoch, queue.name.clone());
             tokio::spawn(async move {
                 while let Some(m) = messages.recv().await {
                     if let Some((tag, message)) = read(&name, m)
-                        && events.send((Some(epoch), Event::Delivered(tag, message))).is_err()
+                        && events
+                            .send((Some(epoch), Event::Delivered(tag, message)))
+                            .is_err()
                     {
                         return;
                     }
@@ -341,8 +395,17 @@
         Ok(())
     }
 
-    async fn publish(&self, to: &str, properties: BasicProperties, body: Vec<u8>) -> Result<(), End> {
-        patiently(self.channel.basic_publish(properties, body, BasicPublishArguments::new("", to))).await
+    async fn publish(
+        &self,
+        to: &str,
+        properties: BasicProperties,
+        body: Vec<u8>,
+    ) -> Result<(), End> {
+        patiently(
+            self.channel
+                .basic_publish(properties, body, BasicPublishArguments::new("", to)),
+        )
+        .await
     }
 
     async fn commit(&mut self, commit: Commit) -> Result<(), End> {
@@ -352,18 +415,27 @@
             patiently(self.channel.basic_ack(BasicAckArguments::new(tag, false))).await?;
         }
         for notice in &commit.notices {
-            self.publish(&notice.to, properties(notice.of, notice.correlation.as_deref()), interim(notice)).await?;
+            self.publish(
+                &notice.to,
+                properties(notice.of, notice.correlation.as_deref()),
+                interim(notice),
+            )
+            .await?;
         }
         for post in &commit.posts {
             match post {
-                Post::Answer(a) => self.publish(&a.to, properties(a.of, a.correlation.as_deref()), last(a)).await?,
+                Post::Answer(a) => {
+                    self.publish(&a.to, properties(a.of, a.correlation.as_deref()), last(a))
+                        .await?
+                }
                 Post::Dead(d) => self.publish(&d.to, dead(d), d.body.clone()).await?,
             }
         }
         if let Some(holder) = self.holder.filter(|_| !keys.is_empty()) {
             let mut properties = BasicProperties::default();
             properties.with_persistence(true);
-            self.publish(&queue_of(holder), properties, encode(&keys)).await?;
+            self.publish(&queue_of(holder), properties, encode(&keys))
+                .await?;
         }
         patiently(self.channel.tx_commit()).await
     }
@@ -386,7 +458,10 @@
 
     /// Leaves another connection's receipts, and removes their queue if that is due.
     fn clear(&self, holder: Holder, delete: bool) {
-        let (connection, channel) = (self.connection.clone(), self.inquiries.lock().remove(&holder));
+        let (connection, channel) = (
+            self.connection.clone(),
+            self.inquiries.lock().remove(&holder),
+        );
         let (events, epoch) = (self.events.clone(), self.epoch);
         tokio::spawn(async move {
             let channel = match channel {
@@ -400,7 +475,9 @@
             let watch = Watch::default();
             let _ = patiently(channel.register_callback(watch.clone())).await;
             if delete {
-                let deleted = patiently(channel.queue_delete(QueueDeleteArguments::new(&queue_of(holder)))).await;
+                let deleted =
+                    patiently(channel.queue_delete(QueueDeleteArguments::new(&queue_of(holder))))
+                        .await;
                 if deleted.is_ok() || watch.code() == Some(NOT_FOUND) {
                     let _ = events.send((Some(epoch), Event::Cleared(holder)));
                 }
@@ -413,22 +490,41 @@
 type Consumer = mpsc::UnboundedReceiver<ConsumerMessage>;
 
 /// Reads all receipts of another connection and keeps them from everybody else, as long as the channel is open.
-async fn inquire(connection: &Connection, holder: Holder, epoch: u64) -> Result<(Receipts, Channel), Receipts> {
+async fn inquire(
+    connection: &Connection,
+    holder: Holder,
+    epoch: u64,
+) -> Result<(Receipts, Channel), Receipts> {
     let queue = queue_of(holder);
     let watch = Watch::default();
     let busy = |_: End| Receipts::Busy;
-    let channel = patiently(connection.open_channel(None)).await.map_err(busy)?;
-    patiently(channel.register_callback(watch.clone())).await.map_err(busy)?;
-    let args = BasicConsumeArguments::new(&queue, &queue).manual_ack(true).exclusive(true).finish();
+    let channel = patiently(connection.open_channel(None))
+        .await
+        .map_err(busy)?;
+    patiently(channel.register_callback(watch.clone()))
+        .await
+        .map_err(busy)?;
+    let args = BasicConsumeArguments::new(&queue, &queue)
+        .manual_ack(true)
+        .exclusive(true)
+        .finish();
     let consumer = patiently(channel.basic_consume_rx(args)).await;
     let Ok((_, mut receipts)) = consumer else {
         // The reason comes with the end of the channel.
         let missing = watch.code() == Some(NOT_FOUND) && connection.is_open();
-        return Err(if missing { Receipts::Lost } else { Receipts::Busy });
+        return Err(if missing {
+            Receipts::Lost
+        } else {
+            Receipts::Busy
+        });
     };
     // What comes before this one is all that was there.
     let end = format!("end {epoch} {}", std::process::id()).into_bytes();
-    let sent = channel.basic_publish(BasicProperties::default(), end.clone(), BasicPublishArguments::new("", &queue));
+    let sent = channel.basic_publish(
+        BasicProperties::default(),
+        end.clone(),
+        BasicPublishArguments::new("", &queue),
+    );
     patiently(sent).await.map_err(busy)?;
     let mut keys = std::collections::BTreeSet::new();
     loop {
@@ -504,7 +600,9 @@
 
 fn properties(of: Key, correlation: Option<&str>) -> BasicProperties {
     let mut p = BasicProperties::default();
-    p.with_content_type("application/json").with_persistence(true).with_message_id(&of.to_string());
+    p.with_content_type("application/json")
+        .with_persistence(true)
+        .with_message_id(&of.to_string());
     if let Some(correlation) = correlation {
         p.with_correlation_id(correlation);
     }
@@ -518,7 +616,9 @@
         headers.insert(name, FieldValue::S(reason));
     }
     let mut p = BasicProperties::default();
-    p.with_persistence(true).with_message_id(&letter.of.to_string()).with_headers(headers);
+    p.with_persistence(true)
+        .with_message_id(&letter.of.to_string())
+        .with_headers(headers);
     p
 }
 
--- a/crates/queues/src/shell/http.rs
+++ b/crates/queues/src/shell/http.rs
@@ -114,31 +114,59 @@
 
     fn controller(&self) -> (usize, &str) {
         let at = self.at.load(Ordering::Relaxed);
-        (at, self.controllers.get(at % self.controllers.len().max(1)).map_or("", String::as_str))
+        (
+            at,
+            self.controllers
+                .get(at % self.controllers.len().max(1))
+                .map_or("", String::as_str),
+        )
     }
 
     /// The next one, unless somebody has moved on already.
     fn move_on(&self, from: usize) {
-        let _ = self.at.compare_exchange(from, from.wrapping_add(1), Ordering::Relaxed, Ordering::Relaxed);
+        let _ = self.at.compare_exchange(
+            from,
+            from.wrapping_add(1),
+            Ordering::Relaxed,
+            Ordering::Relaxed,
+        );
     }
 
     /// Submits a job.
     pub async fn submit(&self, body: Vec<u8>) -> Reply {
         let (at, host) = self.controller();
-        let request = self.client.post(format!("http://{host}/work")).header(CONTENT_TYPE, "application/json");
-        self.reply(at, request.body(body).timeout(SUBMIT), false).await
+        let request = self
+            .client
+            .post(format!("http://{host}/work"))
+            .header(CONTENT_TYPE, "application/json");
+        self.reply(at, request.body(body).timeout(SUBMIT), false)
+            .await
     }
 
     /// Asks how a job is.
     pub async fn ask(&self, job: &str) -> Reply {
         let (at, host) = self.controller();
-        self.reply(at, self.client.get(format!("http://{host}/work/{job}")).timeout(POLL), false).await
+        self.reply(
+            at,
+            self.client
+                .get(format!("http://{host}/work/{job}"))
+                .timeout(POLL),
+            false,
+        )
+        .await
     }
 
     /// Cancels a job.
     pub async fn cancel(&self, job: &str) -> Reply {
         let (at, host) = self.controller();
-        self.reply(at, self.client.post(format!("http://{host}/work/{job}/abort")).timeout(SUBMIT), true).await
+        self.reply(
+            at,
+            self.client
+                .post(format!("http://{host}/work/{job}/abort"))
+                .timeout(SUBMIT),
+            true,
+        )
+        .await
     }
 
     async fn reply(&self, at: usize, request: RequestBuilder, cancel: bool) -> Reply {
@@ -147,8 +175,13 @@
             return Reply::None;
         };
         let status = response.status().as_u16();
-        let after = response.headers().get(RETRY_AFTER).and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
-        let Ok(body) = response.bytes().await else { return Reply::None };
+        let after = response
+            .headers()
+            .get(RETRY_AFTER)
+            .and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
+        let Ok(body) = response.bytes().await else {
+            return Reply::None;
+        };
         let wire: JobWire = serde_json::from_slice(&body).unwrap_or_default();
         match (status, wire.status.as_str()) {
             (200 | 201, "done") => Reply::Over(Outcome::Done),
@@ -160,7 +193,10 @@
             (404, _) => Reply::Unknown,
             (429 | 503, _) => {
                 self.move_on(at);
-                let after = after.filter(|s| s.is_finite()).unwrap_or(1.0).clamp(0.0, MOST_LATER_S);
+                let after = after
+                    .filter(|s| s.is_finite())
+                    .unwrap_or(1.0)
+                    .clamp(0.0, MOST_LATER_S);
                 Reply::Later((after * 1e6) as Micros)
             }
             _ => {
@@ -189,7 +225,13 @@
     }
 
     async fn get(&self, path: String) -> Option<(u16, bytes::Bytes)> {
-        let response = self.client.get(format!("http://{}{path}", self.state)).timeout(STATE).send().await.ok()?;
+        let response = self
+            .client
+            .get(format!("http://{}{path}", self.state))
+            .timeout(STATE)
+            .send()
+            .await
+            .ok()?;
         Some((response.status().as_u16(), response.bytes().await.ok()?))
     }
 
@@ -205,32 +247,77 @@
     }
 
     async fn read_closed(&self, from: u64) -> Option<Told> {
-        let after = from.checked_sub(1).map(|seq| format!("&after={}", self.closed_key(seq))).unwrap_or_default();
-        let (status, body) = self.get(format!("/kv?prefix={}closed/{after}&most={PAGE}", self.prefix)).await?;
+        let after = from
+            .checked_sub(1)
+            .map(|seq| format!("&after={}", self.closed_key(seq)))
+            .unwrap_or_default();
+        let (status, body) = self
+            .get(format!(
+                "/kv?prefix={}closed/{after}&most={PAGE}",
+                self.prefix
+            ))
+            .await?;
         if status != 200 {
             return None;
         }
         let wire: PageWire = serde_json::from_slice(&body).ok()?;
-        let record = |i: &ItemWire| Some((i.key.rsplit_once('/')?.1.parse().ok()?, i.value.get().to_owned()));
-        Some(Told::Closed(wire.items.iter().filter_map(record).collect(), wire.more))
+        let record = |i: &ItemWire| {
+            Some((
+                i.key.rsplit_once('/')?.1.parse().ok()?,
+                i.value.get().to_owned(),
+            ))
+        };
+        Some(Told::Closed(
+            wire.items.iter().filter_map(record).collect(),
+            wire.more,
+        ))
     }
 
     async fn round(&self, request: &Request) -> Option<Told> {
-        let Request::Round { stamp, open, close, remove } = request else { return None };
+        let Request::Round {
+            stamp,
+            open,
+            close,
+            remove,
+        } = request
+        else {
+            return None;
+        };
         let raw = |text: &String| RawValue::from_string(text.clone()).ok();
-        let mut then = vec![Then::Write { write: self.open_key(), value: raw(open)? }];
+        let mut then = vec![Then::Write {
+            write: self.open_key(),
+            value: raw(open)?,
+        }];
         if let Some((seq, text)) = close {
-            then.push(Then::Write { write: self.closed_key(*seq), value: raw(text)? });
+            then.push(Then::Write {
+                write: self.closed_key(*seq),
+                value: raw(text)?,
+            });
         }
-        then.extend(remove.map(|seq| Then::Remove { remove: self.closed_key(seq) }));
-        let txn = Txn { when: vec![When { key: self.open_key(), stamp: *stamp }], then };
-        let request = self.client.post(format!("http://{}/txn", self.state)).timeout(STATE);
-        let request = request.header(CONTENT_TYPE, "application/json").body(serde_json::to_vec(&txn).ok()?);
+        then.extend(remove.map(|seq| Then::Remove {
+            remove: self.closed_key(seq),
+        }));
+        let txn = Txn {
+            when: vec![When {
+                key: self.open_key(),
+                stamp: *stamp,
+            }],
+            then,
+        };
+        let request = self
+            .client
+            .post(format!("http://{}/txn", self.state))
+            .timeout(STATE);
+        let request = request
+            .header(CONTENT_TYPE, "application/json")
+            .body(serde_json::to_vec(&txn).ok()?);
         let response = request.send().await.ok()?;
         let status = response.status().as_u16();
         let body = response.bytes().await.ok()?;
         match status {
-            200 => Some(Told::Applied(serde_json::from_slice::<EpochWire>(&body).ok()?.epoch)),
+            200 => Some(Told::Applied(
+                serde_json::from_slice::<EpochWire>(&body).ok()?.epoch,
+            )),
             409 => Some(Told::Clash),
             400 => {
                 tracing::error!(answer = %String::from_utf8_lossy(&body), "the state service refuses a round");
--- a/crates/queues/src/shell/metrics.rs
+++ b/crates/queues/src/shell/metrics.rs
@@ -29,7 +29,9 @@
 
 fn snapshot(front: &Front, now: Micros) -> Snapshot {
     let (rounds, clashes) = front.ledger().rounds();
-    let oldest = front.oldest().map_or(0, |since| now.saturating_sub(since) / 1_000_000);
+    let oldest = front
+        .oldest()
+        .map_or(0, |since| now.saturating_sub(since) / 1_000_000);
     Snapshot {
         counters: front.counters(),
         in_hand: signed(front.in_hand()),
@@ -76,7 +78,12 @@
     }
 }
 
-fn put(encoder: &mut DescriptorEncoder, name: &str, help: &str, metric: &impl EncodeMetric) -> std::fmt::Result {
+fn put(
+    encoder: &mut DescriptorEncoder,
+    name: &str,
+    help: &str,
+    metric: &impl EncodeMetric,
+) -> std::fmt::Result {
     let name = format!("cometlead_queues_{name}");
     metric.encode(encoder.encode_descriptor(&name, help, None, metric.metric_type())?)
 }
@@ -87,15 +94,35 @@
         let c = s.counters;
         let counters = [
             ("received", "deliveries", c.received),
-            ("redelivered", "deliveries that the broker calls repeated", c.redelivered),
-            ("held_back", "deliveries of messages in hand or answered before", c.held_back),
+            (
+                "redelivered",
+                "deliveries that the broker calls repeated",
+                c.redelivered,
+            ),
+            (
+                "held_back",
+                "deliveries of messages in hand or answered before",
+                c.held_back,
+            ),
             ("accepted", "jobs accepted by the controllers", c.accepted),
             ("refused", "messages refused for good", c.refused),
-            ("delayed", "times that the controllers asked to come back later", c.delayed),
-            ("unanswered", "requests to the controllers without an answer", c.unanswered),
+            (
+                "delayed",
+                "times that the controllers asked to come back later",
+                c.delayed,
+            ),
+            (
+                "unanswered",
+                "requests to the controllers without an answer",
+                c.unanswered,
+            ),
             ("polls", "questions about jobs", c.polls),
             ("answered", "answers and dead letters", c.answered),
-            ("repeated", "answers that may have been given before", c.repeated),
+            (
+                "repeated",
+                "answers that may have been given before",
+                c.repeated,
+            ),
             ("commits", "transactions with the broker", c.commits),
             ("settled", "seals of dead connections settled", c.settled),
             ("rounds", "rounds of marks carried out", s.rounds),
@@ -106,7 +133,11 @@
         }
         let gauges = [
             ("in_hand", "messages in hand", s.in_hand),
-            ("oldest_seconds", "how long the oldest of them is in hand", s.oldest_s),
+            (
+                "oldest_seconds",
+                "how long the oldest of them is in hand",
+                s.oldest_s,
+            ),
             ("marks", "marks that are kept", s.marks),
         ];
         for (name, help, value) in gauges {
@@ -149,7 +180,11 @@
             .push(Router::with_path("healthz").get(Healthy));
         match TcpListener::new(at.clone()).try_bind().await {
             Ok(acceptor) => {
-                if let Err(error) = Server::new(acceptor).max_connections(16).try_serve(Service::new(router)).await {
+                if let Err(error) = Server::new(acceptor)
+                    .max_connections(16)
+                    .try_serve(Service::new(router))
+                    .await
+                {
                     tracing::error!(%error, "metrics: the server stopped, starting it again");
                 }
             }
--- a/crates/queues/src/shell/mod.rs
+++ b/crates/queues/src/shell/mod.rs
@@ -41,8 +41,13 @@
 
 impl Clock {
     fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: u64::try_from(unix.as_micros()).unwrap_or_default() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            unix: u64::try_from(unix.as_micros()).unwrap_or_default(),
+        }
     }
 
     fn now(&self) -> Micros {
@@ -90,10 +95,20 @@
             orders,
         };
         let link = tokio::spawn(self.broker.keep_connected(wanted, events));
-        shell.run(inbox, stop, &gauges, Duration::from_secs(u64::from(self.settings.stop_s))).await;
+        shell
+            .run(
+                inbox,
+                stop,
+                &gauges,
+                Duration::from_secs(u64::from(self.settings.stop_s)),
+            )
+            .await;
         drop(shell);
         // The connection is closed in an orderly way if the broker still answers.
-        if tokio::time::timeout(Duration::from_secs(3), link).await.is_err() {
+        if tokio::time::timeout(Duration::from_secs(3), link)
+            .await
+            .is_err()
+        {
             tracing::info!("the broker did not answer the end of the connection");
         }
         tracing::info!("ended");
@@ -187,10 +202,18 @@
     fn carry_out(&mut self, effect: Effect) {
         let http = Arc::clone(&self.http);
         match effect {
-            Effect::Submit(call, body) => self.beside(async move { Event::Service(call, http.submit(body).await) }),
-            Effect::Ask(call, job) => self.beside(async move { Event::Service(call, http.ask(&job).await) }),
-            Effect::Cancel(call, job) => self.beside(async move { Event::Service(call, http.cancel(&job).await) }),
-            Effect::State(request) => self.beside(async move { Event::State(http.state(&request).await) }),
+            Effect::Submit(call, body) => {
+                self.beside(async move { Event::Service(call, http.submit(body).await) })
+            }
+            Effect::Ask(call, job) => {
+                self.beside(async move { Event::Service(call, http.ask(&job).await) })
+            }
+            Effect::Cancel(call, job) => {
+                self.beside(async move { Event::Service(call, http.cancel(&job).await) })
+            }
+            Effect::State(request) => {
+                self.beside(async move { Event::State(http.state(&request).await) })
+            }
             Effect::Open(holder) => self.order(Order::Open(holder)),
             Effect::Consume => self.order(Order::Consume),
             Effect::Drop => self.order(Order::Drop),
--- a/crates/queues/src/shell/relay.rs
+++ b/crates/queues/src/shell/relay.rs
@@ -36,7 +36,9 @@
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let at = listener.local_addr()?;
     let way = tokio::spawn(async move {
-        let Ok((library, _)) = listener.accept().await else { return };
+        let Ok((library, _)) = listener.accept().await else {
+            return;
+        };
         drop(listener);
         if let Err(error) = pass(broker, library).await {
             tracing::debug!(%error, "the way to the broker ended");
@@ -45,7 +47,10 @@
     Ok((at, way))
 }
 
-async fn pass(broker: impl AsyncRead + AsyncWrite + Send + 'static, library: TcpStream) -> io::Result<()> {
+async fn pass(
+    broker: impl AsyncRead + AsyncWrite + Send + 'static,
+    library: TcpStream,
+) -> io::Result<()> {
     library.set_nodelay(true)?;
     let (from_broker, mut to_broker) = tokio::io::split(broker);
     let (mut from_library, mut to_library) = library.into_split();
@@ -77,13 +82,18 @@
 /// The frame, or one in its place that the library can read.
 fn readable(frame: BytesMut) -> BytesMut {
     let payload = frame.len().saturating_sub(END);
-    let Some(properties) = frame.get(HEAD + COMMON..payload).filter(|_| frame.first() == Some(&CONTENT_HEADER)) else {
+    let Some(properties) = frame
+        .get(HEAD + COMMON..payload)
+        .filter(|_| frame.first() == Some(&CONTENT_HEADER))
+    else {
         return frame;
     };
     if from_bytes::<BasicProperties>(properties).is_ok() {
         return frame;
     }
-    let Ok(stripped) = to_bytes(&stripped(properties)) else { return frame };
+    let Ok(stripped) = to_bytes(&stripped(properties)) else {
+        return frame;
+    };
     tracing::error!("a message whose properties or headers cannot be read");
     let mut new = BytesMut::with_capacity(HEAD + COMMON + stripped.len() + END);
     new.extend_from_slice(&frame[..HEAD - 4]);
--- a/src/bookkeeping/admission.rs
+++ b/src/bookkeeping/admission.rs
@@ -13,7 +13,9 @@
 use cometlead_constraints::clash::{RuleMask, smallest};
 use cometlead_constraints::expr::{Field, Words};
 use cometlead_constraints::judge::Empty;
-use cometlead_constraints::{Dimension, Expr, Judged, Kind, Now, Quantity, Rule, RuleSet, Subject, Traits, Value};
+use cometlead_constraints::{
+    Dimension, Expr, Judged, Kind, Now, Quantity, Rule, RuleSet, Subject, Traits, Value,
+};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -29,7 +31,10 @@
         ("zone", Value::Word(yard.to_owned())),
         ("spot", Value::Flag(spot)),
         ("cores", number(t.room.cores, Dimension::Plain)),
-        ("accelerators", number(t.room.accelerators, Dimension::Plain)),
+        (
+            "accelerators",
+            number(t.room.accelerators, Dimension::Plain),
+        ),
         ("memory", number(t.room.memory, Dimension::Size)),
         ("cache", number(t.cache, Dimension::Size)),
         ("fetch", number(t.fetch, Dimension::Rate)),
@@ -48,17 +53,29 @@
         set.label(&mut traits, &class.build, &class.yard, machine.as_deref());
         traits
     };
-    Some(if sets.is_empty() { vec![plain] } else { sets.iter().map(under).collect() })
+    Some(if sets.is_empty() {
+        vec![plain]
+    } else {
+        sets.iter().map(under).collect()
+    })
 }
 
 /// Machines that any set names in its labels.
 pub fn labelled(sets: &[Arc<RuleSet>]) -> BTreeSet<MachineId> {
-    sets.iter().flat_map(|s| s.file.labels.machines.keys()).filter_map(|m| m.parse().ok()).collect()
+    sets.iter()
+        .flat_map(|s| s.file.labels.machines.keys())
+        .filter_map(|m| m.parse().ok())
+        .collect()
 }
 
 /// A job, as rules tell jobs apart.
 pub fn subject(spec: &JobSpec) -> Subject<'_> {
-    Subject { lane: &spec.lane, crew: &spec.crew, image: &spec.bundle, urgency: spec.urgency.name() }
+    Subject {
+        lane: &spec.lane,
+        crew: &spec.crew,
+        image: &spec.bundle,
+        urgency: spec.urgency.name(),
+    }
 }
 
 fn both(a: Judged, b: Judged) -> Judged {
@@ -117,11 +134,18 @@
 }
 
 /// Rules that concern a job, each with the sets under which it holds.
-fn concerning<'a>(spec: &'a JobSpec, sets: &'a [Arc<RuleSet>]) -> Vec<(&'a Rule, std::ops::Range<usize>)> {
+fn concerning<'a>(
+    spec: &'a JobSpec,
+    sets: &'a [Arc<RuleSet>],
+) -> Vec<(&'a Rule, std::ops::Range<usize>)> {
     let job = subject(spec);
     let own = spec.rules.iter().map(|r| (r, 0..sets.len().max(1)));
-    let of_sets = sets.iter().enumerate().flat_map(|(i, set)| set.rules.iter().map(move |r| (r, i..i + 1)));
-    own.chain(of_sets.filter(|(r, _)| r.concerns(&job))).collect()
+    let of_sets = sets
+        .iter()
+        .enumerate()
+        .flat_map(|(i, set)| set.rules.iter().map(move |r| (r, i..i + 1)));
+    own.chain(of_sets.filter(|(r, _)| r.concerns(&job)))
+        .collect()
 }
 
 /// Whether any hard rule concerns a job.
@@ -138,15 +162,25 @@
             return None;
         }
         let last = sets.len().max(1) - 1;
-        let mut all = Admission { together: vec![Judged::Yes; classes.len()], ..Admission::default() };
+        let mut all = Admission {
+            together: vec![Judged::Yes; classes.len()],
+            ..Admission::default()
+        };
         for (rule, under) in rules {
-            let under = if rule.is_hard() { under } else { under.start.max(last)..under.end };
+            let under = if rule.is_hard() {
+                under
+            } else {
+                under.start.max(last)..under.end
+            };
             if under.is_empty() {
                 continue;
             }
             let judge = |traits: &ClassTraits| match traits {
                 None => Judged::No,
-                Some(t) => t[under.clone()].iter().map(|t| rule.expr.reduce(t)).fold(Judged::Yes, both),
+                Some(t) => t[under.clone()]
+                    .iter()
+                    .map(|t| rule.expr.reduce(t))
+                    .fold(Judged::Yes, both),
             };
             let judged: Vec<Judged> = classes.iter().map(judge).collect();
             match rule.kind {
@@ -160,14 +194,24 @@
                             beside.push((*field, words.clone()));
                         }
                     });
-                    all.hard.push(Hard { name: rule.name.clone(), beside, judged });
+                    all.hard.push(Hard {
+                        name: rule.name.clone(),
+                        beside,
+                        judged,
+                    });
                 }
                 Kind::Prefer { weight, wait } => {
-                    all.soft.push(Soft { name: rule.name.clone(), weight, wait: Micros(wait), judged });
+                    all.soft.push(Soft {
+                        name: rule.name.clone(),
+                        weight,
+                        wait: Micros(wait),
+                        judged,
+                    });
                 }
             }
         }
-        all.soft.sort_by(|a, b| b.weight.cmp(&a.weight).then_with(|| a.name.cmp(&b.name)));
+        all.soft
+            .sort_by(|a, b| b.weight.cmp(&a.weight).then_with(|| a.name.cmp(&b.name)));
         all.soft.truncate(Insisted::BITS as usize);
         Some(all)
     }
@@ -185,7 +229,11 @@
     }
 
     fn insisted(&self, insisted: Insisted) -> impl Iterator<Item = &Soft> {
-        self.soft.iter().enumerate().filter(move |(i, _)| insisted >> i & 1 == 1).map(|(_, s)| s)
+        self.soft
+            .iter()
+            .enumerate()
+            .filter(move |(i, _)| insisted >> i & 1 == 1)
+            .map(|(_, s)| s)
     }
 
     fn holds(&self, class: ClassId, insisted: Insisted, now: &dyn Now) -> bool {
@@ -199,7 +247,10 @@
     }
 
     fn worth(&self, class: ClassId, now: &dyn Now) -> u32 {
-        let met = self.soft.iter().filter(|s| s.judged.get(class).is_some_and(|j| j.holds(now)));
+        let met = self
+            .soft
+            .iter()
+            .filter(|s| s.judged.get(class).is_some_and(|j| j.holds(now)));
         met.map(|s| s.weight).sum()
     }
 
@@ -232,7 +283,9 @@
             let with = insisted | 1 << i;
             if s.wait > Micros::ZERO
                 && waits(s.wait)
-                && possible.iter().any(|c| self.may(*c, with) && in_time(*c, s.wait))
+                && possible
+                    .iter()
+                    .any(|c| self.may(*c, with) && in_time(*c, s.wait))
             {
                 insisted = with;
             }
@@ -248,7 +301,12 @@
 
     fn names(&self, clash: RuleMask, first: usize) -> Vec<&str> {
         let mut names: Vec<&str> = Vec::new();
-        for (i, name) in FIELDS.iter().copied().take(first).chain(self.hard.iter().map(|h| h.name.as_str())).enumerate()
+        for (i, name) in FIELDS
+            .iter()
+            .copied()
+            .take(first)
+            .chain(self.hard.iter().map(|h| h.name.as_str()))
+            .enumerate()
         {
             // Two versions of a rule that hold for a while have one name.
             if clash >> i & 1 == 1 && !names.contains(&name) {
@@ -260,20 +318,30 @@
 }
 
 fn mask(bits: impl Iterator<Item = bool>, first: usize) -> RuleMask {
-    bits.take(RuleMask::BITS as usize - first).enumerate().fold(0, |m, (i, b)| m | RuleMask::from(b) << (i + first))
+    bits.take(RuleMask::BITS as usize - first)
+        .enumerate()
+        .fold(0, |m, (i, b)| m | RuleMask::from(b) << (i + first))
 }
 
 /// What a submission itself says of where it may run, as clashes name it.
-const FIELDS: [&str; 4] =
-    ["submission: builds", "submission: yard", "submission: loaners", "submission: size of a task"];
+const FIELDS: [&str; 4] = [
+    "submission: builds",
+    "submission: yard",
+    "submission: loaners",
+    "submission: size of a task",
+];
 
 /// What of a submission itself rules out a class.
 fn fields_failing(spec: &JobSpec, class: &Class, catalog: &Catalog) -> RuleMask {
     let fails = [
-        spec.builds.as_ref().is_some_and(|b| !b.iter().any(|n| **n == *class.build)),
+        spec.builds
+            .as_ref()
+            .is_some_and(|b| !b.iter().any(|n| **n == *class.build)),
         spec.yard.as_ref().is_some_and(|y| **y != *class.yard),
         class.spot && !spec.loaners,
-        catalog.get(&class.build).is_none_or(|t| !spec.need.fits(&t.room)),
+        catalog
+            .get(&class.build)
+            .is_none_or(|t| !spec.need.fits(&t.room)),
     ];
     mask(fails.into_iter(), 0)
 }
@@ -281,7 +349,12 @@
 /// What of a submission itself rules out a class, by name.
 pub fn fields_against(spec: &JobSpec, class: &Class, catalog: &Catalog) -> Vec<&'static str> {
     let fails = fields_failing(spec, class, catalog);
-    FIELDS.into_iter().enumerate().filter(|(i, _)| fails >> i & 1 == 1).map(|(_, name)| name).collect()
+    FIELDS
+        .into_iter()
+        .enumerate()
+        .filter(|(i, _)| fails >> i & 1 == 1)
+        .map(|(_, name)| name)
+        .collect()
 }
 
 /// The smallest set of rules that keeps a job from every machine that is up or could be, by their names;
@@ -295,7 +368,12 @@
 ) -> Option<Vec<String>> {
     let first = FIELDS.len();
     let mut places: Vec<RuleMask> = Vec::new();
-    for (n, class) in classes.all().iter().enumerate().filter(|(n, _)| classes.possible(*n)) {
+    for (n, class) in classes
+        .all()
+        .iter()
+        .enumerate()
+        .filter(|(n, _)| classes.possible(*n))
+    {
         let fails = fields_failing(spec, class, catalog) | admission.failing(n, first);
         if fails == 0 {
             return None;
@@ -306,16 +384,27 @@
     let mut tables = Vec::new();
     for m in classes.unseen() {
         let name = m.to_string();
-        let table: Vec<_> = sets.iter().map(|s| s.file.labels.machines.get(&name)).collect();
+        let table: Vec<_> = sets
+            .iter()
+            .map(|s| s.file.labels.machines.get(&name))
+            .collect();
         if tables.contains(&table) {
             continue;
         }
         tables.push(table);
-        let offered = classes.all().iter().enumerate().filter(|(n, c)| classes.possible(*n) && c.machine.is_none());
+        let offered = classes
+            .all()
+            .iter()
+            .enumerate()
+            .filter(|(n, c)| classes.possible(*n) && c.machine.is_none());
         for (_, class) in offered {
-            let class = Class { machine: Some(m), ..class.clone() };
+            let class = Class {
+                machine: Some(m),
+                ..class.clone()
+            };
             let judged = Admission::of(spec, sets, &[traits(&class, sets, catalog)]);
-            let fails = fields_failing(spec, &class, catalog) | judged.map_or(0, |a| a.failing(0, first));
+            let fails =
+                fields_failing(spec, &class, catalog) | judged.map_or(0, |a| a.failing(0, first));
             if fails == 0 {
                 return None;
             }
@@ -323,7 +412,13 @@
         }
     }
     let clash = smallest(&places)?;
-    Some(admission.names(clash, first).into_iter().map(str::to_owned).collect())
+    Some(
+        admission
+            .names(clash, first)
+            .into_iter()
+            .map(str::to_owned)
+            .collect(),
+    )
 }
 
 /// Everything that is judged machine by machine.
@@ -390,14 +485,20 @@
     fn beside(&self, field: Field, words: &Words) -> bool {
         let there = self.site.there.iter().filter(|j| **j != self.job);
         let known = there.filter_map(|j| Some((*j, self.house.jobs.get(j)?.spec())));
-        known.chain(self.comes).any(|(id, spec)| is_of(spec, id, field, words))
+        known
+            .chain(self.comes)
+            .any(|(id, spec)| is_of(spec, id, field, words))
     }
 }
 
 impl House<'_> {
     /// Whether rules of a job ask what is beside, so that others may have to stay away from where it is.
     pub fn guards(&self, job: JobId) -> bool {
-        self.beside && self.admissions.get(&job).is_some_and(Admission::asks_beside)
+        self.beside
+            && self
+                .admissions
+                .get(&job)
+                .is_some_and(Admission::asks_beside)
     }
 
     /// Whether rules let a task of a job on a machine: its own, and those of the jobs that are there.
@@ -408,32 +509,81 @@
         insisted: Insisted,
         site: Site<'_>,
     ) -> bool {
-        let found = Found { house: self, site, job, image: &spec.bundle, comes: None };
+        let found = Found {
+            house: self,
+            site,
+            job,
+            image: &spec.bundle,
+            comes: None,
+        };
         admission.is_none_or(|a| a.holds(site.class, insisted, &found))
-            && (!site.guarded || site.there.iter().all(|other| *other == job || self.bears(*other, (job, spec), site)))
+            && (!site.guarded
+                || site
+                    .there
+                    .iter()
+                    .all(|other| *other == job || self.bears(*other, (job, spec), site)))
     }
 
     /// Whether the rules of a job that has tasks on a machine let another job come there.
     fn bears(&self, there: JobId, comes: (JobId, &JobSpec), site: Site<'_>) -> bool {
-        let Some(admission) = self.admissions.get(&there) else { return true };
+        let Some(admission) = self.admissions.get(&there) else {
+            return true;
+        };
         let image = self.jobs.get(&there).map_or("", |j| &j.spec().bundle);
-        let found = Found { house: self, site, job: there, image, comes: Some(comes) };
+        let found = Found {
+            house: self,
+            site,
+            job: there,
+            image,
+            comes: Some(comes),
+        };
         admission.hard.iter().all(|h| {
-            let concerned = h.beside.iter().any(|(field, words)| is_of(comes.1, comes.0, *field, words));
+            let concerned = h
+                .beside
+                .iter()
+                .any(|(field, words)| is_of(comes.1, comes.0, *field, words));
             !concerned || h.judged.get(site.class).is_some_and(|j| j.holds(&found))
         })
     }
 
     /// The weights of the preferences that a machine meets, added up.
-    pub fn worth(&self, (job, spec): (JobId, &JobSpec), admission: Option<&Admission>, site: Site<'_>) -> u32 {
-        let found = Found { house: self, site, job, image: &spec.bundle, comes: None };
+    pub fn worth(
+        &self,
+        (job, spec): (JobId, &JobSpec),
+        admission: Option<&Admission>,
+        site: Site<'_>,
+    ) -> u32 {
+        let found = Found {
+            house: self,
+            site,
+            job,
+            image: &spec.bundle,
+            comes: None,
+        };
         admission.map_or(0, |a| a.worth(site.class, &found))
     }
 
     /// The hard rules that a machine does not meet now, as bits.
-    fn failing_now(&self, (job, spec): (JobId, &JobSpec), admission: &Admission, site: Site<'_>) -> RuleMask {
-        let found = Found { house: self, site, job, image: &spec.bundle, comes: None };
-        mask(admission.hard.iter().map(|h| !h.judged.get(site.class).is_some_and(|j| j.holds(&found))), 0)
+    fn failing_now(
+        &self,
+        (job, spec): (JobId, &JobSpec),
+        admission: &Admission,
+        site: Site<'_>,
+    ) -> RuleMask {
+        let found = Found {
+            house: self,
+            site,
+            job,
+            image: &spec.bundle,
+            comes: None,
+        };
+        mask(
+            admission
+                .hard
+                .iter()
+                .map(|h| !h.judged.get(site.class).is_some_and(|j| j.holds(&found))),
+            0,
+        )
     }
 
     /// The smallest set of a job's hard rules that keeps it from every one of these machines, by name; `None`
@@ -447,6 +597,12 @@
     ) -> Option<Vec<String>> {
         let places: Vec<RuleMask> = sites.map(|s| self.failing_now(job, admission, s)).collect();
         let clash = smallest(&places)?;
-        Some(admission.names(clash, 0).into_iter().map(str::to_owned).collect())
+        Some(
+            admission
+                .names(clash, 0)
+                .into_iter()
+                .map(str::to_owned)
+                .collect(),
+        )
     }
 }
--- a/src/bookkeeping/amount.rs
+++ b/src/bookkeeping/amount.rs
@@ -24,7 +24,9 @@
 impl Amount {
     /// Whether `self` goes into `room`.
     pub fn fits(&self, room: &Amount) -> bool {
-        self.cores <= room.cores && self.accelerators <= room.accelerators && self.memory <= room.memory
+        self.cores <= room.cores
+            && self.accelerators <= room.accelerators
+            && self.memory <= room.memory
     }
 
     /// How many times `self` goes into `room`, at most `most`.
--- a/src/bookkeeping/classes.rs
+++ b/src/bookkeeping/classes.rs
@@ -54,7 +54,15 @@
     /// A machine came up.
     pub fn add(&mut self, m: MachineId, r: &MachineRecord) {
         let machine = self.labelled.contains(&m).then_some(m);
-        self.come(m, Class { build: Arc::clone(&r.build), yard: Arc::clone(&r.yard), spot: r.spot, machine });
+        self.come(
+            m,
+            Class {
+                build: Arc::clone(&r.build),
+                yard: Arc::clone(&r.yard),
+                spot: r.spot,
+                machine,
+            },
+        );
     }
 
     /// A machine of a class came up.
@@ -80,7 +88,12 @@
             for zone in &t.zones {
                 for spot in [true, false] {
                     let (build, yard) = (t.name.as_str().into(), zone.as_str().into());
-                    let n = self.number(Class { build, yard, spot, machine: None });
+                    let n = self.number(Class {
+                        build,
+                        yard,
+                        spot,
+                        machine: None,
+                    });
                     self.offered[n] = true;
                 }
             }
@@ -131,7 +144,10 @@
 
     /// Machines with labels of their own that are not up, as far as is known.
     pub fn unseen(&self) -> impl Iterator<Item = MachineId> {
-        self.labelled.iter().copied().filter(|m| !self.of.contains_key(m))
+        self.labelled
+            .iter()
+            .copied()
+            .filter(|m| !self.of.contains_key(m))
     }
 
     /// Grows whenever there is a new class.
--- a/src/bookkeeping/finished.rs
+++ b/src/bookkeeping/finished.rs
@@ -30,7 +30,11 @@
 impl Finished {
     fn of(words: Vec<u64>) -> Finished {
         let count = words.iter().map(|w| w.count_ones()).sum();
-        Finished { words, count, terse: false }
+        Finished {
+            words,
+            count,
+            terse: false,
+        }
     }
 
     /// Whether no task is in it.
@@ -68,7 +72,9 @@
     pub fn count_with(&self, other: &Finished) -> u32 {
         let longest = self.words.len().max(other.words.len());
         let word = |set: &Finished, i: usize| set.words.get(i).copied().unwrap_or(0);
-        (0..longest).map(|i| (word(self, i) | word(other, i)).count_ones()).sum()
+        (0..longest)
+            .map(|i| (word(self, i) | word(other, i)).count_ones())
+            .sum()
     }
 
     /// Adds all tasks of the other.
@@ -101,7 +107,12 @@
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
         if self.terse {
             let mut bytes: Vec<u8> = self.words.iter().flat_map(|w| w.to_le_bytes()).collect();
-            bytes.truncate(bytes.iter().rposition(|b| *b != 0).map_or(0, |last| last + 1));
+            bytes.truncate(
+                bytes
+                    .iter()
+                    .rposition(|b| *b != 0)
+                    .map_or(0, |last| last + 1),
+            );
             let mut text = String::from(TERSE);
             URL_SAFE_NO_PAD.encode_string(bytes, &mut text);
             return s.serialize_str(&text);
@@ -118,7 +129,10 @@
         if let Some(terse) = text.strip_prefix(TERSE) {
             let bytes = URL_SAFE_NO_PAD.decode(terse).map_err(|_| bad())?;
             let word = |b: &[u8]| b.iter().rev().fold(0, |w, b| w << 8 | u64::from(*b));
-            return Ok(Finished { terse: true, ..Finished::of(bytes.chunks(8).map(word).collect()) });
+            return Ok(Finished {
+                terse: true,
+                ..Finished::of(bytes.chunks(8).map(word).collect())
+            });
         }
         if !text.is_ascii() || text.len() % 16 != 0 {
             return Err(bad());
--- a/src/bookkeeping/fleet.rs
+++ b/src/bookkeeping/fleet.rs
@@ -38,7 +38,10 @@
     /// Whether the machines of a pool may run it.
     fn takes(&self, p: &Pool<'_>) -> bool {
         self.spec.allows(p.build, p.yard, p.spot)
-            && self.places.as_ref().is_none_or(|r| p.class.is_some_and(|c| r.class(c)))
+            && self
+                .places
+                .as_ref()
+                .is_none_or(|r| p.class.is_some_and(|c| r.class(c)))
     }
 
     /// What a machine hired for it would be worth to its preferences; `None` if it may not run it.
@@ -46,7 +49,9 @@
         if !self.spec.allows(build, yard, spot) {
             return None;
         }
-        self.places.as_ref().map_or(Some(0), |r| r.offer(build, yard, spot))
+        self.places
+            .as_ref()
+            .map_or(Some(0), |r| r.offer(build, yard, spot))
     }
 }
 
@@ -88,13 +93,24 @@
         free: Option<(Amount, Option<MachineId>)>,
         work: u128,
     ) {
-        let same = |p: &Pool<'_>| p.spot == spot && p.build == build && p.yard == yard && p.class == class;
+        let same =
+            |p: &Pool<'_>| p.spot == spot && p.build == build && p.yard == yard && p.class == class;
         let at = self.0.iter().position(same);
         let at = at.unwrap_or_else(|| {
             let kind = catalog.get(build);
             let all = kind.map_or(Amount::default(), |t| t.room);
             let price = kind.map_or(0, |t| core_price(t, spot));
-            self.0.push(Pool { build, yard, spot, all, price, count: 0, work: 0, free: Vec::new(), class });
+            self.0.push(Pool {
+                build,
+                yard,
+                spot,
+                all,
+                price,
+                count: 0,
+                work: 0,
+                free: Vec::new(),
+                class,
+            });
             self.0.len() - 1
         });
         let pool = &mut self.0[at];
@@ -149,11 +165,19 @@
 /// Most that a core may cost for work that has time: half as much again as the cheapest that the
 /// job may use. What is dearer is for work that would otherwise be late. `allows`: whether it may use
 /// machines of a type, zone and kind.
-pub fn price_limit(catalog: &Catalog, spec: &JobSpec, allows: &dyn Fn(&str, &str, bool) -> bool) -> u64 {
+pub fn price_limit(
+    catalog: &Catalog,
+    spec: &JobSpec,
+    allows: &dyn Fn(&str, &str, bool) -> bool,
+) -> u64 {
     let allowed = |t: &MachineType, spot: bool| t.zones.iter().any(|z| allows(&t.name, z, spot));
     let fitting = catalog.types.iter().filter(|t| spec.need.fits(&t.room));
-    let prices = fitting.flat_map(|t| [true, false].map(|spot| allowed(t, spot).then(|| core_price(t, spot))));
-    prices.flatten().min().map_or(u64::MAX, |least| least.saturating_mul(3) / 2)
+    let prices = fitting
+        .flat_map(|t| [true, false].map(|spot| allowed(t, spot).then(|| core_price(t, spot))));
+    prices
+        .flatten()
+        .min()
+        .map_or(u64::MAX, |least| least.saturating_mul(3) / 2)
 }
 
 /// Machines to hire, with how many of each. `offered`: whether an offer is worth asking for. `class_of`: the
@@ -207,12 +231,23 @@
                 waiting += task_work * u128::from(left);
                 break;
             };
-            let zone = t.zones.iter().find(|z| **z == offer.yard).map_or("", |z| z.as_str());
+            let zone = t
+                .zones
+                .iter()
+                .find(|z| **z == offer.yard)
+                .map_or("", |z| z.as_str());
             let n = need.times_in(&t.room, left);
             let free = t.room - need.times(n);
             let class = class_of(&offer);
             let kind = (t.name.as_str(), zone, offer.spot);
-            pools.add(kind, catalog, class, 1, Some((free, None)), task_work * u128::from(n));
+            pools.add(
+                kind,
+                catalog,
+                class,
+                1,
+                Some((free, None)),
+                task_work * u128::from(n),
+            );
             left -= n;
             hired += 1;
             match hires.iter_mut().find(|(o, _)| *o == offer) {
@@ -234,7 +269,9 @@
 impl Backlog {
     /// When it will have been run off.
     fn drained(&self) -> Micros {
-        self.ahead.checked_div(self.cores).map_or(Micros::FOREVER, |t| Micros(t as u64))
+        self.ahead
+            .checked_div(self.cores)
+            .map_or(Micros::FOREVER, |t| Micros(t as u64))
     }
 
     /// What is left of it after some time.
@@ -255,7 +292,9 @@
     backlog: Backlog,
     offered: &dyn Fn(&Offer) -> bool,
 ) -> Option<(&'a MachineType, Offer)> {
-    let dear = price_limit(catalog, d.spec, &|build, yard, spot| d.worth(build, yard, spot).is_some());
+    let dear = price_limit(catalog, d.spec, &|build, yard, spot| {
+        d.worth(build, yard, spot).is_some()
+    });
     let mut best: Option<(Cost, &MachineType, Offer)> = None;
     for t in &catalog.types {
         let per_machine = d.spec.need.times_in(&t.room, left);
@@ -265,9 +304,15 @@
         let comes_up = t.boot + t.fetch_time(d.spec.size);
         for zone in &t.zones {
             for spot in [true, false] {
-                let offer = Offer { build: t.name.clone(), yard: zone.clone(), spot };
+                let offer = Offer {
+                    build: t.name.clone(),
+                    yard: zone.clone(),
+                    spot,
+                };
                 // There must still be something for it to do when it comes up.
-                let some = u128::from(d.spec.need.cores) * u128::from(d.run.0) * u128::from(per_machine) / 2;
+                let some =
+                    u128::from(d.spec.need.cores) * u128::from(d.run.0) * u128::from(per_machine)
+                        / 2;
                 // A set that starts together needs room for all of it at once, however soon each task is done.
                 let together = d.spec.together();
                 let useful = together || backlog.cores == 0 || backlog.after(comes_up) >= some;
@@ -275,12 +320,16 @@
                 // only if it does not take longer to come up than it works.
                 let late = backlog.drained() > d.slack && comes_up < d.slack && comes_up <= d.run;
                 let worth = useful && (late || backlog.cores == 0 || core_price(t, spot) <= dear);
-                let Some(liked) = d.worth(&t.name, zone, spot).filter(|_| worth && offered(&offer)) else {
+                let Some(liked) = d
+                    .worth(&t.name, zone, spot)
+                    .filter(|_| worth && offered(&offer))
+                else {
                     continue;
                 };
                 let busy = d.run.max(Micros::secs(10)) + t.fetch_time(d.spec.size);
                 let charged = (t.boot + busy * 2).max(Micros::secs(60));
-                let cost = u128::from(t.price_of(spot)) * u128::from(charged.0) / u128::from(per_machine);
+                let cost =
+                    u128::from(t.price_of(spot)) * u128::from(charged.0) / u128::from(per_machine);
                 // What costs the same goes by preference.
                 let cost = (cost, Reverse(liked));
                 if best.as_ref().is_none_or(|(c, ..)| cost < *c) {
--- a/src/bookkeeping/job.rs
+++ b/src/bookkeeping/job.rs
@@ -116,7 +116,10 @@
     pub fn allows(&self, build: &str, zone: &str, spot: bool) -> bool {
         (self.loaners || !spot)
             && self.yard.as_deref().is_none_or(|y| y == zone)
-            && self.builds.as_ref().is_none_or(|b| b.iter().any(|n| n == build))
+            && self
+                .builds
+                .as_ref()
+                .is_none_or(|b| b.iter().any(|n| n == build))
     }
 
     /// Whether some machine of this type could run one of its tasks.
@@ -131,7 +134,11 @@
 
     /// Most tasks that may be in one zone.
     pub fn zone_limit(&self) -> u32 {
-        if self.apart { self.pieces.div_ceil(2) } else { self.pieces }
+        if self.apart {
+            self.pieces.div_ceil(2)
+        } else {
+            self.pieces
+        }
     }
 
     /// How many chunks its finished set takes beyond the one in the job's own record.
--- a/src/bookkeeping/live.rs
+++ b/src/bookkeeping/live.rs
@@ -55,7 +55,10 @@
         match index / CHUNK {
             0 => self.record.finished.has(index) || self.ends.has(index),
             n if self.record.full >> n & 1 == 1 => true,
-            n => self.chunks.get(&n).is_some_and(|c| c.value.has(index % CHUNK)),
+            n => self
+                .chunks
+                .get(&n)
+                .is_some_and(|c| c.value.has(index % CHUNK)),
         }
     }
 
@@ -63,7 +66,11 @@
     /// of it was completed, or far less than failed. A replica that goes on running completes nothing.
     pub fn suspect(&self) -> bool {
         let done = self.done();
-        let failures = if done == 0 && !self.spec().standing { 2 } else { done.saturating_add(4) };
+        let failures = if done == 0 && !self.spec().standing {
+            2
+        } else {
+            done.saturating_add(4)
+        };
         self.record.avoid.len() >= 2 && self.record.errors >= failures
     }
 
--- a/src/bookkeeping/pipeline.rs
+++ b/src/bookkeeping/pipeline.rs
@@ -31,7 +31,14 @@
     pub fn alone(spec: &JobSpec) -> Stage {
         let none = Micros::ZERO;
         let urgency = spec.urgency;
-        Stage { waits: false, cancelled: false, doubtful: false, ready_at: none, urgency, wanted_by: None }
+        Stage {
+            waits: false,
+            cancelled: false,
+            doubtful: false,
+            ready_at: none,
+            urgency,
+            wanted_by: None,
+        }
     }
 }
 
@@ -66,7 +73,12 @@
     }
 
     /// A job has come up; it is among `jobs` already. Tells whose stages changed.
-    pub fn appeared(&mut self, id: JobId, jobs: &mut HashMap<JobId, Job>, changed: &mut Vec<JobId>) {
+    pub fn appeared(
+        &mut self,
+        id: JobId,
+        jobs: &mut HashMap<JobId, Job>,
+        changed: &mut Vec<JobId>,
+    ) {
         self.unknown.remove(&id);
         let Some(job) = jobs.get(&id) else { return };
         for f in &job.spec().awaits {
@@ -75,7 +87,10 @@
                 self.unknown.insert(*f);
             }
         }
-        let (awaits, needed) = (!job.spec().awaits.is_empty(), self.followers.contains_key(&id));
+        let (awaits, needed) = (
+            !job.spec().awaits.is_empty(),
+            self.followers.contains_key(&id),
+        );
         if needed {
             self.want(id, jobs, changed);
         }
@@ -110,11 +125,21 @@
         changed: &mut Vec<JobId>,
     ) -> Option<FinalRecord> {
         let cancelled = job.cancelled();
-        let done = if cancelled { job.done() } else { job.spec().pieces };
+        let done = if cancelled {
+            job.done()
+        } else {
+            job.spec().pieces
+        };
         let known = cancelled || !job.stage.waits;
-        let end = known.then_some(FinalRecord { cancelled, done, at: today });
+        let end = known.then_some(FinalRecord {
+            cancelled,
+            done,
+            at: today,
+        });
         for f in &job.spec().awaits {
-            let Some(of) = self.followers.get_mut(f) else { continue };
+            let Some(of) = self.followers.get_mut(f) else {
+                continue;
+            };
             of.remove(&id);
             if of.is_empty() {
                 self.followers.remove(f);
@@ -141,7 +166,13 @@
     }
 
     /// It became known how a job ended.
-    pub fn learn(&mut self, id: JobId, end: FinalRecord, jobs: &mut HashMap<JobId, Job>, changed: &mut Vec<JobId>) {
+    pub fn learn(
+        &mut self,
+        id: JobId,
+        end: FinalRecord,
+        jobs: &mut HashMap<JobId, Job>,
+        changed: &mut Vec<JobId>,
+    ) {
         if self.unknown.remove(&id) {
             self.ends.insert(id, end);
             self.settle(self.followers_of(id), jobs, changed);
@@ -149,15 +180,30 @@
     }
 
     fn followers_of(&self, id: JobId) -> Vec<JobId> {
-        self.followers.get(&id).into_iter().flatten().copied().collect()
+        self.followers
+            .get(&id)
+            .into_iter()
+            .flatten()
+            .copied()
+            .collect()
     }
 
     /// Works out anew what follows for these jobs from those that they await, and goes on along the
     /// chains that change.
-    fn settle(&self, mut todo: Vec<JobId>, jobs: &mut HashMap<JobId, Job>, changed: &mut Vec<JobId>) {
+    fn settle(
+        &self,
+        mut todo: Vec<JobId>,
+        jobs: &mut HashMap<JobId, Job>,
+        changed: &mut Vec<JobId>,
+    ) {
         while let Some(id) = todo.pop() {
             let Some(job) = jobs.get(&id) else { continue };
-            let mut new = Stage { waits: false, cancelled: false, doubtful: false, ..job.stage };
+            let mut new = Stage {
+                waits: false,
+                cancelled: false,
+                doubtful: false,
+                ..job.stage
+            };
             for f in &job.spec().awaits {
                 match (jobs.get(f), self.ends.get(f)) {
                     (Some(before), _) => {
@@ -199,7 +245,9 @@
             let Some(job) = jobs.get(&id) else { continue };
             let (urgency, by) = (job.stage.urgency, must_begin(job));
             for f in job.spec().awaits.clone() {
-                let Some(before) = jobs.get_mut(&f) else { continue };
+                let Some(before) = jobs.get_mut(&f) else {
+                    continue;
+                };
                 let wanted_by = before.stage.wanted_by.into_iter().chain(by).min();
                 let urgency = before.stage.urgency.min(urgency);
                 if (urgency, wanted_by) != (before.stage.urgency, before.stage.wanted_by) {
@@ -218,8 +266,18 @@
         let mut todo = vec![id];
         while let Some(id) = todo.pop() {
             let Some(job) = jobs.get(&id) else { continue };
-            let needed: Vec<&Job> = self.followers.get(&id).into_iter().flatten().filter_map(|f| jobs.get(f)).collect();
-            let urgency = needed.iter().map(|j| j.stage.urgency).chain([job.spec().urgency]).min();
+            let needed: Vec<&Job> = self
+                .followers
+                .get(&id)
+                .into_iter()
+                .flatten()
+                .filter_map(|f| jobs.get(f))
+                .collect();
+            let urgency = needed
+                .iter()
+                .map(|j| j.stage.urgency)
+                .chain([job.spec().urgency])
+                .min();
             let urgency = urgency.unwrap_or(job.spec().urgency);
             let wanted_by = needed.iter().filter_map(|j| must_begin(j)).min();
             if (urgency, wanted_by) == (job.stage.urgency, job.stage.wanted_by) {
--- a/src/bookkeeping/placement.rs
+++ b/src/bookkeeping/placement.rs
@@ -161,17 +161,24 @@
 
     /// Whether rules let it on the machine.
     fn admitted(&self, s: &Slot<'_>) -> bool {
-        self.rules.is_none_or(|r| r.house.admits((self.job, self.spec), r.admission, r.insisted, s.site()))
+        self.rules.is_none_or(|r| {
+            r.house
+                .admits((self.job, self.spec), r.admission, r.insisted, s.site())
+        })
     }
 
     /// The same, as far as the machine's class tells.
     fn class_admitted(&self, s: &Slot<'_>) -> bool {
-        self.rules.and_then(|r| r.admission.map(|a| (a, r.insisted))).is_none_or(|(a, i)| a.may(s.class, i))
+        self.rules
+            .and_then(|r| r.admission.map(|a| (a, r.insisted)))
+            .is_none_or(|(a, i)| a.may(s.class, i))
     }
 
     /// How much its preferences make of the machine.
     fn worth(&self, s: &Slot<'_>) -> u32 {
-        self.rules.map_or(0, |r| r.house.worth((self.job, self.spec), r.admission, s.site()))
+        self.rules.map_or(0, |r| {
+            r.house.worth((self.job, self.spec), r.admission, s.site())
+        })
     }
 
     /// Notes that tasks of it go to the machine, if rules ask.
@@ -217,9 +224,14 @@
 ) -> Vec<Takeover> {
     let mut takeovers: Vec<Takeover> = Vec::new();
     let mut looked = false;
-    for ask in asks.iter().filter(|a| a.mine && a.preempts && !a.whole && !a.spec.one_zone && !a.spec.apart) {
+    for ask in asks
+        .iter()
+        .filter(|a| a.mine && a.preempts && !a.whole && !a.spec.one_zone && !a.spec.apart)
+    {
         let placed = claims.iter().filter(|c| c.job == ask.job).count() as u64;
-        let mut left = (ask.tasks.len() as u64).min(ask.most).saturating_sub(placed);
+        let mut left = (ask.tasks.len() as u64)
+            .min(ask.most)
+            .saturating_sub(placed);
         if left > 0 && !std::mem::replace(&mut looked, true) {
             for s in slots.iter_mut() {
                 s.running = running(s.machine);
@@ -233,7 +245,10 @@
                 .filter(|(_, s)| ask.takes(s) && ask.spec.need.fits(&s.all))
                 .filter_map(|(i, s)| {
                     let (victims, room, n) = victims(s, ask, left)?;
-                    let lost: u64 = s.running[s.running.len() - victims..].iter().map(|r| r.need.cores).sum();
+                    let lost: u64 = s.running[s.running.len() - victims..]
+                        .iter()
+                        .map(|r| r.need.cores)
+                        .sum();
                     // Stopping much for little is not worth what is lost.
                     let gained = n * ask.spec.need.cores;
                     let no_image = !s.has_image(&ask.spec.bundle);
@@ -246,7 +261,9 @@
                     ))
                 })
                 .min_by_key(|b| b.0);
-            let Some((_, i, n, count, room)) = best else { break };
+            let Some((_, i, n, count, room)) = best else {
+                break;
+            };
             let slot = &mut slots[i];
             slot.free = room;
             slot.free -= ask.spec.need.times(n);
@@ -254,9 +271,20 @@
             let from = slot.running.len() - count;
             let victims = slot.running.drain(from..).map(|r| r.booking).collect();
             let machine = slot.machine;
-            let claims =
-                next.by_ref().take(n as usize).map(|index| Claim { job: ask.job, index: *index, machine }).collect();
-            takeovers.push(Takeover { machine, victims, claims });
+            let claims = next
+                .by_ref()
+                .take(n as usize)
+                .map(|index| Claim {
+                    job: ask.job,
+                    index: *index,
+                    machine,
+                })
+                .collect();
+            takeovers.push(Takeover {
+                machine,
+                victims,
+                claims,
+            });
             left -= n;
         }
     }
@@ -285,10 +313,17 @@
 }
 
 /// Places what fits, in the order of the asks; takes the room from the slots.
-pub fn plan<'a>(slots: &mut [Slot<'a>], asks: &mut [Ask<'a>], groups: &mut Groups, most: usize) -> Vec<Claim> {
+pub fn plan<'a>(
+    slots: &mut [Slot<'a>],
+    asks: &mut [Ask<'a>],
+    groups: &mut Groups,
+    most: usize,
+) -> Vec<Claim> {
     let mut claims = Vec::new();
     // Room only becomes less while planning: what is full now is not looked at again.
-    let mut live: Vec<usize> = (0..slots.len()).filter(|i| slots[*i].free.cores > 0).collect();
+    let mut live: Vec<usize> = (0..slots.len())
+        .filter(|i| slots[*i].free.cores > 0)
+        .collect();
     // So what was looked for in vain need not be looked for again.
     let mut vain: Vec<Shape<'a>> = Vec::new();
     // The others' claims only take room here. Beyond some number they are no longer worth following.
@@ -370,7 +405,12 @@
     most: usize,
     claims: &mut Vec<Claim>,
 ) -> bool {
-    let mut zone = ask.zones.keys().next().copied().filter(|_| ask.spec.one_zone);
+    let mut zone = ask
+        .zones
+        .keys()
+        .next()
+        .copied()
+        .filter(|_| ask.spec.one_zone);
     if ask.spec.one_zone && zone.is_none() {
         zone = roomiest_zone(slots, ask);
     }
@@ -402,12 +442,21 @@
     };
     // A machine that takes a task has the image then and is fuller, so it stays the first choice
     // until it is full: one ranking serves all tasks of the job.
-    let mut best: BinaryHeap<_> =
-        live.iter().filter(|i| fits(&slots[**i])).map(|i| Reverse((rank(&slots[*i]), *i))).collect();
+    let mut best: BinaryHeap<_> = live
+        .iter()
+        .filter(|i| fits(&slots[**i]))
+        .map(|i| Reverse((rank(&slots[*i]), *i)))
+        .collect();
     let found = !best.is_empty();
-    let mut tasks = ask.tasks.iter().take(ask.most.min(most as u64) as usize).peekable();
+    let mut tasks = ask
+        .tasks
+        .iter()
+        .take(ask.most.min(most as u64) as usize)
+        .peekable();
     while tasks.peek().is_some() && claims.len() < most {
-        let Some(Reverse((_, at))) = best.pop() else { break };
+        let Some(Reverse((_, at))) = best.pop() else {
+            break;
+        };
         let slot = &mut slots[at];
         // What is on it now is only looked at once its turn has come: most machines' never does.
         if !ask.admitted(slot) || ask.mine && !groups.take(slot.group) {
@@ -423,7 +472,11 @@
             slot.free -= ask.spec.need;
             slot.fetches = Some(&ask.spec.bundle);
             *in_zone += 1;
-            claims.push(Claim { job: ask.job, index: *index, machine: slot.machine });
+            claims.push(Claim {
+                job: ask.job,
+                index: *index,
+                machine: slot.machine,
+            });
         }
         if claims.len() > before {
             ask.comes_to(slot);
@@ -449,7 +502,9 @@
     let near = |i: usize| (slots[i].free.cores, slots[i].free.memory, Reverse(i), i);
     let mut nearest: BinaryHeap<_> = nearest.into_iter().map(near).collect();
     for _ in 0..slots.len().div_ceil(3) {
-        let Some((.., i)) = nearest.pop().filter(|_| missing > 0) else { return };
+        let Some((.., i)) = nearest.pop().filter(|_| missing > 0) else {
+            return;
+        };
         let slot = &mut slots[i];
         slot.kept = true;
         missing = missing.saturating_sub(ask.spec.need.times_in(&slot.all, missing));
@@ -459,7 +514,10 @@
 fn roomiest_zone<'a>(slots: &[Slot<'a>], ask: &Ask<'_>) -> Option<&'a str> {
     let spec = ask.spec;
     let mut room: BTreeMap<&str, u64> = BTreeMap::new();
-    for s in slots.iter().filter(|s| spec.allows(s.build, s.yard, s.spot) && ask.admitted(s)) {
+    for s in slots
+        .iter()
+        .filter(|s| spec.allows(s.build, s.yard, s.spot) && ask.admitted(s))
+    {
         *room.entry(s.yard).or_default() += spec.need.times_in(&s.free, spec.pieces.into());
     }
     room.into_iter().max_by_key(|(_, n)| *n).map(|(z, _)| z)
@@ -499,8 +557,16 @@
                     yard: if i % 2 == 0 { "a" } else { "b" },
                     spot: false,
                     price: 1,
-                    all: Amount { cores: 6_000, accelerators: 0, memory: 0 },
-                    free: Amount { cores: *free, accelerators: 0, memory: 0 },
+                    all: Amount {
+                        cores: 6_000,
+                        accelerators: 0,
+                        memory: 0,
+                    },
+                    free: Amount {
+                        cores: *free,
+                        accelerators: 0,
+                        memory: 0,
+                    },
                     kept: false,
                     images: &[],
                     fetches: None,
@@ -531,7 +597,10 @@
                         rules: None,
                     })
                     .collect();
-                let mut groups = Groups { open: vec![false; 4], left: 3 };
+                let mut groups = Groups {
+                    open: vec![false; 4],
+                    left: 3,
+                };
                 plan(&mut slots, &mut asks, &mut groups, 20)
             };
             assert_eq!(planned(false), planned(true), "seed {seed}");
--- a/src/bookkeeping/time.rs
+++ b/src/bookkeeping/time.rs
@@ -5,7 +5,9 @@
 use std::ops::{Add, AddAssign, Mul, Sub};
 
 /// A point in time or a span, in whole microseconds.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 #[serde(transparent)]
 pub struct Micros(pub u64);
 
--- a/src/bookkeeping/view.rs
+++ b/src/bookkeeping/view.rs
@@ -14,8 +14,8 @@
 pub use super::live::{Job, Stamped};
 use super::pipeline::{Graph, Stage};
 use super::records::{
-    Booking, FENCED, FIRST_LAYOUT, Fitness, FleetRecord, GroupRecord, Key, MachineRecord, MetaRecord, NodeRecord,
-    OwnRecord, TERSE, UsageRecord,
+    Booking, FENCED, FIRST_LAYOUT, Fitness, FleetRecord, GroupRecord, Key, MachineRecord,
+    MetaRecord, NodeRecord, OwnRecord, TERSE, UsageRecord,
 };
 use super::time::Micros;
 use cometlead_constraints::RuleSet;
@@ -101,9 +101,16 @@
 }
 
 /// Takes a machine's bookings out of the index.
-fn unindex(booked: &mut HashMap<JobId, BTreeMap<u32, Place>>, m: MachineId, record: &MachineRecord) {
+fn unindex(
+    booked: &mut HashMap<JobId, BTreeMap<u32, Place>>,
+    m: MachineId,
+    record: &MachineRecord,
+) {
     for Booking(job, index, number) in &record.tasks {
-        let place = Place { machine: m, number: *number };
+        let place = Place {
+            machine: m,
+            number: *number,
+        };
         if let Some(tasks) = booked.get_mut(&JobId(*job)) {
             // A task that moved is indexed at its new place already.
             if tasks.get(index) == Some(&place) {
@@ -184,7 +191,10 @@
         match meta.teams.get(&spec.crew) {
             Some(&k) if k < meta.slices => k,
             // The job ids come in no order; a multiplicative hash spreads runs of them too.
-            _ => ((id.0.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) % meta.slices.max(1) as u64) as Slice,
+            _ => {
+                ((id.0.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) % meta.slices.max(1) as u64)
+                    as Slice
+            }
         }
     }
 
@@ -201,7 +211,11 @@
 
     /// Gives machines that rules name classes of their own.
     pub fn label(&mut self, labelled: BTreeSet<MachineId>) {
-        let machines = self.groups.iter().flat_map(|parts| parts.values()).flat_map(|g| &g.value.machines);
+        let machines = self
+            .groups
+            .iter()
+            .flat_map(|parts| parts.values())
+            .flat_map(|g| &g.value.machines);
         self.classes.label(labelled, machines.map(|(m, r)| (*m, r)));
     }
 
@@ -212,7 +226,9 @@
 
     /// Those of them that take bookings.
     pub fn machines_up(&self) -> impl Iterator<Item = (MachineId, &MachineRecord)> {
-        self.machines().filter(|(_, _, r)| r.fitness == Fitness::Up).map(|(_, m, r)| (m, r))
+        self.machines()
+            .filter(|(_, _, r)| r.fitness == Fitness::Up)
+            .map(|(_, m, r)| (m, r))
     }
 
     /// The machines of a slice.
@@ -248,13 +264,19 @@
         if !self.fenced() {
             return self.usage.get(k).map_or((0, 0), |u| u.value.of(team));
         }
-        self.used.get_or_init(|| self.add_up()).get(team).copied().unwrap_or_default()
+        self.used
+            .get_or_init(|| self.add_up())
+            .get(team)
+            .copied()
+            .unwrap_or_default()
     }
 
     fn add_up(&self) -> HashMap<String, (u64, u64)> {
         let mut used: HashMap<String, (u64, u64)> = HashMap::new();
         for (id, tasks) in &self.booked {
-            let Some(job) = self.jobs.get(id) else { continue };
+            let Some(job) = self.jobs.get(id) else {
+                continue;
+            };
             let (spec, n) = (job.spec(), tasks.len() as u64);
             let more = (n * spec.need.cores, n * spec.need.accelerators);
             match used.get_mut(&spec.crew) {
@@ -274,7 +296,8 @@
 
     /// How a job ended that live ones await, and of which that was not known.
     pub fn learn(&mut self, id: JobId, end: FinalRecord, touched: &mut Touched) {
-        self.pipelines.learn(id, end, &mut self.jobs, &mut touched.jobs);
+        self.pipelines
+            .learn(id, end, &mut self.jobs, &mut touched.jobs);
     }
 
     /// All types that are known.
@@ -304,13 +327,23 @@
 
     /// What a task of this job takes; nothing for a job that is not live.
     pub fn need(&self, job: JobId) -> Amount {
-        self.jobs.get(&job).map(|j| j.record.spec.need).unwrap_or_default()
+        self.jobs
+            .get(&job)
+            .map(|j| j.record.spec.need)
+            .unwrap_or_default()
     }
 
     /// Room left on a machine beside its bookings; that of preempted ones is given already.
     pub fn free(&self, record: &MachineRecord) -> Amount {
-        let mut room = self.machine_type(&record.build).map(|t| t.room).unwrap_or_default();
-        for b in record.tasks.iter().filter(|b| !record.preempted.contains(b)) {
+        let mut room = self
+            .machine_type(&record.build)
+            .map(|t| t.room)
+            .unwrap_or_default();
+        for b in record
+            .tasks
+            .iter()
+            .filter(|b| !record.preempted.contains(b))
+        {
             room -= self.need(JobId(b.0));
         }
         room
@@ -319,12 +352,16 @@
     /// Tasks of a job that are neither finished nor booked, in order.
     pub fn pending<'a>(&'a self, id: JobId, job: &'a Job) -> impl Iterator<Item = u32> + 'a {
         let booked = self.booked.get(&id);
-        (0..job.record.spec.pieces).filter(move |i| !job.finished(*i) && booked.is_none_or(|b| !b.contains_key(i)))
+        (0..job.record.spec.pieces)
+            .filter(move |i| !job.finished(*i) && booked.is_none_or(|b| !b.contains_key(i)))
     }
 
     /// How many tasks of a job are neither finished nor booked.
     pub fn pending_count(&self, id: JobId, job: &Job) -> u32 {
-        job.record.spec.pieces.saturating_sub(job.done() + self.booked_count(id))
+        job.record
+            .spec
+            .pieces
+            .saturating_sub(job.done() + self.booked_count(id))
     }
 
     /// The revision of a key as the copy knows it.
@@ -335,10 +372,18 @@
             Key::Fleet => self.fleet.stamp,
             Key::Node(n) => self.nodes.get(n).map_or(0, |s| s.stamp),
             Key::Own(k) => self.own.get(*k).map_or(0, |s| s.stamp),
-            Key::Group(k, n) => self.groups.get(*k).and_then(|g| g.get(n)).map_or(0, |s| s.stamp),
+            Key::Group(k, n) => self
+                .groups
+                .get(*k)
+                .and_then(|g| g.get(n))
+                .map_or(0, |s| s.stamp),
             Key::Usage(k) => self.usage.get(*k).map_or(0, |s| s.stamp),
             Key::Job(j) => self.jobs.get(j).map_or(0, |s| s.stamp),
-            Key::Chunk(j, n) => self.jobs.get(j).and_then(|s| s.chunks.get(n)).map_or(0, |c| c.stamp),
+            Key::Chunk(j, n) => self
+                .jobs
+                .get(j)
+                .and_then(|s| s.chunks.get(n))
+                .map_or(0, |c| c.stamp),
             Key::Rules(d) => self.rules.get(d).map_or(0, |s| s.stamp),
             Key::Final(_) => 0,
         }
@@ -378,12 +423,18 @@
         match (c.key, c.content) {
             (Key::Meta, Some(Content::Meta(value))) => {
                 let last = value.slices.saturating_sub(1);
-                self.meta = Stamped { value: Some(value), stamp };
+                self.meta = Stamped {
+                    value: Some(value),
+                    stamp,
+                };
                 self.size_for(last);
             }
             (Key::Types, Some(Content::Types(value))) => {
                 self.classes.offer(&value);
-                self.types = Stamped { value: Some(value), stamp };
+                self.types = Stamped {
+                    value: Some(value),
+                    stamp,
+                };
                 touched.usage = true;
                 touched.rules = true;
             }
@@ -439,24 +490,46 @@
                         job.record = record;
                         job.stamp = stamp;
                         if cancels {
-                            self.pipelines.cancelled(id, &mut self.jobs, &mut touched.jobs);
+                            self.pipelines
+                                .cancelled(id, &mut self.jobs, &mut touched.jobs);
                         }
                     }
                     None => {
                         let ends = self.kept_ends(id);
                         let chunks = BTreeMap::new();
                         let stage = Stage::alone(&record.spec);
-                        self.jobs.insert(id, Job { record, stamp, chunks, ends, stage });
-                        self.pipelines.appeared(id, &mut self.jobs, &mut touched.jobs);
+                        self.jobs.insert(
+                            id,
+                            Job {
+                                record,
+                                stamp,
+                                chunks,
+                                ends,
+                                stage,
+                            },
+                        );
+                        self.pipelines
+                            .appeared(id, &mut self.jobs, &mut touched.jobs);
                     }
                 }
                 touched.jobs.push(id);
             }
             (Key::Job(id), None) => {
                 if let Some(job) = self.jobs.remove(&id) {
-                    let end = self.pipelines.ended(id, &job, self.today, &mut self.jobs, &mut touched.jobs);
+                    let end = self.pipelines.ended(
+                        id,
+                        &job,
+                        self.today,
+                        &mut self.jobs,
+                        &mut touched.jobs,
+                    );
                     let JobSpec { lane, crew, .. } = job.record.spec;
-                    touched.ended.push(Ended { job: id, how: end, lane, crew });
+                    touched.ended.push(Ended {
+                        job: id,
+                        how: end,
+                        lane,
+                        crew,
+                    });
                 }
                 touched.jobs.push(id);
             }
@@ -485,7 +558,10 @@
     /// A slice's usage record has changed, and kept these ends before.
     fn gather_ends(&mut self, k: Slice, old: &BTreeMap<JobId, Finished>, touched: &mut Touched) {
         let new = &self.usage[k].value.ends;
-        let changed = new.iter().filter(|(id, set)| old.get(id) != Some(set)).map(|(id, _)| *id);
+        let changed = new
+            .iter()
+            .filter(|(id, set)| old.get(id) != Some(set))
+            .map(|(id, _)| *id);
         let removed = old.keys().filter(|id| !new.contains_key(id)).copied();
         for id in changed.chain(removed).collect::<Vec<_>>() {
             if !self.jobs.contains_key(&id) {
@@ -511,11 +587,21 @@
     ///
     /// Machines go from a part that is too large to higher ones only, and of one that two parts list the
     /// higher part counts: the lower could not be written any more, or was read before it was.
-    fn put_group(&mut self, k: Slice, n: Part, mut new: Option<Stamped<GroupRecord>>, touched: &mut Touched) {
+    fn put_group(
+        &mut self,
+        k: Slice,
+        n: Part,
+        mut new: Option<Stamped<GroupRecord>>,
+        touched: &mut Touched,
+    ) {
         if !self.stale.is_empty() {
             let of_this = |m: &MachineId| (m.0 % self.slices().max(1) as u64) as Slice == k;
-            let again: Vec<MachineId> =
-                self.stale.iter().filter(|(m, p)| **p == n && of_this(m)).map(|(m, _)| *m).collect();
+            let again: Vec<MachineId> = self
+                .stale
+                .iter()
+                .filter(|(m, p)| **p == n && of_this(m))
+                .map(|(m, _)| *m)
+                .collect();
             again.iter().for_each(|m| {
                 self.stale.remove(m);
             });
@@ -532,7 +618,9 @@
             for m in g.value.machines.keys() {
                 if let Some(p) = self.parts.get(m).filter(|p| **p < n).copied() {
                     self.stale.insert(*m, p);
-                    let low = self.groups[k].get_mut(&p).and_then(|low| low.value.machines.remove(m));
+                    let low = self.groups[k]
+                        .get_mut(&p)
+                        .and_then(|low| low.value.machines.remove(m));
                     low.iter().for_each(|r| unindex(&mut self.booked, *m, r));
                 }
             }
@@ -571,14 +659,23 @@
                 self.classes.add(*m, record);
             }
             for Booking(job, index, number) in &record.tasks {
-                let place = Place { machine: *m, number: *number };
-                self.booked.entry(JobId(*job)).or_default().insert(*index, place);
+                let place = Place {
+                    machine: *m,
+                    number: *number,
+                };
+                self.booked
+                    .entry(JobId(*job))
+                    .or_default()
+                    .insert(*index, place);
             }
         }
     }
 
     /// Forgets everything before a full reread; revisions start anew.
     pub fn clear(&mut self) {
-        *self = View { today: self.today, ..View::default() };
+        *self = View {
+            today: self.today,
+            ..View::default()
+        };
     }
 }
--- a/src/bookkeeping/zones.rs
+++ b/src/bookkeeping/zones.rs
@@ -83,15 +83,27 @@
         let silent = e.quiet > Self::usual_silence(e.machines, report);
         let new = match self.state {
             // A single machine says nothing about a zone, and who hears nobody nothing about others.
-            State::Well | State::Returning if e.machines >= 2 && silent && e.others_heard => State::Doubtful,
+            State::Well | State::Returning if e.machines >= 2 && silent && e.others_heard => {
+                State::Doubtful
+            }
             State::Returning if now.since(self.since) > self.return_span() => State::Well,
-            State::Doubtful if !silent && self.losses > 0 && now.since(self.lost_at) < self.return_span() => {
+            State::Doubtful
+                if !silent && self.losses > 0 && now.since(self.lost_at) < self.return_span() =>
+            {
                 State::Returning
             }
             State::Doubtful if !silent => State::Well,
-            State::Doubtful if e.others_heard && e.unanswered >= Self::ASKED.min(e.machines.max(1)) => State::Lost,
-            State::Lost if e.heard_again >= Self::ASKED.min(e.machines.max(1)) && !silent => State::Returning,
-            State::Lost if e.machines == 0 && now.since(self.since) > Self::UNKNOWN => State::Returning,
+            State::Doubtful
+                if e.others_heard && e.unanswered >= Self::ASKED.min(e.machines.max(1)) =>
+            {
+                State::Lost
+            }
+            State::Lost if e.heard_again >= Self::ASKED.min(e.machines.max(1)) && !silent => {
+                State::Returning
+            }
+            State::Lost if e.machines == 0 && now.since(self.since) > Self::UNKNOWN => {
+                State::Returning
+            }
             same => same,
         };
         if new == self.state {
@@ -122,7 +134,8 @@
             State::Well | State::Doubtful => 100,
             State::Lost => 0,
             State::Returning => {
-                let part = now.since(self.since).0 * (100 - Self::FIRST_SHARE) / self.return_span().0;
+                let part =
+                    now.since(self.since).0 * (100 - Self::FIRST_SHARE) / self.return_span().0;
                 (Self::FIRST_SHARE + part).min(100)
             }
         }
@@ -131,7 +144,8 @@
     /// Whether a machine, by its number, takes new work.
     pub fn takes_work(&self, machine: u64, now: Micros) -> bool {
         // Spread over the numbers, which come in the order of hiring.
-        machine.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32 & 0xFFFF < self.share(now) * 0x1_0000 / 100
+        machine.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32 & 0xFFFF
+            < self.share(now) * 0x1_0000 / 100
     }
 }
 
--- a/src/coordination/absence.rs
+++ b/src/coordination/absence.rs
@@ -47,7 +47,10 @@
         }
         tracing::info!(away = %late, "was not running: reading before anything is decided");
         self.counters.absences += 1;
-        self.absence = Absence { back: now, doubt: Some(self.next_call - 1) };
+        self.absence = Absence {
+            back: now,
+            doubt: Some(self.next_call - 1),
+        };
         if self.reader.ready() {
             self.reader.want_barrier();
         }
@@ -56,7 +59,11 @@
 
     /// A read has been applied; the doubt ends with the first that began after the return.
     pub(super) fn end_doubt(&mut self) {
-        if self.absence.doubt.is_some_and(|call| self.reader.passed(call)) {
+        if self
+            .absence
+            .doubt
+            .is_some_and(|call| self.reader.passed(call))
+        {
             self.absence.doubt = None;
             tracing::info!(since = %self.now.steady.since(self.absence.back), "the copy is up to date again after the absence");
         }
--- a/src/coordination/budget.rs
+++ b/src/coordination/budget.rs
@@ -12,7 +12,11 @@
 impl Bucket {
     fn new(rate: f64) -> Bucket {
         let most = rate.max(1.0);
-        Bucket { rate, most, level: most }
+        Bucket {
+            rate,
+            most,
+            level: most,
+        }
     }
 
     fn fill(&mut self, span: Micros) {
@@ -63,7 +67,8 @@
     pub fn lend(&mut self, now: Micros, others: impl Iterator<Item = Option<f64>>) {
         self.bring_forward(now);
         // Room for a peer to spend a little more before its next word of it.
-        let unused = others.map(|o| o.map_or(0.0, |spends| (self.even - spends * 1.25 - 0.5).max(0.0)));
+        let unused =
+            others.map(|o| o.map_or(0.0, |spends| (self.even - spends * 1.25 - 0.5).max(0.0)));
         self.writes.rate = self.even + unused.sum::<f64>();
     }
 
@@ -88,7 +93,11 @@
         self.bring_forward(now);
         let need_requests = 1.0 + reserve * self.requests.most;
         let need_writes = writes as f64 + reserve * self.writes.most;
-        let wait_writes = if writes > 0 { self.writes.wait(need_writes) } else { Micros::ZERO };
+        let wait_writes = if writes > 0 {
+            self.writes.wait(need_writes)
+        } else {
+            Micros::ZERO
+        };
         let wait = self.requests.wait(need_requests).max(wait_writes);
         if wait > Micros::ZERO {
             return Err(now + wait.max(Micros::millis(1)));
@@ -100,13 +109,21 @@
     /// Spends one request with `writes` changes of users: ahead of rounds, also just after the largest, of `round` changes.
     /// Beyond a round's debt it may be overdrawn by what the bucket holds; rounds make up for it. Otherwise tells when to ask
     /// again.
-    pub fn spend_for_users(&mut self, now: Micros, writes: usize, round: usize) -> Result<(), Micros> {
+    pub fn spend_for_users(
+        &mut self,
+        now: Micros,
+        writes: usize,
+        round: usize,
+    ) -> Result<(), Micros> {
         self.bring_forward(now);
         let wait_writes = match writes {
             0 => Micros::ZERO,
             n => self.writes.wait(n as f64 - self.writes.most - round as f64),
         };
-        let wait = self.requests.wait(1.0 - self.requests.most).max(wait_writes);
+        let wait = self
+            .requests
+            .wait(1.0 - self.requests.most)
+            .max(wait_writes);
         if wait > Micros::ZERO {
             return Err(now + wait.max(Micros::millis(1)));
         }
@@ -120,7 +137,11 @@
     pub fn round(&mut self, now: Micros) -> Result<(), Micros> {
         self.bring_forward(now);
         let wait = self.requests.wait(2.0).max(self.writes.wait(2.0));
-        if wait > Micros::ZERO { Err(now + wait.max(Micros::millis(1))) } else { Ok(()) }
+        if wait > Micros::ZERO {
+            Err(now + wait.max(Micros::millis(1)))
+        } else {
+            Ok(())
+        }
     }
 
     /// Whether requests are plenty: half of what may be saved up of them is there.
@@ -133,8 +154,15 @@
     /// second's changes.
     pub fn overdraw(&mut self, now: Micros) -> Result<(), Micros> {
         self.bring_forward(now);
-        let wait = self.requests.wait(1.0).max(self.writes.wait(-self.writes.most));
-        if wait > Micros::ZERO { Err(now + wait.max(Micros::millis(1))) } else { Ok(()) }
+        let wait = self
+            .requests
+            .wait(1.0)
+            .max(self.writes.wait(-self.writes.most));
+        if wait > Micros::ZERO {
+            Err(now + wait.max(Micros::millis(1)))
+        } else {
+            Ok(())
+        }
     }
 
     /// Spends whatever is there: for what must not wait.
--- a/src/coordination/cancelled.rs
+++ b/src/coordination/cancelled.rs
@@ -35,7 +35,10 @@
 
     /// Of some launches the earliest time at which the job of one may have been called cancelled.
     pub fn earliest<'a>(&self, launches: impl Iterator<Item = &'a Attempt>) -> Option<Micros> {
-        launches.filter_map(|a| self.since.get(&a.task.job)).min().copied()
+        launches
+            .filter_map(|a| self.since.get(&a.task.job))
+            .min()
+            .copied()
     }
 }
 
