--- a/crates/queues/src/front.rs
+++ b/crates/queues/src/front.rs
@@ -120,12 +120,13 @@
 
 /// What becomes of messages that ask for no answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize, schemars::JsonSchema)]
-#[serde(rename_all = "snake_case")]
 pub enum WithoutReply {
     /// They are acknowledged once the job is accepted.
+    #[serde(rename = "accepted")]
     Accepted,
     /// They are acknowledged once the job is over.
     #[default]
+    #[serde(rename = "over")]
     Over,
 }
 
--- a/crates/queues/src/ledger/wire.rs
+++ b/crates/queues/src/ledger/wire.rs
@@ -40,16 +40,21 @@
 
 #[derive(Debug, Serialize, Deserialize)]
 struct Wire {
+    #[serde(rename = "v")]
     v: u32,
     /// The first closed record that is kept, and the number that the open one will have: only in the open one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "span")]
     span: Option<(u64, u64)>,
     /// Connections on record, and how they stand: only in the open one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "links")]
     links: Option<BTreeMap<String, LinkState>>,
     /// Holders that the entries name by their place.
+    #[serde(rename = "h")]
     h: Vec<String>,
     /// The entries, one after the other.
+    #[serde(rename = "e")]
     e: String,
 }
 
@@ -118,6 +123,7 @@
     pub fn decode(text: &str) -> Result<Record, BadRecord> {
         #[derive(Deserialize)]
         struct Form {
+            #[serde(rename = "v")]
             v: u32,
         }
         let malformed = |e: serde_json::Error| BadRecord::Malformed(e.to_string());
--- a/crates/queues/src/lib.rs
+++ b/crates/queues/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod schedule;
 pub mod settings;
 pub mod shell;
+pub mod wire;
 
 pub use front::{Effect, Event, Front, Limits};
 pub use mark::{Holder, Mark};
--- a/crates/queues/src/settings.rs
+++ b/crates/queues/src/settings.rs
@@ -27,41 +27,52 @@
 #[serde(deny_unknown_fields)]
 pub struct QueueSettings {
     /// The AMQP broker.
+    #[serde(rename = "broker")]
     pub broker: BrokerSettings,
     /// The controllers' addresses for users, each `host:port`. Any one of them will do.
     #[schemars(length(min = 1))]
+    #[serde(rename = "controllers")]
     pub controllers: Vec<String>,
     /// Where marks are kept.
+    #[serde(rename = "state")]
     pub state: StateSettings,
     /// The queues that are served.
     #[schemars(length(min = 1))]
+    #[serde(rename = "queues")]
     pub queues: Vec<OneQueue>,
     /// Most requests to the controllers at once.
     #[serde(default = "calls")]
     #[schemars(range(min = 1, max = 256))]
+    #[serde(rename = "calls")]
     pub calls: usize,
     /// Most submissions a second.
     #[serde(default = "submits")]
     #[schemars(range(min = 1, max = 10_000))]
+    #[serde(rename = "submits_per_s")]
     pub submits_per_s: u32,
     /// Most polls a second, over all jobs.
     #[serde(default = "polls")]
     #[schemars(range(min = 1, max = 10_000))]
+    #[serde(rename = "polls_per_s")]
     pub polls_per_s: u32,
     /// Shortest time between two polls of one job, in seconds.
     #[serde(default = "poll")]
     #[schemars(range(min = 0.1, max = 300.0))]
+    #[serde(rename = "poll_s")]
     pub poll_s: f64,
     /// How long it is remembered that a message was answered, in days.
     #[serde(default = "keep")]
     #[schemars(range(min = 1, max = 365))]
+    #[serde(rename = "keep_days")]
     pub keep_days: u32,
     /// On SIGTERM: how long what is certain may take to be answered, in seconds.
     #[serde(default = "stop")]
     #[schemars(range(min = 1, max = 300))]
+    #[serde(rename = "stop_s")]
     pub stop_s: u32,
     /// An address for `GET /metrics` and `GET /healthz`. Absent: none.
     #[serde(default)]
+    #[serde(rename = "metrics")]
     pub metrics: Option<String>,
 }
 
@@ -71,24 +82,30 @@
 pub struct BrokerSettings {
     /// Its name or address.
     #[schemars(length(min = 1))]
+    #[serde(rename = "host")]
     pub host: String,
     /// Its port.
     #[serde(default = "port")]
     #[schemars(range(min = 1))]
+    #[serde(rename = "port")]
     pub port: u16,
     /// The virtual host.
     #[serde(default = "vhost")]
+    #[serde(rename = "vhost")]
     pub vhost: String,
     /// A file with the user's name in its first line and the password in its second, beside the settings file unless
     /// its path is absolute.
     #[schemars(length(min = 1))]
+    #[serde(rename = "credentials")]
     pub credentials: PathBuf,
     /// Time between heartbeats, in seconds; a broker that misses two is taken for dead.
     #[serde(default = "heartbeat")]
     #[schemars(range(min = 1, max = 600))]
+    #[serde(rename = "heartbeat_s")]
     pub heartbeat_s: u16,
     /// TLS. Absent: none.
     #[serde(default)]
+    #[serde(rename = "tls")]
     pub tls: Option<TlsSettings>,
 }
 
@@ -97,9 +114,11 @@
 #[serde(deny_unknown_fields)]
 pub struct TlsSettings {
     /// A PEM file with the certificates that are trusted, beside the settings file unless its path is absolute.
+    #[serde(rename = "roots")]
     pub roots: PathBuf,
     /// The name that the broker's certificate must have. Absent: its host.
     #[serde(default)]
+    #[serde(rename = "name")]
     pub name: Option<String>,
 }
 
@@ -108,17 +127,21 @@
 #[serde(deny_unknown_fields)]
 pub struct StateSettings {
     /// The state service, `host:port`.
+    #[serde(rename = "address")]
     pub address: String,
     /// What the keys begin with; every front of the same queues has the same one.
     #[serde(default = "prefix")]
+    #[serde(rename = "prefix")]
     pub prefix: String,
     /// Most rounds a second; each is one write, or two or three at times.
     #[serde(default = "rounds")]
     #[schemars(range(min = 1, max = 1_000))]
+    #[serde(rename = "rounds_per_s")]
     pub rounds_per_s: u32,
     /// Largest value, in bytes.
     #[serde(default = "value")]
     #[schemars(range(min = 700, max = 60_000))]
+    #[serde(rename = "value_bytes")]
     pub value_bytes: usize,
 }
 
@@ -128,20 +151,25 @@
 pub struct OneQueue {
     /// Its name. It is there already, and durable.
     #[schemars(length(min = 1, max = 255))]
+    #[serde(rename = "name")]
     pub name: String,
     /// Lower ranks are submitted first.
     #[serde(default)]
+    #[serde(rename = "rank")]
     pub rank: u8,
     /// Most messages in hand, from the delivery until the answer is certain.
     #[serde(default = "prefetch")]
     #[schemars(range(min = 1, max = 10_000))]
+    #[serde(rename = "prefetch")]
     pub prefetch: u16,
     /// When a message that asks for no answer is acknowledged.
     #[serde(default)]
+    #[serde(rename = "without_reply")]
     pub without_reply: WithoutReply,
     /// The queue for refused messages that ask for no answer. Absent: they are dropped, with a line in the log.
     #[serde(default)]
     #[schemars(length(min = 1, max = 255))]
+    #[serde(rename = "dead_letter")]
     pub dead_letter: Option<String>,
 }
 
--- a/crates/queues/src/shell/broker.rs
+++ b/crates/queues/src/shell/broker.rs
@@ -4,14 +4,19 @@
 //! receipts of other connections are read on channels of their own, which the broker closes when it refuses.
 
 use super::Told;
-use super::receipts::{Own, decode, encode, queue_of};
-use super::relay::{self, UNREADABLE};
+use super::receipts::Own;
+use super::relay;
 use super::target::Target;
-use crate::answer::{Answer, DeadLetter, Notice, Outcome, Post, Progress};
+use crate::answer::Post;
 use crate::front::{Commit, Event, Receipts, Tag};
 use crate::mark::Holder;
-use crate::message::{BODY_LIMIT, Key, Message};
+use crate::message::{Key, Message};
 use crate::settings::{BadSettings, Credentials, QueueSettings};
+use crate::wire::amqp::{
+    dead_letter_properties, decode_message, final_answer_body, receipt_properties,
+    reply_properties, status_update_body,
+};
+use crate::wire::receipts::{decode, encode, queue_name};
 use amqprs::callbacks::{ChannelCallback, ConnectionCallback};
 use amqprs::channel::{
     BasicAckArguments, BasicConsumeArguments, BasicPublishArguments, BasicQosArguments, Channel,
@@ -20,12 +25,9 @@
 use amqprs::connection::{Connection, OpenConnectionArguments};
 use amqprs::error::Error;
 use amqprs::tls::TlsAdaptor;
-use amqprs::{
-    Ack, BasicProperties, Cancel, Close, CloseChannel, FieldTable, FieldValue, Nack, Return,
-};
+use amqprs::{Ack, BasicProperties, Cancel, Close, CloseChannel, Nack, Return};
 use async_trait::async_trait;
 use parking_lot::Mutex;
-use serde_json::json;
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
@@ -354,7 +356,7 @@
     }
 
     async fn open(&mut self, holder: Holder) -> Result<(), End> {
-        let queue = queue_of(holder);
+        let queue = queue_name(holder);
         patiently(
             self.channel
                 .queue_declare(QueueDeclareArguments::durable_client_named(&queue)),
@@ -417,24 +419,29 @@
         for notice in &commit.notices {
             self.publish(
                 &notice.to,
-                properties(notice.of, notice.correlation.as_deref()),
-                interim(notice),
+                reply_properties(notice.of, notice.correlation.as_deref()),
+                status_update_body(notice),
             )
             .await?;
         }
         for post in &commit.posts {
             match post {
                 Post::Answer(a) => {
-                    self.publish(&a.to, properties(a.of, a.correlation.as_deref()), last(a))
+                    self.publish(
+                        &a.to,
+                        reply_properties(a.of, a.correlation.as_deref()),
+                        final_answer_body(a),
+                    )
+                    .await?
+                }
+                Post::Dead(d) => {
+                    self.publish(&d.to, dead_letter_properties(d), d.body.clone())
                         .await?
                 }
-                Post::Dead(d) => self.publish(&d.to, dead(d), d.body.clone()).await?,
             }
         }
         if let Some(holder) = self.holder.filter(|_| !keys.is_empty()) {
-            let mut properties = BasicProperties::default();
-            properties.with_persistence(true);
-            self.publish(&queue_of(holder), properties, encode(&keys))
+            self.publish(&queue_name(holder), receipt_properties(), encode(&keys))
                 .await?;
         }
         patiently(self.channel.tx_commit()).await
@@ -476,7 +483,7 @@
             let _ = patiently(channel.register_callback(watch.clone())).await;
             if delete {
                 let deleted =
-                    patiently(channel.queue_delete(QueueDeleteArguments::new(&queue_of(holder))))
+                    patiently(channel.queue_delete(QueueDeleteArguments::new(&queue_name(holder))))
                         .await;
                 if deleted.is_ok() || watch.code() == Some(NOT_FOUND) {
                     let _ = events.send((Some(epoch), Event::Cleared(holder)));
@@ -495,7 +502,7 @@
     holder: Holder,
     epoch: u64,
 ) -> Result<(Receipts, Channel), Receipts> {
-    let queue = queue_of(holder);
+    let queue = queue_name(holder);
     let watch = Watch::default();
     let busy = |_: End| Receipts::Busy;
     let channel = patiently(connection.open_channel(None))
@@ -541,112 +548,8 @@
     }
 }
 
-fn header<'a>(headers: Option<&'a FieldTable>, name: &str) -> Option<&'a FieldValue> {
-    headers?.get(&name.try_into().ok()?)
-}
-
-fn text(value: &FieldValue) -> Option<String> {
-    <&str>::try_from(value).ok().map(str::to_owned)
-}
-
-fn truth(value: Option<&FieldValue>) -> bool {
-    match value {
-        Some(FieldValue::t(is)) => *is,
-        Some(other) => text(other).is_some_and(|t| t == "true"),
-        None => false,
-    }
-}
-
-/// A number, however its client's library wrote it. What is none becomes one that is refused.
-fn number(value: &FieldValue) -> f64 {
-    match value {
-        FieldValue::b(n) => f64::from(*n),
-        FieldValue::B(n) => f64::from(*n),
-        FieldValue::s(n) => f64::from(*n),
-        FieldValue::u(n) => f64::from(*n),
-        FieldValue::I(n) => f64::from(*n),
-        FieldValue::i(n) => f64::from(*n),
-        FieldValue::l(n) => *n as f64,
-        FieldValue::f(n) => f64::from(*n),
-        FieldValue::d(n) => *n,
-        other => text(other).and_then(|t| t.parse().ok()).unwrap_or(f64::NAN),
-    }
-}
-
 fn read(queue: &str, m: ConsumerMessage) -> Option<(Tag, Message)> {
-    let (deliver, properties, mut body) = (m.deliver?, m.basic_properties?, m.content?);
-    // Of a body that is refused for its size nothing more is needed than that, and what tells it apart.
-    if body.len() > BODY_LIMIT && properties.message_id().is_some() {
-        body.truncate(BODY_LIMIT + 1);
-        body.shrink_to_fit();
-    }
-    let headers = properties.headers();
-    let message = Message {
-        queue: queue.to_owned(),
-        id: properties.message_id().cloned(),
-        reply_to: properties.reply_to().filter(|r| !r.is_empty()).cloned(),
-        correlation: properties.correlation_id().cloned(),
-        urgency: header(headers, "urgency").and_then(text),
-        due_s: header(headers, "due_s").map(number),
-        awaits: header(headers, "awaits").and_then(text),
-        cancel: truth(header(headers, "cancel")),
-        interim: truth(header(headers, "interim")),
-        unreadable: truth(header(headers, UNREADABLE)),
-        redelivered: deliver.redelivered(),
-        body,
-    };
+    let (deliver, properties, body) = (m.deliver?, m.basic_properties?, m.content?);
+    let message = decode_message(queue, &properties, body, deliver.redelivered());
     Some((deliver.delivery_tag(), message))
 }
-
-fn properties(of: Key, correlation: Option<&str>) -> BasicProperties {
-    let mut p = BasicProperties::default();
-    p.with_content_type("application/json")
-        .with_persistence(true)
-        .with_message_id(&of.to_string());
-    if let Some(correlation) = correlation {
-        p.with_correlation_id(correlation);
-    }
-    p
-}
-
-fn dead(letter: &DeadLetter) -> BasicProperties {
-    let mut headers = FieldTable::new();
-    // Texts of this length always fit.
-    if let (Ok(name), Ok(reason)) = ("reason".try_into(), letter.reason.as_str().try_into()) {
-        headers.insert(name, FieldValue::S(reason));
-    }
-    let mut p = BasicProperties::default();
-    p.with_persistence(true)
-        .with_message_id(&letter.of.to_string())
-        .with_headers(headers);
-    p
-}
-
-/// The body of the final answer.
-fn last(answer: &Answer) -> Vec<u8> {
-    let (status, reason) = match &answer.outcome {
-        Outcome::Done => ("done", None),
-        Outcome::Cancelled => ("cancelled", None),
-        Outcome::Refused(why) => ("refused", Some(why)),
-    };
-    let mut body = json!({ "nameId": answer.job, "status": status, "final": true });
-    if let Some(reason) = reason {
-        body["reason"] = json!(reason);
-    }
-    if answer.repeated {
-        body["repeated"] = json!(true);
-    }
-    body.to_string().into_bytes()
-}
-
-/// The body of an interim one.
-fn interim(notice: &Notice) -> Vec<u8> {
-    let body = match notice.progress {
-        Progress::Accepted => json!({ "nameId": notice.job, "status": "accepted", "final": false }),
-        Progress::Delayed(after) => {
-            let after = after as f64 / 1e6;
-            json!({ "nameId": notice.job, "status": "delayed", "retryAfterS": after, "final": false })
-        }
-    };
-    body.to_string().into_bytes()
-}
--- a/crates/queues/src/shell/http.rs
+++ b/crates/queues/src/shell/http.rs
@@ -1,13 +1,17 @@
 //! Requests to the controllers and to the state service.
 
-use crate::answer::Outcome;
-use crate::front::{Micros, Reply};
+use crate::front::Reply;
 use crate::ledger::{Request, Told};
 use crate::settings::QueueSettings;
+use crate::wire::controllers::{
+    RequestKind, Response, SUBMIT_PATH, cancel_path, decode_reply, status_path,
+};
+use crate::wire::state_service::{
+    LogKeys, TRANSACTION_PATH, compare_and_swap_body, decode_applied_revision, decode_key,
+    decode_page,
+};
 use reqwest::header::{CONTENT_TYPE, RETRY_AFTER};
 use reqwest::{Client, RequestBuilder};
-use serde::{Deserialize, Serialize};
-use serde_json::value::RawValue;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
@@ -16,12 +20,6 @@
 const POLL: Duration = Duration::from_secs(2);
 /// How long the state service may take: a busy one takes a few hundred milliseconds.
 const STATE: Duration = Duration::from_secs(3);
-/// Longest time to come back after that is believed.
-const MOST_LATER_S: f64 = 30.0;
-/// Closed records of one page.
-const PAGE: u32 = 200;
-/// Longest reason that is passed on.
-const REASON: usize = 1_000;
 
 /// The client.
 #[derive(Debug)]
@@ -31,63 +29,7 @@
     /// The controller that is asked; another one when it does not answer.
     at: AtomicUsize,
     state: String,
-    prefix: String,
-}
-
-#[derive(Default, Deserialize)]
-struct JobWire {
-    #[serde(default)]
-    status: String,
-    #[serde(default)]
-    reason: Option<String>,
-    #[serde(default)]
-    error: Option<String>,
-}
-
-#[derive(Deserialize)]
-struct KeyWire<'a> {
-    #[serde(borrow)]
-    value: &'a RawValue,
-    stamp: u64,
-}
-
-#[derive(Deserialize)]
-struct ItemWire<'a> {
-    key: String,
-    #[serde(borrow)]
-    value: &'a RawValue,
-}
-
-#[derive(Deserialize)]
-struct PageWire<'a> {
-    #[serde(borrow)]
-    items: Vec<ItemWire<'a>>,
-    #[serde(default)]
-    more: bool,
-}
-
-#[derive(Deserialize)]
-struct EpochWire {
-    epoch: u64,
-}
-
-#[derive(Serialize)]
-struct When {
-    key: String,
-    stamp: u64,
-}
-
-#[derive(Serialize)]
-#[serde(untagged)]
-enum Then {
-    Write { write: String, value: Box<RawValue> },
-    Remove { remove: String },
-}
-
-#[derive(Serialize)]
-struct Txn {
-    when: Vec<When>,
-    then: Vec<Then>,
+    keys: LogKeys,
 }
 
 impl Http {
@@ -108,7 +50,7 @@
             controllers,
             at: AtomicUsize::new(first),
             state: settings.state.address.clone(),
-            prefix: settings.state.prefix.clone(),
+            keys: LogKeys::new(settings.state.prefix.clone()),
         }
     }
 
@@ -137,10 +79,14 @@
         let (at, host) = self.controller();
         let request = self
             .client
-            .post(format!("http://{host}/work"))
+            .post(format!("http://{host}{SUBMIT_PATH}"))
             .header(CONTENT_TYPE, "application/json");
-        self.reply(at, request.body(body).timeout(SUBMIT), false)
-            .await
+        self.reply(
+            at,
+            request.body(body).timeout(SUBMIT),
+            RequestKind::SubmitOrQuery,
+        )
+        .await
     }
 
     /// Asks how a job is.
@@ -149,9 +95,9 @@
         self.reply(
             at,
             self.client
-                .get(format!("http://{host}/work/{job}"))
+                .get(format!("http://{host}{}", status_path(job)))
                 .timeout(POLL),
-            false,
+            RequestKind::SubmitOrQuery,
         )
         .await
     }
@@ -162,56 +108,36 @@
         self.reply(
             at,
             self.client
-                .post(format!("http://{host}/work/{job}/abort"))
+                .post(format!("http://{host}{}", cancel_path(job)))
                 .timeout(SUBMIT),
-            true,
+            RequestKind::Cancel,
         )
         .await
     }
 
-    async fn reply(&self, at: usize, request: RequestBuilder, cancel: bool) -> Reply {
+    async fn reply(&self, at: usize, request: RequestBuilder, kind: RequestKind) -> Reply {
         let Ok(response) = request.send().await else {
             self.move_on(at);
             return Reply::None;
         };
         let status = response.status().as_u16();
-        let after = response
+        let retry_after_s = response
             .headers()
             .get(RETRY_AFTER)
             .and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
         let Ok(body) = response.bytes().await else {
             return Reply::None;
         };
-        let wire: JobWire = serde_json::from_slice(&body).unwrap_or_default();
-        match (status, wire.status.as_str()) {
-            (200 | 201, "done") => Reply::Over(Outcome::Done),
-            (200 | 201, "cancelled") => Reply::Over(Outcome::Cancelled),
-            (200 | 201, "queued" | "running") => Reply::Live,
-            (400 | 422, _) => Reply::Over(Outcome::Refused(reason(status, wire))),
-            // A job to be cancelled that nobody has submitted.
-            (404, _) if cancel => Reply::Over(Outcome::Refused("no such job".to_owned())),
-            (404, _) => Reply::Unknown,
-            (429 | 503, _) => {
-                self.move_on(at);
-                let after = after
-                    .filter(|s| s.is_finite())
-                    .unwrap_or(1.0)
-                    .clamp(0.0, MOST_LATER_S);
-                Reply::Later((after * 1e6) as Micros)
-            }
-            _ => {
-                self.move_on(at);
-                Reply::None
-            }
+        let response = Response {
+            status,
+            retry_after_s,
+            body: &body,
+        };
+        let reply = decode_reply(kind, response);
+        if matches!(reply, Reply::None | Reply::Later(_)) {
+            self.move_on(at);
         }
-    }
-
-    fn open_key(&self) -> String {
-        format!("{}open", self.prefix)
-    }
-
-    fn closed_key(&self, seq: u64) -> String {
-        format!("{}closed/{seq:020}", self.prefix)
+        reply
     }
 
     /// Carries out a request of the ledger.
@@ -236,41 +162,20 @@
     }
 
     async fn read_open(&self) -> Option<Told> {
-        match self.get(format!("/kv/{}", self.open_key())).await? {
-            (200, body) => {
-                let wire: KeyWire = serde_json::from_slice(&body).ok()?;
-                Some(Told::Open(Some((wire.value.get().to_owned(), wire.stamp))))
-            }
+        match self.get(self.keys.open_path()).await? {
+            (200, body) => Some(Told::Open(Some(decode_key(&body).ok()?))),
             (404, _) => Some(Told::Open(None)),
             _ => None,
         }
     }
 
     async fn read_closed(&self, from: u64) -> Option<Told> {
-        let after = from
-            .checked_sub(1)
-            .map(|seq| format!("&after={}", self.closed_key(seq)))
-            .unwrap_or_default();
-        let (status, body) = self
-            .get(format!(
-                "/kv?prefix={}closed/{after}&most={PAGE}",
-                self.prefix
-            ))
-            .await?;
+        let (status, body) = self.get(self.keys.closed_page_path(from)).await?;
         if status != 200 {
             return None;
         }
-        let wire: PageWire = serde_json::from_slice(&body).ok()?;
-        let record = |i: &ItemWire| {
-            Some((
-                i.key.rsplit_once('/')?.1.parse().ok()?,
-                i.value.get().to_owned(),
-            ))
-        };
-        Some(Told::Closed(
-            wire.items.iter().filter_map(record).collect(),
-            wire.more,
-        ))
+        let (records, more) = decode_page(&body).ok()?;
+        Some(Told::Closed(records, more))
     }
 
     async fn round(&self, request: &Request) -> Option<Told> {
@@ -283,41 +188,18 @@
         else {
             return None;
         };
-        let raw = |text: &String| RawValue::from_string(text.clone()).ok();
-        let mut then = vec![Then::Write {
-            write: self.open_key(),
-            value: raw(open)?,
-        }];
-        if let Some((seq, text)) = close {
-            then.push(Then::Write {
-                write: self.closed_key(*seq),
-                value: raw(text)?,
-            });
-        }
-        then.extend(remove.map(|seq| Then::Remove {
-            remove: self.closed_key(seq),
-        }));
-        let txn = Txn {
-            when: vec![When {
-                key: self.open_key(),
-                stamp: *stamp,
-            }],
-            then,
-        };
+        let close = close.as_ref().map(|(seq, text)| (*seq, text.as_str()));
+        let body = compare_and_swap_body(&self.keys, *stamp, open, close, *remove).ok()?;
         let request = self
             .client
-            .post(format!("http://{}/txn", self.state))
+            .post(format!("http://{}{TRANSACTION_PATH}", self.state))
             .timeout(STATE);
-        let request = request
-            .header(CONTENT_TYPE, "application/json")
-            .body(serde_json::to_vec(&txn).ok()?);
+        let request = request.header(CONTENT_TYPE, "application/json").body(body);
         let response = request.send().await.ok()?;
         let status = response.status().as_u16();
         let body = response.bytes().await.ok()?;
         match status {
-            200 => Some(Told::Applied(
-                serde_json::from_slice::<EpochWire>(&body).ok()?.epoch,
-            )),
+            200 => Some(Told::Applied(decode_applied_revision(&body).ok()?)),
             409 => Some(Told::Clash),
             400 => {
                 tracing::error!(answer = %String::from_utf8_lossy(&body), "the state service refuses a round");
@@ -327,14 +209,3 @@
         }
     }
 }
-
-fn reason(status: u16, wire: JobWire) -> String {
-    let mut text = wire.reason.or(wire.error).unwrap_or_else(|| match status {
-        400 => "malformed".to_owned(),
-        _ => "can never run".to_owned(),
-    });
-    if let Some((cut, _)) = text.char_indices().nth(REASON) {
-        text.truncate(cut);
-    }
-    text
-}
--- a/crates/queues/src/shell/metrics.rs
+++ b/crates/queues/src/shell/metrics.rs
@@ -13,14 +13,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// All values of one moment.
 #[derive(Clone, Copy, Debug, Default)]
-struct Snapshot {
-    counters: Counters,
-    in_hand: i64,
-    oldest_s: i64,
-    marks: i64,
-    rounds: u64,
-    clashes: u64,
+pub struct Snapshot {
+    /// See the help text of the metric of this name.
+    pub counters: Counters,
+    /// See the help text of the metric of this name.
+    pub in_hand: i64,
+    /// See the help text of the metric of this name.
+    pub oldest_s: i64,
+    /// See the help text of the metric of this name.
+    pub marks: i64,
+    /// See the help text of the metric of this name.
+    pub rounds: u64,
+    /// See the help text of the metric of this name.
+    pub clashes: u64,
 }
 
 fn signed(n: usize) -> i64 {
@@ -73,6 +80,12 @@
 pub struct Gauges(Arc<Mutex<Snapshot>>);
 
 impl Gauges {
+    /// Gauges that show this snapshot.
+    pub fn new(snapshot: Snapshot) -> Gauges {
+        Gauges(Arc::new(Mutex::new(snapshot)))
+    }
+
+    /// Replaces the values.
     pub fn set(&self, front: &Front, now: Micros) {
         *self.0.lock() = snapshot(front, now);
     }
@@ -169,6 +182,15 @@
     }
 }
 
+/// The metrics page in the Prometheus text format.
+pub fn render(gauges: Gauges) -> Result<String, std::fmt::Error> {
+    let mut registry = Registry::default();
+    registry.register_collector(Box::new(gauges));
+    let mut text = String::new();
+    encode(&mut text, &registry)?;
+    Ok(text)
+}
+
 /// Serves `GET /metrics` and `GET /healthz`, for ever.
 pub async fn serve(at: String, gauges: Gauges) {
     let mut registry = Registry::default();
--- a/crates/queues/src/shell/mod.rs
+++ b/crates/queues/src/shell/mod.rs
@@ -6,7 +6,7 @@
 
 mod broker;
 mod http;
-mod metrics;
+pub mod metrics;
 mod receipts;
 mod relay;
 mod target;
--- a/crates/queues/src/shell/receipts.rs
+++ b/crates/queues/src/shell/receipts.rs
@@ -1,27 +1,9 @@
 //! Receipts: what a connection leaves, in the same transaction as its answers, in a queue that it alone reads.
 
 use crate::front::Tag;
-use crate::mark::Holder;
 use crate::message::Key;
 use std::collections::BTreeSet;
 
-/// The queue of a connection.
-pub fn queue_of(holder: Holder) -> String {
-    format!("cometlead.receipts.{holder}")
-}
-
-/// The body of a receipt.
-pub fn encode(keys: &[Key]) -> Vec<u8> {
-    let text: Vec<String> = keys.iter().map(Key::to_string).collect();
-    text.join("\n").into_bytes()
-}
-
-/// Reads one; what is none tells nothing.
-pub fn decode(body: &[u8]) -> Vec<Key> {
-    let text = std::str::from_utf8(body).unwrap_or_default();
-    text.lines().filter_map(|l| l.parse().ok()).collect()
-}
-
 /// A connection's own receipts.
 #[derive(Debug, Default)]
 pub struct Own {
@@ -53,6 +35,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use crate::wire::receipts::{decode, encode};
 
     /// A receipt goes once all of its messages are marked, whichever comes first.
     #[test]
--- a/crates/queues/src/shell/relay.rs
+++ b/crates/queues/src/shell/relay.rs
@@ -7,6 +7,7 @@
 //! else passes as it is.
 
 use super::target::Target;
+use crate::wire::amqp::UNREADABLE_HEADER;
 use amq_protocol::protocol::basic;
 use amqp_serde::{from_bytes, to_bytes};
 use amqprs::{BasicProperties, FieldTable, FieldValue};
@@ -19,8 +20,6 @@
 use tokio::task::JoinHandle;
 use tokio_util::codec::{FramedRead, LengthDelimitedCodec};
 
-/// A header that stands in the place of those that cannot be read.
-pub const UNREADABLE: &str = "cometlead-unreadable";
 /// Kind, channel and length before a frame's payload, and the byte behind it.
 const HEAD: usize = 7;
 const END: usize = 1;
@@ -119,7 +118,7 @@
         }
     }
     let mut headers = FieldTable::new();
-    if let Ok(name) = UNREADABLE.try_into() {
+    if let Ok(name) = UNREADABLE_HEADER.try_into() {
         headers.insert(name, FieldValue::t(true));
     }
     left.with_headers(headers);
--- /dev/null
+++ b/crates/queues/src/wire/controllers.rs
@@ -0,0 +1,92 @@
+//! The controllers' HTTP interface for users: paths and responses.
+
+use crate::answer::Outcome;
+use crate::front::{Micros, Reply};
+use serde::Deserialize;
+
+/// Longest `Retry-After` that is honoured, in seconds.
+const MAX_RETRY_AFTER_S: f64 = 30.0;
+/// Retry delay when a busy controller names none, in seconds.
+const DEFAULT_RETRY_AFTER_S: f64 = 1.0;
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Longest refusal reason that is passed on to clients, in characters.
+const MAX_REASON_CHARS: usize = 1_000;
+
+/// Path for submissions.
+pub const SUBMIT_PATH: &str = "/work";
+
+/// Path that reports the status of a job.
+pub fn status_path(job: &str) -> String {
+    format!("/work/{job}")
+}
+
+/// Path that cancels a job.
+pub fn cancel_path(job: &str) -> String {
+    format!("/work/{job}/abort")
+}
+
+/// What a request was for, as far as it changes how a response is read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestKind {
+    /// Submission or status query.
+    SubmitOrQuery,
+    /// Cancellation: a job that does not exist is a final refusal.
+    Cancel,
+}
+
+/// A response as received.
+#[derive(Clone, Copy, Debug)]
+pub struct Response<'a> {
+    /// HTTP status code.
+    pub status: u16,
+    /// Value of `Retry-After`, in seconds.
+    pub retry_after_s: Option<f64>,
+    /// JSON body; anything else counts as an empty object.
+    pub body: &'a [u8],
+}
+
+#[derive(Default, Deserialize)]
+struct JobBody {
+    #[serde(default, rename = "status")]
+    status: String,
+    #[serde(default, rename = "reason")]
+    reason: Option<String>,
+    #[serde(default, rename = "error")]
+    error: Option<String>,
+}
+
+/// Interprets a response. [`Reply::None`] and [`Reply::Later`] suggest that another controller be tried.
+pub fn decode_reply(kind: RequestKind, response: Response<'_>) -> Reply {
+    let body: JobBody = serde_json::from_slice(response.body).unwrap_or_default();
+    match (response.status, body.status.as_str()) {
+        (200 | 201, "done") => Reply::Over(Outcome::Done),
+        (200 | 201, "cancelled") => Reply::Over(Outcome::Cancelled),
+        (200 | 201, "queued" | "running") => Reply::Live,
+        (400 | 422, _) => Reply::Over(Outcome::Refused(refusal_reason(response.status, body))),
+        (404, _) if kind == RequestKind::Cancel => {
+            Reply::Over(Outcome::Refused("no such job".to_owned()))
+        }
+        (404, _) => Reply::Unknown,
+        (429 | 503, _) => Reply::Later(retry_after(response.retry_after_s)),
+        _ => Reply::None,
+    }
+}
+
+fn retry_after(seconds: Option<f64>) -> Micros {
+    let seconds = seconds
+        .filter(|s| s.is_finite())
+        .unwrap_or(DEFAULT_RETRY_AFTER_S)
+        .clamp(0.0, MAX_RETRY_AFTER_S);
+    (seconds * MICROS_PER_SECOND) as Micros
+}
+
+fn refusal_reason(status: u16, body: JobBody) -> String {
+    let mut reason = body.reason.or(body.error).unwrap_or_else(|| match status {
+        400 => "malformed".to_owned(),
+        _ => "can never run".to_owned(),
+    });
+    if let Some((end, _)) = reason.char_indices().nth(MAX_REASON_CHARS) {
+        reason.truncate(end);
+    }
+    reason
+}
--- /dev/null
+++ b/crates/queues/src/wire/state_service.rs
@@ -0,0 +1,193 @@
+//! The state service's HTTP interface: key names, paths, compare-and-swap requests and responses.
+
+use serde::{Deserialize, Serialize};
+use serde_json::value::RawValue;
+
+/// Closed segments per page.
+const PAGE_SIZE: u32 = 200;
+/// Path for compare-and-swap transactions.
+pub const TRANSACTION_PATH: &str = "/txn";
+
+/// Why a response or request could not be encoded or decoded.
+#[derive(Debug, thiserror::Error)]
+pub enum StateWireError {
+    /// A response is not the JSON that the service documents.
+    #[error("malformed response of the state service to {request}")]
+    MalformedResponse {
+        /// What was asked.
+        request: &'static str,
+        /// The parser's complaint.
+        #[source]
+        source: serde_json::Error,
+    },
+    /// A request cannot be written as JSON.
+    #[error("cannot encode the value of key {key}")]
+    UnencodableValue {
+        /// The key that was to be written.
+        key: String,
+        /// The encoder's complaint.
+        #[source]
+        source: serde_json::Error,
+    },
+}
+
+/// Names of the log's keys below a common prefix.
+#[derive(Clone, Debug)]
+pub struct LogKeys {
+    prefix: String,
+}
+
+impl LogKeys {
+    /// Keys below `prefix`, which ends with a slash.
+    pub fn new(prefix: impl Into<String>) -> LogKeys {
+        LogKeys {
+            prefix: prefix.into(),
+        }
+    }
+
+    /// Key of the open segment.
+    pub fn open(&self) -> String {
+        format!("{}open", self.prefix)
+    }
+
+    /// Key of a closed segment. Zero padding makes lexical order numeric order.
+    pub fn closed(&self, segment: u64) -> String {
+        format!("{}closed/{segment:020}", self.prefix)
+    }
+
+    /// Path that reads the open segment.
+    pub fn open_path(&self) -> String {
+        format!("/kv/{}", self.open())
+    }
+
+    /// Path that reads a page of closed segments, starting with segment `from`.
+    pub fn closed_page_path(&self, from: u64) -> String {
+        let after = from
+            .checked_sub(1)
+            .map(|segment| format!("&after={}", self.closed(segment)))
+            .unwrap_or_default();
+        format!("/kv?prefix={}closed/{after}&most={PAGE_SIZE}", self.prefix)
+    }
+}
+
+#[derive(Serialize)]
+struct Condition {
+    #[serde(rename = "key")]
+    key: String,
+    #[serde(rename = "stamp")]
+    revision: u64,
+}
+
+#[derive(Serialize)]
+#[serde(untagged)]
+enum Change {
+    Write {
+        #[serde(rename = "write")]
+        key: String,
+        #[serde(rename = "value")]
+        value: Box<RawValue>,
+    },
+    Remove {
+        #[serde(rename = "remove")]
+        key: String,
+    },
+}
+
+#[derive(Serialize)]
+struct Transaction {
+    #[serde(rename = "when")]
+    conditions: Vec<Condition>,
+    #[serde(rename = "then")]
+    changes: Vec<Change>,
+}
+
+/// Encodes a compare-and-swap of the open segment: it must have `revision` (0: must not exist).
+pub fn compare_and_swap_body(
+    keys: &LogKeys,
+    revision: u64,
+    open: &str,
+    close: Option<(u64, &str)>,
+    remove: Option<u64>,
+) -> Result<Vec<u8>, StateWireError> {
+    let mut changes = vec![write(keys.open(), open)?];
+    if let Some((segment, text)) = close {
+        changes.push(write(keys.closed(segment), text)?);
+    }
+    changes.extend(remove.map(|segment| Change::Remove {
+        key: keys.closed(segment),
+    }));
+    let transaction = Transaction {
+        conditions: vec![Condition {
+            key: keys.open(),
+            revision,
+        }],
+        changes,
+    };
+    serde_json::to_vec(&transaction).map_err(|source| StateWireError::UnencodableValue {
+        key: keys.open(),
+        source,
+    })
+}
+
+fn write(key: String, text: &str) -> Result<Change, StateWireError> {
+    match RawValue::from_string(text.to_owned()) {
+        Ok(value) => Ok(Change::Write { key, value }),
+        Err(source) => Err(StateWireError::UnencodableValue { key, source }),
+    }
+}
+
+#[derive(Deserialize)]
+struct KeyBody<'a> {
+    #[serde(borrow, rename = "value")]
+    value: &'a RawValue,
+    #[serde(rename = "stamp")]
+    revision: u64,
+}
+
+#[derive(Deserialize)]
+struct PageItem<'a> {
+    #[serde(rename = "key")]
+    key: String,
+    #[serde(borrow, rename = "value")]
+    value: &'a RawValue,
+}
+
+#[derive(Deserialize)]
+struct PageBody<'a> {
+    #[serde(borrow, rename = "items")]
+    items: Vec<PageItem<'a>>,
+    #[serde(default, rename = "more")]
+    more: bool,
+}
+
+#[derive(Deserialize)]
+struct TransactionBody {
+    #[serde(rename = "epoch")]
+    revision: u64,
+}
+
+fn malformed(request: &'static str) -> impl Fn(serde_json::Error) -> StateWireError {
+    move |source| StateWireError::MalformedResponse { request, source }
+}
+
+/// Reads one key: its value and revision.
+pub fn decode_key(body: &[u8]) -> Result<(String, u64), StateWireError> {
+    let key: KeyBody = serde_json::from_slice(body).map_err(malformed("a key"))?;
+    Ok((key.value.get().to_owned(), key.revision))
+}
+
+/// Reads a page of closed segments with their numbers, and whether more follow. Keys without a number are skipped.
+pub fn decode_page(body: &[u8]) -> Result<(Vec<(u64, String)>, bool), StateWireError> {
+    let page: PageBody = serde_json::from_slice(body).map_err(malformed("a page of keys"))?;
+    let segment = |item: &PageItem| {
+        let (_, number) = item.key.rsplit_once('/')?;
+        Some((number.parse().ok()?, item.value.get().to_owned()))
+    };
+    Ok((page.items.iter().filter_map(segment).collect(), page.more))
+}
+
+/// Reads the revision at which a transaction was carried out.
+pub fn decode_applied_revision(body: &[u8]) -> Result<u64, StateWireError> {
+    let body: TransactionBody = serde_json::from_slice(body).map_err(malformed("a transaction"))?;
+    Ok(body.revision)
+}
