--- /dev/null
+++ b/crates/queues/tests/fakes/http_services/controllers.rs
@@ -0,0 +1,91 @@
+//! Fake controllers with jobs that run in real time.
+
+use super::FakeResponse;
+use rand::RngExt;
+use rand::rngs::StdRng;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+struct Job {
+    ends_at: Instant,
+    is_cancelled: bool,
+}
+
+impl Job {
+    fn ended(&self) -> Option<&'static str> {
+        if self.is_cancelled {
+            Some("cancelled")
+        } else if self.ends_at <= Instant::now() {
+            Some("done")
+        } else {
+            None
+        }
+    }
+}
+
+pub(super) struct FakeControllers {
+    mean_run_time: Duration,
+    jobs: BTreeMap<String, Job>,
+    submitted: Vec<String>,
+}
+
+impl FakeControllers {
+    pub fn new(mean_run_time: Duration) -> FakeControllers {
+        FakeControllers {
+            mean_run_time,
+            jobs: BTreeMap::new(),
+            submitted: Vec::new(),
+        }
+    }
+
+    pub fn submitted(&self) -> &[String] {
+        &self.submitted
+    }
+
+    pub fn ended(&self, job: &str) -> Option<&'static str> {
+        self.jobs.get(job).and_then(Job::ended)
+    }
+
+    pub fn submit(&mut self, body: &[u8], rng: &mut StdRng) -> FakeResponse {
+        let Ok(body) = serde_json::from_slice::<Value>(body) else {
+            return FakeResponse::new(400, json!({ "error": "bad" }));
+        };
+        if body["crew"] == "nobody" {
+            return FakeResponse::new(422, json!({ "reason": "crew: unknown" }));
+        }
+        let name = body["nameId"].as_str().expect("a job name").to_owned();
+        if self.jobs.contains_key(&name) {
+            return self.status(&name, 200);
+        }
+        let run_time = self.mean_run_time.mul_f64(0.5 + rng.random::<f64>());
+        let job = Job {
+            ends_at: Instant::now() + run_time,
+            is_cancelled: false,
+        };
+        self.submitted.push(name.clone());
+        self.jobs.insert(name.clone(), job);
+        self.status(&name, 201)
+    }
+
+    pub fn cancel(&mut self, job: &str) -> FakeResponse {
+        if let Some(known) = self.jobs.get_mut(job)
+            && known.ended().is_none()
+        {
+            known.is_cancelled = true;
+        }
+        self.query(job)
+    }
+
+    pub fn query(&self, job: &str) -> FakeResponse {
+        self.status(job, 200)
+    }
+
+    fn status(&self, name: &str, code: u16) -> FakeResponse {
+        let Some(job) = self.jobs.get(name) else {
+            return FakeResponse::not_found();
+        };
+        let status = job.ended().unwrap_or("running");
+        FakeResponse::new(code, json!({ "nameId": name, "status": status }))
+    }
+}
