--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud's requests and responses.
+//! Requests to the cloud's API and their responses.
 
 use super::state::CallError;
 use crate::storage::catalog::{Catalog, MachineType};
@@ -7,75 +7,77 @@
 use crate::time::Micros;
 use serde::Deserialize;
 
-/// Most machines of one rental.
+/// Most machines of one provisioning request.
 pub const PROVISION_LIMIT: u32 = 50;
-/// Most machines of one release.
+/// Most machines of one release request.
 pub const RELEASE_LIMIT: usize = 100;
+/// The error by which the cloud says that it has no machine of the type left in the zone.
+const NO_CAPACITY: &str = "no capacity";
 
 /// A request to the cloud.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CloudRequest {
-    /// Machine types and prices.
+    /// The machine types and their prices.
     Catalog,
-    /// A rental.
+    /// Provisions machines.
     Provision {
-        /// The request's name.
+        /// Idempotency key: a repeated request of this name provisions nothing more.
         name: String,
-        /// Type.
+        /// Machine type by the catalog.
         machine_type: String,
-        /// Zone.
+        /// Zone of the machines.
         zone: String,
-        /// Spot.
+        /// Whether they are spot machines.
         spot: bool,
-        /// How many.
+        /// Number of machines, at most [`PROVISION_LIMIT`].
         count: u32,
     },
-    /// A return.
+    /// Releases machines, at most [`RELEASE_LIMIT`].
     Release(Vec<MachineId>),
-    /// A page of the machine list.
+    /// A page of the machine list, beginning after the given machine.
     List(Option<MachineId>),
 }
 
 /// A machine's state by the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloudMachineState {
-    /// Boots.
+    /// The machine boots.
     Starting,
-    /// Up.
+    /// The machine is up.
     Running,
-    /// Stopped by itself.
+    /// The machine failed, and does not come back.
     Failed,
 }
 
-/// A listed machine.
+/// A machine of the cloud's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CloudMachine {
     /// The machine.
     pub id: MachineId,
-    /// Type.
+    /// Machine type by the catalog.
     pub machine_type: String,
-    /// Zone.
+    /// The machine's zone.
     pub zone: String,
-    /// Spot.
+    /// Whether the cloud may preempt it.
     pub spot: bool,
-    /// State.
+    /// Its state.
     pub status: CloudMachineState,
-    /// Time since the rental request.
+    /// Time since the request that provisioned it.
     pub age: Micros,
 }
 
-/// What came of a request that was answered.
+/// The content of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CloudReply {
-    /// Machine types and prices.
+    /// The machine types and their prices.
     Catalog(Catalog),
-    /// Rented machines.
+    /// The provisioned machines.
     Provisioned(Vec<MachineId>),
-    /// None to be had.
+    /// The cloud has no such machine left.
     NoCapacity,
-    /// They are gone.
+    /// The machines are released.
     Released,
-    /// A page, and whether there are more.
+    /// A page of the machine list, and whether more pages follow.
     Hosts(Vec<CloudMachine>, bool),
 }
 
@@ -96,16 +98,15 @@
             ("POST", "/hosts".to_owned(), body.to_string().into_bytes())
         }
         CloudRequest::Release(machines) => {
-            let names: Vec<String> = machines.iter().map(|m| m.to_string()).collect();
+            let names: Vec<String> = machines.iter().map(MachineId::to_string).collect();
             let body = serde_json::json!({ "hosts": names });
-            (
-                "POST",
-                "/hosts/release".to_owned(),
-                body.to_string().into_bytes(),
-            )
+            let path = "/hosts/release".to_owned();
+            ("POST", path, body.to_string().into_bytes())
         }
         CloudRequest::List(after) => {
-            let after = after.map(|m| format!("after={m}&")).unwrap_or_default();
+            let after = after
+                .map(|machine| format!("after={machine}&"))
+                .unwrap_or_default();
             ("GET", format!("/hosts?{after}most=500"), Vec::new())
         }
     }
@@ -114,7 +115,7 @@
 #[derive(Deserialize)]
 struct CatalogWire {
     #[serde(rename = "builds")]
-    builds: Vec<MachineTypeWire>,
+    machine_types: Vec<MachineTypeWire>,
 }
 
 #[derive(Deserialize)]
@@ -126,17 +127,17 @@
     #[serde(rename = "accelerators", default)]
     accelerators: f64,
     #[serde(rename = "memGb")]
-    mem_gb: f64,
+    memory_gb: f64,
     #[serde(rename = "localGb", default)]
-    local_gb: f64,
+    cache_gb: f64,
     #[serde(rename = "fetchGbPerS", default)]
-    fetch: f64,
+    fetch_gb_per_s: f64,
     #[serde(rename = "rate")]
-    rate: f64,
+    price: f64,
     #[serde(rename = "spotPrice", default)]
     spot_price: Option<f64>,
     #[serde(rename = "startupS", default)]
-    startup_s: f64,
+    boot_s: f64,
     #[serde(rename = "yards", default)]
     zones: Vec<String>,
 }
@@ -144,13 +145,13 @@
 #[derive(Deserialize)]
 struct ProvisionedWire {
     #[serde(rename = "hosts")]
-    hosts: Vec<String>,
+    machines: Vec<String>,
 }
 
 #[derive(Deserialize)]
 struct CloudMachinesWire {
     #[serde(rename = "hosts")]
-    hosts: Vec<CloudMachineWire>,
+    machines: Vec<CloudMachineWire>,
     #[serde(rename = "more", default)]
     more: bool,
 }
@@ -158,7 +159,7 @@
 #[derive(Deserialize)]
 struct CloudMachineWire {
     #[serde(rename = "nameId")]
-    name_id: String,
+    id: String,
     #[serde(rename = "build")]
     machine_type: String,
     #[serde(rename = "yard")]
@@ -177,71 +178,93 @@
     error: String,
 }
 
-/// Reads a response.
+/// Parses the response to a request.
+///
+/// # Errors
+/// [`CallError`] says whether the request may have taken effect.
 pub fn parse(request: &CloudRequest, status: u16, body: &[u8]) -> Result<CloudReply, CallError> {
-    let bad = |_: serde_json::Error| CallError::Unknown;
     match (request, status) {
-        (CloudRequest::Provision { .. }, 503) => {
-            let full =
-                serde_json::from_slice::<ErrorWire>(body).is_ok_and(|e| e.error == "no capacity");
-            if full {
-                Ok(CloudReply::NoCapacity)
-            } else {
-                Err(CallError::Unavailable)
-            }
+        (CloudRequest::Provision { .. }, 503) if is_out_of_capacity(body) => {
+            Ok(CloudReply::NoCapacity)
         }
         (_, 503) => Err(CallError::Unavailable),
         (_, 429) => Err(CallError::TooMany),
         (_, 400) => Err(CallError::Refused),
-        (CloudRequest::Catalog, 200) => {
-            let w: CatalogWire = serde_json::from_slice(body).map_err(bad)?;
-            let types = w.builds.into_iter().map(machine_type).collect();
-            Ok(CloudReply::Catalog(Catalog { types }))
-        }
-        (CloudRequest::Provision { .. }, 200) => {
-            let w: ProvisionedWire = serde_json::from_slice(body).map_err(bad)?;
-            Ok(CloudReply::Provisioned(
-                w.hosts.iter().filter_map(|h| h.parse().ok()).collect(),
-            ))
-        }
+        (CloudRequest::Catalog, 200) => parse_catalog(body),
+        (CloudRequest::Provision { .. }, 200) => parse_provisioned(body),
         (CloudRequest::Release(_), 200) => Ok(CloudReply::Released),
-        (CloudRequest::List(_), 200) => {
-            let w: CloudMachinesWire = serde_json::from_slice(body).map_err(bad)?;
-            let hosts = w.hosts.into_iter().filter_map(host).collect();
-            Ok(CloudReply::Hosts(hosts, w.more))
-        }
+        (CloudRequest::List(_), 200) => parse_machines(body),
         _ => Err(CallError::Unknown),
     }
 }
 
-fn machine_type(b: MachineTypeWire) -> MachineType {
-    MachineType {
-        name: b.name,
-        room: Amount {
-            cores: offered(b.cores),
-            accelerators: offered(b.accelerators),
-            memory: offered(b.mem_gb),
-        },
-        cache: offered(b.local_gb),
-        fetch: offered(b.fetch),
-        price: offered(b.rate),
-        spot_price: offered(b.spot_price.unwrap_or(b.rate)),
-        boot: Micros::from_secs_f64(b.startup_s),
-        zones: b.zones,
+fn from_json<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, CallError> {
+    serde_json::from_slice(body).map_err(|_| CallError::Unknown)
+}
+
+fn is_out_of_capacity(body: &[u8]) -> bool {
+    serde_json::from_slice::<ErrorWire>(body).is_ok_and(|wire| wire.error == NO_CAPACITY)
+}
+
+fn parse_catalog(body: &[u8]) -> Result<CloudReply, CallError> {
+    let wire: CatalogWire = from_json(body)?;
+    let types = wire
+        .machine_types
+        .into_iter()
+        .map(MachineType::from)
+        .collect();
+    Ok(CloudReply::Catalog(Catalog { types }))
+}
+
+fn parse_provisioned(body: &[u8]) -> Result<CloudReply, CallError> {
+    let wire: ProvisionedWire = from_json(body)?;
+    let machines = wire.machines.iter().filter_map(|id| id.parse().ok());
+    Ok(CloudReply::Provisioned(machines.collect()))
+}
+
+fn parse_machines(body: &[u8]) -> Result<CloudReply, CallError> {
+    let wire: CloudMachinesWire = from_json(body)?;
+    let machines = wire
+        .machines
+        .into_iter()
+        .filter_map(CloudMachineWire::parse)
+        .collect();
+    Ok(CloudReply::Hosts(machines, wire.more))
+}
+
+impl From<MachineTypeWire> for MachineType {
+    fn from(wire: MachineTypeWire) -> MachineType {
+        MachineType {
+            name: wire.name,
+            room: Amount {
+                cores: offered(wire.cores),
+                accelerators: offered(wire.accelerators),
+                memory: offered(wire.memory_gb),
+            },
+            cache: offered(wire.cache_gb),
+            fetch: offered(wire.fetch_gb_per_s),
+            price: offered(wire.price),
+            spot_price: offered(wire.spot_price.unwrap_or(wire.price)),
+            boot: Micros::from_secs_f64(wire.boot_s),
+            zones: wire.zones,
+        }
     }
 }
 
-fn host(w: CloudMachineWire) -> Option<CloudMachine> {
-    Some(CloudMachine {
-        id: w.name_id.parse().ok()?,
-        machine_type: w.machine_type,
-        zone: w.zone,
-        spot: w.spot,
-        status: match w.status.as_str() {
-            "failed" => CloudMachineState::Failed,
-            "running" => CloudMachineState::Running,
-            _ => CloudMachineState::Starting,
-        },
-        age: Micros::from_secs_f64(w.age_s),
-    })
+impl CloudMachineWire {
+    /// The machine, unless its identifier has another form than those that this scheduler knows.
+    fn parse(self) -> Option<CloudMachine> {
+        Some(CloudMachine {
+            id: self.id.parse().ok()?,
+            machine_type: self.machine_type,
+            zone: self.zone,
+            spot: self.spot,
+            status: match self.status.as_str() {
+                "failed" => CloudMachineState::Failed,
+                "running" => CloudMachineState::Running,
+                _ => CloudMachineState::Starting,
+            },
+            age: Micros::from_secs_f64(self.age_s),
+        })
+    }
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Wire types, settings and their validation.
+//! The edge of the scheduler: wire formats, settings files and their validation.
 
 pub mod cloud;
 pub mod operator;
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -1,7 +1,30 @@
-//! The operators' own settings, beyond the platform's deploy file.
+//! The operator's settings file, in addition to the platform's deploy file.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
+use std::ops::RangeInclusive;
+use thiserror::Error;
+
+const SHARDS: RangeInclusive<usize> = 1..=64;
+const ROUND_MS: RangeInclusive<u64> = 10..=10_000;
+const NODE_LEASE_MS: RangeInclusive<u64> = 1_000..=60_000;
+const IDLE_S: RangeInclusive<f64> = 1.0..=86_400.0;
+
+/// Why an operator's settings file cannot be used; one line.
+#[derive(Debug, Error)]
+pub enum OperatorSettingsError {
+    /// Not JSON, an unknown field or a value of the wrong type.
+    #[error(transparent)]
+    Malformed(#[from] serde_json::Error),
+    /// A field's value is out of range.
+    #[error("{field}: must be {allowed}")]
+    OutOfRange {
+        /// The field.
+        field: &'static str,
+        /// The values that it may have.
+        allowed: &'static str,
+    },
+}
 
 /// What an operator may set. Every field has a sound default.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
@@ -46,47 +69,43 @@
 }
 
 impl OperatorSettings {
-    /// Reads the text of a settings file. The error is one line that names the field.
-    pub fn parse(text: &[u8]) -> Result<OperatorSettings, String> {
-        let s: OperatorSettings = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-        let check = |field: &str, ok: bool, range: &str| {
-            if ok {
-                Ok(())
-            } else {
-                Err(format!("{field}: must be {range}"))
-            }
-        };
-        check(
-            "slices",
-            s.shards.is_none_or(|n| (1..=64).contains(&n)),
-            "1 to 64",
-        )?;
-        check(
-            "round_ms",
-            (10..=10_000).contains(&s.round_ms),
-            "10 to 10000",
-        )?;
-        check(
-            "node_lease_ms",
-            (1_000..=60_000).contains(&s.node_lease_ms),
-            "1000 to 60000",
-        )?;
-        check(
-            "idle_s",
-            s.idle_s.is_none_or(|t| (1.0..=86_400.0).contains(&t)),
-            "1 to 86400",
-        )?;
-        check(
-            "rules",
-            s.rules.as_ref().is_none_or(|r| !r.is_empty()),
-            "the path of a file",
-        )?;
-        Ok(s)
+    /// Parses and validates the text of a settings file.
+    ///
+    /// # Errors
+    /// [`OperatorSettingsError`] with the first field that is out of range.
+    pub fn parse(text: &[u8]) -> Result<OperatorSettings, OperatorSettingsError> {
+        let settings: OperatorSettings = serde_json::from_slice(text)?;
+        settings.validate()?;
+        Ok(settings)
+    }
+
+    fn validate(&self) -> Result<(), OperatorSettingsError> {
+        let shards_valid = self.shards.is_none_or(|shards| SHARDS.contains(&shards));
+        check("slices", shards_valid, "1 to 64")?;
+        check("round_ms", ROUND_MS.contains(&self.round_ms), "10 to 10000")?;
+        let lease_valid = NODE_LEASE_MS.contains(&self.node_lease_ms);
+        check("node_lease_ms", lease_valid, "1000 to 60000")?;
+        let idle_valid = self.idle_s.is_none_or(|idle| IDLE_S.contains(&idle));
+        check("idle_s", idle_valid, "1 to 86400")?;
+        let rules_valid = self.rules.as_ref().is_none_or(|path| !path.is_empty());
+        check("rules", rules_valid, "the path of a file")
     }
 
-    /// The published schema.
+    /// The JSON schema of the settings file.
     pub fn schema() -> String {
         let schema = schemars::schema_for!(OperatorSettings);
         serde_json::to_string_pretty(&schema).unwrap_or_default()
     }
 }
+
+fn check(
+    field: &'static str,
+    valid: bool,
+    allowed: &'static str,
+) -> Result<(), OperatorSettingsError> {
+    if valid {
+        Ok(())
+    } else {
+        Err(OperatorSettingsError::OutOfRange { field, allowed })
+    }
+}
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -1,33 +1,33 @@
-//! What controllers tell each other: hints, on which no rule rests.
+//! Hints that controllers exchange. They only speed decisions up: no safety property relies on them.
 
 use crate::storage::records::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// A controller's view of itself.
+/// A controller's state as it sends it to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerHint {
-    /// Its name.
+    /// The controller's name.
     #[serde(rename = "node")]
     pub node: String,
-    /// Its process.
+    /// Incarnation of its process.
     #[serde(rename = "run")]
     pub run: Incarnation,
-    /// Milliseconds since it last had contact with the state service; none yet if absent.
+    /// Milliseconds since the state store last answered it; absent if it never has.
     #[serde(rename = "contact_ms")]
     pub contact_ms: Option<u64>,
-    /// Revision of its copy.
+    /// Revision of the state store that its replica has reached.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// Terms of all slices as its copy has them, by slice, and whether it owns them.
+    /// For each shard, in order: its term by the replica, and whether this controller leads it.
     #[serde(rename = "terms")]
     pub terms: Vec<(u64, bool)>,
-    /// Changes a second that it spends at the state service, in thousandths.
+    /// Rate of its writes at the state store, in thousandths of a change per second.
     #[serde(rename = "spends", default)]
     pub spends: u64,
-    /// Milliseconds since it last heard any worker; never if absent.
+    /// Milliseconds since its last heartbeat from any agent; absent if it never had one.
     #[serde(rename = "heard_ms", default)]
     pub heard_ms: Option<u64>,
-    /// Its rounds are full, and more waits for the rate of changes.
+    /// Whether its commit rounds are full and further changes wait for the write rate.
     #[serde(rename = "pressed", default)]
     pub saturated: bool,
 }
--- /dev/null
+++ b/src/protocol/settings/mod.rs
@@ -0,0 +1,214 @@
+//! The platform's deploy file: validated settings of a controller.
+
+mod file;
+mod validation;
+
+use crate::time::Micros;
+use file::DeployFile;
+use std::net::SocketAddrV4;
+use thiserror::Error;
+
+/// Why the deploy file cannot be used; one line that names the field.
+#[derive(Debug, Error)]
+pub enum SettingsError {
+    /// The file cannot be read.
+    #[error("{path}: {source}")]
+    Unreadable {
+        /// Path of the file.
+        path: String,
+        /// The failure of the operating system.
+        source: std::io::Error,
+    },
+    /// Not JSON, or a field is missing or of the wrong type.
+    #[error("{path}: {source}")]
+    Malformed {
+        /// Path of the file.
+        path: String,
+        /// What is wrong, and where in the file.
+        source: serde_json::Error,
+    },
+    /// A field's value is out of range.
+    #[error("{field}: {problem}")]
+    Invalid {
+        /// Path of the field in the file.
+        field: String,
+        /// What its value must be.
+        problem: &'static str,
+    },
+}
+
+/// Another controller.
+#[derive(Clone, Debug)]
+pub struct Other {
+    /// The controller's name.
+    pub node: String,
+    /// Address at which it listens for its peers.
+    pub back: SocketAddrV4,
+}
+
+/// A team's guarantee and limits. Amounts are thousandths; a limit of `None` limits nothing.
+#[derive(Clone, Debug)]
+pub struct Team {
+    /// The team's name.
+    pub name: String,
+    /// Guaranteed cores and accelerators.
+    pub guarantee: (u64, u64),
+    /// Most cores.
+    pub cores_limit: Option<u64>,
+    /// Most accelerators.
+    pub accelerators_limit: Option<u64>,
+}
+
+impl Team {
+    /// Whether the team has a guarantee or a limit.
+    pub fn has_share(&self) -> bool {
+        self.guarantee != (0, 0) || self.cores_limit.is_some() || self.accelerators_limit.is_some()
+    }
+
+    /// Whether the team may use this much.
+    pub fn allows(&self, cores: u64, accelerators: u64) -> bool {
+        self.cores_limit.is_none_or(|l| cores <= l)
+            && self.accelerators_limit.is_none_or(|l| accelerators <= l)
+    }
+}
+
+/// A service-level objective: how soon a class's tasks are to start or its jobs to end.
+#[derive(Clone, Debug)]
+pub struct Objective {
+    /// What the objective asks for.
+    pub kind: ObjectiveKind,
+    /// The job class that it holds for; all classes if absent.
+    pub class: Option<String>,
+}
+
+/// What an objective asks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ObjectiveKind {
+    /// Jobs end by their deadlines.
+    Deadline,
+    /// Jobs end within this time of their submission.
+    Finished(Micros),
+    /// Tasks start within this time.
+    Wait(Micros),
+    /// Tasks within their team's guarantee start within this time.
+    Guarantee(Micros),
+    /// An objective that this version does not know.
+    Other,
+}
+
+/// Limits of the state store.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct StateLimits {
+    /// Changes per second that it takes from all controllers together.
+    pub write_rps: f64,
+    /// Size of its largest value, in bytes.
+    pub value_bytes: usize,
+    /// Most changes of one transaction.
+    pub txn_ops: usize,
+}
+
+/// The validated settings of a controller.
+#[derive(Clone, Debug)]
+pub struct Settings {
+    /// This controller's name.
+    pub node: String,
+    /// Its zone.
+    pub zone: String,
+    /// Address that it serves users, agents and health checks at.
+    pub bind: SocketAddrV4,
+    /// Address that it listens for its peers at.
+    pub back: SocketAddrV4,
+    /// The other controllers.
+    pub others: Vec<Other>,
+    /// Address of the cloud's API.
+    pub cloud: SocketAddrV4,
+    /// Address of the state store.
+    pub state: SocketAddrV4,
+    /// Teams that may submit jobs.
+    pub teams: Vec<Team>,
+    /// Service-level objectives.
+    pub objectives: Vec<Objective>,
+    /// Interval of an agent's heartbeats.
+    pub heartbeat_interval: Micros,
+    /// Duration of an agent's lease: without a renewal its tasks end after it.
+    pub lease: Micros,
+    /// Time after a cancellation by which the job's tasks must have stopped.
+    pub cancel: Micros,
+    /// Requests per second that the state store takes from all controllers together.
+    pub state_rps: f64,
+    /// Limits of the state store now.
+    pub limits: StateLimits,
+    /// Limits announced for later; equal to `limits` if there is no announcement.
+    pub next_limits: StateLimits,
+    /// Requests per second that the cloud takes.
+    pub cloud_rps: f64,
+    /// Most that the cloud's machine list may be out of date.
+    pub list_lag: Micros,
+    /// Share of a processor core that the process may use.
+    pub core_share: f64,
+    /// Memory that the process may use, in MB.
+    pub ram_mb: f64,
+    /// Most sockets that the process may have open.
+    pub connections: usize,
+    /// Bound of the error of the time of day.
+    pub clock_error: Micros,
+}
+
+impl Settings {
+    /// Reads and validates the file at `path`.
+    ///
+    /// # Errors
+    /// [`SettingsError`] if the file cannot be read or used.
+    pub fn load(path: &str) -> Result<Settings, SettingsError> {
+        let text = std::fs::read(path).map_err(|source| SettingsError::Unreadable {
+            path: path.to_owned(),
+            source,
+        })?;
+        Settings::parse(path, &text)
+    }
+
+    /// Parses and validates the text of a file; `path` is only named in errors.
+    ///
+    /// # Errors
+    /// [`SettingsError`] with the first field that is invalid.
+    pub fn parse(path: &str, text: &[u8]) -> Result<Settings, SettingsError> {
+        let file: DeployFile =
+            serde_json::from_slice(text).map_err(|source| SettingsError::Malformed {
+                path: path.to_owned(),
+                source,
+            })?;
+        Settings::from_file(file)
+    }
+
+    /// The team of this name.
+    pub fn team(&self, name: &str) -> Option<&Team> {
+        self.teams.iter().find(|team| team.name == name)
+    }
+
+    /// Size in bytes of the largest response body that is read from the state store and the cloud.
+    ///
+    /// A response with changes has no limit of its own: after a long disconnection it would hold all changes since, and
+    /// listing all keys in pages (of 512 KiB at most) takes less memory. While a response is parsed, it is in memory
+    /// about three times.
+    pub fn body_limit(&self) -> usize {
+        const MIN_BYTES: f64 = 1024.0 * 1024.0;
+        const MAX_BYTES: f64 = 6.0 * MIN_BYTES;
+        const SHARE_OF_MEMORY: f64 = 32.0;
+        (self.ram_mb * 1e6 / SHARE_OF_MEMORY).clamp(MIN_BYTES, MAX_BYTES) as usize
+    }
+
+    /// How long after the last contact with the state store the leases of agents may still be renewed.
+    ///
+    /// A job may be cancelled right after the last contact, and an agent whose lease was renewed last keeps its tasks for
+    /// a whole lease: both together must stay within the time for cancellations. Zero where that leaves no time: then no
+    /// lease can be renewed.
+    pub fn contact_limit(&self) -> Micros {
+        const MARGIN: Micros = Micros::millis(1_500);
+        self.cancel - self.lease.with_drift() - MARGIN
+    }
+
+    /// Number of controllers, this one included.
+    pub fn controllers(&self) -> usize {
+        self.others.len() + 1
+    }
+}
--- a/src/protocol/user.rs
+++ b/src/protocol/user.rs
@@ -1,4 +1,4 @@
-//! What users send and get.
+//! The protocol of users: submissions, queries, cancellations and their responses.
 
 use crate::storage::ids::JobId;
 use crate::storage::job::{JobSpec, Priority};
@@ -11,23 +11,25 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Largest request body.
+/// Largest body of a request, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
 /// Most tasks of one job.
 pub const TASK_COUNT_LIMIT: u64 = 100_000;
+/// Longest text of a field, in bytes.
 const NAME_LIMIT: usize = 256;
+/// Largest number of a field, in its unit.
 const AMOUNT_LIMIT: f64 = 1e9;
 
-/// A submission that is malformed.
+/// Why a submission is invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum BadSubmission {
-    /// Not a JSON object of the right types.
+    /// The body is no JSON object, or a field is missing or of the wrong type.
     #[error("{0}")]
     Malformed(String),
-    /// A field's value is not allowed.
+    /// The value of the field of this name is out of range.
     #[error("{0}: invalid")]
     Field(&'static str),
-    /// The rules that it brings.
+    /// The job's placement rules are invalid.
     #[error("rules: {0}")]
     Rules(#[from] BadRules),
 }
@@ -35,7 +37,7 @@
 #[derive(Deserialize)]
 struct Submission {
     #[serde(rename = "nameId")]
-    name_id: String,
+    id: String,
     #[serde(rename = "lane")]
     job_class: String,
     #[serde(rename = "crew")]
@@ -51,7 +53,7 @@
     #[serde(rename = "accelerators")]
     accelerators: f64,
     #[serde(rename = "memGb")]
-    mem_gb: f64,
+    memory_gb: f64,
     #[serde(rename = "builds")]
     machine_types: Option<Vec<String>>,
     #[serde(rename = "yard")]
@@ -65,138 +67,195 @@
     #[serde(rename = "bundle")]
     image: String,
     #[serde(rename = "sizeGb")]
-    size_gb: f64,
+    image_size_gb: f64,
     #[serde(rename = "guessS")]
-    guess_s: f64,
+    estimated_runtime_s: f64,
     #[serde(rename = "bookmarkS")]
-    bookmark_s: f64,
+    checkpoint_interval_s: f64,
     #[serde(rename = "stashS")]
-    stash_s: f64,
+    checkpoint_duration_s: f64,
     #[serde(rename = "dueS")]
-    deadline: Option<f64>,
+    deadline_s: Option<f64>,
     #[serde(rename = "awaits")]
     dependencies: Option<Vec<String>>,
     #[serde(rename = "rules")]
     rules: Option<Vec<RuleText>>,
 }
 
-/// Reads a submission strictly.
+/// Parses the body of a submission. Every field has to be there, of its type and in its range.
+///
+/// # Errors
+/// [`BadSubmission`] with the first field that is not.
 pub fn parse_submission(body: &[u8]) -> Result<(JobId, JobSpec), BadSubmission> {
-    // A JSON array would pass for the fields in order.
-    if body.iter().find(|b| !b.is_ascii_whitespace()) != Some(&b'{') {
+    if !is_json_object(body) {
         return Err(BadSubmission::Malformed("not a JSON object".to_owned()));
     }
-    let s: Submission =
-        serde_json::from_slice(body).map_err(|e| BadSubmission::Malformed(e.to_string()))?;
-    let id = s
-        .name_id
+    let submission: Submission = serde_json::from_slice(body)
+        .map_err(|error| BadSubmission::Malformed(error.to_string()))?;
+    let id = submission
+        .id
         .parse()
         .map_err(|_| BadSubmission::Field("nameId"))?;
-    let text = |field, t: String| {
-        let ok = !t.is_empty() && t.len() <= NAME_LIMIT;
-        if ok {
-            Ok(t)
-        } else {
-            Err(BadSubmission::Field(field))
-        }
-    };
-    let number = |field, n: f64| {
-        let ok = n.is_finite() && (0.0..=AMOUNT_LIMIT).contains(&n);
-        if ok {
-            Ok(n)
-        } else {
-            Err(BadSubmission::Field(field))
+    Ok((id, submission.into_spec()?))
+}
+
+/// Whether the body begins as an object: serde also reads a JSON array, as the fields in their order.
+fn is_json_object(body: &[u8]) -> bool {
+    body.iter().find(|byte| !byte.is_ascii_whitespace()) == Some(&b'{')
+}
+
+impl Submission {
+    /// Validates the fields. Their order here decides which of several invalid fields is reported.
+    fn into_spec(self) -> Result<JobSpec, BadSubmission> {
+        let task_count = parse_task_count(self.task_count)?;
+        let dependencies = parse_dependencies(&self.dependencies.unwrap_or_default())?;
+        let rules = read_own(&self.rules.unwrap_or_default())?;
+        let job_class = parse_text("lane", self.job_class)?;
+        let team = parse_text("crew", self.team)?;
+        let shape = Shape::parse(&self.shape)?;
+        Ok(JobSpec {
+            dependencies,
+            rules,
+            job_class,
+            team,
+            service: shape == Shape::Service,
+            gang: shape == Shape::Gang,
+            priority: parse_priority(&self.priority)?,
+            task_count,
+            need: Amount {
+                cores: parse_amount("cores", self.cores)?,
+                accelerators: parse_amount("accelerators", self.accelerators)?,
+                memory: parse_amount("memGb", self.memory_gb)?,
+            },
+            machine_types: self.machine_types,
+            zone: self.zone,
+            single_zone: self.single_zone,
+            anti_affinity: self.anti_affinity,
+            spot_allowed: self.spot_allowed,
+            image: parse_text("bundle", self.image)?,
+            size: parse_amount("sizeGb", self.image_size_gb)?,
+            estimated_runtime: parse_duration("guessS", self.estimated_runtime_s)?,
+            checkpoint_interval: parse_duration("bookmarkS", self.checkpoint_interval_s)?,
+            checkpoint_duration: parse_duration("stashS", self.checkpoint_duration_s)?,
+            deadline: self
+                .deadline_s
+                .map(|seconds| parse_duration("dueS", seconds))
+                .transpose()?,
+        })
+    }
+}
+
+/// How the tasks of a job belong together.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Shape {
+    /// Tasks that run independently.
+    Array,
+    /// Tasks that start together or not at all.
+    Gang,
+    /// Tasks that run until they are cancelled.
+    Service,
+}
+
+impl Shape {
+    fn parse(text: &str) -> Result<Shape, BadSubmission> {
+        match text {
+            "sweep" => Ok(Shape::Array),
+            "group" => Ok(Shape::Gang),
+            "standing" => Ok(Shape::Service),
+            _ => Err(BadSubmission::Field("shape")),
         }
-    };
-    let span = |field, n: f64| number(field, n).map(Micros::from_secs_f64);
-    if s.task_count == 0 || s.task_count > TASK_COUNT_LIMIT {
-        return Err(BadSubmission::Field("pieces"));
     }
-    let dependencies = s
-        .dependencies
-        .unwrap_or_default()
+}
+
+fn parse_priority(text: &str) -> Result<Priority, BadSubmission> {
+    match text {
+        "critical" => Ok(Priority::Critical),
+        "high" => Ok(Priority::High),
+        "standard" => Ok(Priority::Standard),
+        "low" => Ok(Priority::Low),
+        _ => Err(BadSubmission::Field("urgency")),
+    }
+}
+
+fn parse_task_count(count: u64) -> Result<u32, BadSubmission> {
+    if (1..=TASK_COUNT_LIMIT).contains(&count) {
+        Ok(count as u32)
+    } else {
+        Err(BadSubmission::Field("pieces"))
+    }
+}
+
+/// The jobs that are awaited, each once and in order.
+fn parse_dependencies(names: &[String]) -> Result<Vec<JobId>, BadSubmission> {
+    let dependencies: BTreeSet<JobId> = names
         .iter()
-        .map(|n| n.parse())
-        .collect::<Result<BTreeSet<JobId>, _>>();
-    let dependencies = dependencies
-        .map_err(|_| BadSubmission::Field("awaits"))?
-        .into_iter()
-        .collect();
-    let spec = JobSpec {
-        dependencies,
-        rules: read_own(&s.rules.unwrap_or_default())?,
-        job_class: text("lane", s.job_class)?,
-        team: text("crew", s.team)?,
-        service: match s.shape.as_str() {
-            "sweep" | "group" => false,
-            "standing" => true,
-            _ => return Err(BadSubmission::Field("shape")),
-        },
-        gang: s.shape == "group",
-        priority: match s.priority.as_str() {
-            "critical" => Priority::Critical,
-            "high" => Priority::High,
-            "standard" => Priority::Standard,
-            "low" => Priority::Low,
-            _ => return Err(BadSubmission::Field("urgency")),
-        },
-        task_count: s.task_count as u32,
-        need: Amount {
-            cores: taken(number("cores", s.cores)?),
-            accelerators: taken(number("accelerators", s.accelerators)?),
-            memory: taken(number("memGb", s.mem_gb)?),
-        },
-        machine_types: s.machine_types,
-        zone: s.zone,
-        single_zone: s.single_zone,
-        anti_affinity: s.anti_affinity,
-        spot_allowed: s.spot_allowed,
-        image: text("bundle", s.image)?,
-        size: taken(number("sizeGb", s.size_gb)?),
-        estimated_runtime: span("guessS", s.guess_s)?,
-        checkpoint_interval: span("bookmarkS", s.bookmark_s)?,
-        checkpoint_duration: span("stashS", s.stash_s)?,
-        deadline: s.deadline.map(|d| span("dueS", d)).transpose()?,
-    };
-    Ok((id, spec))
+        .map(|name| name.parse())
+        .collect::<Result<_, _>>()
+        .map_err(|_| BadSubmission::Field("awaits"))?;
+    Ok(dependencies.into_iter().collect())
+}
+
+fn parse_text(field: &'static str, text: String) -> Result<String, BadSubmission> {
+    if (1..=NAME_LIMIT).contains(&text.len()) {
+        Ok(text)
+    } else {
+        Err(BadSubmission::Field(field))
+    }
+}
+
+fn parse_number(field: &'static str, number: f64) -> Result<f64, BadSubmission> {
+    if (0.0..=AMOUNT_LIMIT).contains(&number) {
+        Ok(number)
+    } else {
+        Err(BadSubmission::Field(field))
+    }
+}
+
+/// An amount that a task takes, in thousandths.
+fn parse_amount(field: &'static str, number: f64) -> Result<u64, BadSubmission> {
+    parse_number(field, number).map(taken)
+}
+
+fn parse_duration(field: &'static str, seconds: f64) -> Result<Micros, BadSubmission> {
+    parse_number(field, seconds).map(Micros::from_secs_f64)
 }
 
-/// A job's state as users see it.
+/// A job's state as shown to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum JobStatus {
-    /// No task runs.
+    /// No task is assigned to a machine.
     #[serde(rename = "queued")]
     Queued,
-    /// Some task runs.
+    /// Some task is assigned to a machine.
     #[serde(rename = "running")]
     Running,
-    /// All tasks are done.
+    /// All tasks have completed.
     #[serde(rename = "done")]
     Done,
-    /// Its user cancelled it.
+    /// The job is cancelled.
     #[serde(rename = "cancelled")]
     Cancelled,
 }
 
-/// An answer about a job.
+/// A job's status as shown to users.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobStatusResponse {
     /// The job.
     pub id: JobId,
-    /// Its state.
+    /// The job's state.
     pub status: JobStatus,
-    /// Finished tasks.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Booked tasks.
+    /// Number of tasks that are assigned to machines.
     pub running: u32,
-    /// Why it waits, if that is for rules of where it may run.
+    /// Why the job waits, if its placement rules are the reason.
     pub reason: Option<Arc<str>>,
 }
 
 #[derive(Serialize)]
-struct Answer {
+struct JobStatusWire<'a> {
     #[serde(rename = "nameId")]
-    name_id: String,
+    id: String,
     #[serde(rename = "status")]
     status: JobStatus,
     #[serde(rename = "done")]
@@ -204,36 +263,36 @@
     #[serde(rename = "running")]
     running: u32,
     #[serde(rename = "reason", skip_serializing_if = "Option::is_none")]
-    reason: Option<String>,
+    reason: Option<&'a str>,
 }
 
 impl JobStatusResponse {
-    /// The body.
+    /// The body of the response.
     pub fn body(&self) -> Vec<u8> {
-        let answer = Answer {
-            name_id: self.id.to_string(),
+        let wire = JobStatusWire {
+            id: self.id.to_string(),
             status: self.status,
             done: self.done,
             running: self.running,
-            reason: self.reason.as_deref().map(str::to_owned),
+            reason: self.reason.as_deref(),
         };
-        serde_json::to_vec(&answer).unwrap_or_default()
+        serde_json::to_vec(&wire).unwrap_or_default()
     }
 }
 
-/// What a user asks for.
+/// A user's request.
 #[derive(Clone, Debug)]
 pub enum UserRequest {
-    /// `POST /work`.
+    /// `POST /work`: submits a job.
     Submit(JobId, Box<JobSpec>),
-    /// `GET /work/{id}`.
+    /// `GET /work/{id}`: queries a job's status.
     Query(JobId),
-    /// `POST /work/{id}/abort`.
+    /// `POST /work/{id}/abort`: cancels a job.
     Abort(JobId),
 }
 
 impl UserRequest {
-    /// The job it is about.
+    /// The job that the request is about.
     pub fn job(&self) -> JobId {
         match self {
             UserRequest::Submit(id, _) | UserRequest::Query(id) | UserRequest::Abort(id) => *id,
@@ -241,20 +300,20 @@
     }
 }
 
-/// The answer to a user's request.
+/// The response to a user's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UserResponse {
-    /// 201.
+    /// 201: the job is accepted.
     Accepted(JobStatusResponse),
-    /// 200.
+    /// 200: the status of a job that was accepted before.
     Is(JobStatusResponse),
-    /// 404.
+    /// 404: no such job was ever accepted.
     Unknown,
-    /// 422, and why.
+    /// 422: the job can never run, with the reason.
     Never(Cow<'static, str>),
-    /// 400, and why.
+    /// 400: the submission is invalid, with the reason.
     Bad(Cow<'static, str>),
-    /// 503: cannot be decided here and now; come back after that many seconds.
+    /// 503: undecided; the user retries after this many seconds.
     RetryAfter(u32),
 }
 
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,4 +1,4 @@
-//! What workers send and get.
+//! The protocol between agents and controllers: heartbeats, commands and their encodings on the wire.
 
 use crate::storage::ids::{Attempt, MachineId};
 use crate::time::Micros;
@@ -25,7 +25,7 @@
     #[serde(rename = "recallS", default)]
     preemption_notice_s: Option<f64>,
     #[serde(rename = "pieces", default)]
-    pieces: Vec<TaskWire>,
+    tasks: Vec<TaskWire>,
 }
 
 #[derive(Deserialize)]
@@ -40,35 +40,35 @@
     cause: Option<String>,
 }
 
-/// How a task ended.
+/// Why a task is no longer running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// Completed.
+    /// The task ran to its end.
     Done,
-    /// Stopped by command.
+    /// A command stopped it.
     Halted,
-    /// Failed.
+    /// The task failed.
     Error,
-    /// Refused: no room.
+    /// The launch was refused: the machine has too little capacity left.
     Full,
-    /// Refused: another attempt is here.
+    /// The launch was refused: another attempt of the task is on the machine.
     InUse,
-    /// Refused: no such job.
+    /// The launch was refused: the agent knows no such job.
     NoSuch,
-    /// A cause that this version does not know.
+    /// A reason that this version does not know.
     Other,
 }
 
 /// A task's state on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// Waits for its image.
+    /// The machine downloads its image.
     Fetching,
-    /// Runs, or is in a state that this version does not know.
+    /// The task runs, or is in a state that this version does not know.
     Running,
-    /// Was told to stop and is saving.
+    /// The task was asked to stop and writes its checkpoint.
     Flushing,
-    /// Ended.
+    /// The task is no longer running.
     Exited(Ended),
 }
 
@@ -97,94 +97,104 @@
     }
 }
 
-/// A worker's report.
+/// An agent's periodic report of its machine.
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
-    /// Machine.
+    /// The machine that the agent runs on.
     pub machine: MachineId,
-    /// Address for direct commands.
+    /// Host and port at which the agent takes pushed commands.
     pub endpoint: String,
-    /// Type.
+    /// Machine type by the catalog.
     pub machine_type: String,
-    /// Zone.
+    /// The machine's zone.
     pub zone: String,
-    /// Spot.
+    /// Whether the cloud may preempt the machine.
     pub spot: bool,
-    /// Incarnation and sequence number.
+    /// Agent incarnation and sequence number.
     pub id: HeartbeatId,
-    /// Highest token the worker has seen.
+    /// Highest fencing token that the agent has seen.
     pub fencing_token: u64,
-    /// Time until the cloud takes the machine.
+    /// Time until the cloud preempts the machine, if it has given notice.
     pub preemption_notice: Option<Micros>,
-    /// Tasks on the machine.
+    /// Attempts on the machine, with their states.
     pub tasks: Vec<(Attempt, TaskState)>,
 }
 
 impl Heartbeat {
-    /// The agent's incarnation.
+    /// The agent incarnation that sent the heartbeat.
     pub fn incarnation(&self) -> u64 {
         self.id.incarnation
     }
 
-    /// Reads a report; `None` if it is malformed.
+    /// Parses the body of a heartbeat; `None` if it is malformed.
     pub fn parse(body: &[u8]) -> Option<Heartbeat> {
-        let w: HeartbeatWire = serde_json::from_slice(body).ok()?;
-        let tasks = w
-            .pieces
-            .into_iter()
-            .map(|p| {
-                let attempt = Attempt {
-                    task: p.task_name.parse().ok()?,
-                    number: p.number,
-                };
-                Some((attempt, task_state(&p.status, p.cause.as_deref())))
-            })
+        let wire: HeartbeatWire = serde_json::from_slice(body).ok()?;
+        let tasks = wire
+            .tasks
+            .iter()
+            .map(TaskWire::parse)
             .collect::<Option<Vec<_>>>()?;
         Some(Heartbeat {
-            machine: w.host.parse().ok()?,
-            endpoint: w.endpoint,
-            machine_type: w.machine_type,
-            zone: w.zone,
-            spot: w.spot,
+            machine: wire.host.parse().ok()?,
+            endpoint: wire.endpoint,
+            machine_type: wire.machine_type,
+            zone: wire.zone,
+            spot: wire.spot,
             id: HeartbeatId {
-                incarnation: w.incarnation,
-                sequence: w.sequence,
+                incarnation: wire.incarnation,
+                sequence: wire.sequence,
             },
-            fencing_token: w.fencing_token,
-            // Rounded down: the machine may go a little sooner than said, never later.
-            preemption_notice: w
-                .preemption_notice_s
-                .map(|s| Micros((s * 1e6).max(0.0) as u64)),
+            fencing_token: wire.fencing_token,
+            preemption_notice: wire.preemption_notice_s.map(notice_from_secs),
             tasks,
         })
     }
 }
 
-fn task_state(status: &str, cause: Option<&str>) -> TaskState {
-    match status {
-        "fetching" => TaskState::Fetching,
-        "flushing" => TaskState::Flushing,
-        "exited" => TaskState::Exited(match cause {
-            Some("done") => Ended::Done,
-            Some("halted") => Ended::Halted,
-            Some("error") => Ended::Error,
-            Some("full") => Ended::Full,
-            Some("in_use") => Ended::InUse,
-            Some("no_such") => Ended::NoSuch,
-            _ => Ended::Other,
-        }),
-        _ => TaskState::Running,
+/// Rounds down: a machine that goes sooner than assumed loses less work than one that goes later.
+fn notice_from_secs(seconds: f64) -> Micros {
+    Micros((seconds * 1e6).max(0.0) as u64)
+}
+
+impl TaskWire {
+    fn parse(&self) -> Option<(Attempt, TaskState)> {
+        let attempt = Attempt {
+            task: self.task_name.parse().ok()?,
+            number: self.number,
+        };
+        Some((attempt, self.state()))
+    }
+
+    fn state(&self) -> TaskState {
+        match self.status.as_str() {
+            "fetching" => TaskState::Fetching,
+            "flushing" => TaskState::Flushing,
+            "exited" => TaskState::Exited(exit_reason(self.cause.as_deref())),
+            _ => TaskState::Running,
+        }
     }
 }
 
-/// A command to a worker.
+fn exit_reason(cause: Option<&str>) -> Ended {
+    match cause {
+        Some("done") => Ended::Done,
+        Some("halted") => Ended::Halted,
+        Some("error") => Ended::Error,
+        Some("full") => Ended::Full,
+        Some("in_use") => Ended::InUse,
+        Some("no_such") => Ended::NoSuch,
+        _ => Ended::Other,
+    }
+}
+
+/// A command to an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Start an attempt.
     Launch(Attempt),
-    /// Stop it, with this much time to save.
+    /// Stop an attempt, with this grace period to write its checkpoint.
     Stop(Attempt, Micros),
-    /// Drop an ended attempt.
+    /// Drop an attempt that has exited from further heartbeats.
     Forget(Attempt),
 }
 
@@ -197,40 +207,42 @@
     #[serde(rename = "try")]
     number: u64,
     #[serde(rename = "leewayS", skip_serializing_if = "Option::is_none")]
-    grace_period: Option<f64>,
+    grace_period_s: Option<f64>,
 }
 
 impl Command {
     fn wire(&self) -> CommandWire {
-        let (operation, attempt, grace_period) = match self {
-            Command::Launch(a) => ("launch", a, None),
-            Command::Stop(a, t) => ("stop", a, Some(t.as_secs_f64())),
-            Command::Forget(a) => ("forget", a, None),
+        let (operation, attempt, grace_period_s) = match self {
+            Command::Launch(attempt) => ("launch", attempt, None),
+            Command::Stop(attempt, grace_period) => {
+                ("stop", attempt, Some(grace_period.as_secs_f64()))
+            }
+            Command::Forget(attempt) => ("forget", attempt, None),
         };
         CommandWire {
             operation,
             task_name: attempt.task.to_string(),
             number: attempt.number,
-            grace_period,
+            grace_period_s,
         }
     }
 }
 
-/// The answer to a report.
+/// The response to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HeartbeatResponse {
-    /// 200: the lease is renewed, and the orders are to be carried out.
+    /// 200: the agent's lease is renewed, and it carries out the commands.
     Commands {
-        /// The owner's term.
+        /// The fencing token: the term of the shard's leader.
         fencing_token: u64,
-        /// Commands.
+        /// Commands in the order in which they are carried out.
         commands: Vec<Command>,
     },
-    /// 421, with the owner if it is known.
+    /// 421: another controller leads the shard; its name, if known.
     Elsewhere(Option<String>),
-    /// 503.
+    /// 503: this controller cannot renew leases now.
     Unavailable,
-    /// 400.
+    /// 400: the body is no heartbeat.
     Malformed,
 }
 
@@ -244,12 +256,12 @@
     commands: Vec<CommandWire>,
 }
 
-/// The body of a 200 to a report.
+/// The body of a 200 to a heartbeat.
 pub fn heartbeat_response_body(fencing_token: u64, commands: &[Command]) -> Vec<u8> {
     build_commands_body(fencing_token, None, commands)
 }
 
-/// The body of a direct command.
+/// The body of commands that are pushed to an agent; only the given incarnation carries them out.
 pub fn command_body(fencing_token: u64, incarnation: u64, commands: &[Command]) -> Vec<u8> {
     build_commands_body(fencing_token, Some(incarnation), commands)
 }
@@ -267,10 +279,12 @@
     serde_json::to_vec(&wire).unwrap_or_default()
 }
 
-/// The body of a 421.
+/// The body of a 421, with the name of the controller to send heartbeats to.
 pub fn elsewhere_body(node: Option<&str>) -> Vec<u8> {
     match node {
-        Some(n) => serde_json::to_vec(&serde_json::json!({ "answerTo": n })).unwrap_or_default(),
+        Some(node) => {
+            serde_json::to_vec(&serde_json::json!({ "answerTo": node })).unwrap_or_default()
+        }
         None => b"{}".to_vec(),
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -32,6 +32,7 @@
     assert!(
         OperatorSettings::parse(br#"{"rules": ""}"#)
             .unwrap_err()
+            .to_string()
             .starts_with("rules:")
     );
 }
