--- a/src/coordination/agents/agent.rs
+++ b/src/coordination/agents/agent.rs
@@ -1,7 +1,7 @@
-//! What the leader of a machine's shard knows of the machine's agent, and what that proves.
+//! What the shard leader of a machine knows of the machine's agent, and what that proves.
 
 use super::launches::{Launches, PushedCommand};
-use super::liveness::longest_silence;
+use super::liveness::longest_expected_silence;
 use crate::protocol::settings::Settings;
 use crate::protocol::worker::{Heartbeat, HeartbeatId, TaskState};
 use crate::storage::ids::{Attempt, JobId};
@@ -9,25 +9,27 @@
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Different jobs that fail in a row on a machine until it is quarantined. One may be to blame itself.
-const FAILED_JOBS_OF_QUARANTINE: usize = 2;
-/// Heartbeats in a row that leave open whether the agent receives commands, until that counts against it.
+/// Number of different jobs that fail on a machine, with no completed task in between, before it is quarantined. A single job may
+/// itself be the cause of its failures.
+const FAILED_JOBS_FOR_QUARANTINE: usize = 2;
+/// Number of consecutive heartbeats without evidence that the agent receives commands, from which on the agent is probed and may
+/// be considered unreachable.
 const UNCONFIRMED_HEARTBEATS_LIMIT: u32 = 2;
 
 /// How long an agent may go without a heartbeat before its heartbeats count as lost.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeartbeatLossLimits {
-    /// From its last heartbeat.
+    /// Counted from its last heartbeat.
     pub after_heartbeat: Micros,
-    /// From the beginning of the leader's term, if it has sent none in the term. It may be searching for the leader; after a
-    /// lease its incarnation ends by itself.
+    /// Counted from the beginning of the leader's term, if the agent has sent no heartbeat in the term. It may still be searching for
+    /// the leader; after a lease duration its incarnation ends by itself.
     pub before_first: Micros,
 }
 
 impl HeartbeatLossLimits {
-    pub(super) fn of(settings: &Settings) -> HeartbeatLossLimits {
+    pub(super) fn from_settings(settings: &Settings) -> HeartbeatLossLimits {
         HeartbeatLossLimits {
-            after_heartbeat: longest_silence(settings),
+            after_heartbeat: longest_expected_silence(settings),
             before_first: settings.lease,
         }
     }
@@ -40,28 +42,30 @@
     machine_type: String,
     zone: String,
     spot: bool,
-    latest: HeartbeatId,
-    /// The agent reported a fencing token of this term: no earlier leader commands it any more.
+    /// The newest heartbeat, by incarnation and sequence number.
+    latest_heartbeat: HeartbeatId,
+    /// The agent reported a fencing token of this term, so it accepts no commands of earlier leaders any more.
     has_current_token: bool,
-    /// When the last heartbeat that was acknowledged arrived.
+    /// When the last acknowledged heartbeat arrived.
     acknowledged_at: Option<Micros>,
-    /// The latest time at which its lease may have begun, or may have been renewed by an earlier leader: when its present
+    /// The latest time at which its lease may have begun, or may have been renewed by an earlier leader: when its current
     /// incarnation was first reported, or when it first reported a token of this term, whichever is later.
-    lease_bound: Micros,
-    /// When it last sent a new heartbeat or answered a pushed command. Duplicates of earlier heartbeats do not count.
-    last_sign_of_life: Option<Micros>,
-    /// When the last new heartbeat came from the agent itself, not as the answer to a pushed command.
-    last_heartbeat: Option<Micros>,
-    /// A pushed command had no answer, and nothing has shown since then that the agent receives commands.
+    latest_lease_start: Micros,
+    /// When it last sent a new heartbeat or responded to a pushed command. Duplicates of earlier heartbeats do not count.
+    last_contact: Option<Micros>,
+    /// When the agent last sent a new heartbeat by itself, not in the response to a pushed command.
+    last_heartbeat_at: Option<Micros>,
+    /// A pushed command got no response, and nothing has shown since then that the agent receives commands.
     unreachable: bool,
-    /// The last heartbeat that was acknowledged.
+    /// The last acknowledged heartbeat.
     acknowledged: Option<HeartbeatId>,
-    /// The highest token that it reported.
+    /// The highest fencing token that it reported.
     fencing_token: u64,
-    /// Heartbeats in a row that do not show that the agent receives commands: they may be duplicates.
+    /// Number of consecutive heartbeats that do not show that the agent receives commands: they may be duplicates.
     unconfirmed_heartbeats: u32,
     reported_tasks: Vec<(Attempt, TaskState)>,
-    started: BTreeMap<Attempt, Micros>,
+    /// When each running attempt was first reported as running.
+    running_since: BTreeMap<Attempt, Micros>,
     /// Incarnations up to this one are never acknowledged again.
     fenced_incarnation: u64,
     /// When the cloud reclaims the machine.
@@ -78,18 +82,18 @@
             machine_type: machine_type.to_owned(),
             zone: zone.to_owned(),
             spot,
-            latest: HeartbeatId::NONE,
+            latest_heartbeat: HeartbeatId::NONE,
             has_current_token: false,
             acknowledged_at: None,
-            lease_bound: Micros::ZERO,
-            last_sign_of_life: None,
-            last_heartbeat: None,
+            latest_lease_start: Micros::ZERO,
+            last_contact: None,
+            last_heartbeat_at: None,
             unreachable: false,
             acknowledged: None,
             fencing_token: 0,
             unconfirmed_heartbeats: 0,
             reported_tasks: Vec::new(),
-            started: BTreeMap::new(),
+            running_since: BTreeMap::new(),
             fenced_incarnation: 0,
             reclaimed_at: None,
             launches: Launches::default(),
@@ -98,7 +102,7 @@
         }
     }
 
-    /// The agent of a machine that is on record and has sent nothing in this term.
+    /// The agent of a recorded machine that has sent nothing in this term.
     pub(super) fn from_record(record: &MachineRecord) -> Agent {
         let endpoint = record.endpoint.map(|e| e.to_string()).unwrap_or_default();
         let mut agent = Agent::new(&endpoint, &record.machine_type, &record.zone, record.spot);
@@ -106,7 +110,7 @@
         agent
     }
 
-    /// The agent that sends its first heartbeat.
+    /// An agent that sends its first heartbeat.
     pub(super) fn from_heartbeat(heartbeat: &Heartbeat) -> Agent {
         Agent::new(
             &heartbeat.endpoint,
@@ -116,7 +120,7 @@
         )
     }
 
-    /// The record with which its machine is added to the cell.
+    /// The machine record that adds its machine to the cell.
     pub fn record(&self) -> MachineRecord {
         MachineRecord {
             machine_type: self.machine_type.as_str().into(),
@@ -132,7 +136,7 @@
     }
 }
 
-/// Heartbeats, and the proofs that rest on them.
+/// Heartbeats, and the proofs that are based on them.
 impl Agent {
     pub(super) fn update_endpoint(&mut self, endpoint: &str) {
         if self.endpoint != endpoint {
@@ -141,16 +145,16 @@
     }
 
     pub(super) fn is_newer(&self, heartbeat: &Heartbeat) -> bool {
-        heartbeat.id > self.latest
+        heartbeat.id > self.latest_heartbeat
     }
 
     pub(super) fn incarnation(&self) -> u64 {
-        self.latest.incarnation
+        self.latest_heartbeat.incarnation
     }
 
-    /// A new heartbeat arrives from the agent itself. That the agent receives commands shows in the token that it reports, and in
-    /// that it stays with this controller: without an answer it would send its next heartbeat to another one.
-    /// `only_controller`: there is no other, so staying proves nothing.
+    /// Handles a new heartbeat that the agent sent by itself. Either of two observations shows that the agent receives commands: it
+    /// reports a new fencing token, or it stays with this controller, because without a response it would send its next heartbeat
+    /// to another one. `only_controller`: there is no other controller, so that the agent stays proves nothing.
     pub(super) fn on_new_heartbeat(
         &mut self,
         now: Micros,
@@ -158,28 +162,28 @@
         first_term: u64,
         only_controller: bool,
     ) {
-        self.last_heartbeat = Some(now);
-        let stayed = !only_controller
-            && self.acknowledged == Some(self.latest)
-            && heartbeat.id == self.latest.next();
-        let first = self.latest == HeartbeatId::NONE;
-        let got_token = heartbeat.fencing_token >= first_term
+        self.last_heartbeat_at = Some(now);
+        let stayed_with_controller = !only_controller
+            && self.acknowledged == Some(self.latest_heartbeat)
+            && heartbeat.id == self.latest_heartbeat.next();
+        let first = self.latest_heartbeat == HeartbeatId::NONE;
+        let received_token = heartbeat.fencing_token >= first_term
             && (first || only_controller || heartbeat.fencing_token > self.fencing_token);
-        if stayed || got_token {
+        if stayed_with_controller || received_token {
             self.on_commands_received(now);
         } else {
-            self.last_sign_of_life = Some(now);
+            self.last_contact = Some(now);
             self.unconfirmed_heartbeats = self.unconfirmed_heartbeats.saturating_add(1);
         }
         self.fencing_token = self.fencing_token.max(heartbeat.fencing_token);
     }
 
-    /// Adopts what a newer heartbeat reports, whether it came by itself or as the answer to a pushed command.
-    pub(super) fn apply(&mut self, now: Micros, heartbeat: &Heartbeat, first_term: u64) {
+    /// Updates the state from a newer heartbeat, whether the agent sent it by itself or in the response to a pushed command.
+    pub(super) fn update_from_heartbeat(&mut self, now: Micros, heartbeat: &Heartbeat, first_term: u64) {
         self.adopt_id_and_token(now, heartbeat, first_term);
         self.reported_tasks.clone_from(&heartbeat.tasks);
         self.launches.settle(heartbeat);
-        self.note_started(now, &heartbeat.tasks);
+        self.record_running_tasks(now, &heartbeat.tasks);
         let reclaimed_at = heartbeat.preemption_notice.map(|notice| now + notice);
         if reclaimed_at.is_some() && self.reclaimed_at.is_none() {
             tracing::info!(machine = %heartbeat.machine, "machine preemption notice received");
@@ -188,34 +192,34 @@
     }
 
     fn adopt_id_and_token(&mut self, now: Micros, heartbeat: &Heartbeat, first_term: u64) {
-        if heartbeat.incarnation() != self.latest.incarnation {
+        if heartbeat.incarnation() != self.latest_heartbeat.incarnation {
             self.launches.on_new_incarnation();
-            self.started.clear();
-            if self.latest.incarnation != 0 {
+            self.running_since.clear();
+            if self.latest_heartbeat.incarnation != 0 {
                 tracing::info!(machine = %heartbeat.machine, incarnation = heartbeat.incarnation(), "agent incarnation changed");
             }
-            self.lease_bound = now;
+            self.latest_lease_start = now;
         }
-        self.latest = heartbeat.id;
+        self.latest_heartbeat = heartbeat.id;
         if !self.has_current_token && heartbeat.fencing_token >= first_term {
             self.has_current_token = true;
-            self.lease_bound = now;
+            self.latest_lease_start = now;
         }
     }
 
-    fn note_started(&mut self, now: Micros, tasks: &[(Attempt, TaskState)]) {
+    fn record_running_tasks(&mut self, now: Micros, tasks: &[(Attempt, TaskState)]) {
         for (attempt, state) in tasks {
             if *state == TaskState::Running {
-                self.started.entry(*attempt).or_insert(now);
+                self.running_since.entry(*attempt).or_insert(now);
             }
         }
-        if self.started.len() > tasks.len() {
-            self.started
+        if self.running_since.len() > tasks.len() {
+            self.running_since
                 .retain(|attempt, _| tasks.iter().any(|(reported, _)| reported == attempt));
         }
     }
 
-    /// A heartbeat is acknowledged, which renews the agent's lease.
+    /// Records that a heartbeat is acknowledged, which renews the agent's lease.
     pub(super) fn acknowledge(&mut self, now: Micros, heartbeat: HeartbeatId) {
         self.acknowledged_at = Some(now);
         self.acknowledged = Some(heartbeat);
@@ -225,17 +229,18 @@
         self.acknowledged_at
     }
 
-    /// Whether it reported a fencing token of this term: no earlier leader commands it any more.
+    /// Whether it reported a fencing token of this term, so that it accepts no commands of earlier leaders any more.
     pub(super) fn has_current_token(&self) -> bool {
         self.has_current_token
     }
 
-    /// For how long its lease can't have been renewed: since the last acknowledged heartbeat. That may have been a duplicate of
-    /// an old one, or its answer may have been lost. So nothing counts from before the present incarnation began, nor from before
-    /// the agent had the token of this term: until then an earlier leader may have answered it.
+    /// For how long its lease cannot have been renewed, if that is known: since the last acknowledged heartbeat. That heartbeat may
+    /// have been a duplicate of an old one, or its response may have been lost. So the time never counts from before the current
+    /// incarnation began, nor from before the agent had the token of this term: until then an earlier leader may have renewed the
+    /// lease.
     pub(super) fn lease_unrenewed_for(&self, now: Micros) -> Option<Micros> {
         let acknowledged_at = self.acknowledged_at.filter(|_| self.has_current_token)?;
-        Some(now.since(acknowledged_at.max(self.lease_bound)))
+        Some(now.since(acknowledged_at.max(self.latest_lease_start)))
     }
 
     /// Incarnations up to this one are never acknowledged again.
@@ -247,12 +252,13 @@
         self.fenced_incarnation = self.fenced_incarnation.max(incarnation);
     }
 
-    /// Whether its present incarnation is fenced, or none is known.
+    /// Whether its current incarnation is fenced, or none is known.
     pub(super) fn is_fenced(&self) -> bool {
-        self.latest.incarnation <= self.fenced_incarnation
+        self.latest_heartbeat.incarnation <= self.fenced_incarnation
     }
 
-    /// Whether it answers pushed commands, but none of its heartbeats arrive. `since`: from when on this process could receive them.
+    /// Whether it responds to pushed commands, but none of its heartbeats arrive. `since`: from when on this process could receive
+    /// heartbeats.
     pub(super) fn heartbeats_are_lost(
         &self,
         now: Micros,
@@ -260,25 +266,25 @@
         limits: HeartbeatLossLimits,
     ) -> bool {
         let (from, limit) = self
-            .last_heartbeat
+            .last_heartbeat_at
             .map_or((since, limits.before_first), |at| {
                 (at.max(since), limits.after_heartbeat)
             });
-        now.since(from) > limit && self.last_sign_of_life.is_some_and(|at| at > from)
+        now.since(from) > limit && self.last_contact.is_some_and(|at| at > from)
     }
 }
 
 /// Whether the agent receives commands.
 impl Agent {
-    /// Something showed that the agent receives commands.
+    /// Records evidence that the agent receives commands.
     pub(super) fn on_commands_received(&mut self, now: Micros) {
-        self.last_sign_of_life = Some(now);
+        self.last_contact = Some(now);
         self.unreachable = false;
         self.unconfirmed_heartbeats = 0;
     }
 
-    /// Whether its heartbeats arrive, but no command reaches it.
-    pub(super) fn ignores_commands(&self) -> bool {
+    /// Whether there is a one-way partition: its heartbeats arrive, but commands do not reach it.
+    pub(super) fn commands_are_lost(&self) -> bool {
         self.unconfirmed_heartbeats >= UNCONFIRMED_HEARTBEATS_LIMIT && self.unreachable
     }
 
@@ -286,9 +292,10 @@
         self.unconfirmed_heartbeats > 0
     }
 
-    /// Whether its heartbeats leave open for too long whether it receives commands. `marked`: its machine is on record as unreachable.
-    pub(super) fn needs_probe(&self, marked: bool) -> bool {
-        let limit = if marked {
+    /// Whether it has sent too many heartbeats without evidence that it receives commands. `marked_unreachable`: its machine is
+    /// recorded as unreachable.
+    pub(super) fn needs_probe(&self, marked_unreachable: bool) -> bool {
+        let limit = if marked_unreachable {
             1
         } else {
             UNCONFIRMED_HEARTBEATS_LIMIT
@@ -296,17 +303,17 @@
         self.can_be_probed() && self.unconfirmed_heartbeats >= limit
     }
 
-    /// When it last sent a new heartbeat or answered a pushed command in this term.
-    pub fn last_sign_of_life(&self) -> Option<Micros> {
-        self.last_sign_of_life
+    /// When it last sent a new heartbeat or responded to a pushed command in this term.
+    pub fn last_contact(&self) -> Option<Micros> {
+        self.last_contact
     }
 
-    /// Whether a pushed command has had no answer since then.
+    /// Whether a pushed command got no response, and nothing has shown since then that the agent receives commands.
     pub fn is_unreachable(&self) -> bool {
         self.unreachable
     }
 
-    /// Whether a command can be pushed to it now.
+    /// Whether a command, even an empty one, can be pushed to it now: its endpoint is known and no other command is in flight.
     pub fn can_be_probed(&self) -> bool {
         !self.launches.is_push_in_flight() && self.has_endpoint()
     }
@@ -330,7 +337,7 @@
         &mut self.launches
     }
 
-    /// A pushed command had no answer.
+    /// Handles a pushed command that got no response.
     pub(super) fn on_push_lost(&mut self, now: Micros, command: PushedCommand) {
         self.unreachable = true;
         self.launches.on_push_lost(now, command);
@@ -353,7 +360,7 @@
 
     /// For how long an attempt has been running; zero if that is not known.
     pub(super) fn running_for(&self, attempt: &Attempt, now: Micros) -> Micros {
-        self.started
+        self.running_since
             .get(attempt)
             .map_or(Micros::ZERO, |at| now.since(*at))
     }
@@ -363,26 +370,26 @@
         self.reclaimed_at
     }
 
-    /// A task of this job failed on the machine; true if that quarantines the machine.
+    /// Records that a task of this job failed on the machine; true if that quarantines the machine.
     pub(super) fn on_task_failed(&mut self, job: JobId) -> bool {
         self.failed_jobs.insert(job);
-        let quarantine = self.failed_jobs.len() >= FAILED_JOBS_OF_QUARANTINE && !self.quarantined;
+        let quarantine = self.failed_jobs.len() >= FAILED_JOBS_FOR_QUARANTINE && !self.quarantined;
         self.quarantined |= quarantine;
         quarantine
     }
 
-    /// A task completed on the machine: earlier failures no longer count against it.
+    /// Records that a task completed on the machine: earlier failures no longer count against it.
     pub(super) fn on_task_done(&mut self) {
         self.failed_jobs.clear();
     }
 
-    /// The failures of this job no longer count against the machine; true if that ends its quarantine.
-    pub(super) fn forgive_failures_of(&mut self, job: JobId) -> bool {
-        let counted = self.failed_jobs.remove(&job);
-        let lift =
-            counted && self.quarantined && self.failed_jobs.len() < FAILED_JOBS_OF_QUARANTINE;
-        self.quarantined &= !lift;
-        lift
+    /// Discards the failures of this job, which no longer count against the machine; true if that ends its quarantine.
+    pub(super) fn discard_failures_of(&mut self, job: JobId) -> bool {
+        let was_counted = self.failed_jobs.remove(&job);
+        let ends_quarantine =
+            was_counted && self.quarantined && self.failed_jobs.len() < FAILED_JOBS_FOR_QUARANTINE;
+        self.quarantined &= !ends_quarantine;
+        ends_quarantine
     }
 
     pub(super) fn is_quarantined(&self) -> bool {
--- a/src/coordination/agents/agent/tests.rs
+++ b/src/coordination/agents/agent/tests.rs
@@ -1,4 +1,4 @@
-//! When an agent's lease has ended for certain.
+//! Tests of when an agent's lease has certainly expired.
 
 use super::*;
 use crate::storage::ids::MachineId;
@@ -18,11 +18,11 @@
         .map(|t| t.as_millis() / 1_000)
 }
 
-/// A duplicate of an old heartbeat is acknowledged, and then the answer to a pushed command reports an incarnation that began
-/// after it: its lease runs from its own beginning. Counted from the acknowledgement, tasks were placed elsewhere while they
-/// ran there.
+/// A duplicate of an old heartbeat is acknowledged, and then the response to a pushed command reports an incarnation that began
+/// later. The lease of the new incarnation counts from its own beginning: when it was counted from the acknowledgement, tasks were
+/// placed elsewhere while they still ran on the machine.
 #[test]
-fn an_incarnation_that_began_after_the_last_acknowledgement_has_its_own_lease() {
+fn lease_of_new_incarnation_counts_from_its_first_report() {
     let mut agent = Agent::new("", "g8", "a", true);
     assert_eq!(MachineId(7), heartbeat(1, 1, 0).machine);
     agent.adopt_id_and_token(Micros::secs(10), &heartbeat(1, 4, TERM - 5), TERM);
@@ -30,21 +30,21 @@
     assert_eq!(
         unrenewed_s(&agent, 30),
         None,
-        "an earlier leader may command it"
+        "an earlier leader may still command the agent"
     );
     agent.adopt_id_and_token(Micros::secs(14), &heartbeat(2, 1, TERM), TERM);
     assert_eq!(unrenewed_s(&agent, 30), Some(16));
-    // The incarnation is the same, so its lease did not begin anew.
+    // The incarnation is the same, so no new lease began.
     agent.adopt_id_and_token(Micros::secs(16), &heartbeat(2, 2, TERM), TERM);
     assert_eq!(unrenewed_s(&agent, 30), Some(16));
     agent.acknowledged_at = Some(Micros::secs(17));
     assert_eq!(unrenewed_s(&agent, 30), Some(13));
 }
 
-/// The answer to its last heartbeat was lost, and an earlier leader answered the next: that renews the lease until the agent
-/// has a token of this term.
+/// The response to the agent's last heartbeat was lost, and an earlier leader responded to the next one. An earlier leader can renew
+/// the lease until the agent has a token of this term.
 #[test]
-fn an_earlier_leader_may_renew_the_lease_until_the_token_is_reported() {
+fn lease_counts_from_first_report_of_current_term_token() {
     let mut agent = Agent::new("", "g8", "a", true);
     agent.adopt_id_and_token(Micros::secs(10), &heartbeat(1, 4, TERM - 5), TERM);
     agent.acknowledged_at = Some(Micros::secs(10));
@@ -55,9 +55,9 @@
     assert_eq!(unrenewed_s(&agent, 30), Some(11));
 }
 
-/// Without an acknowledgement in this term there is nothing to count from.
+/// Without an acknowledgement in this term there is no time from which the lease could be counted.
 #[test]
-fn an_agent_that_was_never_acknowledged_has_no_proven_lease_end() {
+fn lease_expiry_is_unknown_without_acknowledgement() {
     let mut agent = Agent::new("", "g8", "a", true);
     agent.adopt_id_and_token(Micros::secs(1), &heartbeat(1, 1, TERM), TERM);
     assert_eq!(unrenewed_s(&agent, 1_000), None);
--- a/src/coordination/agents/cancellations/tests.rs
+++ b/src/coordination/agents/cancellations/tests.rs
@@ -4,7 +4,7 @@
 use crate::storage::ids::TaskId;
 
 #[test]
-fn the_earliest_cancellation_of_the_launches_is_found_until_it_is_forgotten() {
+fn earliest_report_of_launched_jobs_is_returned_until_forgotten() {
     let launch = |job| Attempt {
         task: TaskId {
             job: JobId(job),
@@ -13,21 +13,21 @@
         number: 7,
     };
     let mut cancellations = Cancellations::default();
-    cancellations.note(JobId(1), Micros::secs(5));
-    cancellations.note(JobId(1), Micros::secs(9));
-    cancellations.note(JobId(2), Micros::secs(4));
+    cancellations.record(JobId(1), Micros::secs(5));
+    cancellations.record(JobId(1), Micros::secs(9));
+    cancellations.record(JobId(2), Micros::secs(4));
     assert_eq!(
-        cancellations.earliest([launch(1), launch(3)].iter()),
+        cancellations.earliest_report([launch(1), launch(3)].iter()),
         Some(Micros::secs(5))
     );
     assert_eq!(
-        cancellations.earliest([launch(1), launch(2)].iter()),
+        cancellations.earliest_report([launch(1), launch(2)].iter()),
         Some(Micros::secs(4))
     );
-    assert_eq!(cancellations.earliest([launch(3)].iter()), None);
-    cancellations.forget(Micros::secs(5));
+    assert_eq!(cancellations.earliest_report([launch(3)].iter()), None);
+    cancellations.forget_before(Micros::secs(5));
     assert_eq!(
-        cancellations.earliest([launch(1), launch(2)].iter()),
+        cancellations.earliest_report([launch(1), launch(2)].iter()),
         Some(Micros::secs(5))
     );
 }
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -4,7 +4,7 @@
 
 use super::Outcome;
 use super::agent::Agent;
-use super::launch_policy::{PreemptionWindow, beyond_limit, grace_period, has_room};
+use super::launch_policy::{PreemptionWindow, exceeds_quota, grace_period, has_room};
 use crate::coordination::Controller;
 use crate::coordination::commit::Rounds;
 use crate::coordination::constraints::{Rules, log_forbidden_launch};
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
     /// In the answer to the agent's newest heartbeat.
-    InAnswer,
+    InResponse,
     /// Not as the answer to its newest heartbeat: the answer to another one may still be on its way.
     OutOfOrder,
 }
@@ -31,7 +31,7 @@
     /// The rules of its job or machine forbid the launch.
     Forbidden,
     /// Its team is beyond its quota.
-    BeyondQuota,
+    OverQuota,
     /// Its job is cancelled, it is preempted, or its machine takes no more work.
     Unwanted,
 }
@@ -50,16 +50,16 @@
     record: Option<&'a MachineRecord>,
     commands: Vec<Command>,
     /// A launch is left to a pushed command.
-    push_wanted: bool,
+    push_needed: bool,
 }
 
 impl CommandBuilder<'_> {
-    fn for_reported_tasks(&mut self) {
+    fn add_commands_for_reported_tasks(&mut self) {
         for index in 0..self.agent.reported_tasks().len() {
             let (attempt, state) = self.agent.reported_tasks()[index];
             match (self.is_assigned(&attempt), state) {
                 (true, TaskState::Exited(ended)) => self.on_exited(attempt, ended),
-                (true, state) => self.stop_if_unwanted(attempt, state),
+                (true, state) => self.stop_if_required(attempt, state),
                 (false, TaskState::Exited(_)) => self.forget_if_settled(attempt),
                 (false, _) => self.commands.push(Command::Stop(attempt, Micros::ZERO)),
             }
@@ -96,12 +96,12 @@
             .release(self.machine, attempt, outcome, self.now)
         {
             tracing::info!(task = %attempt, machine = %self.machine, ?ended, "task exited");
-            self.note_outcome(attempt, outcome);
+            self.record_outcome_for_machine(attempt, outcome);
         }
     }
 
     /// Notes what the end of a task says about the machine.
-    fn note_outcome(&mut self, attempt: Attempt, outcome: Outcome) {
+    fn record_outcome_for_machine(&mut self, attempt: Attempt, outcome: Outcome) {
         let job = attempt.task.job;
         match outcome {
             // That a suspect job fails says nothing about the machine.
@@ -117,14 +117,14 @@
     }
 
     /// Stops an assigned task that must not run on, or that can't end before its machine is reclaimed.
-    fn stop_if_unwanted(&mut self, attempt: Attempt, state: TaskState) {
-        if let Some(grace) = self.grace_of_stop(attempt, state) {
+    fn stop_if_required(&mut self, attempt: Attempt, state: TaskState) {
+        if let Some(grace) = self.stop_grace_period(attempt, state) {
             self.commands.push(Command::Stop(attempt, grace));
         }
     }
 
     /// The time that the task is given to save, if it has to be stopped.
-    fn grace_of_stop(&self, attempt: Attempt, state: TaskState) -> Option<Micros> {
+    fn stop_grace_period(&self, attempt: Attempt, state: TaskState) -> Option<Micros> {
         let id = attempt.task.job;
         let Some(job) = self.cell.jobs.get(&id).filter(|job| !job.cancelled()) else {
             return Some(Micros::ZERO);
@@ -141,10 +141,10 @@
             .reclaimed_at()
             .filter(|_| state == TaskState::Running)?;
         PreemptionWindow {
-            left: reclaimed_at.since(self.now),
+            remaining: reclaimed_at.since(self.now),
             heartbeat_interval: self.settings.heartbeat_interval,
         }
-        .grace_of_stop(job.spec(), self.agent.running_for(&attempt, self.now))
+        .stop_grace_period(job.spec(), self.agent.running_for(&attempt, self.now))
     }
 
     /// An ended task's assignment is released, so its outcome is on record. It is forgotten only once no launch of it can
@@ -169,7 +169,7 @@
         );
     }
 
-    fn for_unreported_assignments(&mut self, delivery: Delivery) {
+    fn handle_unreported_assignments(&mut self, delivery: Delivery) {
         let Some(record) = self.record else {
             return;
         };
@@ -184,7 +184,7 @@
             }
             match self.launch_refusal(record, assignment, attempt) {
                 None => self.launch(attempt, delivery),
-                Some(refusal) if delivery == Delivery::InAnswer => self.give_back(attempt, refusal),
+                Some(refusal) if delivery == Delivery::InResponse => self.release_unlaunched(attempt, refusal),
                 Some(_) => {}
             }
         }
@@ -203,8 +203,8 @@
         {
             return Some(LaunchRefusal::Forbidden);
         }
-        if beyond_limit(self.cell, self.settings, id) {
-            return Some(LaunchRefusal::BeyondQuota);
+        if exceeds_quota(self.cell, self.settings, id) {
+            return Some(LaunchRefusal::OverQuota);
         }
         let unwanted = self.cell.jobs.get(&id).is_none_or(Job::cancelled)
             || self.health() != MachineHealth::Schedulable
@@ -218,20 +218,20 @@
             return;
         }
         match delivery {
-            Delivery::InAnswer => {
+            Delivery::InResponse => {
                 self.agent.launches_mut().note_sent(attempt);
                 self.commands.push(Command::Launch(attempt));
             }
             Delivery::OutOfOrder => {
                 self.agent.launches_mut().drop_sent(&attempt);
-                self.push_wanted = true;
+                self.push_needed = true;
             }
         }
     }
 
     /// Releases an assignment that is not launched, once no launch of it can arrive any more. An earlier launch in an answer
     /// answered an earlier heartbeat, so it has arrived or was given up by now; only a pushed one may still be on its way.
-    fn give_back(&mut self, attempt: Attempt, refusal: LaunchRefusal) {
+    fn release_unlaunched(&mut self, attempt: Attempt, refusal: LaunchRefusal) {
         if !self.agent.has_current_token() {
             return;
         }
@@ -247,7 +247,7 @@
         }
         match refusal {
             LaunchRefusal::Forbidden => log_forbidden_launch(attempt.task, self.machine),
-            LaunchRefusal::BeyondQuota => {
+            LaunchRefusal::OverQuota => {
                 tracing::info!(task = %attempt, machine = %self.machine, "assignment given back: team beyond its quota");
             }
             LaunchRefusal::Unwanted => {}
@@ -257,7 +257,7 @@
 
 impl Controller {
     /// The commands for a machine's agent, from its newest heartbeat and the cell state.
-    pub(super) fn commands(
+    pub(super) fn build_commands(
         &mut self,
         shard: ShardId,
         machine: MachineId,
@@ -278,12 +278,12 @@
             machine,
             record: self.cell.machine(machine),
             commands: Vec::new(),
-            push_wanted: false,
+            push_needed: false,
         };
-        builder.for_reported_tasks();
-        builder.for_unreported_assignments(delivery);
-        let (commands, push_wanted) = (builder.commands, builder.push_wanted);
-        if push_wanted {
+        builder.add_commands_for_reported_tasks();
+        builder.handle_unreported_assignments(delivery);
+        let (commands, push_needed) = (builder.commands, builder.push_needed);
+        if push_needed {
             self.agents_to_command.insert(machine);
         }
         commands
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -11,7 +11,7 @@
 impl Controller {
     /// For so many leases after the beginning of a term a heartbeat may be a duplicate from a machine that was removed before: the
     /// leader does not remember that one.
-    const LEASES_OF_DUPLICATES: u64 = 3;
+    const DUPLICATE_HEARTBEAT_LEASES: u64 = 3;
 
     /// Answers a heartbeat. An answer with commands renews the agent's lease.
     pub(in crate::coordination) fn on_heartbeat(
@@ -26,7 +26,7 @@
         if !self.leads(shard) {
             return self.redirect_to_leader(shard);
         }
-        if self.is_out_of_contact()
+        if self.is_state_contact_too_old()
             || self.has_newer_token(shard, heartbeat)
             || self.is_removed(machine)
             || !self.admit_heartbeat(heartbeat)
@@ -34,18 +34,18 @@
             return HeartbeatResponse::Unavailable;
         }
         let newer = self.apply_if_newer(shard, heartbeat);
-        if self.is_lease_end_due(machine) {
+        if self.must_let_lease_expire(machine) {
             return HeartbeatResponse::Unavailable;
         }
         if let Some(agent) = self.agents.get_mut(&machine) {
             agent.acknowledge(self.now.steady, heartbeat.id);
         }
         let delivery = if newer {
-            Delivery::InAnswer
+            Delivery::InResponse
         } else {
             Delivery::OutOfOrder
         };
-        let commands = self.commands(shard, machine, delivery);
+        let commands = self.build_commands(shard, machine, delivery);
         self.probe_if_unconfirmed(machine);
         HeartbeatResponse::Commands {
             fencing_token: self.cell.leaders[shard].mod_revision,
@@ -123,11 +123,11 @@
     }
 
     /// Whether a launch may still reach a machine whose job was cancelled so long ago that the machine's lease must end.
-    fn is_lease_end_due(&self, machine: MachineId) -> bool {
+    fn must_let_lease_expire(&self, machine: MachineId) -> bool {
         let Some(agent) = self.agents.get(&machine) else {
             return false;
         };
-        let due = self.is_overdue(self.cancelled.earliest(agent.launches().in_flight()));
+        let due = self.requires_lease_expiry(self.cancelled.earliest_report(agent.launches().in_flight()));
         if due {
             tracing::info!(%machine, "heartbeat not acknowledged: a launch of a cancelled job may still be in flight");
         }
@@ -137,14 +137,14 @@
     /// Probes an agent whose heartbeats leave open whether it receives commands. Its machine gets no work until it answers, or
     /// shows otherwise that it receives them.
     fn probe_if_unconfirmed(&mut self, machine: MachineId) {
-        let marked = self
+        let marked_unreachable = self
             .cell
             .machine(machine)
             .is_some_and(|r| r.health == MachineHealth::Unreachable);
         let probe = self
             .agents
             .get(&machine)
-            .is_some_and(|agent| agent.needs_probe(marked));
+            .is_some_and(|agent| agent.needs_probe(marked_unreachable));
         if probe {
             self.push_commands(machine, Vec::new(), Vec::new());
         }
@@ -159,23 +159,23 @@
         let Some(agent) = self.agents.get_mut(&heartbeat.machine) else {
             return;
         };
-        agent.apply(now, heartbeat, leader_term.first);
+        agent.update_from_heartbeat(now, heartbeat, leader_term.first);
         let lost = agent.heartbeats_are_lost(
             now,
             leader_term.since.max(self.stall.resumed_at()),
-            HeartbeatLossLimits::of(&self.settings),
+            HeartbeatLossLimits::from_settings(&self.settings),
         );
         match self.cell.machine(heartbeat.machine) {
             None => {
                 let term_age = now.since(leader_term.since);
                 if agent.has_current_token()
-                    || term_age >= self.settings.lease * Self::LEASES_OF_DUPLICATES
+                    || term_age >= self.settings.lease * Self::DUPLICATE_HEARTBEAT_LEASES
                 {
                     self.rounds.add_machine(heartbeat.machine);
                 }
             }
             Some(record) => {
-                let health = health_shown_by(agent, record, lost);
+                let health = health_from_heartbeat(agent, record, lost);
                 if health == record.health {
                     return;
                 }
@@ -193,7 +193,7 @@
 }
 
 /// The health that a machine's newest heartbeat shows.
-fn health_shown_by(
+fn health_from_heartbeat(
     agent: &Agent,
     record: &MachineRecord,
     heartbeats_are_lost: bool,
@@ -202,7 +202,7 @@
         && (heartbeats_are_lost || agent.has_unconfirmed_heartbeats());
     if record.health == MachineHealth::Decommissioning {
         MachineHealth::Decommissioning
-    } else if agent.ignores_commands() || stays_unreachable {
+    } else if agent.commands_are_lost() || stays_unreachable {
         MachineHealth::Unreachable
     } else if agent.reclaimed_at().is_some() || agent.is_quarantined() {
         MachineHealth::Cordoned
--- a/src/coordination/agents/launch_policy.rs
+++ b/src/coordination/agents/launch_policy.rs
@@ -18,7 +18,7 @@
 
 /// Whether more is assigned for a job's team than its quota allows. No controller assigns that much once it knows the quota, so it
 /// was assigned before a later settings file brought it: what has not been launched of it is given back.
-pub(super) fn beyond_limit(cell: &CellState, settings: &Settings, job: JobId) -> bool {
+pub(super) fn exceeds_quota(cell: &CellState, settings: &Settings, job: JobId) -> bool {
     let Some(spec) = cell.jobs.get(&job).map(Job::spec) else {
         return false;
     };
@@ -62,7 +62,7 @@
 
 /// The time until the cloud reclaims a spot machine.
 pub(super) struct PreemptionWindow {
-    pub left: Micros,
+    pub remaining: Micros,
     pub heartbeat_interval: Micros,
 }
 
@@ -72,14 +72,14 @@
 
     /// The time to save for a running task that has to be stopped now: one with checkpoints is stopped as late as it can still
     /// save, one without at once if it would hardly end in time.
-    pub(super) fn grace_of_stop(&self, spec: &JobSpec, ran: Micros) -> Option<Micros> {
-        let saves = spec.checkpoint_interval > Micros::ZERO;
-        if saves {
+    pub(super) fn stop_grace_period(&self, spec: &JobSpec, running_for: Micros) -> Option<Micros> {
+        let has_checkpoints = spec.checkpoint_interval > Micros::ZERO;
+        if has_checkpoints {
             let needed =
                 spec.checkpoint_duration + self.heartbeat_interval * Self::HEARTBEATS_UNTIL_STOP;
-            (self.left < needed).then(|| spec.checkpoint_duration.with_drift())
+            (self.remaining < needed).then(|| spec.checkpoint_duration.with_drift())
         } else {
-            (spec.estimated_runtime.since(ran) > self.left * 2).then_some(Micros::ZERO)
+            (spec.estimated_runtime.since(running_for) > self.remaining * 2).then_some(Micros::ZERO)
         }
     }
 }
--- a/src/coordination/agents/launches.rs
+++ b/src/coordination/agents/launches.rs
@@ -1,4 +1,7 @@
-//! Launches that were sent to an agent, and the command that is being pushed to it.
+//! Launches that were sent to an agent, and the pushed command that is in flight to it.
+//!
+//! A launch is settled once no pushed command can deliver it any more: the command got a response, or the agent would refuse the
+//! launch because it has a higher fencing token or a newer incarnation.
 
 use crate::coordination::CallId;
 use crate::protocol::worker::Heartbeat;
@@ -6,7 +9,7 @@
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
-/// A pushed command that has not been answered yet.
+/// A pushed command that is waiting for its response.
 #[derive(Debug)]
 pub(super) struct PushedCommand {
     pub call: CallId,
@@ -15,7 +18,7 @@
     pub launches: Vec<Attempt>,
 }
 
-/// A pushed launch without an answer: the network may hold it and deliver it much later.
+/// A pushed launch that got no response: the network may delay it and deliver it much later.
 #[derive(Debug)]
 struct UnsettledLaunch {
     attempt: Attempt,
@@ -24,7 +27,7 @@
 }
 
 impl UnsettledLaunch {
-    /// Whether an agent that sends this heartbeat still accepts the launch.
+    /// Whether the agent that sent this heartbeat would still accept the launch.
     fn may_be_accepted_after(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.fencing_token <= self.fencing_token && heartbeat.incarnation() <= self.incarnation
     }
@@ -33,13 +36,14 @@
 /// The launches of one agent.
 #[derive(Debug, Default)]
 pub(super) struct Launches {
-    /// Sent to the present incarnation, in an answer or by a pushed command.
+    /// Launches sent to the current incarnation, in a heartbeat response or by a pushed command.
     sent: BTreeSet<Attempt>,
-    /// The command that is in flight. There is one at a time.
+    /// The command that is in flight; there is at most one at a time.
     pushed: Option<PushedCommand>,
-    /// The machine has to be considered for a pushed command again, once the present one is over.
+    /// The machine is to be considered for another pushed command once the one in flight has ended.
     push_again: bool,
     unsettled: Vec<UnsettledLaunch>,
+    /// When `unsettled` last became non-empty.
     unsettled_since: Micros,
 }
 
@@ -48,7 +52,7 @@
         self.pushed = Some(command);
     }
 
-    /// Whether a command is on its way; if so, the machine is considered again once that is over.
+    /// Whether a command is in flight; if so, the machine is considered again once that command has ended.
     pub(super) fn defer_push(&mut self) -> bool {
         if self.pushed.is_some() {
             self.push_again = true;
@@ -56,17 +60,17 @@
         self.pushed.is_some()
     }
 
-    /// The command of this call ends. An agent that is new since then does not know the call.
+    /// Ends the command of this call and returns it. There is none if the agent was registered anew after the call was made.
     pub(super) fn end_push(&mut self, call: CallId) -> Option<PushedCommand> {
         self.pushed.take_if(|command| command.call == call)
     }
 
-    /// Whether the machine has to be considered for a pushed command again.
+    /// Whether the machine is to be considered for another pushed command; clears the flag.
     pub(super) fn take_push_again(&mut self) -> bool {
         std::mem::take(&mut self.push_again)
     }
 
-    /// A pushed command had no answer: its launches may be delivered much later.
+    /// Handles a pushed command that got no response: its launches may be delivered much later.
     pub(super) fn on_push_lost(&mut self, now: Micros, command: PushedCommand) {
         if self.unsettled.is_empty() {
             self.unsettled_since = now;
@@ -85,23 +89,23 @@
         !self.unsettled.is_empty()
     }
 
-    /// Since when there have been unsettled launches; if there are none, since when there last were.
+    /// When the present unsettled launches, or if there are none the last ones, began.
     pub(super) fn unsettled_since(&self) -> Micros {
         self.unsettled_since
     }
 
-    /// Launches that may still be on their way by pushed commands.
+    /// Launches that pushed commands may still deliver.
     pub(super) fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
         let pushed = self.pushed.iter().flat_map(|command| &command.launches);
         pushed.chain(self.unsettled.iter().map(|launch| &launch.attempt))
     }
 
-    /// The agent was restarted: it knows nothing of earlier launches in answers.
+    /// Handles a restart of the agent: the new incarnation knows nothing of launches in earlier responses.
     pub(super) fn on_new_incarnation(&mut self) {
         self.sent.clear();
     }
 
-    /// A newer heartbeat settles the launches that its agent no longer accepts.
+    /// Settles the launches that the agent that sent this newer heartbeat would no longer accept.
     pub(super) fn settle(&mut self, heartbeat: &Heartbeat) {
         self.unsettled
             .retain(|launch| launch.may_be_accepted_after(heartbeat));
@@ -111,12 +115,12 @@
         self.pushed.is_some()
     }
 
-    /// Launches that were sent and are still assigned.
+    /// Sent launches that are still assigned.
     pub(super) fn sent(&self) -> impl Iterator<Item = &Attempt> {
         self.sent.iter()
     }
 
-    /// Whether no launch of the attempt can still be on its way by a pushed command.
+    /// Whether no pushed command can still deliver a launch of the attempt.
     pub(super) fn is_settled(&self, attempt: &Attempt) -> bool {
         !self
             .unsettled
@@ -128,12 +132,12 @@
                 .is_none_or(|command| !command.launches.contains(attempt))
     }
 
-    /// Notes that a launch is sent; false if one was sent before.
+    /// Records that a launch is sent; false if one was sent before.
     pub(super) fn note_sent(&mut self, attempt: Attempt) -> bool {
         self.sent.insert(attempt)
     }
 
-    /// A launch was not sent, or not carried out.
+    /// Removes a launch that was not sent after all, or that the agent did not execute.
     pub(super) fn drop_sent(&mut self, attempt: &Attempt) {
         self.sent.remove(attempt);
     }
--- a/src/coordination/agents/launches/tests.rs
+++ b/src/coordination/agents/launches/tests.rs
@@ -1,4 +1,4 @@
-//! When launches are settled.
+//! Tests of when launches are settled.
 
 use super::*;
 use crate::storage::ids::{JobId, TaskId};
@@ -35,7 +35,7 @@
     launches
 }
 
-/// Launches whose pushed command had no answer by 10 s.
+/// Launches whose pushed command is given up without a response at 10 s.
 fn with_lost_push() -> Launches {
     let mut launches = with_push();
     let command = launches.end_push(CallId(5)).expect("a pushed command");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_answered_push_is_settled() {
+fn launch_is_settled_by_push_response() {
     let mut launches = with_push();
     assert!(!launches.is_settled(&attempt()));
     assert!(launches.end_push(CallId(4)).is_none());
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_lost_push_stays_unsettled_while_the_agent_still_accepts_it() {
+fn launch_without_push_response_stays_unsettled_while_agent_accepts_it() {
     let mut launches = with_lost_push();
     launches.settle(&heartbeat(INCARNATION, TOKEN));
     assert!(launches.has_unsettled());
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_higher_token_or_a_new_incarnation_settles_a_lost_push() {
+fn higher_token_or_new_incarnation_settles_launch_without_push_response() {
     for (incarnation, token) in [(INCARNATION, TOKEN + 1), (INCARNATION + 1, TOKEN)] {
         let mut launches = with_lost_push();
         launches.settle(&heartbeat(incarnation, token));
--- a/src/coordination/agents/liveness.rs
+++ b/src/coordination/agents/liveness.rs
@@ -13,39 +13,39 @@
 use crate::time::Micros;
 
 /// Added to the lease and its drift before silence counts as proof that the lease has ended.
-const LEASE_END_MARGIN: Micros = Micros::millis(400);
+const LEASE_EXPIRY_MARGIN: Micros = Micros::millis(400);
 /// Added to a heartbeat interval and a quarter before a heartbeat counts as late.
-const HEARTBEAT_DELAY: Micros = Micros::millis(1_500);
+const HEARTBEAT_DUE_MARGIN: Micros = Micros::millis(1_500);
 /// The time in which an agent gives up on another node before it sends its heartbeat here.
 const OTHER_NODE_TIMEOUT: Micros = Micros::millis(5_500);
 
 /// From the last sign of life: a heartbeat that has not arrived by then is late.
 fn heartbeat_due(settings: &Settings) -> Micros {
     let interval = settings.heartbeat_interval;
-    interval + Micros(interval.0 / 4) + HEARTBEAT_DELAY
+    interval + Micros(interval.0 / 4) + HEARTBEAT_DUE_MARGIN
 }
 
 /// The same where the agent may first have to give up on another node.
-pub(super) fn longest_silence(settings: &Settings) -> Micros {
+pub(super) fn longest_expected_silence(settings: &Settings) -> Micros {
     heartbeat_due(settings) + OTHER_NODE_TIMEOUT
 }
 
 /// How much silence matters.
 struct SilenceLimits {
     heartbeat_due: Micros,
-    longest_silence: Micros,
+    longest_expected_silence: Micros,
     /// An agent whose lease has not been renewed for longer than this has no lease.
-    lease_end: Micros,
+    lease_expiry: Micros,
     heartbeat_loss: HeartbeatLossLimits,
 }
 
 impl SilenceLimits {
-    fn of(settings: &Settings) -> SilenceLimits {
+    fn from_settings(settings: &Settings) -> SilenceLimits {
         SilenceLimits {
             heartbeat_due: heartbeat_due(settings),
-            longest_silence: longest_silence(settings),
-            lease_end: settings.lease.with_drift() + LEASE_END_MARGIN,
-            heartbeat_loss: HeartbeatLossLimits::of(settings),
+            longest_expected_silence: longest_expected_silence(settings),
+            lease_expiry: settings.lease.with_drift() + LEASE_EXPIRY_MARGIN,
+            heartbeat_loss: HeartbeatLossLimits::from_settings(settings),
         }
     }
 }
@@ -75,22 +75,22 @@
         };
         let since = leader_term.since.max(self.stall_end);
         self.settle_cancelled_launches(shard, agent);
-        self.mark_if_heartbeats_lost(machine, agent, since);
-        let last_sign_of_life = agent.last_sign_of_life().unwrap_or(leader_term.since);
-        let silence = self.now.since(last_sign_of_life.max(self.stall_end));
+        self.mark_unreachable_if_heartbeats_lost(machine, agent, since);
+        let last_contact = agent.last_contact().unwrap_or(leader_term.since);
+        let silence = self.now.since(last_contact.max(self.stall_end));
         if silence <= self.limits.heartbeat_due {
             return;
         }
         let Some(record) = self.cell.machine(machine) else {
             return;
         };
-        let lease_ended = agent
+        let expired_lease = agent
             .lease_unrenewed_for(self.now)
-            .filter(|unrenewed| *unrenewed > self.limits.lease_end);
-        if let Some(unrenewed) = lease_ended {
-            self.end_incarnation(machine, agent, record, unrenewed);
+            .filter(|unrenewed| *unrenewed > self.limits.lease_expiry);
+        if let Some(unrenewed) = expired_lease {
+            self.fence_incarnation(machine, agent, record, unrenewed);
         } else {
-            self.probe_or_mark(machine, agent, record, silence);
+            self.probe_or_mark_unreachable(machine, agent, record, silence);
         }
     }
 
@@ -99,7 +99,7 @@
         if agent.launches().has_unsettled()
             && self
                 .cancelled
-                .earliest(agent.launches().in_flight())
+                .earliest_report(agent.launches().in_flight())
                 .is_some()
         {
             self.leadership
@@ -107,7 +107,7 @@
         }
     }
 
-    fn mark_if_heartbeats_lost(&mut self, machine: MachineId, agent: &Agent, since: Micros) {
+    fn mark_unreachable_if_heartbeats_lost(&mut self, machine: MachineId, agent: &Agent, since: Micros) {
         if !agent.heartbeats_are_lost(self.now, since, self.limits.heartbeat_loss) {
             return;
         }
@@ -133,7 +133,7 @@
 
     /// The agent's lease has ended for certain: its incarnation is fenced, and its assignments are released. From here on no
     /// heartbeat of the incarnation is acknowledged, whatever becomes of the commit.
-    fn end_incarnation(
+    fn fence_incarnation(
         &mut self,
         machine: MachineId,
         agent: &mut Agent,
@@ -162,14 +162,14 @@
     /// A heartbeat is late. It may have gone to another node, or this process may be behind: the agent is probed first. One whose
     /// endpoint is not known cannot be (a record may lack it, and the agent has sent nothing in this term): without the mark its
     /// machine and its tasks would be waited for without end.
-    fn probe_or_mark(
+    fn probe_or_mark_unreachable(
         &mut self,
         machine: MachineId,
         agent: &Agent,
         record: &MachineRecord,
         silence: Micros,
     ) {
-        let counts = agent.last_sign_of_life().is_some() || silence > self.limits.longest_silence;
+        let counts = agent.last_contact().is_some() || silence > self.limits.longest_expected_silence;
         if self.is_isolated_from_agents || record.health >= MachineHealth::Unreachable || !counts {
             return;
         }
@@ -194,7 +194,7 @@
             leadership: &mut self.leadership,
             rounds: &mut self.rounds,
             counters: &mut self.counters,
-            limits: SilenceLimits::of(&self.settings),
+            limits: SilenceLimits::from_settings(&self.settings),
             now: self.now.steady,
             stall_end: self.stall.resumed_at(),
             is_isolated_from_agents,
--- a/src/coordination/agents/mod.rs
+++ b/src/coordination/agents/mod.rs
@@ -40,14 +40,14 @@
 
 impl Controller {
     /// Removed machines that are remembered at least, however small the fleet is.
-    const MIN_REMOVED_REMEMBERED: usize = 4_096;
+    const MIN_REMEMBERED_REMOVED_MACHINES: usize = 4_096;
     /// Removed machines that are remembered for each machine of the fleet at its largest: all of it may be
     /// replaced, and the replacements be removed as well, while heartbeats are still in flight.
-    const REMOVED_REMEMBERED_PER_MACHINE: usize = 2;
+    const REMEMBERED_REMOVALS_PER_MACHINE: usize = 2;
 
     /// How many removed machines are remembered.
-    fn removed_remembered(&self) -> usize {
-        Self::MIN_REMOVED_REMEMBERED.max(self.largest_fleet * Self::REMOVED_REMEMBERED_PER_MACHINE)
+    fn max_remembered_removed_machines(&self) -> usize {
+        Self::MIN_REMEMBERED_REMOVED_MACHINES.max(self.largest_fleet * Self::REMEMBERED_REMOVALS_PER_MACHINE)
     }
 
     /// Begins a term as the leader of a shard: its agents start without any proof.
@@ -98,7 +98,7 @@
         self.largest_fleet = self.largest_fleet.max(self.agents.len());
         self.agents.remove(&machine);
         self.removed_machines.insert(machine);
-        if self.removed_machines.len() > self.removed_remembered() {
+        if self.removed_machines.len() > self.max_remembered_removed_machines() {
             self.removed_machines.pop_first();
         }
     }
@@ -111,7 +111,7 @@
         };
         let cancelled = job.cancelled();
         if cancelled {
-            self.cancelled.note(id, self.replica.previous_contact());
+            self.cancelled.record(id, self.replica.previous_contact());
         }
         let (suspect, errors) = (job.is_suspect(), job.record.errors);
         self.update_suspicion(id, suspect, errors);
@@ -142,7 +142,7 @@
     /// The failures of a suspect job no longer count against the machines on which it failed.
     fn lift_quarantine(&mut self, job: JobId) {
         for (machine, agent) in &mut self.agents {
-            if agent.forgive_failures_of(job) {
+            if agent.discard_failures_of(job) {
                 tracing::info!(%machine, %job, "machine quarantine lifted");
             }
         }
--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -2,7 +2,7 @@
 
 use super::agent::Agent;
 use super::commands::Delivery;
-use super::launch_policy::{beyond_limit, grace_period, has_room};
+use super::launch_policy::{exceeds_quota, grace_period, has_room};
 use super::launches::PushedCommand;
 use crate::coordination::commit::Rounds;
 use crate::coordination::constraints::Rules;
@@ -15,7 +15,7 @@
 use crate::time::Micros;
 
 /// Commands are pushed only while contact with the state store is newer than this.
-const CONTACT_LIMIT: Micros = Micros::secs(4);
+const MAX_STATE_CONTACT_AGE: Micros = Micros::secs(4);
 /// Added to two heartbeat intervals: for so long after an acknowledged heartbeat launches are pushed.
 const RECENT_HEARTBEAT_MARGIN: Micros = Micros::millis(500);
 
@@ -64,7 +64,7 @@
         self.may_launch
             && has_room(self.agent, self.cell, Some(self.record), &attempt)
             && !self.rounds.is_being_released(self.machine, attempt)
-            && !beyond_limit(self.cell, self.settings, job)
+            && !exceeds_quota(self.cell, self.settings, job)
             && !self
                 .rules
                 .forbids_launch(self.cell, self.machine, self.record, job)
@@ -79,10 +79,10 @@
     record: &MachineRecord,
     now: Micros,
 ) -> bool {
-    let recent = settings.heartbeat_interval * 2 + RECENT_HEARTBEAT_MARGIN;
+    let recent_heartbeat_limit = settings.heartbeat_interval * 2 + RECENT_HEARTBEAT_MARGIN;
     agent
         .acknowledged_at()
-        .is_some_and(|at| now.since(at) < recent)
+        .is_some_and(|at| now.since(at) < recent_heartbeat_limit)
         && record.health == MachineHealth::Schedulable
         && agent.reclaimed_at().is_none()
 }
@@ -103,7 +103,7 @@
         let Some(agent) = self.agents.get_mut(&machine) else {
             return;
         };
-        if agent.launches_mut().defer_push() || agent.is_fenced() || contact > CONTACT_LIMIT {
+        if agent.launches_mut().defer_push() || agent.is_fenced() || contact > MAX_STATE_CONTACT_AGE {
             return;
         }
         let Some(record) = self.cell.machine(machine) else {
@@ -159,13 +159,13 @@
                 agent.launches_mut().drop_sent(attempt);
             }
         }
-        let applies = heartbeat.machine == machine
+        let is_applicable = heartbeat.machine == machine
             && agent.is_newer(&heartbeat)
             && heartbeat.incarnation() > agent.fenced_incarnation();
-        if applies {
+        if is_applicable {
             let shard = self.cell.shard_of_machine(machine);
             self.apply_heartbeat(shard, &heartbeat);
-            self.commands(shard, machine, Delivery::OutOfOrder);
+            self.build_commands(shard, machine, Delivery::OutOfOrder);
         }
     }
 
--- a/src/coordination/health/zones/observations.rs
+++ b/src/coordination/health/zones/observations.rs
@@ -71,7 +71,7 @@
             };
             let zone = zones.entry(record.zone.clone()).or_default();
             // The silence of an agent that was never in contact in this term is no evidence.
-            let Some(last_contact) = agent.last_sign_of_life() else {
+            let Some(last_contact) = agent.last_contact() else {
                 continue;
             };
             let last_contact = last_contact
--- a/src/coordination/health/zones/unreachable.rs
+++ b/src/coordination/health/zones/unreachable.rs
@@ -30,7 +30,7 @@
         let lost = self.agents.iter().filter_map(|(machine, agent)| {
             let record = self.cell.machine(*machine)?;
             let lost_since = self.zones.lost_since(&record.zone)?;
-            let in_contact = agent.last_sign_of_life().is_some_and(|at| at >= lost_since);
+            let in_contact = agent.last_contact().is_some_and(|at| at >= lost_since);
             if record.health >= MachineHealth::Unreachable || in_contact {
                 return None;
             }
