--- a/src/coordination/agents/agent.rs
+++ b/src/coordination/agents/agent.rs
@@ -179,7 +179,12 @@
     }
 
     /// Updates the state from a newer heartbeat, whether the agent sent it by itself or in the response to a pushed command.
-    pub(super) fn update_from_heartbeat(&mut self, now: Micros, heartbeat: &Heartbeat, first_term: u64) {
+    pub(super) fn update_from_heartbeat(
+        &mut self,
+        now: Micros,
+        heartbeat: &Heartbeat,
+        first_term: u64,
+    ) {
         self.adopt_id_and_token(now, heartbeat, first_term);
         self.reported_tasks.clone_from(&heartbeat.tasks);
         self.launches.settle(heartbeat);
--- a/src/coordination/agents/cancellations.rs
+++ b/src/coordination/agents/cancellations.rs
@@ -35,7 +35,10 @@
     }
 
     /// The earliest time at which the job of one of these launches may have been reported as cancelled.
-    pub fn earliest_report<'a>(&self, launches: impl Iterator<Item = &'a Attempt>) -> Option<Micros> {
+    pub fn earliest_report<'a>(
+        &self,
+        launches: impl Iterator<Item = &'a Attempt>,
+    ) -> Option<Micros> {
         launches
             .filter_map(|launch| self.reported_since.get(&launch.task.job))
             .min()
@@ -62,7 +65,10 @@
 
     /// Whether a job with a launch in flight may have been reported as cancelled so long ago that only the expiry of the machine's
     /// lease can keep the launch from running there. `reported_at`: the earliest time at which it may have been reported.
-    pub(in crate::coordination) fn requires_lease_expiry(&self, reported_at: Option<Micros>) -> bool {
+    pub(in crate::coordination) fn requires_lease_expiry(
+        &self,
+        reported_at: Option<Micros>,
+    ) -> bool {
         reported_at.is_some_and(|at| self.now.steady.since(at) > self.settings.contact_limit())
     }
 
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -1,6 +1,6 @@
-//! The commands in the answer to a heartbeat, and what the heartbeat proves about assignments.
+//! The commands in the response to a heartbeat, and what the heartbeat proves about assignments.
 //!
-//! What is proved is handed to the next commit round.
+//! Releases of assignments that are proved to have ended are passed to the next commit round.
 
 use super::Outcome;
 use super::agent::Agent;
@@ -19,18 +19,18 @@
 /// How the commands that are built relate to the agent's newest heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
-    /// In the answer to the agent's newest heartbeat.
+    /// They are sent in the response to the agent's newest heartbeat.
     InResponse,
-    /// Not as the answer to its newest heartbeat: the answer to another one may still be on its way.
+    /// They are not sent in the response to its newest heartbeat: the response to another one may still be in flight.
     OutOfOrder,
 }
 
-/// Why an assignment that the agent does not report is not launched.
+/// Why an assigned task that the agent does not report is not launched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LaunchRefusal {
     /// The rules of its job or machine forbid the launch.
     Forbidden,
-    /// Its team is beyond its quota.
+    /// Its team uses more than its quota.
     OverQuota,
     /// Its job is cancelled, it is preempted, or its machine takes no more work.
     Unwanted,
@@ -49,7 +49,7 @@
     machine: MachineId,
     record: Option<&'a MachineRecord>,
     commands: Vec<Command>,
-    /// A launch is left to a pushed command.
+    /// A launch was left out; it has to be sent by a pushed command.
     push_needed: bool,
 }
 
@@ -80,9 +80,9 @@
         self.record.map_or(MachineHealth::Schedulable, |r| r.health)
     }
 
-    /// An assigned task has ended: its assignment is released.
+    /// Releases the assignment of a task that has exited.
     fn on_exited(&mut self, attempt: Attempt, ended: ExitReason) {
-        // A heartbeat of an earlier term proves nothing about who commands the agent.
+        // Without a token of this term an earlier leader may still command the agent.
         if !self.agent.has_current_token() {
             return;
         }
@@ -100,11 +100,11 @@
         }
     }
 
-    /// Notes what the end of a task says about the machine.
+    /// Records what the end of a task shows about the machine: a failure may quarantine it, a completed task clears earlier failures.
     fn record_outcome_for_machine(&mut self, attempt: Attempt, outcome: Outcome) {
         let job = attempt.task.job;
         match outcome {
-            // That a suspect job fails says nothing about the machine.
+            // The failure of a suspect job is no evidence against the machine.
             Outcome::Failed if self.rounds.is_suspect(job) => {}
             Outcome::Failed => {
                 if self.agent.on_task_failed(job) {
@@ -116,14 +116,14 @@
         }
     }
 
-    /// Stops an assigned task that must not run on, or that can't end before its machine is reclaimed.
+    /// Stops an assigned task that must not continue, or that cannot end before its machine is reclaimed.
     fn stop_if_required(&mut self, attempt: Attempt, state: TaskState) {
         if let Some(grace) = self.stop_grace_period(attempt, state) {
             self.commands.push(Command::Stop(attempt, grace));
         }
     }
 
-    /// The time that the task is given to save, if it has to be stopped.
+    /// The grace period for saving a checkpoint, if the task has to be stopped.
     fn stop_grace_period(&self, attempt: Attempt, state: TaskState) -> Option<Micros> {
         let id = attempt.task.job;
         let Some(job) = self.cell.jobs.get(&id).filter(|job| !job.cancelled()) else {
@@ -147,8 +147,8 @@
         .stop_grace_period(job.spec(), self.agent.running_for(&attempt, self.now))
     }
 
-    /// An ended task's assignment is released, so its outcome is on record. It is forgotten only once no launch of it can
-    /// arrive any more: it would run again.
+    /// Makes the agent forget an exited task whose assignment has been released, so its outcome is recorded. The agent must remember
+    /// the task until no launch of it can arrive any more; otherwise it would run again.
     fn forget_if_settled(&mut self, attempt: Attempt) {
         if !self.agent.has_current_token() {
             return;
@@ -160,7 +160,7 @@
         }
     }
 
-    /// A higher fencing token ends launches that are held up somewhere.
+    /// Requests a new leader term: with its higher fencing token the agent refuses launches that are delayed in the network.
     fn request_new_term(&mut self) {
         self.leadership.request_new_term(
             self.shard,
@@ -175,8 +175,8 @@
         };
         for assignment in &record.tasks {
             let attempt = assignment.attempt();
-            // What is being released is never launched again in this term: the commit may be applied at any time, and the
-            // task be assigned elsewhere. The agent may be restarted in between.
+            // An assignment that is being released is never launched again in this term: its release may be committed at any
+            // time and the task be assigned elsewhere. The agent may be restarted in between.
             if self.agent.reported_state(&attempt).is_some()
                 || self.rounds.is_being_released(self.machine, attempt)
             {
@@ -184,7 +184,9 @@
             }
             match self.launch_refusal(record, assignment, attempt) {
                 None => self.launch(attempt, delivery),
-                Some(refusal) if delivery == Delivery::InResponse => self.release_unlaunched(attempt, refusal),
+                Some(refusal) if delivery == Delivery::InResponse => {
+                    self.release_unlaunched(attempt, refusal)
+                }
                 Some(_) => {}
             }
         }
@@ -229,8 +231,9 @@
         }
     }
 
-    /// Releases an assignment that is not launched, once no launch of it can arrive any more. An earlier launch in an answer
-    /// answered an earlier heartbeat, so it has arrived or was given up by now; only a pushed one may still be on its way.
+    /// Releases an assignment that is not launched, once no launch of it can arrive any more. If the launch was sent in a heartbeat
+    /// response, that was to an earlier heartbeat, so it has arrived or the agent has given up on that response by now. Only a pushed
+    /// launch may still be in flight.
     fn release_unlaunched(&mut self, attempt: Attempt, refusal: LaunchRefusal) {
         if !self.agent.has_current_token() {
             return;
@@ -248,7 +251,7 @@
         match refusal {
             LaunchRefusal::Forbidden => log_forbidden_launch(attempt.task, self.machine),
             LaunchRefusal::OverQuota => {
-                tracing::info!(task = %attempt, machine = %self.machine, "assignment given back: team beyond its quota");
+                tracing::info!(task = %attempt, machine = %self.machine, "assignment released: team exceeds its quota");
             }
             LaunchRefusal::Unwanted => {}
         }
@@ -256,7 +259,7 @@
 }
 
 impl Controller {
-    /// The commands for a machine's agent, from its newest heartbeat and the cell state.
+    /// Builds the commands for a machine's agent from its newest heartbeat and the cell state.
     pub(super) fn build_commands(
         &mut self,
         shard: ShardId,
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of agents: which controller answers them, and what they change.
+//! Heartbeats of agents: which controller responds to them, and what they change.
 
 use super::HealthChange;
 use super::agent::{Agent, HeartbeatLossLimits};
@@ -9,11 +9,11 @@
 use crate::storage::records::{MachineHealth, MachineRecord};
 
 impl Controller {
-    /// For so many leases after the beginning of a term a heartbeat may be a duplicate from a machine that was removed before: the
-    /// leader does not remember that one.
+    /// Number of lease durations after the beginning of a term in which a heartbeat may be a duplicate from a machine that was removed
+    /// before, because the leader does not remember that machine.
     const DUPLICATE_HEARTBEAT_LEASES: u64 = 3;
 
-    /// Answers a heartbeat. An answer with commands renews the agent's lease.
+    /// Responds to a heartbeat. A response with commands renews the agent's lease.
     pub(in crate::coordination) fn on_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -53,8 +53,8 @@
         }
     }
 
-    /// The answer of a controller that does not lead the shard: the leader's name, if that is another node which is still in the
-    /// run in which it became the leader.
+    /// The response of a controller that does not lead the shard: the leader's name, if the leader is another registered node that
+    /// has not been restarted since it became the leader.
     fn redirect_to_leader(&self, shard: ShardId) -> HeartbeatResponse {
         let leader = self.cell.leaders[shard].value.as_ref().filter(|leader| {
             leader.node != self.settings.node
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whether the agent has the token of a later leader: then this replica is behind and reads.
+    /// Whether the agent has the fencing token of a later leader. If so, this replica is out of date, and a barrier is requested.
     fn has_newer_token(&mut self, shard: ShardId, heartbeat: &Heartbeat) -> bool {
         let fencing_token = self.cell.leaders[shard].mod_revision;
         let newer = heartbeat.fencing_token > fencing_token;
@@ -81,13 +81,14 @@
         newer
     }
 
-    /// Whether the machine was removed lately, or was given up while it booted: its release is under way, so it is never used.
+    /// Whether the machine was removed recently, or was abandoned while it booted. An abandoned machine is being released, so it is
+    /// never used.
     fn is_removed(&self, machine: MachineId) -> bool {
         self.removed_machines.contains(&machine)
             || self.cell.fleet.value.releasing.contains(&machine)
     }
 
-    /// Registers the agent if it is new; false if its incarnation is fenced.
+    /// Registers the agent if it is not known yet; returns false if its incarnation is fenced.
     fn admit_heartbeat(&mut self, heartbeat: &Heartbeat) -> bool {
         let fenced_incarnation = self
             .cell
@@ -102,8 +103,9 @@
         heartbeat.incarnation() > agent.fenced_incarnation()
     }
 
-    /// Applies the heartbeat if it is newer than all before. An older one may be a duplicate, which is no sign of life; or the
-    /// agent sent it before it answered a pushed command, so it is answered all the same.
+    /// Applies the heartbeat if it is newer than all earlier ones. A heartbeat that is not newer may be a duplicate, so it does not
+    /// show that the agent is alive. But the agent may also have sent it before it responded to a pushed command, so it gets a
+    /// response all the same.
     fn apply_if_newer(&mut self, shard: ShardId, heartbeat: &Heartbeat) -> bool {
         let now = self.now.steady;
         let Some(agent) = self.agents.get_mut(&heartbeat.machine) else {
@@ -122,20 +124,21 @@
         true
     }
 
-    /// Whether a launch may still reach a machine whose job was cancelled so long ago that the machine's lease must end.
+    /// Whether a launch in flight to the machine belongs to a job that was cancelled so long ago that the machine's lease must expire.
     fn must_let_lease_expire(&self, machine: MachineId) -> bool {
         let Some(agent) = self.agents.get(&machine) else {
             return false;
         };
-        let due = self.requires_lease_expiry(self.cancelled.earliest_report(agent.launches().in_flight()));
+        let due = self
+            .requires_lease_expiry(self.cancelled.earliest_report(agent.launches().in_flight()));
         if due {
             tracing::info!(%machine, "heartbeat not acknowledged: a launch of a cancelled job may still be in flight");
         }
         due
     }
 
-    /// Probes an agent whose heartbeats leave open whether it receives commands. Its machine gets no work until it answers, or
-    /// shows otherwise that it receives them.
+    /// Probes an agent whose heartbeats do not show whether it receives commands. Its machine gets no work until the agent responds,
+    /// or shows in another way that it receives commands.
     fn probe_if_unconfirmed(&mut self, machine: MachineId) {
         let marked_unreachable = self
             .cell
@@ -150,7 +153,7 @@
         }
     }
 
-    /// Applies a newer heartbeat, whether it came by itself or as the answer to a pushed command.
+    /// Applies a newer heartbeat, whether the agent sent it by itself or in the response to a pushed command.
     pub(super) fn apply_heartbeat(&mut self, shard: ShardId, heartbeat: &Heartbeat) {
         let now = self.now.steady;
         let Some(leader_term) = self.leadership.leader_term(shard) else {
@@ -160,7 +163,7 @@
             return;
         };
         agent.update_from_heartbeat(now, heartbeat, leader_term.first);
-        let lost = agent.heartbeats_are_lost(
+        let heartbeats_lost = agent.heartbeats_are_lost(
             now,
             leader_term.since.max(self.stall.resumed_at()),
             HeartbeatLossLimits::from_settings(&self.settings),
@@ -175,7 +178,7 @@
                 }
             }
             Some(record) => {
-                let health = health_from_heartbeat(agent, record, lost);
+                let health = health_from_heartbeat(agent, record, heartbeats_lost);
                 if health == record.health {
                     return;
                 }
--- a/src/coordination/agents/launch_policy.rs
+++ b/src/coordination/agents/launch_policy.rs
@@ -1,4 +1,4 @@
-//! Which tasks may be launched, and how much time those get that are stopped.
+//! Which tasks may be launched, and the grace periods of tasks that are stopped.
 
 use super::agent::Agent;
 use crate::protocol::settings::Settings;
@@ -9,15 +9,15 @@
 use crate::storage::records::MachineRecord;
 use crate::time::Micros;
 
-/// The time that a task of this job is given to save its checkpoint when it is stopped.
+/// The grace period for saving a checkpoint when a task of this job is stopped; zero if the job has no checkpoints.
 pub(super) fn grace_period(job: Option<&Job>) -> Micros {
     let spec = job.map(Job::spec);
     spec.filter(|s| s.checkpoint_interval > Micros::ZERO)
         .map_or(Micros::ZERO, |s| s.checkpoint_duration.with_drift())
 }
 
-/// Whether more is assigned for a job's team than its quota allows. No controller assigns that much once it knows the quota, so it
-/// was assigned before a later settings file brought it: what has not been launched of it is given back.
+/// Whether more is assigned for a job's team than its quota allows. No controller assigns that much once it knows the quota, so the
+/// assignments were made before a newer settings file introduced it. Those that have not been launched are released.
 pub(super) fn exceeds_quota(cell: &CellState, settings: &Settings, job: JobId) -> bool {
     let Some(spec) = cell.jobs.get(&job).map(Job::spec) else {
         return false;
@@ -33,7 +33,7 @@
         || team.accelerators_limit.is_some_and(|limit| used.1 > limit)
 }
 
-/// Whether the machine has room for a launch. That is in question only while others are being preempted for it.
+/// Whether the machine has room for a launch. It can lack room only while other tasks are being preempted to make room.
 pub(super) fn has_room(
     agent: &Agent,
     cell: &CellState,
@@ -60,18 +60,18 @@
     cell.need(attempt.task.job).fits(&room)
 }
 
-/// The time until the cloud reclaims a spot machine.
+/// The time that is left until the cloud reclaims a spot machine.
 pub(super) struct PreemptionWindow {
     pub remaining: Micros,
     pub heartbeat_interval: Micros,
 }
 
 impl PreemptionWindow {
-    /// Heartbeats that may go by until a stop reaches the agent.
+    /// Heartbeat intervals that may pass until a stop command reaches the agent.
     const HEARTBEATS_UNTIL_STOP: u64 = 2;
 
-    /// The time to save for a running task that has to be stopped now: one with checkpoints is stopped as late as it can still
-    /// save, one without at once if it would hardly end in time.
+    /// The grace period of a running task, if it has to be stopped now. A task with checkpoints is stopped as late as it can still
+    /// save one; a task without is stopped at once if it is unlikely to end in time.
     pub(super) fn stop_grace_period(&self, spec: &JobSpec, running_for: Micros) -> Option<Micros> {
         let has_checkpoints = spec.checkpoint_interval > Micros::ZERO;
         if has_checkpoints {
--- a/src/coordination/agents/launches.rs
+++ b/src/coordination/agents/launches.rs
@@ -89,7 +89,7 @@
         !self.unsettled.is_empty()
     }
 
-    /// When the present unsettled launches, or if there are none the last ones, began.
+    /// Since when there have been unsettled launches; if there are none, when the last such period began.
     pub(super) fn unsettled_since(&self) -> Micros {
         self.unsettled_since
     }
--- a/src/coordination/agents/liveness.rs
+++ b/src/coordination/agents/liveness.rs
@@ -1,4 +1,4 @@
-//! What the silence of agents proves, and what is done about it.
+//! Detection of silent agents: when silence proves that a lease has expired, and how silent machines are handled.
 
 use super::agent::{Agent, HeartbeatLossLimits};
 use super::cancellations::Cancellations;
@@ -12,29 +12,29 @@
 use crate::storage::records::{MachineHealth, MachineRecord};
 use crate::time::Micros;
 
-/// Added to the lease and its drift before silence counts as proof that the lease has ended.
+/// Added to the lease duration and its clock drift before silence counts as proof that the lease has expired.
 const LEASE_EXPIRY_MARGIN: Micros = Micros::millis(400);
-/// Added to a heartbeat interval and a quarter before a heartbeat counts as late.
+/// Added to one and a quarter heartbeat intervals before a heartbeat counts as late.
 const HEARTBEAT_DUE_MARGIN: Micros = Micros::millis(1_500);
-/// The time in which an agent gives up on another node before it sends its heartbeat here.
+/// The longest time that an agent may wait for another node before it sends its heartbeat to this one.
 const OTHER_NODE_TIMEOUT: Micros = Micros::millis(5_500);
 
-/// From the last sign of life: a heartbeat that has not arrived by then is late.
+/// The time after the last contact by which the next heartbeat is due; after it the heartbeat is late.
 fn heartbeat_due(settings: &Settings) -> Micros {
     let interval = settings.heartbeat_interval;
     interval + Micros(interval.0 / 4) + HEARTBEAT_DUE_MARGIN
 }
 
-/// The same where the agent may first have to give up on another node.
+/// Like `heartbeat_due`, for an agent that may first have to give up on another node.
 pub(super) fn longest_expected_silence(settings: &Settings) -> Micros {
     heartbeat_due(settings) + OTHER_NODE_TIMEOUT
 }
 
-/// How much silence matters.
+/// Durations of silence after which an agent is handled differently.
 struct SilenceLimits {
     heartbeat_due: Micros,
     longest_expected_silence: Micros,
-    /// An agent whose lease has not been renewed for longer than this has no lease.
+    /// An agent whose lease has not been renewed for longer than this has certainly lost it.
     lease_expiry: Micros,
     heartbeat_loss: HeartbeatLossLimits,
 }
@@ -59,11 +59,11 @@
     counters: &'a mut Counters,
     limits: SilenceLimits,
     now: Micros,
-    /// When this process last came back from a stall: silence before that says nothing.
+    /// When this process last resumed after a stall: silence before that is no evidence.
     stall_end: Micros,
-    /// The silence of agents says something about this node rather than about them.
+    /// The silence of agents is evidence about this node rather than about the agents.
     is_isolated_from_agents: bool,
-    /// Machines whose agents have to be probed.
+    /// Machines whose agents are to be probed.
     probes: Vec<MachineId>,
 }
 
@@ -94,7 +94,8 @@
         }
     }
 
-    /// A launch of a cancelled job must not be carried out any more. A new term ends it: the agent's next heartbeat may be far off.
+    /// Requests a new term if a launch of a cancelled job is unsettled: the launch must not be executed any more, and the next heartbeat
+    /// of the agent may not arrive soon.
     fn settle_cancelled_launches(&mut self, shard: ShardId, agent: &Agent) {
         if agent.launches().has_unsettled()
             && self
@@ -107,7 +108,12 @@
         }
     }
 
-    fn mark_unreachable_if_heartbeats_lost(&mut self, machine: MachineId, agent: &Agent, since: Micros) {
+    fn mark_unreachable_if_heartbeats_lost(
+        &mut self,
+        machine: MachineId,
+        agent: &Agent,
+        since: Micros,
+    ) {
         if !agent.heartbeats_are_lost(self.now, since, self.limits.heartbeat_loss) {
             return;
         }
@@ -131,8 +137,8 @@
         self.rounds.set_health(machine, change)
     }
 
-    /// The agent's lease has ended for certain: its incarnation is fenced, and its assignments are released. From here on no
-    /// heartbeat of the incarnation is acknowledged, whatever becomes of the commit.
+    /// Handles a lease that has certainly expired: fences the agent's incarnation and releases its assignments. From here on no
+    /// heartbeat of the incarnation is acknowledged, whether or not the commit succeeds.
     fn fence_incarnation(
         &mut self,
         machine: MachineId,
@@ -159,9 +165,9 @@
         }
     }
 
-    /// A heartbeat is late. It may have gone to another node, or this process may be behind: the agent is probed first. One whose
-    /// endpoint is not known cannot be (a record may lack it, and the agent has sent nothing in this term): without the mark its
-    /// machine and its tasks would be waited for without end.
+    /// Handles a late heartbeat. The heartbeat may have gone to another node, or this process may be slow, so the agent is probed
+    /// first. An agent whose endpoint is unknown cannot be probed (a record may lack the endpoint, and the agent has sent nothing in
+    /// this term); if its machine were not marked unreachable, the machine and its tasks would be waited for forever.
     fn probe_or_mark_unreachable(
         &mut self,
         machine: MachineId,
@@ -169,8 +175,12 @@
         record: &MachineRecord,
         silence: Micros,
     ) {
-        let counts = agent.last_contact().is_some() || silence > self.limits.longest_expected_silence;
-        if self.is_isolated_from_agents || record.health >= MachineHealth::Unreachable || !counts {
+        let is_evidence =
+            agent.last_contact().is_some() || silence > self.limits.longest_expected_silence;
+        if self.is_isolated_from_agents
+            || record.health >= MachineHealth::Unreachable
+            || !is_evidence
+        {
             return;
         }
         if !agent.is_unreachable() && agent.has_endpoint() {
@@ -182,7 +192,7 @@
 }
 
 impl Controller {
-    /// Checks periodically which agents are silent.
+    /// Periodically checks which agents are silent.
     pub(in crate::coordination) fn tick_agents(&mut self) {
         if self.rounds.has_suspects() {
             self.rounds.request();
--- a/src/coordination/agents/mod.rs
+++ b/src/coordination/agents/mod.rs
@@ -1,4 +1,4 @@
-//! Agents of the machines: their incarnations, the commands they get, and when an assignment may be released.
+//! The machines' agents: their incarnations, the commands that they get, and when an assignment may be released.
 //!
 //! An assignment is released only on proof that its attempt is not on the machine and cannot get there:
 //! see `docs/design.md`, "When an assignment may be released".
@@ -25,7 +25,7 @@
     Done,
     /// The task failed on its machine.
     Failed,
-    /// The task is not on the machine and will not get there: it is assigned again.
+    /// The task is not on the machine and cannot get there any more: it is assigned again.
     Reassign,
 }
 
@@ -39,18 +39,19 @@
 }
 
 impl Controller {
-    /// Removed machines that are remembered at least, however small the fleet is.
+    /// Lower bound for the number of removed machines that are remembered, for small fleets.
     const MIN_REMEMBERED_REMOVED_MACHINES: usize = 4_096;
-    /// Removed machines that are remembered for each machine of the fleet at its largest: all of it may be
-    /// replaced, and the replacements be removed as well, while heartbeats are still in flight.
+    /// Number of removed machines that are remembered for each machine of the largest fleet so far: all machines may be replaced, and
+    /// the replacements removed as well, while heartbeats are still in flight.
     const REMEMBERED_REMOVALS_PER_MACHINE: usize = 2;
 
     /// How many removed machines are remembered.
     fn max_remembered_removed_machines(&self) -> usize {
-        Self::MIN_REMEMBERED_REMOVED_MACHINES.max(self.largest_fleet * Self::REMEMBERED_REMOVALS_PER_MACHINE)
+        Self::MIN_REMEMBERED_REMOVED_MACHINES
+            .max(self.largest_fleet * Self::REMEMBERED_REMOVALS_PER_MACHINE)
     }
 
-    /// Begins a term as the leader of a shard: its agents start without any proof.
+    /// Begins a term as the leader of a shard: nothing is proved about its agents yet.
     pub(super) fn begin_agents(&mut self, shard: ShardId) {
         self.end_agents(shard);
         let agents = self
@@ -60,7 +61,7 @@
         self.agents.extend(agents);
     }
 
-    /// Ends the term as the leader of a shard.
+    /// Ends the term as the leader of a shard: its agents and the requests for its machines are dropped.
     pub(super) fn end_agents(&mut self, shard: ShardId) {
         let cell = &self.cell;
         let is_of_shard = |machine: MachineId| cell.shard_of_machine(machine) == shard;
@@ -68,7 +69,7 @@
         self.rounds.drop_requests_for_machines(is_of_shard);
     }
 
-    /// A machine's record changed or was removed.
+    /// Handles a changed or removed machine record.
     pub(super) fn on_machine_changed(&mut self, machine: MachineId) {
         if !self.leads(self.cell.shard_of_machine(machine)) {
             return;
@@ -93,7 +94,7 @@
             .retain_sent(|attempt| record.tasks.contains(&Assignment::of(*attempt)));
     }
 
-    /// Drops a removed machine's agent. A late heartbeat of it must not bring the machine back.
+    /// Drops a removed machine's agent, and remembers the machine: a late heartbeat must not add it again.
     fn forget_removed_machine(&mut self, machine: MachineId) {
         self.largest_fleet = self.largest_fleet.max(self.agents.len());
         self.agents.remove(&machine);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// A job's record changed or was removed.
+    /// Handles a changed or removed job record.
     pub(super) fn on_job_changed(&mut self, id: JobId) {
         let Some(job) = self.cell.jobs.get(&id) else {
             self.rounds.clear_suspect(id);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// A job is suspect while its tasks fail on several machines and none completes.
+    /// Updates whether a job is suspect. It is suspect while its tasks fail on several machines and none completes.
     fn update_suspicion(&mut self, id: JobId, suspect: bool, errors: u32) {
         if suspect {
             if self.rounds.suspect(id, errors, self.now.steady) {
@@ -132,14 +133,14 @@
         }
     }
 
-    /// The agents that run tasks of the job are to be sent commands.
+    /// Schedules commands for the agents of the machines to which tasks of the job are assigned.
     fn command_machines_of(&mut self, id: JobId) {
         let places = self.cell.assigned(id).into_iter().flat_map(|p| p.values());
         self.agents_to_command
             .extend(places.map(|place| place.machine));
     }
 
-    /// The failures of a suspect job no longer count against the machines on which it failed.
+    /// Discards the failures of a suspect job, which no longer count against the machines on which it failed.
     fn lift_quarantine(&mut self, job: JobId) {
         for (machine, agent) in &mut self.agents {
             if agent.discard_failures_of(job) {
--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -1,4 +1,4 @@
-//! Pushed commands: those that are sent to an agent without waiting for its next heartbeat.
+//! Pushed commands: commands that are sent to an agent without waiting for its next heartbeat.
 
 use super::agent::Agent;
 use super::commands::Delivery;
@@ -14,9 +14,9 @@
 use crate::storage::records::{Assignment, MachineHealth, MachineRecord};
 use crate::time::Micros;
 
-/// Commands are pushed only while contact with the state store is newer than this.
+/// Commands are pushed only while the last contact with the state store is no older than this.
 const MAX_STATE_CONTACT_AGE: Micros = Micros::secs(4);
-/// Added to two heartbeat intervals: for so long after an acknowledged heartbeat launches are pushed.
+/// Added to two heartbeat intervals, this is how long after an acknowledged heartbeat launches may be pushed.
 const RECENT_HEARTBEAT_MARGIN: Micros = Micros::millis(500);
 
 /// Builds the command that is pushed to one agent.
@@ -71,8 +71,8 @@
     }
 }
 
-/// Whether launches may be pushed to a machine. An agent without a recent heartbeat gets them in the answer to its next one. Stops
-/// are pushed all the same: it may reach no controller, but receive commands.
+/// Whether launches may be pushed to a machine. An agent without a recent heartbeat gets them in the response to its next one. Stop
+/// commands are pushed to it all the same: it may receive commands although its heartbeats reach no controller.
 fn may_push_launches(
     settings: &Settings,
     agent: &Agent,
@@ -88,10 +88,10 @@
 }
 
 impl Controller {
-    /// How long the answer to a pushed command is waited for.
+    /// How long to wait for the response to a pushed command.
     const PUSH_TIMEOUT: Micros = Micros::millis(2_500);
 
-    /// Pushes commands to the agents that may need some.
+    /// Pushes commands to the agents that may need them.
     pub(in crate::coordination) fn drive_agents(&mut self) {
         for machine in std::mem::take(&mut self.agents_to_command) {
             self.push_commands_to(machine);
@@ -103,7 +103,8 @@
         let Some(agent) = self.agents.get_mut(&machine) else {
             return;
         };
-        if agent.launches_mut().defer_push() || agent.is_fenced() || contact > MAX_STATE_CONTACT_AGE {
+        if agent.launches_mut().defer_push() || agent.is_fenced() || contact > MAX_STATE_CONTACT_AGE
+        {
             return;
         }
         let Some(record) = self.cell.machine(machine) else {
@@ -131,8 +132,8 @@
         }
     }
 
-    /// A pushed command was answered, or was given up: then there is no result. The result is whether the command was carried out,
-    /// and a heartbeat.
+    /// Handles the response to a pushed command: whether the command was executed, and a heartbeat. There is no result if the
+    /// response did not arrive in time.
     pub(in crate::coordination) fn on_pushed_command(
         &mut self,
         call: CallId,
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Pushes commands to an agent. There may be none: then the answer only shows whether the agent receives commands.
+    /// Pushes commands to an agent. An empty list is a probe: the response only shows whether the agent receives commands.
     pub(in crate::coordination) fn push_commands(
         &mut self,
         machine: MachineId,
