--- a/src/coordination/autoscaler/boots.rs
+++ b/src/coordination/autoscaler/boots.rs
@@ -1,23 +1,23 @@
 //! Machines that are booting, and how long boots take.
 
 use super::Autoscaler;
-use super::rented::{Releases, RentedMachine};
+use super::provisioned_machines::{ProvisionedMachine, Releases};
 use crate::coordination::Controller;
 use crate::storage::cell_state::CellState;
 use crate::storage::ids::MachineId;
 use crate::time::Micros;
 use std::collections::{BTreeMap, HashMap};
 
-/// The boot time of a type that the catalog does not hold.
-const UNKNOWN_BOOT: Micros = Micros::secs(60);
-/// Added to the time in which a machine has to come up.
-const BOOT_MARGIN: Micros = Micros::secs(5);
+/// The boot time of a machine type that is not in the catalog.
+const UNKNOWN_TYPE_BOOT_TIME: Micros = Micros::secs(60);
+/// Added to the time within which a machine has to come up.
+const BOOT_TIMEOUT_MARGIN: Micros = Micros::secs(5);
 
 /// The expected boot time of a machine type.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ExpectedBoot {
     current: Micros,
-    /// As last logged.
+    /// The value that was last logged.
     logged: Micros,
 }
 
@@ -40,14 +40,14 @@
     }
 }
 
-/// The ages of the machines that are booting, by type.
+/// The ages of the booting machines, by machine type.
 fn ages_of_booting<'a>(
-    rented: &'a BTreeMap<MachineId, RentedMachine>,
+    provisioned_machines: &'a BTreeMap<MachineId, ProvisionedMachine>,
     releases: &Releases,
     now: Micros,
 ) -> HashMap<&'a str, Vec<Micros>> {
     let mut ages: HashMap<&str, Vec<Micros>> = HashMap::new();
-    for (id, machine) in rented {
+    for (id, machine) in provisioned_machines {
         if machine.is_booting() && !machine.has_failed() && !releases.was_sent(*id) {
             ages.entry(machine.machine_type())
                 .or_default()
@@ -58,10 +58,10 @@
 }
 
 impl Autoscaler {
-    fn note_finished_boots(&mut self, cell: &CellState, now: Micros) {
-        for (id, machine) in &mut self.rented {
+    fn record_finished_boots(&mut self, cell: &CellState, now: Micros) {
+        for (id, machine) in &mut self.provisioned_machines {
             if machine.is_booting() && cell.machine(*id).is_some() {
-                let took = machine.on_up(now);
+                let took = machine.on_boot_completed(now);
                 tracing::debug!(machine = %id, %took, "machine up");
                 self.boot_times.ended(machine.machine_type(), now, took);
             }
@@ -70,21 +70,21 @@
 }
 
 impl Controller {
-    /// Whether a rented machine is still expected to come up.
-    pub(super) fn is_expected_up(&self, id: MachineId, machine: &RentedMachine) -> bool {
+    /// Whether a provisioned machine is still expected to come up.
+    pub(super) fn is_expected_to_boot(&self, id: MachineId, machine: &ProvisionedMachine) -> bool {
         self.cell.machine(id).is_none()
             && !machine.has_failed()
             && !self.autoscaler.releases.was_sent(id)
-            && machine.age(self.now.steady) < self.boot_patience(machine.machine_type())
+            && machine.age(self.now.steady) < self.boot_timeout(machine.machine_type())
     }
 
-    /// Notes which machines have come up, and what that says about the boot times of their types.
+    /// Records which machines have come up, and updates the expected boot times of their types.
     pub(super) fn update_boot_times(&mut self) {
         let now = self.now.steady;
         let cell = &self.cell;
         let autoscaler = &mut self.autoscaler;
-        autoscaler.note_finished_boots(cell, now);
-        let mut ages = ages_of_booting(&autoscaler.rented, &autoscaler.releases, now);
+        autoscaler.record_finished_boots(cell, now);
+        let mut ages = ages_of_booting(&autoscaler.provisioned_machines, &autoscaler.releases, now);
         for machine_type in cell.machine_types() {
             let name = machine_type.name.as_str();
             let nominal = machine_type.boot;
@@ -103,27 +103,27 @@
         }
     }
 
-    /// The boot time of this type by the catalog.
-    pub(super) fn nominal_boot(&self, machine_type: &str) -> Micros {
+    /// The boot time of this machine type according to the catalog.
+    pub(super) fn nominal_boot_time(&self, machine_type: &str) -> Micros {
         self.cell
             .machine_type(machine_type)
-            .map_or(UNKNOWN_BOOT, |t| t.boot)
+            .map_or(UNKNOWN_TYPE_BOOT_TIME, |t| t.boot)
     }
 
-    /// How long a machine of this type takes to come up at present.
+    /// How long a machine of this type is currently expected to take to come up.
     pub(in crate::coordination) fn expected_boot(&self, machine_type: &str) -> Micros {
         self.autoscaler
             .expected_boots
             .get(machine_type)
-            .map_or_else(|| self.nominal_boot(machine_type), |boot| boot.current)
+            .map_or_else(|| self.nominal_boot_time(machine_type), |boot| boot.current)
     }
 
-    /// How long a machine of this type may take to come up before it no longer counts as booting: half
-    /// as long again as boots take now, between one and a half and five times the nominal time.
-    pub(super) fn boot_patience(&self, machine_type: &str) -> Micros {
-        let nominal = self.nominal_boot(machine_type);
+    /// How long a machine of this type may take to come up before it no longer counts as booting: one and a half times the current
+    /// boot time, limited to between one and a half and five times the nominal time, plus a margin.
+    pub(super) fn boot_timeout(&self, machine_type: &str) -> Micros {
+        let nominal = self.nominal_boot_time(machine_type);
         let expected = self.expected_boot(machine_type);
-        let patience = Micros(expected.0 / 2 * 3);
-        patience.clamp(Micros(nominal.0 / 2 * 3), nominal * 5) + BOOT_MARGIN
+        let timeout = Micros(expected.0 / 2 * 3);
+        timeout.clamp(Micros(nominal.0 / 2 * 3), nominal * 5) + BOOT_TIMEOUT_MARGIN
     }
 }
--- a/src/coordination/autoscaler/catalog.rs
+++ b/src/coordination/autoscaler/catalog.rs
@@ -9,17 +9,17 @@
 use crate::time::Micros;
 
 /// How often the catalog is read.
-const INTERVAL: Micros = Micros::secs(30);
-/// After how long it is read again if it could not be read or written.
+const READ_INTERVAL: Micros = Micros::secs(30);
+/// How long after a failed read or write the catalog is read again.
 const RETRY_INTERVAL: Micros = Micros::secs(1);
-/// A spot price that moved by no more than one part in so many is not recorded.
-const PRICE_TOLERANCE: u64 = 20;
+/// A change of a spot price is not recorded if it is at most the new price divided by this.
+const PRICE_TOLERANCE_DIVISOR: u64 = 20;
 
 fn has_price_moved(old: u64, new: u64) -> bool {
-    old.abs_diff(new) * PRICE_TOLERANCE > new.max(1)
+    old.abs_diff(new) * PRICE_TOLERANCE_DIVISOR > new.max(1)
 }
 
-/// Whether catalogs differ by no more than small moves of spot prices.
+/// Whether two catalogs differ by nothing but small changes of spot prices.
 fn is_equivalent(old: &Catalog, new: &Catalog) -> bool {
     old.types.len() == new.types.len()
         && old.types.iter().zip(&new.types).all(|(old, new)| {
@@ -30,12 +30,12 @@
 }
 
 impl Controller {
-    /// The catalog was read, or not.
+    /// Handles the result of reading the catalog.
     pub(super) fn on_catalog_read(&mut self, result: Result<CloudReply, CallError>) {
         let now = self.now.steady;
         match result {
             Ok(CloudReply::Catalog(catalog)) => {
-                self.autoscaler.catalog.end(now + INTERVAL);
+                self.autoscaler.catalog.end(now + READ_INTERVAL);
                 self.record_catalog(catalog);
             }
             _ => self.autoscaler.catalog.end(now + RETRY_INTERVAL),
@@ -44,17 +44,17 @@
 
     fn record_catalog(&mut self, catalog: Catalog) {
         let recorded = self.cell.types.value.as_ref();
-        let known = recorded.is_some_and(|old| is_equivalent(old, &catalog));
+        let is_known = recorded.is_some_and(|old| is_equivalent(old, &catalog));
         let value = encode(&catalog);
         let bytes = value.as_ref().map_or(0, |v| v.get().len());
-        if known || bytes > self.limits.value_bytes() {
+        if is_known || bytes > self.limits.value_bytes() {
             return;
         }
         let mod_revision = self.cell.types.mod_revision;
         self.write_as_fleet_leader(Key::Types, mod_revision, value, Purpose::Types(catalog));
     }
 
-    /// The catalog was written, or not.
+    /// Handles the result of writing the catalog to the state store.
     pub(in crate::coordination) fn on_types_written(
         &mut self,
         types: Catalog,
--- a/src/coordination/autoscaler/cloud_responses.rs
+++ b/src/coordination/autoscaler/cloud_responses.rs
@@ -1,6 +1,6 @@
-//! Requests to the cloud, and what its responses change.
+//! Requests to the cloud, and the handling of its responses.
 
-use super::rented::{RentedMachine, offer_of};
+use super::provisioned_machines::{ProvisionedMachine, offer_of};
 use super::{CloudPurpose, FLEET_SHARD};
 use crate::coordination::{Call, CallId, Controller, Effect, Purpose};
 use crate::protocol::cloud::{CloudReply, CloudRequest};
@@ -9,18 +9,19 @@
 use crate::storage::records::ProvisionRecord;
 use crate::time::Micros;
 
-/// How long the cloud's response is waited for.
-const TIMEOUT: Micros = Micros::secs(5);
-/// The pause after a response that was missing, or that showed the cloud overloaded.
-const BACKOFF: Micros = Micros::millis(1_500);
+/// How long to wait for the cloud's response.
+const REQUEST_TIMEOUT: Micros = Micros::secs(5);
+/// The pause after a missing response, or a response that showed that the cloud is overloaded.
+const OVERLOAD_BACKOFF: Micros = Micros::millis(1_500);
 
 impl Controller {
-    pub(super) fn ask_cloud(&mut self, purpose: CloudPurpose, request: CloudRequest) {
+    pub(super) fn send_cloud_request(&mut self, purpose: CloudPurpose, request: CloudRequest) {
         let id = self.call(Purpose::Cloud(purpose));
-        self.effects.push(Effect::Cloud(id, request, TIMEOUT));
+        self.effects
+            .push(Effect::Cloud(id, request, REQUEST_TIMEOUT));
     }
 
-    /// The cloud responded, or did not.
+    /// Handles the result of a request to the cloud.
     pub(in crate::coordination) fn on_cloud(
         &mut self,
         id: CallId,
@@ -40,7 +41,7 @@
             result,
             Err(CallError::Unavailable | CallError::RateLimited | CallError::OutcomeUnknown)
         ) {
-            self.autoscaler.cloud_backoff_until = self.now.steady + BACKOFF;
+            self.autoscaler.cloud_backoff_until = self.now.steady + OVERLOAD_BACKOFF;
         }
         match purpose {
             CloudPurpose::Catalog => self.on_catalog_read(result),
@@ -57,7 +58,7 @@
         match result {
             Ok(CloudReply::Provisioned(machines)) => self.add_provisioned(request, machines),
             Ok(CloudReply::NoCapacity) | Err(CallError::Rejected) => self.on_no_capacity(request),
-            // The machines may have been provisioned: the record keeps them counted until a list would hold them.
+            // The machines may have been provisioned: the fleet record keeps them counted until a list would contain them.
             other => {
                 tracing::info!(
                     provision = request.name,
@@ -85,9 +86,9 @@
         }
         for id in machines {
             autoscaler
-                .rented
+                .provisioned_machines
                 .entry(id)
-                .or_insert_with(|| RentedMachine::provisioned(offer.clone(), now));
+                .or_insert_with(|| ProvisionedMachine::new(offer.clone(), now));
         }
         self.forget_provision_request(&request.name);
     }
@@ -102,10 +103,10 @@
     fn on_released(&mut self, machines: &[MachineId], result: Result<CloudReply, CallError>) {
         let released = result == Ok(CloudReply::Released);
         for id in machines {
-            self.autoscaler.releases.on_answered(*id);
+            self.autoscaler.releases.on_response(*id);
             if released {
                 tracing::info!(machine = %id, "machine released");
-                self.autoscaler.rented.remove(id);
+                self.autoscaler.provisioned_machines.remove(id);
                 self.autoscaler.releases.on_confirmed(*id);
                 self.rounds.remove_machine(*id);
             }
--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -19,7 +19,7 @@
 struct TeamUsage<'a>(BTreeMap<&'a str, u64>);
 
 impl Controller {
-    /// Tasks of live jobs that have no machine, as far as their teams' quotas let them have one; the most urgent first.
+    /// Tasks of live jobs that have no machine and that their teams' quotas allow to run, the most urgent first.
     pub(super) fn demands(&self) -> Vec<Demand<'_>> {
         let mut usage = TeamUsage::default();
         let mut demands = Vec::new();
@@ -61,7 +61,7 @@
         counts.then_some(WaitingJob { id, job, tasks })
     }
 
-    /// How many of a job's waiting tasks its team's quota leaves room for; these count as used from then on.
+    /// The number of a job's waiting tasks that fit into its team's quota; their cores are added to the team's usage.
     fn count_within_quota<'a>(&self, waiting: &WaitingJob<'a>, usage: &mut TeamUsage<'a>) -> u64 {
         let spec = waiting.job.spec();
         let shard = self.cell.shard_of_job(waiting.id, spec);
@@ -78,7 +78,7 @@
         count
     }
 
-    /// The demand of a job; none if no machine that could be provisioned meets its rules.
+    /// The demand of a job; none if its rules exclude all machines that could be provisioned.
     fn demand<'a>(&'a self, waiting: &WaitingJob<'a>, count: u64) -> Option<Demand<'a>> {
         let job = waiting.job;
         let spec = job.spec();
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Whether a job will be ready soon: all tasks that are left of its dependencies have started.
+    /// Whether a job will be ready soon: all remaining tasks of its dependencies have started.
     fn is_nearly_ready(&self, job: &Job) -> bool {
         let has_started = |id: &JobId| {
             self.cell.jobs.get(id).is_none_or(|dependency| {
@@ -107,8 +107,8 @@
             && job.spec().dependencies.iter().all(has_started)
     }
 
-    /// Whether the machines that a job may use would not hold it even if nothing else ran there. Where
-    /// many are up, some have room in time, and provisioning ahead of the job's readiness only costs.
+    /// Whether the machines that a job may use would lack room for it even if nothing else ran there. Where enough machines are up,
+    /// some will have room in time, and provisioning before the job is ready would only add cost.
     fn lacks_machines(&self, id: JobId, job: &Job) -> bool {
         let spec = job.spec();
         let mut left = u64::from(spec.task_count);
--- a/src/coordination/autoscaler/fleet_record.rs
+++ b/src/coordination/autoscaler/fleet_record.rs
@@ -1,6 +1,6 @@
 //! The fleet record: provision requests and releases in progress.
 //!
-//! Both are recorded before they are sent, so that a later leader knows of machines that no list holds yet.
+//! Both are recorded before they are sent, so that a later leader knows of machines that no list contains yet.
 
 use super::{CloudPurpose, FLEET_SHARD};
 use crate::coordination::{Controller, Purpose};
@@ -13,11 +13,11 @@
 use crate::time::Micros;
 use serde_json::value::RawValue;
 
-/// Added to four list lags: provision requests older than this are left out of the record.
+/// Added to four list lags; provision requests older than the sum are removed from the record.
 const SETTLED_PROVISION_MARGIN: Micros = Micros::secs(60);
 
 impl Controller {
-    /// The fleet record without what has long been settled.
+    /// The fleet record without old provision requests and without confirmed releases.
     pub(super) fn fleet_record(&self) -> FleetRecord {
         let mut record = self.cell.fleet.value.clone();
         let settled = self.settings.list_lag * 4 + SETTLED_PROVISION_MARGIN;
@@ -30,11 +30,11 @@
         record
     }
 
-    /// Writes the fleet record. `new`: the provision requests in it that are sent once it is written.
+    /// Writes the fleet record. `new`: the provision requests in it that are to be sent once it is written.
     pub(super) fn write_fleet(&mut self, record: FleetRecord, new: Vec<ProvisionRecord>) {
         let limit = self.limits.stored_value_bytes();
         let Some(value) = encode(&record).filter(|value| value.get().len() <= limit) else {
-            // It was written under larger limits. It shrinks as requests settle and releases are confirmed.
+            // The record was written under larger limits. It shrinks as requests are removed and releases are confirmed.
             return;
         };
         self.autoscaler.writing_fleet = true;
@@ -47,7 +47,7 @@
         );
     }
 
-    /// Writes a key on condition that it has this revision and that this process still leads the fleet.
+    /// Writes a key on condition that it still has this revision and that this process still leads the fleet.
     pub(super) fn write_as_fleet_leader(
         &mut self,
         key: Key,
@@ -69,8 +69,8 @@
         self.ask_state(purpose, StateRequest::Transaction(txn));
     }
 
-    /// The fleet record was written, or not. Which provision requests are new in it is known from what was written,
-    /// not by comparison with the replica: the watch may have delivered the record before this answer.
+    /// Handles the result of writing the fleet record. The new provision requests in it are passed along with the write rather than
+    /// found by comparison with the replica, because the watch may have delivered the record before this response.
     pub(in crate::coordination) fn on_fleet_written(
         &mut self,
         (record, new): (FleetRecord, Vec<ProvisionRecord>),
@@ -93,8 +93,8 @@
             return;
         }
         if self.stall.is_recovering() {
-            // Planned before a stall: by now another leader may have provisioned for the same demand. The record keeps these
-            // requests counted for as long as one without an answer.
+            // The requests were planned before a stall: by now another leader may have provisioned for the same demand. By the record
+            // they are counted for as long as a request without a response.
             tracing::info!(
                 requests = new.len(),
                 "provision requests dropped after a stall"
@@ -122,11 +122,11 @@
             spot: request.spot,
             count: request.count,
         };
-        self.ask_cloud(CloudPurpose::Provision(request), cloud_request);
+        self.send_cloud_request(CloudPurpose::Provision(request), cloud_request);
     }
 
-    /// The outcome of a provision request is known: its machines no longer count by the record. Only the replica of this
-    /// process is corrected; another leader reads a list first.
+    /// Removes a provision request whose outcome is known, so that its machines are no longer counted by the record. Only the replica
+    /// of this process is corrected; another leader reads a machine list first.
     pub(super) fn forget_provision_request(&mut self, name: &str) {
         self.cell
             .fleet
--- a/src/coordination/autoscaler/idle_window.rs
+++ b/src/coordination/autoscaler/idle_window.rs
@@ -1,30 +1,30 @@
-//! How many machines of an offer are surplus because as many were idle at any time of a window.
+//! The number of surplus machines of an offer: as many as were idle at every time of a window.
 
 use crate::time::Micros;
 use std::collections::VecDeque;
 
-/// How many machines were idle at a time.
+/// The number of idle machines at a point in time.
 #[derive(Clone, Copy, Debug)]
 struct IdleCount {
     at: Micros,
     idle: usize,
 }
 
-/// The least number of machines of one offer that were idle at any time of a window.
+/// The minimum number of idle machines of one offer within a sliding window.
 ///
-/// Single machines of a large fleet take turns in being idle, so none may be idle for long although
-/// many always are. As many as never had work at once in the time that a new one takes to boot are
-/// not needed: should that turn out wrong, a replacement is up after as long as they were idle.
+/// In a large fleet the idle machines change all the time, so it can be that no single machine is idle for long although many are
+/// idle at any time. If at least this many were idle throughout the time that a new machine takes to boot, that many are not
+/// needed. Should they turn out to be needed after all, replacements are up after as long as the machines were idle.
 #[derive(Debug, Default)]
 pub(super) struct IdleWindow {
     /// When the window began.
     since: Option<Micros>,
-    /// Ever larger counts within the window: the first is the least.
+    /// Increasing counts within the window (a monotonic queue): the first one is the minimum.
     counts: VecDeque<IdleCount>,
 }
 
 impl IdleWindow {
-    /// Records how many machines are idle now; returns the least number in the window, or 0 until the window is full.
+    /// Records how many machines are idle now; returns the minimum within the window, or 0 until the window is full.
     pub fn record(&mut self, now: Micros, idle: usize, window: Micros) -> usize {
         let since = *self.since.get_or_insert(now);
         while self.counts.back().is_some_and(|count| count.idle >= idle) {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// So many of the idle machines are being released.
+    /// Subtracts machines that are being released from the recorded counts.
     pub fn subtract(&mut self, released: usize) {
         for count in &mut self.counts {
             count.idle = count.idle.saturating_sub(released);
--- a/src/coordination/autoscaler/idle_window/tests.rs
+++ b/src/coordination/autoscaler/idle_window/tests.rs
@@ -1,4 +1,4 @@
-//! When idle machines count as surplus.
+//! Tests of when idle machines count as surplus.
 
 use super::*;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn nothing_is_surplus_until_the_window_is_full() {
+fn no_surplus_until_window_is_full() {
     let mut window = IdleWindow::default();
     assert_eq!(record(&mut window, 100, 5), 0);
     assert_eq!(record(&mut window, 109, 5), 0);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_least_count_of_the_window_is_surplus_until_it_is_too_old() {
+fn surplus_is_minimum_within_window() {
     let mut window = IdleWindow::default();
     record(&mut window, 100, 5);
     record(&mut window, 104, 2);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn released_machines_are_not_surplus_again() {
+fn released_machines_are_not_counted_as_surplus_again() {
     let mut window = IdleWindow::default();
     record(&mut window, 100, 5);
     assert_eq!(record(&mut window, 110, 5), 5);
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -9,8 +9,8 @@
 mod fleet_record;
 mod idle_window;
 mod machine_list;
+mod provisioned_machines;
 mod provisioning;
-mod rented;
 mod scale_in;
 
 use crate::coordination::Controller;
@@ -22,18 +22,18 @@
 use crate::time::Micros;
 use boots::ExpectedBoot;
 use idle_window::IdleWindow;
-use rented::{ExhaustedOffers, Releases, RentedMachine};
+use provisioned_machines::{ExhaustedOffers, ProvisionedMachine, Releases};
 use std::collections::{BTreeMap, HashMap};
 
 /// The shard whose leader runs the autoscaler.
 const FLEET_SHARD: ShardId = 0;
 /// How often the autoscaler runs.
-const INTERVAL: Micros = Micros::millis(500);
-/// How often it looks for missing machines, even if nothing seems to have changed: machines that were expected to come up may
-/// not have.
+const RUN_INTERVAL: Micros = Micros::millis(500);
+/// How often it checks for missing machines, even if nothing seems to have changed: machines that were expected to come up may
+/// not have come up.
 const CHECK_INTERVAL: Micros = Micros::secs(2);
 
-/// Why the cloud was asked.
+/// Purpose of a request to the cloud.
 #[derive(Debug)]
 pub enum CloudPurpose {
     /// To read the machine types and prices.
@@ -42,7 +42,7 @@
     Provision(ProvisionRecord),
     /// To release machines.
     Release(Vec<MachineId>),
-    /// To read a page of the machine list; the machines of the pages before.
+    /// To read a page of the machine list; holds the machines of the earlier pages.
     List(Vec<CloudMachine>),
 }
 
@@ -61,22 +61,22 @@
         due
     }
 
-    /// The request ends, whether answered or not.
+    /// Ends the request in flight, whether it got a response or not.
     fn end(&mut self, next: Micros) {
         self.in_flight = false;
         self.next = next;
     }
 }
 
-/// Lists of the machines that the cloud charges for.
+/// State of reading the list of machines that the cloud charges for.
 #[derive(Debug, Default)]
 struct MachineLists {
     poll: Poll,
     /// When the list that is being read was requested.
     requested_at: Micros,
-    /// How many were read since the term began.
+    /// Number of lists that were read completely since the term began.
     completed: u32,
-    /// When the last of them was requested.
+    /// When the last list that was read completely was requested.
     last_requested_at: Micros,
 }
 
@@ -85,15 +85,15 @@
 pub struct Autoscaler {
     next_run: Micros,
     next_check: Micros,
-    /// Something changed that may call for machines.
+    /// Something changed that may require more machines.
     check_requested: bool,
-    /// Nothing new is requested before this time: the cloud did not answer, or was overloaded.
+    /// Nothing new is requested before this time, because the cloud did not respond or was overloaded.
     cloud_backoff_until: Micros,
     catalog: Poll,
     lists: MachineLists,
-    rented: BTreeMap<MachineId, RentedMachine>,
+    provisioned_machines: BTreeMap<MachineId, ProvisionedMachine>,
     boot_times: BootTimeEstimates,
-    /// By machine type.
+    /// Expected boot times by machine type.
     expected_boots: BTreeMap<String, ExpectedBoot>,
     idle_since: HashMap<MachineId, Micros>,
     idle_windows: BTreeMap<MachineOffer, IdleWindow>,
@@ -107,24 +107,24 @@
 }
 
 impl Autoscaler {
-    /// Something changed that may call for machines.
+    /// Schedules a check for missing machines, after a change that may require more.
     pub fn schedule_check(&mut self) {
         self.check_requested = true;
     }
 
-    /// This process did not run for so long: that time does not count for how long machines were idle, unreachable or booting.
+    /// Handles a stall of this process. Its duration does not count for how long machines were idle, unreachable or booting.
     pub fn on_stall(&mut self, now: Micros, duration: Micros) {
         self.idle_since.clear();
         self.unreachable_since.clear();
         self.idle_windows.clear();
-        for machine in self.rented.values_mut() {
+        for machine in self.provisioned_machines.values_mut() {
             machine.on_stall(duration);
         }
         self.lists.poll.next = now;
     }
 
-    /// Whether missing machines are to be looked for now.
-    fn take_check(&mut self, now: Micros) -> bool {
+    /// Whether to check for missing machines now; if so, the check counts as done.
+    fn take_due_check(&mut self, now: Micros) -> bool {
         if now >= self.next_check {
             self.next_check = now + CHECK_INTERVAL;
             self.check_requested = true;
@@ -138,7 +138,7 @@
 }
 
 impl Controller {
-    /// Ends the term as the leader of the fleet. Names of provision requests are never used again.
+    /// Ends the term as the leader of the fleet. The counter of provision requests is kept, so that their names are never reused.
     pub(super) fn end_autoscaler(&mut self) {
         let provision_counter = self.autoscaler.provision_counter;
         self.autoscaler = Autoscaler {
@@ -148,7 +148,7 @@
         self.rounds.drop_fleet_requests();
     }
 
-    /// Runs the autoscaler, if that is due.
+    /// Runs the autoscaler if a run is due.
     pub(super) fn drive_autoscaler(&mut self) {
         let now = self.now.steady;
         if !self.leads(FLEET_SHARD) || !self.replica.is_ready() {
@@ -158,19 +158,19 @@
             self.wake_at(self.autoscaler.next_run);
             return;
         }
-        self.autoscaler.next_run = now + INTERVAL;
+        self.autoscaler.next_run = now + RUN_INTERVAL;
         self.wake_at(self.autoscaler.next_run);
         if now < self.autoscaler.cloud_backoff_until {
             return;
         }
         self.poll_cloud();
-        // Before the first list it is not known what an earlier leader has provisioned.
+        // Until the first list is read, the machines that an earlier leader has provisioned are not known.
         if self.cell.types.value.is_none() || self.autoscaler.lists.completed == 0 {
             return;
         }
         self.update_boot_times();
         self.scale_in();
-        if self.autoscaler.take_check(now) {
+        if self.autoscaler.take_due_check(now) {
             self.refresh_rules();
             self.provision_machines();
         }
@@ -179,11 +179,11 @@
     fn poll_cloud(&mut self) {
         let now = self.now.steady;
         if self.autoscaler.catalog.begin_if_due(now) {
-            self.ask_cloud(CloudPurpose::Catalog, CloudRequest::Catalog);
+            self.send_cloud_request(CloudPurpose::Catalog, CloudRequest::Catalog);
         }
         if self.autoscaler.lists.poll.begin_if_due(now) {
             self.autoscaler.lists.requested_at = now;
-            self.ask_cloud(CloudPurpose::List(Vec::new()), CloudRequest::List(None));
+            self.send_cloud_request(CloudPurpose::List(Vec::new()), CloudRequest::List(None));
         }
     }
 }
--- a/src/coordination/autoscaler/rented.rs
+++ b/src/coordination/autoscaler/provisioned_machines.rs
@@ -1,4 +1,4 @@
-//! Machines that the cloud charges for, offers that it has no capacity for, and releases sent to it.
+//! Machines that the cloud charges for, offers for which it has no capacity, and releases that were sent to it.
 
 use crate::protocol::cloud::{CloudMachine, CloudMachineState};
 use crate::scheduler::provisioning::MachineOffer;
@@ -7,7 +7,7 @@
 use crate::time::Micros;
 use std::collections::{BTreeSet, HashMap};
 
-/// The offer that a provision request is for.
+/// The machine offer of a provision request.
 pub(super) fn offer_of(request: &ProvisionRecord) -> MachineOffer {
     MachineOffer {
         machine_type: request.machine_type.clone(),
@@ -18,62 +18,64 @@
 
 /// A machine that the cloud is known to charge for.
 #[derive(Clone, Debug)]
-pub(super) struct RentedMachine {
+pub(super) struct ProvisionedMachine {
     offer: MachineOffer,
-    /// When it was requested; after a stall of this process later by as much.
-    since: Micros,
+    /// When it was requested; if this process stalled during the boot, moved later by the duration of the stall.
+    requested_at: Micros,
     status: CloudMachineState,
-    /// When the last list that held it was requested.
+    /// When the last list that contained it was requested.
     listed_at: Option<Micros>,
-    /// It has not come up yet, and its boot time counts for the estimates once it does.
+    /// It has not come up yet, and its boot time will be used for the estimates once it does.
     booting: bool,
 }
 
-impl RentedMachine {
-    /// A machine that was provisioned just now.
-    pub fn provisioned(offer: MachineOffer, now: Micros) -> RentedMachine {
-        RentedMachine {
+impl ProvisionedMachine {
+    /// A machine that has just been provisioned.
+    pub fn new(offer: MachineOffer, now: Micros) -> ProvisionedMachine {
+        ProvisionedMachine {
             offer,
-            since: now,
+            requested_at: now,
             status: CloudMachineState::Starting,
             listed_at: None,
             booting: true,
         }
     }
 
-    /// A machine that appears in a list for the first time. Of those that an earlier leader provisioned long ago only those are
-    /// still starting that never come up: beyond the nominal boot time they do not count as booting.
-    pub fn first_listed(machine: &CloudMachine, now: Micros, nominal_boot: Micros) -> Self {
-        RentedMachine {
+    /// A machine that appears in a list for the first time. Of the machines that an earlier leader provisioned long ago, only those
+    /// that never come up are still starting, so a machine older than the nominal boot time does not count as booting.
+    pub fn first_listed(machine: &CloudMachine, now: Micros, nominal_boot_time: Micros) -> Self {
+        ProvisionedMachine {
             offer: MachineOffer {
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
             },
-            since: now - machine.age,
+            requested_at: now - machine.age,
             status: machine.status,
             listed_at: None,
-            booting: machine.status == CloudMachineState::Starting && machine.age < nominal_boot,
+            booting: machine.status == CloudMachineState::Starting
+                && machine.age < nominal_boot_time,
         }
     }
 
-    /// A list holds it; `requested_at`: when the list was requested.
-    pub fn on_listed(&mut self, status: CloudMachineState, requested_at: Micros) {
+    /// Records that a list contains it. `list_requested_at`: when the list was requested.
+    pub fn on_listed(&mut self, status: CloudMachineState, list_requested_at: Micros) {
         self.status = status;
-        self.listed_at = Some(requested_at);
+        self.listed_at = Some(list_requested_at);
     }
 
-    /// It came up, after this long.
-    pub fn on_up(&mut self, now: Micros) -> Micros {
+    /// Records that it has come up; returns how long that took.
+    pub fn on_boot_completed(&mut self, now: Micros) -> Micros {
         self.booting = false;
         self.age(now)
     }
 
-    /// This process did not run for this long. A booting machine may have come up meanwhile, so nothing is learned from its boot.
+    /// Handles a stall of this process. A booting machine may have come up during the stall, so its boot time is not used for the
+    /// estimates.
     pub fn on_stall(&mut self, duration: Micros) {
         if self.booting {
             self.booting = false;
-            self.since += duration;
+            self.requested_at += duration;
         }
     }
 
@@ -86,7 +88,7 @@
     }
 
     pub fn age(&self, now: Micros) -> Micros {
-        now.since(self.since)
+        now.since(self.requested_at)
     }
 
     pub fn is_booting(&self) -> bool {
@@ -97,14 +99,14 @@
         self.status == CloudMachineState::Failed
     }
 
-    /// Whether no list that was requested at this time or later holds it.
+    /// Whether no list that was requested at this time or later contains it.
     pub fn is_missing_since(&self, list_requested_at: Micros) -> bool {
         self.listed_at.is_none_or(|at| at < list_requested_at)
     }
 
     /// When it was last known to exist.
     pub fn last_known_at(&self) -> Micros {
-        self.listed_at.unwrap_or(self.since)
+        self.listed_at.unwrap_or(self.requested_at)
     }
 }
 
@@ -122,7 +124,7 @@
         self.sent.extend(machines);
     }
 
-    pub fn on_answered(&mut self, machine: MachineId) {
+    pub fn on_response(&mut self, machine: MachineId) {
         self.in_flight.remove(&machine);
     }
 
@@ -144,21 +146,21 @@
     }
 }
 
-/// When an offer without capacity is requested again.
+/// Backoff of an offer without capacity.
 #[derive(Debug)]
 struct Backoff {
     until: Micros,
     failures: u32,
 }
 
-/// Offers that the cloud had no capacity for lately.
+/// Offers for which the cloud recently had no capacity.
 #[derive(Debug, Default)]
 pub(super) struct ExhaustedOffers(HashMap<MachineOffer, Backoff>);
 
 impl ExhaustedOffers {
-    /// The pause after a request that was fulfilled in part.
+    /// The pause after a partly fulfilled request.
     const PARTIAL_PAUSE: Micros = Micros::secs(5);
-    /// The pause after the first of several refusals in a row; it grows by as much with each.
+    /// The pause after the first of several consecutive refusals; each further refusal lengthens it by the same amount.
     const REFUSED_PAUSE: Micros = Micros::secs(3);
     /// Refusals beyond this number do not lengthen the pause.
     const MAX_PAUSE_STEPS: u32 = 5;
@@ -167,12 +169,12 @@
         self.0.get(offer).is_none_or(|backoff| backoff.until <= now)
     }
 
-    /// All machines of a request were provisioned.
+    /// Handles a request of which all machines were provisioned.
     pub fn on_fulfilled(&mut self, offer: &MachineOffer) {
         self.0.remove(offer);
     }
 
-    /// Fewer machines than requested were provisioned.
+    /// Handles a request of which fewer machines than requested were provisioned.
     pub fn on_partly_fulfilled(&mut self, offer: MachineOffer, now: Micros) {
         let backoff = Backoff {
             until: now + Self::PARTIAL_PAUSE,
@@ -181,7 +183,7 @@
         self.0.insert(offer, backoff);
     }
 
-    /// A request was refused; returns the pause until the next.
+    /// Handles a refused request; returns the pause until the next one.
     pub fn on_refused(&mut self, offer: MachineOffer, now: Micros) -> Micros {
         let failures = self.0.get(&offer).map_or(0, |backoff| backoff.failures) + 1;
         let pause = Self::REFUSED_PAUSE * u64::from(failures.min(Self::MAX_PAUSE_STEPS));
--- a/src/coordination/autoscaler/rented/tests.rs
+++ b/src/coordination/autoscaler/provisioned_machines/tests.rs
@@ -1,4 +1,4 @@
-//! Backoff from offers without capacity, and what lists say about machines.
+//! Tests of the backoff for offers without capacity, and of what lists show about machines.
 
 use super::*;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_pause_grows_with_each_refusal_up_to_a_bound() {
+fn pause_grows_with_each_refusal_up_to_maximum() {
     let mut exhausted = ExhaustedOffers::default();
     let now = Micros::secs(100);
     let pauses: Vec<Micros> = (0..7).map(|_| exhausted.on_refused(offer(), now)).collect();
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_fulfilled_request_ends_the_pause() {
+fn fulfilled_request_ends_pause() {
     let mut exhausted = ExhaustedOffers::default();
     let now = Micros::secs(100);
     exhausted.on_partly_fulfilled(offer(), now);
@@ -31,8 +31,8 @@
 }
 
 #[test]
-fn a_machine_is_missing_since_the_first_list_without_it() {
-    let mut machine = RentedMachine::provisioned(offer(), Micros::secs(100));
+fn machine_is_missing_since_first_list_without_it() {
+    let mut machine = ProvisionedMachine::new(offer(), Micros::secs(100));
     assert!(machine.is_missing_since(Micros::secs(100)));
     machine.on_listed(CloudMachineState::Running, Micros::secs(104));
     assert!(!machine.is_missing_since(Micros::secs(104)));
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn a_stall_does_not_count_for_a_booting_machine() {
-    let mut machine = RentedMachine::provisioned(offer(), Micros::secs(100));
+fn stall_does_not_count_toward_age_of_booting_machine() {
+    let mut machine = ProvisionedMachine::new(offer(), Micros::secs(100));
     machine.on_stall(Micros::secs(30));
     assert!(!machine.is_booting());
     assert_eq!(machine.age(Micros::secs(140)), Micros::secs(10));
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -1,4 +1,4 @@
-//! Scale out: which machines are provisioned for the tasks that wait.
+//! Scale out: which machines are provisioned for waiting tasks.
 
 use crate::coordination::Controller;
 use crate::protocol::cloud::PROVISION_LIMIT;
@@ -9,10 +9,10 @@
 use crate::storage::records::{FleetRecord, MachineRecord, ProvisionRecord};
 use crate::time::Micros;
 
-/// Added to two list lags: until a provision request is so old, its machines count although no list holds them yet.
+/// Added to two list lags; the machines of a provision request younger than the sum count although no list contains them yet.
 const UNLISTED_PROVISION_MARGIN: Micros = Micros::secs(8);
 
-/// How many machines of an offer are to be provisioned.
+/// An offer and the number of its machines to provision.
 type OfferCount = (MachineOffer, u32);
 
 impl Controller {
@@ -50,8 +50,8 @@
         plan(&catalog, &demands, &mut pools, &is_offered, &class_of)
     }
 
-    /// The catalog with boot times as they are expected now. At most twice the nominal ones: that boots were late lately must not
-    /// keep work from machines that may be prompt again.
+    /// The catalog with the currently expected boot times, limited to twice the nominal ones: recent slow boots must not keep work
+    /// from machines that may boot in the nominal time again.
     fn with_expected_boots(&self, catalog: &Catalog) -> Catalog {
         let mut catalog = catalog.clone();
         for machine_type in &mut catalog.types {
@@ -61,19 +61,19 @@
         catalog
     }
 
-    /// The class of machines that could be provisioned, where rules ask for it.
+    /// The machine class of an offer, if any rules are active; otherwise it is not needed.
     fn class_of_offer(&self, offer: &MachineOffer) -> Option<ClassId> {
-        self.class_of_kind(&offer.machine_type, &offer.zone, offer.spot)
+        self.class_of_machine_kind(&offer.machine_type, &offer.zone, offer.spot)
     }
 
-    fn class_of_kind(&self, machine_type: &str, zone: &str, spot: bool) -> Option<ClassId> {
+    fn class_of_machine_kind(&self, machine_type: &str, zone: &str, spot: bool) -> Option<ClassId> {
         self.rules
             .active()
             .then(|| self.cell.classes.of_offer(machine_type, zone, spot))
             .flatten()
     }
 
-    /// Machines that are up or expected to come up.
+    /// The machines that are up or expected to come up.
     fn pools<'a>(&'a self, catalog: &Catalog) -> MachinePools<'a> {
         let mut pools = MachinePools::default();
         self.add_machines_up(&mut pools, catalog);
@@ -83,16 +83,17 @@
     }
 
     fn add_machines_up<'a>(&'a self, pools: &mut MachinePools<'a>, catalog: &Catalog) {
-        let ruled = self.rules.active();
+        let has_rules = self.rules.active();
         for (machine, record) in self.cell.machines_up() {
-            let class = ruled.then(|| self.cell.classes.of(machine)).flatten();
+            let class = has_rules.then(|| self.cell.classes.of(machine)).flatten();
             let free = Some((self.cell.free(record), Some(machine)));
             let kind = (&*record.machine_type, &*record.zone, record.spot);
             pools.add(kind, catalog, class, 1, free, self.remaining_work(record));
         }
     }
 
-    /// The core time that a machine's tasks still take. Half of it is over, on the average.
+    /// The core time that a machine's tasks are expected to need still, on the assumption that half of the estimated runtime has
+    /// passed on average.
     fn remaining_work(&self, record: &MachineRecord) -> u128 {
         record
             .tasks
@@ -106,8 +107,8 @@
     }
 
     fn add_booting_machines<'a>(&'a self, pools: &mut MachinePools<'a>, catalog: &Catalog) {
-        for (id, machine) in &self.autoscaler.rented {
-            if self.is_expected_up(*id, machine) {
+        for (id, machine) in &self.autoscaler.provisioned_machines {
+            if self.is_expected_to_boot(*id, machine) {
                 let offer = machine.offer();
                 let kind = (&*offer.machine_type, &*offer.zone, offer.spot);
                 pools.add(kind, catalog, self.class_of_offer(offer), 1, None, 0);
@@ -115,20 +116,21 @@
         }
     }
 
-    /// Adds the machines of provision requests of an earlier leader that no list holds yet.
+    /// Adds the machines of recorded provision requests, such as an earlier leader's, that no list contains yet.
     fn add_unlisted_provisions<'a>(&'a self, pools: &mut MachinePools<'a>, catalog: &Catalog) {
         let limit = self.settings.list_lag * 2 + UNLISTED_PROVISION_MARGIN;
         for request in &self.cell.fleet.value.provision_requests {
             if self.now.day.since(request.at) < limit {
                 let kind = (&*request.machine_type, &*request.zone, request.spot);
-                let class = self.class_of_kind(kind.0, kind.1, kind.2);
+                let class = self.class_of_machine_kind(kind.0, kind.1, kind.2);
                 pools.add(kind, catalog, class, request.count.into(), None, 0);
             }
         }
     }
 
-    /// Names the requests for these machines: as many as the fleet record has room for, and as the cloud takes in a second. A
-    /// request must not be forgotten before its outcome is known: while the record is full of them, no more are made.
+    /// Creates the requests for these machines, limited to what the fleet record has room for and to the number of requests that the
+    /// cloud accepts in a second. A request must not be forgotten before its outcome is known, so no more are created while the
+    /// record is full of them.
     fn new_provision_requests(
         &mut self,
         record: &FleetRecord,
@@ -152,7 +154,7 @@
         requests
     }
 
-    /// A request with a name that is never used again, not even by another process or after a restart.
+    /// Creates a request with a name that is never used again, not even by another process or after a restart.
     fn provision_request(&mut self, offer: &MachineOffer, count: u32) -> ProvisionRecord {
         self.autoscaler.provision_counter += 1;
         ProvisionRecord {
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -10,14 +10,14 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
 
-/// How long a machine is kept idle whose cores cost much more than the cheapest.
+/// How long a machine is kept idle if its cores cost much more than the cheapest cores.
 const EXPENSIVE_IDLE_LIMIT: Micros = Micros::secs(5);
-/// How long a machine is kept idle at least.
+/// Minimum time for which a machine is kept idle.
 const MIN_IDLE_LIMIT: Micros = Micros::secs(2);
-/// How long a machine is kept idle whose type the catalog does not hold.
-const UNKNOWN_IDLE_LIMIT: Micros = Micros::secs(30);
-/// For how much longer than a lease an unreachable machine without tasks is kept.
-const UNREACHABLE_IDLE_LIMIT: Micros = Micros::secs(20);
+/// How long a machine is kept idle if its type is not in the catalog.
+const UNKNOWN_TYPE_IDLE_LIMIT: Micros = Micros::secs(30);
+/// Added to the lease duration: how long an unreachable machine without tasks is kept.
+const UNREACHABLE_IDLE_GRACE_PERIOD: Micros = Micros::secs(20);
 /// Added to the time after which a machine that has not come up is abandoned.
 const ABANDON_MARGIN: Micros = Micros::secs(5);
 
@@ -26,15 +26,15 @@
 enum ReleaseReason {
     /// It was cordoned, and its tasks have ended.
     Drained,
-    /// It is unreachable, and lists show that it is gone.
+    /// It is unreachable, and lists show that it no longer exists.
     Unlisted,
-    /// It is unreachable, and its tasks meet their deadlines only if they are assigned elsewhere at once.
+    /// It is unreachable, and some of its tasks meet their deadlines only if they are assigned elsewhere at once.
     Urgent,
     /// It has been unreachable for long.
     Unreachable,
     /// It has been idle for long.
     Idle,
-    /// As many machines of its offer as this were idle at any time of a window.
+    /// At least as many machines of its offer as are released were idle at every time of a window.
     Surplus,
 }
 
@@ -51,23 +51,23 @@
     }
 }
 
-/// What a pass over all machines found.
+/// The result of a pass over all machines.
 #[derive(Default)]
 struct FleetSurvey {
-    /// Machines marked for release, whose release may be sent.
+    /// Machines that are being decommissioned, whose releases may be sent.
     decommissioning: Vec<MachineId>,
-    /// Machines to be marked.
+    /// Machines to decommission.
     to_decommission: Vec<(MachineId, ReleaseReason)>,
-    /// Machines that are kept empty for a set.
-    held: BTreeSet<MachineId>,
+    /// Machines that are reserved for a gang.
+    reserved_for_gang: BTreeSet<MachineId>,
     idle_since: HashMap<MachineId, Micros>,
     unreachable_since: HashMap<MachineId, Micros>,
-    /// Schedulable machines that are idle, but not for long, with the time since when.
+    /// Schedulable machines that are idle but have not reached their idle limit, with the start of their idle time.
     idle_by_offer: BTreeMap<MachineOffer, Vec<(Micros, MachineId)>>,
 }
 
 impl Controller {
-    /// Marks machines that are not needed any more, and sends the releases of those that were marked before.
+    /// Decommissions machines that are not needed any more, and sends the releases of machines decommissioned earlier.
     pub(super) fn scale_in(&mut self) {
         let mut survey = self.survey_fleet();
         self.add_surplus(&mut survey);
@@ -77,7 +77,7 @@
         let overdue = self.overdue_boots();
         let mut releases = survey.decommissioning;
         if overdue.is_empty() {
-            // An earlier leader may have abandoned these.
+            // An earlier leader may have abandoned the machines in the record.
             let recorded = self.cell.fleet.value.releasing.iter();
             releases.extend(recorded.filter(|id| !self.autoscaler.releases.is_confirmed(**id)));
         } else {
@@ -88,9 +88,9 @@
 
     fn survey_fleet(&self) -> FleetSurvey {
         let urgent_in_lost_zones = self.lost_machines_to_release();
-        let held = self.machines_held_for_set();
+        let reserved = self.machines_held_for_set();
         let mut survey = FleetSurvey {
-            held: held.cloned().unwrap_or_default(),
+            reserved_for_gang: reserved.cloned().unwrap_or_default(),
             ..FleetSurvey::default()
         };
         for (_, id, record) in self.cell.machines() {
@@ -107,7 +107,7 @@
         record: &MachineRecord,
     ) {
         let now = self.now.steady;
-        let is_idle = record.tasks.is_empty() && !survey.held.contains(&id);
+        let is_idle = record.tasks.is_empty() && !survey.reserved_for_gang.contains(&id);
         let idle_since = is_idle.then(|| *self.autoscaler.idle_since.get(&id).unwrap_or(&now));
         if let Some(since) = idle_since {
             survey.idle_since.insert(id, since);
@@ -139,21 +139,21 @@
         record: &MachineRecord,
         since: Micros,
     ) -> Option<ReleaseReason> {
-        // The machines of a lost zone are judged together; while a zone is suspected they wait for that.
+        // The machines of a lost zone are considered together. While a zone is only suspected, its machines wait for that decision.
         let is_urgent = || {
             if self.zones.is_suspected(&record.zone) {
                 urgent_in_lost_zones.contains(&id)
             } else {
                 let mut tasks = record.tasks.iter();
-                tasks.any(|assignment| self.saturated(assignment.attempt().task.job))
+                tasks.any(|assignment| self.needs_immediate_restart(assignment.attempt().task.job))
             }
         };
         let grace = if record.tasks.is_empty() {
-            UNREACHABLE_IDLE_LIMIT
+            UNREACHABLE_IDLE_GRACE_PERIOD
         } else {
             Micros::ZERO
         };
-        if self.is_gone_from_list(id) {
+        if self.is_missing_from_list(id) {
             Some(ReleaseReason::Unlisted)
         } else if is_urgent() {
             Some(ReleaseReason::Urgent)
@@ -184,8 +184,8 @@
         None
     }
 
-    /// How long a machine is kept without tasks: as long as its next boot would take, an expensive one
-    /// only for a moment. Less than the shortest charge is never saved.
+    /// How long a machine is kept without tasks: as long as the boot of a replacement would take, but an expensive machine only for
+    /// a short time. A release never saves less than the shortest charge.
     fn idle_limit(&self, machine_type: &str, spot: bool) -> Micros {
         let types = self.cell.machine_types();
         let cheapest = types
@@ -193,7 +193,7 @@
             .min()
             .unwrap_or(0);
         let derived = match self.cell.machine_type(machine_type) {
-            None => UNKNOWN_IDLE_LIMIT,
+            None => UNKNOWN_TYPE_IDLE_LIMIT,
             Some(t) if core_price(t, spot) > cheapest * 3 / 2 => EXPENSIVE_IDLE_LIMIT,
             Some(t) => self
                 .expected_boot(machine_type)
@@ -204,7 +204,7 @@
             .map_or(derived, Micros::from_secs_f64)
     }
 
-    /// Adds the machines that are surplus of their offers: those that have been idle the longest.
+    /// Adds the surplus machines of each offer: those that have been idle the longest.
     fn add_surplus(&mut self, survey: &mut FleetSurvey) {
         let now = self.now.steady;
         let mut idle_by_offer = std::mem::take(&mut survey.idle_by_offer);
@@ -212,9 +212,9 @@
             idle_by_offer.entry(offer.clone()).or_default();
         }
         for (offer, mut idle) in idle_by_offer {
-            let span = self.idle_limit(&offer.machine_type, offer.spot);
+            let idle_limit = self.idle_limit(&offer.machine_type, offer.spot);
             let window = self.autoscaler.idle_windows.entry(offer).or_default();
-            let surplus = window.record(now, idle.len(), span);
+            let surplus = window.record(now, idle.len(), idle_limit);
             window.subtract(surplus);
             idle.sort_unstable();
             let longest_idle = idle.into_iter().take(surplus);
@@ -234,17 +234,17 @@
         }
     }
 
-    /// Machines that should have come up long ago, with their ages.
+    /// Machines that should have come up long ago but have not, with their ages.
     fn overdue_boots(&self) -> Vec<(MachineId, Micros)> {
         let now = self.now.steady;
         let mut overdue = Vec::new();
-        for (id, machine) in &self.autoscaler.rented {
+        for (id, machine) in &self.autoscaler.provisioned_machines {
             let age = machine.age(now);
             let is_late = || {
                 let name = machine.machine_type();
                 self.cell
                     .machine_type(name)
-                    .is_none_or(|t| age > self.boot_patience(name).max(t.boot * 3) + ABANDON_MARGIN)
+                    .is_none_or(|t| age > self.boot_timeout(name).max(t.boot * 3) + ABANDON_MARGIN)
             };
             let is_released = || {
                 self.autoscaler.releases.was_sent(*id)
@@ -258,8 +258,8 @@
         overdue
     }
 
-    /// Records that machines are abandoned, before their release is sent: it may be carried out late, and
-    /// they may come up until then. No controller uses them.
+    /// Records that machines are abandoned, before their release is sent: the cloud may execute the release late, and the machines
+    /// may come up until then. No controller uses an abandoned machine.
     fn abandon_boots(&mut self, machines: Vec<(MachineId, Micros)>) {
         if self.autoscaler.writing_fleet {
             return;
@@ -283,12 +283,12 @@
         }
         self.autoscaler.releases.on_sent(&machines);
         let request = CloudRequest::Release(machines.clone());
-        self.ask_cloud(CloudPurpose::Release(machines), request);
+        self.send_cloud_request(CloudPurpose::Release(machines), request);
     }
 
-    /// Whether a task of a job would be late if it had to wait for the lease of an unreachable machine, but
-    /// not if it were started again at once. A release proves at once that the machine is gone.
-    pub(in crate::coordination) fn saturated(&self, id: JobId) -> bool {
+    /// Whether a task of a job on an unreachable machine would be late if it had to wait for the machine's lease to expire, but not if
+    /// it were restarted at once. The release of a machine proves at once that its tasks have ended.
+    pub(in crate::coordination) fn needs_immediate_restart(&self, id: JobId) -> bool {
         self.cell.jobs.get(&id).is_some_and(|job| {
             let latest = self.latest_start(job);
             !job.cancelled()
--- a/src/coordination/health/zones/releases.rs
+++ b/src/coordination/health/zones/releases.rs
@@ -83,7 +83,9 @@
             .tasks
             .iter()
             .map(|assignment| assignment.attempt().task.job);
-        let first = jobs.filter(|job| self.saturated(*job)).min()?;
+        let first = jobs
+            .filter(|job| self.needs_immediate_restart(*job))
+            .min()?;
         self.cell.jobs.get(&first)
     }
 
