--- a/src/coordination/agents/agent.rs
+++ b/src/coordination/agents/agent.rs
@@ -21,8 +21,8 @@
 pub(super) struct HeartbeatLossLimits {
     /// Counted from its last heartbeat.
     pub after_heartbeat: Micros,
-    /// Counted from the beginning of the leader's term, if the agent has sent no heartbeat in the term. It may still be searching for
-    /// the leader; after a lease duration its incarnation ends by itself.
+    /// Counted from the beginning of the leader's term, if the agent has sent no heartbeat in the term. It may still be searching
+    /// for the leader; after a lease duration its incarnation ends by itself.
     pub before_first: Micros,
 }
 
@@ -152,9 +152,9 @@
         self.latest_heartbeat.incarnation
     }
 
-    /// Handles a new heartbeat that the agent sent by itself. Either of two observations shows that the agent receives commands: it
-    /// reports a new fencing token, or it stays with this controller, because without a response it would send its next heartbeat
-    /// to another one. `only_controller`: there is no other controller, so that the agent stays proves nothing.
+    /// Handles a new heartbeat that the agent sent by itself. Either of two observations shows that the agent receives commands:
+    /// it reports a new fencing token, or it stays with this controller, because without a response it would send its next
+    /// heartbeat to another one. `only_controller`: there is no other controller, so that the agent stays proves nothing.
     pub(super) fn on_new_heartbeat(
         &mut self,
         now: Micros,
@@ -239,10 +239,10 @@
         self.has_current_token
     }
 
-    /// For how long its lease cannot have been renewed, if that is known: since the last acknowledged heartbeat. That heartbeat may
-    /// have been a duplicate of an old one, or its response may have been lost. So the time never counts from before the current
-    /// incarnation began, nor from before the agent had the token of this term: until then an earlier leader may have renewed the
-    /// lease.
+    /// For how long its lease cannot have been renewed, if that is known: since the last acknowledged heartbeat. That heartbeat
+    /// may have been a duplicate of an old one, or its response may have been lost. So the time never counts from before the
+    /// current incarnation began, nor from before the agent had the token of this term: until then an earlier leader may have
+    /// renewed the lease.
     pub(super) fn lease_unrenewed_for(&self, now: Micros) -> Option<Micros> {
         let acknowledged_at = self.acknowledged_at.filter(|_| self.has_current_token)?;
         Some(now.since(acknowledged_at.max(self.latest_lease_start)))
@@ -262,8 +262,8 @@
         self.latest_heartbeat.incarnation <= self.fenced_incarnation
     }
 
-    /// Whether it responds to pushed commands, but none of its heartbeats arrive. `since`: from when on this process could receive
-    /// heartbeats.
+    /// Whether it responds to pushed commands, but none of its heartbeats arrive. `since`: from when on this process could
+    /// receive heartbeats.
     pub(super) fn heartbeats_are_lost(
         &self,
         now: Micros,
--- a/src/coordination/agents/agent/tests.rs
+++ b/src/coordination/agents/agent/tests.rs
@@ -19,8 +19,8 @@
 }
 
 /// A duplicate of an old heartbeat is acknowledged, and then the response to a pushed command reports an incarnation that began
-/// later. The lease of the new incarnation counts from its own beginning: when it was counted from the acknowledgement, tasks were
-/// placed elsewhere while they still ran on the machine.
+/// later. The lease of the new incarnation counts from its own beginning: when it was counted from the acknowledgement, tasks
+/// were placed elsewhere while they still ran on the machine.
 #[test]
 fn lease_of_new_incarnation_counts_from_its_first_report() {
     let mut agent = Agent::new("", "g8", "a", true);
@@ -41,8 +41,8 @@
     assert_eq!(unrenewed_s(&agent, 30), Some(13));
 }
 
-/// The response to the agent's last heartbeat was lost, and an earlier leader responded to the next one. An earlier leader can renew
-/// the lease until the agent has a token of this term.
+/// The response to the agent's last heartbeat was lost, and an earlier leader responded to the next one. An earlier leader can
+/// renew the lease until the agent has a token of this term.
 #[test]
 fn lease_counts_from_first_report_of_current_term_token() {
     let mut agent = Agent::new("", "g8", "a", true);
--- a/src/coordination/agents/cancellations.rs
+++ b/src/coordination/agents/cancellations.rs
@@ -2,10 +2,11 @@
 //!
 //! A leader that cannot know of a cancellation stops acknowledging heartbeats in time (`Settings::contact_limit`). A leader that
 //! knows of it stops the tasks that agents report. But the network may delay a pushed launch that got no response, and deliver it
-//! much later. Only the agent's next incarnation or a higher fencing token makes the agent refuse it, and a higher token needs the
-//! state store. While the store is unavailable, the age of the last contact with it is the age of the outage, which may have begun
-//! long after the cancellation. So a machine with such a launch has a deadline of its own, which counts from the cancellation.
-//! After the deadline its agent's heartbeats are no longer acknowledged, and the expiry of its lease ends all tasks there.
+//! much later. Only the agent's next incarnation or a higher fencing token makes the agent refuse it, and a higher token needs
+//! the state store. While the store is unavailable, the age of the last contact with it is the age of the outage, which may have
+//! begun long after the cancellation. So a machine with such a launch has a deadline of its own, which counts from the
+//! cancellation. After the deadline its agent's heartbeats are no longer acknowledged, and the expiry of its lease ends all tasks
+//! there.
 //!
 //! Launches of earlier leaders need no deadline: an agent that accepts this leader's response has its token, and an agent that
 //! does not accept it does not renew its lease.
@@ -63,8 +64,9 @@
         too_old
     }
 
-    /// Whether a job with a launch in flight may have been reported as cancelled so long ago that only the expiry of the machine's
-    /// lease can keep the launch from running there. `reported_at`: the earliest time at which it may have been reported.
+    /// Whether a job with a launch in flight may have been reported as cancelled so long ago that only the expiry of the
+    /// machine's lease can keep the launch from running there. `reported_at`: the earliest time at which it may have been
+    /// reported.
     pub(in crate::coordination) fn requires_lease_expiry(
         &self,
         reported_at: Option<Micros>,
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Records what the end of a task shows about the machine: a failure may quarantine it, a completed task clears earlier failures.
+    /// Records what the end of a task shows about the machine: a failure may quarantine it, a completed task clears earlier
+    /// failures.
     fn record_outcome_for_machine(&mut self, attempt: Attempt, outcome: Outcome) {
         let job = attempt.task.job;
         match outcome {
@@ -147,8 +148,8 @@
         .stop_grace_period(job.spec(), self.agent.running_for(&attempt, self.now))
     }
 
-    /// Makes the agent forget an exited task whose assignment has been released, so its outcome is recorded. The agent must remember
-    /// the task until no launch of it can arrive any more; otherwise it would run again.
+    /// Makes the agent forget an exited task whose assignment has been released, so its outcome is recorded. The agent must
+    /// remember the task until no launch of it can arrive any more; otherwise it would run again.
     fn forget_if_settled(&mut self, attempt: Attempt) {
         if !self.agent.has_current_token() {
             return;
@@ -231,9 +232,9 @@
         }
     }
 
-    /// Releases an assignment that is not launched, once no launch of it can arrive any more. If the launch was sent in a heartbeat
-    /// response, that was to an earlier heartbeat, so it has arrived or the agent has given up on that response by now. Only a pushed
-    /// launch may still be in flight.
+    /// Releases an assignment that is not launched, once no launch of it can arrive any more. If the launch was sent in a
+    /// heartbeat response, that was to an earlier heartbeat, so it has arrived or the agent has given up on that response by now.
+    /// Only a pushed launch may still be in flight.
     fn release_unlaunched(&mut self, attempt: Attempt, refusal: LaunchRefusal) {
         if !self.agent.has_current_token() {
             return;
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -9,8 +9,8 @@
 use crate::storage::records::{MachineHealth, MachineRecord};
 
 impl Controller {
-    /// Number of lease durations after the beginning of a term in which a heartbeat may be a duplicate from a machine that was removed
-    /// before, because the leader does not remember that machine.
+    /// Number of lease durations after the beginning of a term in which a heartbeat may be a duplicate from a machine that was
+    /// removed before, because the leader does not remember that machine.
     const DUPLICATE_HEARTBEAT_LEASES: u64 = 3;
 
     /// Responds to a heartbeat. A response with commands renews the agent's lease.
@@ -53,8 +53,8 @@
         }
     }
 
-    /// The response of a controller that does not lead the shard: the leader's name, if the leader is another registered node that
-    /// has not been restarted since it became the leader.
+    /// The response of a controller that does not lead the shard: the leader's name, if the leader is another registered node
+    /// that has not been restarted since it became the leader.
     fn redirect_to_leader(&self, shard: ShardId) -> HeartbeatResponse {
         let leader = self.cell.leaders[shard].value.as_ref().filter(|leader| {
             leader.node != self.settings.node
@@ -81,8 +81,8 @@
         newer
     }
 
-    /// Whether the machine was removed recently, or was abandoned while it booted. An abandoned machine is being released, so it is
-    /// never used.
+    /// Whether the machine was removed recently, or was abandoned while it booted. An abandoned machine is being released, so it
+    /// is never used.
     fn is_removed(&self, machine: MachineId) -> bool {
         self.removed_machines.contains(&machine)
             || self.cell.fleet.value.releasing.contains(&machine)
@@ -103,9 +103,9 @@
         heartbeat.incarnation() > agent.fenced_incarnation()
     }
 
-    /// Applies the heartbeat if it is newer than all earlier ones. A heartbeat that is not newer may be a duplicate, so it does not
-    /// show that the agent is alive. But the agent may also have sent it before it responded to a pushed command, so it gets a
-    /// response all the same.
+    /// Applies the heartbeat if it is newer than all earlier ones. A heartbeat that is not newer may be a duplicate, so it does
+    /// not show that the agent is alive. But the agent may also have sent it before it responded to a pushed command, so it gets
+    /// a response all the same.
     fn apply_if_newer(&mut self, shard: ShardId, heartbeat: &Heartbeat) -> bool {
         let now = self.now.steady;
         let Some(agent) = self.agents.get_mut(&heartbeat.machine) else {
@@ -124,7 +124,8 @@
         true
     }
 
-    /// Whether a launch in flight to the machine belongs to a job that was cancelled so long ago that the machine's lease must expire.
+    /// Whether a launch in flight to the machine belongs to a job that was cancelled so long ago that the machine's lease must
+    /// expire.
     fn must_let_lease_expire(&self, machine: MachineId) -> bool {
         let Some(agent) = self.agents.get(&machine) else {
             return false;
@@ -137,8 +138,8 @@
         due
     }
 
-    /// Probes an agent whose heartbeats do not show whether it receives commands. Its machine gets no work until the agent responds,
-    /// or shows in another way that it receives commands.
+    /// Probes an agent whose heartbeats do not show whether it receives commands. Its machine gets no work until the agent
+    /// responds, or shows in another way that it receives commands.
     fn probe_if_unconfirmed(&mut self, machine: MachineId) {
         let marked_unreachable = self
             .cell
--- a/src/coordination/agents/launch_policy.rs
+++ b/src/coordination/agents/launch_policy.rs
@@ -16,8 +16,8 @@
         .map_or(Micros::ZERO, |s| s.checkpoint_duration.with_drift())
 }
 
-/// Whether more is assigned for a job's team than its quota allows. No controller assigns that much once it knows the quota, so the
-/// assignments were made before a newer settings file introduced it. Those that have not been launched are released.
+/// Whether more is assigned for a job's team than its quota allows. No controller assigns that much once it knows the quota, so
+/// the assignments were made before a newer settings file introduced it. Those that have not been launched are released.
 pub(super) fn exceeds_quota(cell: &CellState, settings: &Settings, job: JobId) -> bool {
     let Some(spec) = cell.jobs.get(&job).map(Job::spec) else {
         return false;
@@ -70,8 +70,8 @@
     /// Heartbeat intervals that may pass until a stop command reaches the agent.
     const HEARTBEATS_UNTIL_STOP: u64 = 2;
 
-    /// The grace period of a running task, if it has to be stopped now. A task with checkpoints is stopped as late as it can still
-    /// save one; a task without is stopped at once if it is unlikely to end in time.
+    /// The grace period of a running task, if it has to be stopped now. A task with checkpoints is stopped as late as it can
+    /// still save one; a task without is stopped at once if it is unlikely to end in time.
     pub(super) fn stop_grace_period(&self, spec: &JobSpec, running_for: Micros) -> Option<Micros> {
         let has_checkpoints = spec.checkpoint_interval > Micros::ZERO;
         if has_checkpoints {
--- a/src/coordination/agents/liveness.rs
+++ b/src/coordination/agents/liveness.rs
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Requests a new term if a launch of a cancelled job is unsettled: the launch must not be executed any more, and the next heartbeat
-    /// of the agent may not arrive soon.
+    /// Requests a new term if a launch of a cancelled job is unsettled: the launch must not be executed any more, and the next
+    /// heartbeat of the agent may not arrive soon.
     fn settle_cancelled_launches(&mut self, shard: ShardId, agent: &Agent) {
         if agent.launches().has_unsettled()
             && self
@@ -166,8 +166,8 @@
     }
 
     /// Handles a late heartbeat. The heartbeat may have gone to another node, or this process may be slow, so the agent is probed
-    /// first. An agent whose endpoint is unknown cannot be probed (a record may lack the endpoint, and the agent has sent nothing in
-    /// this term); if its machine were not marked unreachable, the machine and its tasks would be waited for forever.
+    /// first. An agent whose endpoint is unknown cannot be probed (a record may lack the endpoint, and the agent has sent nothing
+    /// in this term); if its machine were not marked unreachable, the machine and its tasks would be waited for forever.
     fn probe_or_mark_unreachable(
         &mut self,
         machine: MachineId,
--- a/src/coordination/agents/mod.rs
+++ b/src/coordination/agents/mod.rs
@@ -41,8 +41,8 @@
 impl Controller {
     /// Lower bound for the number of removed machines that are remembered, for small fleets.
     const MIN_REMEMBERED_REMOVED_MACHINES: usize = 4_096;
-    /// Number of removed machines that are remembered for each machine of the largest fleet so far: all machines may be replaced, and
-    /// the replacements removed as well, while heartbeats are still in flight.
+    /// Number of removed machines that are remembered for each machine of the largest fleet so far: all machines may be replaced,
+    /// and the replacements removed as well, while heartbeats are still in flight.
     const REMEMBERED_REMOVALS_PER_MACHINE: usize = 2;
 
     /// How many removed machines are remembered.
--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -71,8 +71,8 @@
     }
 }
 
-/// Whether launches may be pushed to a machine. An agent without a recent heartbeat gets them in the response to its next one. Stop
-/// commands are pushed to it all the same: it may receive commands although its heartbeats reach no controller.
+/// Whether launches may be pushed to a machine. An agent without a recent heartbeat gets them in the response to its next one.
+/// Stop commands are pushed to it all the same: it may receive commands although its heartbeats reach no controller.
 fn may_push_launches(
     settings: &Settings,
     agent: &Agent,
--- a/src/coordination/autoscaler/boots.rs
+++ b/src/coordination/autoscaler/boots.rs
@@ -118,8 +118,8 @@
             .map_or_else(|| self.nominal_boot_time(machine_type), |boot| boot.current)
     }
 
-    /// How long a machine of this type may take to come up before it no longer counts as booting: one and a half times the current
-    /// boot time, limited to between one and a half and five times the nominal time, plus a margin.
+    /// How long a machine of this type may take to come up before it no longer counts as booting: one and a half times the
+    /// current boot time, limited to between one and a half and five times the nominal time, plus a margin.
     pub(super) fn boot_timeout(&self, machine_type: &str) -> Micros {
         let nominal = self.nominal_boot_time(machine_type);
         let expected = self.expected_boot(machine_type);
--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -33,13 +33,13 @@
     }
 
     fn waiting_jobs(&self) -> Vec<WaitingJob<'_>> {
-        let lost = self.tasks_to_replace();
+        let lost_tasks = self.tasks_to_replace();
         let mut jobs: Vec<_> = self
             .cell
             .jobs
             .iter()
             .filter(|(id, _)| !self.rounds.is_suspect(**id))
-            .filter_map(|(id, job)| self.waiting_job(*id, job, &lost))
+            .filter_map(|(id, job)| self.waiting_job(*id, job, &lost_tasks))
             .collect();
         jobs.sort_by_key(|waiting| {
             let job = waiting.job;
@@ -52,10 +52,10 @@
         &'a self,
         id: JobId,
         job: &'a Job,
-        lost: &HashMap<JobId, u64>,
+        lost_tasks: &HashMap<JobId, u64>,
     ) -> Option<WaitingJob<'a>> {
-        let lost = lost.get(&id).copied().unwrap_or_default();
-        let tasks = u64::from(self.cell.pending_count(id, job)) + lost;
+        let lost_tasks = lost_tasks.get(&id).copied().unwrap_or_default();
+        let tasks = u64::from(self.cell.pending_count(id, job)) + lost_tasks;
         let counts =
             tasks > 0 && (job.ready() || self.is_nearly_ready(job) && self.lacks_machines(id, job));
         counts.then_some(WaitingJob { id, job, tasks })
@@ -107,8 +107,8 @@
             && job.spec().dependencies.iter().all(has_started)
     }
 
-    /// Whether the machines that a job may use would lack room for it even if nothing else ran there. Where enough machines are up,
-    /// some will have room in time, and provisioning before the job is ready would only add cost.
+    /// Whether the machines that a job may use would lack room for it even if nothing else ran there. Where enough machines are
+    /// up, some will have room in time, and provisioning before the job is ready would only add cost.
     fn lacks_machines(&self, id: JobId, job: &Job) -> bool {
         let spec = job.spec();
         let mut left = u64::from(spec.task_count);
--- a/src/coordination/autoscaler/fleet_record.rs
+++ b/src/coordination/autoscaler/fleet_record.rs
@@ -69,8 +69,8 @@
         self.ask_state(purpose, StateRequest::Transaction(txn));
     }
 
-    /// Handles the result of writing the fleet record. The new provision requests in it are passed along with the write rather than
-    /// found by comparison with the replica, because the watch may have delivered the record before this response.
+    /// Handles the result of writing the fleet record. The new provision requests in it are passed along with the write rather
+    /// than found by comparison with the replica, because the watch may have delivered the record before this response.
     pub(in crate::coordination) fn on_fleet_written(
         &mut self,
         (record, new): (FleetRecord, Vec<ProvisionRecord>),
@@ -93,8 +93,8 @@
             return;
         }
         if self.stall.is_recovering() {
-            // The requests were planned before a stall: by now another leader may have provisioned for the same demand. By the record
-            // they are counted for as long as a request without a response.
+            // The requests were planned before a stall: by now another leader may have provisioned for the same demand. By the
+            // record they are counted for as long as a request without a response.
             tracing::info!(
                 requests = new.len(),
                 "provision requests dropped after a stall"
@@ -125,8 +125,8 @@
         self.send_cloud_request(CloudPurpose::Provision(request), cloud_request);
     }
 
-    /// Removes a provision request whose outcome is known, so that its machines are no longer counted by the record. Only the replica
-    /// of this process is corrected; another leader reads a machine list first.
+    /// Removes a provision request whose outcome is known, so that its machines are no longer counted by the record. Only the
+    /// replica of this process is corrected; another leader reads a machine list first.
     pub(super) fn forget_provision_request(&mut self, name: &str) {
         self.cell
             .fleet
--- a/src/coordination/autoscaler/provisioned_machines.rs
+++ b/src/coordination/autoscaler/provisioned_machines.rs
@@ -41,8 +41,8 @@
         }
     }
 
-    /// A machine that appears in a list for the first time. Of the machines that an earlier leader provisioned long ago, only those
-    /// that never come up are still starting, so a machine older than the nominal boot time does not count as booting.
+    /// A machine that appears in a list for the first time. Of the machines that an earlier leader provisioned long ago, only
+    /// those that never come up are still starting, so a machine older than the nominal boot time does not count as booting.
     pub fn first_listed(machine: &CloudMachine, now: Micros, nominal_boot_time: Micros) -> Self {
         ProvisionedMachine {
             offer: MachineOffer {
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -50,8 +50,8 @@
         plan(&catalog, &demands, &mut pools, &is_offered, &class_of)
     }
 
-    /// The catalog with the currently expected boot times, limited to twice the nominal ones: recent slow boots must not keep work
-    /// from machines that may boot in the nominal time again.
+    /// The catalog with the currently expected boot times, limited to twice the nominal ones: recent slow boots must not keep
+    /// work from machines that may boot in the nominal time again.
     fn with_expected_boots(&self, catalog: &Catalog) -> Catalog {
         let mut catalog = catalog.clone();
         for machine_type in &mut catalog.types {
@@ -128,9 +128,9 @@
         }
     }
 
-    /// Creates the requests for these machines, limited to what the fleet record has room for and to the number of requests that the
-    /// cloud accepts in a second. A request must not be forgotten before its outcome is known, so no more are created while the
-    /// record is full of them.
+    /// Creates the requests for these machines, limited to what the fleet record has room for and to the number of requests that
+    /// the cloud accepts in a second. A request must not be forgotten before its outcome is known, so no more are created while
+    /// the record is full of them.
     fn new_provision_requests(
         &mut self,
         record: &FleetRecord,
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -139,7 +139,8 @@
         record: &MachineRecord,
         since: Micros,
     ) -> Option<ReleaseReason> {
-        // The machines of a lost zone are considered together. While a zone is only suspected, its machines wait for that decision.
+        // The machines of a lost zone are considered together. While a zone is only suspected, its machines wait for that
+        // decision.
         let is_urgent = || {
             if self.zones.is_suspected(&record.zone) {
                 urgent_in_lost_zones.contains(&id)
@@ -184,8 +185,8 @@
         None
     }
 
-    /// How long a machine is kept without tasks: as long as the boot of a replacement would take, but an expensive machine only for
-    /// a short time. A release never saves less than the shortest charge.
+    /// How long a machine is kept without tasks: as long as the boot of a replacement would take, but an expensive machine only
+    /// for a short time. A release never saves less than the shortest charge.
     fn idle_limit(&self, machine_type: &str, spot: bool) -> Micros {
         let types = self.cell.machine_types();
         let cheapest = types
@@ -258,8 +259,8 @@
         overdue
     }
 
-    /// Records that machines are abandoned, before their release is sent: the cloud may execute the release late, and the machines
-    /// may come up until then. No controller uses an abandoned machine.
+    /// Records that machines are abandoned, before their release is sent: the cloud may execute the release late, and the
+    /// machines may come up until then. No controller uses an abandoned machine.
     fn abandon_boots(&mut self, machines: Vec<(MachineId, Micros)>) {
         if self.autoscaler.writing_fleet {
             return;
@@ -286,8 +287,8 @@
         self.send_cloud_request(CloudPurpose::Release(machines), request);
     }
 
-    /// Whether a task of a job on an unreachable machine would be late if it had to wait for the machine's lease to expire, but not if
-    /// it were restarted at once. The release of a machine proves at once that its tasks have ended.
+    /// Whether a task of a job on an unreachable machine would be late if it had to wait for the machine's lease to expire, but
+    /// not if it were restarted at once. The release of a machine proves at once that its tasks have ended.
     pub(in crate::coordination) fn needs_immediate_restart(&self, id: JobId) -> bool {
         self.cell.jobs.get(&id).is_some_and(|job| {
             let latest = self.latest_start(job);
--- a/src/coordination/health/connectivity/tests.rs
+++ b/src/coordination/health/connectivity/tests.rs
@@ -1,25 +1,25 @@
-//! Tests of `connectivity`.
+//! Tests of the duration and the end of withdrawals.
 
 use super::*;
 
 #[test]
-fn withdrawals_soon_after_a_return_double_up_to_the_longest() {
+fn repeated_withdrawals_double_in_duration_up_to_maximum() {
     let mut connectivity = Connectivity::default();
     let mut now = Micros::secs(1_000);
     for expected in [3, 6, 12, 24, 48, 60, 60] {
         connectivity.withdraw(now);
         assert!(connectivity.is_withdrawn());
-        assert_eq!(connectivity.withdrawal, Micros::secs(expected));
-        now += connectivity.withdrawal;
+        assert_eq!(connectivity.withdrawal_duration, Micros::secs(expected));
+        now += connectivity.withdrawal_duration;
         connectivity.end_withdrawal(now);
         assert!(!connectivity.is_withdrawn());
     }
     connectivity.withdraw(now + REPEATED_WITHDRAWAL_PERIOD);
-    assert_eq!(connectivity.withdrawal, MIN_WITHDRAWAL);
+    assert_eq!(connectivity.withdrawal_duration, MIN_WITHDRAWAL_DURATION);
 }
 
 #[test]
-fn a_withdrawal_ends_only_after_new_contact_and_its_shortest_time() {
+fn withdrawal_ends_only_after_new_contact_and_minimum_duration() {
     let withdrawn = Micros::secs(100);
     let mut connectivity = Connectivity::default();
     connectivity.on_agent_contact(Micros::secs(99));
@@ -29,8 +29,8 @@
     assert!(!connectivity.is_restored(withdrawn, Micros::secs(103)));
     connectivity.on_agent_contact(Micros::secs(104));
     assert!(connectivity.is_restored(withdrawn, Micros::secs(104)));
-    connectivity.on_probe_answer(false, Micros::secs(104));
+    connectivity.on_probe_result(false, Micros::secs(104));
     assert!(connectivity.is_restored(withdrawn, Micros::secs(104)));
-    connectivity.on_probe_answer(false, Micros::secs(104));
+    connectivity.on_probe_result(false, Micros::secs(104));
     assert!(!connectivity.is_restored(withdrawn, Micros::secs(104)));
 }
--- a/src/coordination/health/stall.rs
+++ b/src/coordination/health/stall.rs
@@ -1,19 +1,19 @@
 //! Stalls of this process: it was frozen, starved of processor time, or stopped and continued.
 //!
-//! The steady clock runs on meanwhile. Everything that rests on silence or idleness would come due at the moment the
-//! process resumes, on a replica as old as the stall was long. So the first thing after a stall is a read, and nothing of
-//! that kind is decided before the read is applied. Silence and idleness then count from the moment of resuming:
-//! before, the process could not have received anything.
+//! The steady clock continues during a stall. Every decision that is based on silence or idleness would become due at the
+//! moment the process resumes, on a replica that is out of date by the duration of the stall. So the first action after a
+//! stall is a read, and no such decision is made before the read is applied. Silence and idleness then count from the
+//! moment of resuming, because the process could not have received anything before.
 //!
-//! Proofs don't depend on this. That an agent incarnation is over rests on the last of its heartbeats that was answered,
-//! which a stall makes no newer, and commits are conditional on revisions. This avoids decisions that would fail against
-//! a newer replica, and effects without a commit that a newer replica would not allow.
+//! Proofs do not depend on this. That an agent incarnation has ended is derived from its last acknowledged heartbeat,
+//! which a stall does not make newer, and commits are conditional on revisions. The recovery avoids decisions that would
+//! fail against a newer replica, and effects without a commit that a newer replica would not allow.
 
 use crate::coordination::Controller;
 use crate::time::Micros;
 
-/// A timer this late means that the process did not run. A node that computes several times slower is late by less; if
-/// it is taken for stalled, it only reads once more.
+/// A timer that is late by more than this means that the process did not run. Timers of a node that computes several times
+/// slower are late by less; if such a node is taken for stalled, it only reads once more.
 const STALL_THRESHOLD: Micros = Micros::secs(1);
 
 /// The last stall of this process.
@@ -21,7 +21,7 @@
 pub struct StallDetector {
     /// When the process resumed.
     resumed_at: Micros,
-    /// A read that begins after this call ends the recovery.
+    /// While the process recovers: a read that begins after this call ends the recovery.
     recovery: Option<u64>,
 }
 
@@ -31,21 +31,21 @@
         self.resumed_at
     }
 
-    /// Whether nothing may be decided yet that rests on silence or idleness.
+    /// Whether decisions based on silence or idleness have to wait for the read after a stall.
     pub fn is_recovering(&self) -> bool {
         self.recovery.is_some()
     }
 }
 
 impl Controller {
-    /// Compares the time with when the controller asked to be called at the latest.
+    /// Detects a stall by comparing the current time with the latest time at which the controller asked to be called.
     pub(in crate::coordination) fn detect_stall(&mut self) {
         let now = self.now.steady;
-        let late = now.since(self.next_wake);
-        if self.next_wake == Micros::ZERO || late <= STALL_THRESHOLD {
+        let delay = now.since(self.next_wake);
+        if self.next_wake == Micros::ZERO || delay <= STALL_THRESHOLD {
             return;
         }
-        tracing::info!(duration = %late, "process stall detected");
+        tracing::info!(duration = %delay, "process stall detected");
         self.counters.stalls += 1;
         self.stall = StallDetector {
             resumed_at: now,
@@ -54,10 +54,10 @@
         if self.replica.is_ready() {
             self.replica.request_barrier();
         }
-        self.autoscaler.on_stall(now, late);
+        self.autoscaler.on_stall(now, delay);
     }
 
-    /// A read has been applied; the first that began after the process resumed ends the recovery.
+    /// Handles an applied read; the first read that began after the process resumed ends the recovery.
     pub(in crate::coordination) fn end_stall_recovery(&mut self) {
         let Some(call) = self.stall.recovery else {
             return;
--- a/src/coordination/health/zones/mod.rs
+++ b/src/coordination/health/zones/mod.rs
@@ -1,7 +1,7 @@
-//! Zones that are lost and return: how this controller judges each, and what follows for the work there.
+//! Loss and recovery of zones: how this controller assesses each zone, and how that affects the work there.
 //!
-//! See docs/zones.md. All of it concerns order, provisioning and waiting. Assignments are released as everywhere else:
-//! machine by machine, and on proof. In a cell with one zone nothing of this applies.
+//! See docs/zones.md. The assessment affects only order, provisioning and waiting. Assignments are released as everywhere
+//! else: machine by machine, and on proof. In a cell with one zone none of this applies.
 
 mod observations;
 mod releases;
@@ -15,51 +15,52 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Without contact to the state store for longer than this a controller judges no zone: it may itself be in the lost one.
+/// A controller without contact with the state store for longer than this assesses no zone: it may itself be in the lost
+/// zone.
 const MAX_STATE_CONTACT_AGE: Micros = Micros::secs(4);
 
-/// The health of each zone as this controller judges it.
+/// The health of each zone according to this controller.
 #[derive(Debug, Default)]
 pub struct Zones {
-    all: BTreeMap<Arc<str>, ZoneHealth>,
-    /// Since when this controller has had unbroken contact to the state store; silence before that is no evidence.
+    by_zone: BTreeMap<Arc<str>, ZoneHealth>,
+    /// Since when this controller has had uninterrupted contact with the state store; silence before that is no evidence.
     contact_since: Micros,
 }
 
 impl Zones {
-    /// Whether the zone may be lost, or seems to be.
+    /// Whether the zone may be lost or appears to be lost.
     pub fn is_suspected(&self, zone: &str) -> bool {
-        self.all.get(zone).is_some_and(ZoneHealth::is_suspected)
+        self.by_zone.get(zone).is_some_and(ZoneHealth::is_suspected)
     }
 
-    /// Since when the zone seems to be cut off or dead, if it does.
+    /// Since when the zone appears to be disconnected or down, if it does.
     fn lost_since(&self, zone: &str) -> Option<Micros> {
-        self.all
+        self.by_zone
             .get(zone)
             .filter(|health| health.state() == ZoneState::Lost)
             .map(ZoneHealth::since)
     }
 
-    /// Whether the zone seems to be cut off or dead.
+    /// Whether the zone appears to be disconnected or down.
     pub fn is_lost(&self, zone: &str) -> bool {
         self.lost_since(zone).is_some()
     }
 
-    /// Whether any zone seems to be cut off or dead.
+    /// Whether any zone appears to be disconnected or down.
     pub fn any_lost(&self) -> bool {
-        self.all
+        self.by_zone
             .values()
             .any(|health| health.state() == ZoneState::Lost)
     }
 
-    /// Whether a machine of a zone takes new work. In a zone that returns, a growing share of the machines does.
+    /// Whether a machine of a zone accepts new tasks. In a recovering zone a growing share of the machines does.
     pub fn accepts_tasks(&self, zone: &str, machine: MachineId, now: Micros) -> bool {
-        self.all
+        self.by_zone
             .get(zone)
             .is_none_or(|health| health.accepts_tasks(machine.0, now))
     }
 
-    /// Forgets everything: contact to the state store is broken.
+    /// Discards all assessments, because contact with the state store is lost.
     fn reset(&mut self, now: Micros) {
         *self = Zones {
             contact_since: now,
@@ -69,7 +70,7 @@
 }
 
 impl Controller {
-    /// Judges each zone, probes a few machines of those in doubt, and marks the machines of lost ones.
+    /// Assesses each zone, probes a few machines of suspected zones, and marks the machines of lost zones unreachable.
     pub(in crate::coordination) fn tick_zones(&mut self) {
         let now = self.now.steady;
         if self.contact_age() > MAX_STATE_CONTACT_AGE {
@@ -78,7 +79,7 @@
         }
         let observations = self.observe_zones();
         if observations.len() < 2 {
-            self.zones.all.clear();
+            self.zones.by_zone.clear();
             return;
         }
         let interval = self.settings.heartbeat_interval;
@@ -89,8 +90,8 @@
         let isolated = self.is_isolated_from_agents();
         let mut machines_to_probe = Vec::new();
         for (zone, observation) in observations {
-            let itself = usize::from(observation.is_in_contact(now, interval));
-            let other_zones_connected = !isolated && zones_in_contact > itself;
+            let this_zone_in_contact = usize::from(observation.is_in_contact(now, interval));
+            let other_zones_connected = !isolated && zones_in_contact > this_zone_in_contact;
             self.update_zone(&zone, &observation.evidence(now, other_zones_connected));
             if self.zones.is_suspected(&zone) {
                 machines_to_probe.extend(observation.longest_silent(ZoneHealth::PROBED_MACHINES));
@@ -105,7 +106,7 @@
     }
 
     fn update_zone(&mut self, zone: &Arc<str>, evidence: &ZoneEvidence) {
-        let health = self.zones.all.entry(zone.clone()).or_default();
+        let health = self.zones.by_zone.entry(zone.clone()).or_default();
         let interval = self.settings.heartbeat_interval;
         let Some(state) = health.note(self.now.steady, interval, evidence) else {
             return;
--- a/src/coordination/health/zones/observations.rs
+++ b/src/coordination/health/zones/observations.rs
@@ -1,4 +1,4 @@
-//! What the agents' heartbeats and answers show of each zone.
+//! What the agents' heartbeats and responses show about each zone.
 
 use crate::coordination::Controller;
 use crate::scheduler::zone_health::{ZoneEvidence, ZoneHealth};
@@ -15,7 +15,7 @@
     machines: usize,
     /// When any of their agents was last in contact.
     last_contact: Micros,
-    /// Machines with an unanswered probe.
+    /// Machines whose agents did not respond to a probe.
     unanswered: usize,
     /// Machines in contact since the zone was lost.
     reconnected: usize,
@@ -23,7 +23,7 @@
     silent: Vec<SilentAgent>,
 }
 
-/// An agent that can be probed. The one that has been silent for longest is the least.
+/// An agent that can be probed. The agent that has been silent for the longest time sorts first.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SilentAgent {
     last_contact: Micros,
@@ -58,7 +58,7 @@
 }
 
 impl Controller {
-    /// Observations of all zones of the cell, also of those in which this controller leads no machine.
+    /// Observations of all zones of the cell, including zones in which this controller leads no machine.
     pub(super) fn observe_zones(&self) -> BTreeMap<Arc<str>, ZoneObservation> {
         let mut zones: BTreeMap<Arc<str>, ZoneObservation> = BTreeMap::new();
         for (machine, agent) in &self.agents {
--- a/src/coordination/health/zones/releases.rs
+++ b/src/coordination/health/zones/releases.rs
@@ -8,8 +8,8 @@
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
-/// An unreachable machine of a lost zone with a job that would be late if its tasks waited for the lease. The candidate
-/// with the most pressing job is the least; fields are compared in their order.
+/// An unreachable machine of a lost zone with a job that would be late if its tasks waited for the lease to expire. The
+/// candidate with the most urgent job sorts first; fields are compared in their order.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ReleaseCandidate {
     priority: Priority,
@@ -21,9 +21,9 @@
 }
 
 impl Controller {
-    /// Machines of lost zones to release, those with the most pressing tasks first, as long as there is room elsewhere
-    /// in which their tasks can start. The release of more would prove the loss of tasks that nothing can run yet, while
-    /// the machine may return with its work done.
+    /// Machines of lost zones to release, those with the most urgent tasks first, as long as there is room elsewhere in
+    /// which their tasks can start. The release of more machines would prove the loss of tasks that no other machine
+    /// can run yet, while the released machines might have returned with their work done.
     pub(in crate::coordination) fn lost_machines_to_release(&self) -> BTreeSet<MachineId> {
         let mut to_release = BTreeSet::new();
         if !self.zones.any_lost() {
@@ -40,7 +40,7 @@
         to_release
     }
 
-    /// Free cores outside zones in doubt, less those for the tasks of machines in lost zones that are being released.
+    /// Free cores outside suspected zones, less the cores for tasks of machines in lost zones that are being released.
     fn cores_for_lost_tasks(&self) -> u64 {
         let mut free_cores: u64 = 0;
         for (_, _, machine) in self.cell.machines() {
@@ -55,7 +55,7 @@
         free_cores
     }
 
-    /// Unreachable machines of lost zones that may be released, those with the most pressing tasks first.
+    /// Unreachable machines of lost zones that may be released, those with the most urgent tasks first.
     fn release_candidates(&self) -> Vec<ReleaseCandidate> {
         let mut candidates: Vec<ReleaseCandidate> = self
             .cell
@@ -77,7 +77,8 @@
         candidates
     }
 
-    /// Of the jobs that would be late if their tasks on this machine waited for the lease, the one with the lowest id.
+    /// The job with the lowest id among those that would be late if their tasks on this machine waited for the lease to
+    /// expire.
     fn first_late_job(&self, machine: &MachineRecord) -> Option<&Job> {
         let jobs = machine
             .tasks
--- a/src/coordination/health/zones/replacements.rs
+++ b/src/coordination/health/zones/replacements.rs
@@ -1,4 +1,4 @@
-//! Which tasks in lost zones need machines elsewhere before it is proved that they are gone.
+//! Which tasks in lost zones need machines elsewhere before it is proved that they have ended.
 
 use crate::coordination::Controller;
 use crate::storage::cell_state::Job;
@@ -8,25 +8,25 @@
 use std::collections::HashMap;
 
 impl Controller {
-    /// Numbers of tasks by job for which machines are to be provisioned elsewhere: those in lost zones that would be late
-    /// if they waited for the lease there and then for a machine to boot. What has more time may still return with its
-    /// zone, or finds room that other tasks leave.
+    /// The number of tasks of each job for which machines are to be provisioned elsewhere: tasks in lost zones that would
+    /// be late if they waited for the lease there to expire and then for a machine to boot. Tasks with more time may still
+    /// return with their zone, or use the room of tasks that end.
     pub(in crate::coordination) fn tasks_to_replace(&self) -> HashMap<JobId, u64> {
         if !self.zones.any_lost() {
             return HashMap::new();
         }
-        let mut lost = self.tasks_in_lost_zones();
+        let mut lost_tasks = self.tasks_in_lost_zones();
         let earliest_replacement = self.earliest_replacement();
-        lost.retain(|id, _| {
+        lost_tasks.retain(|id, _| {
             self.cell.jobs.get(id).is_some_and(|job| {
                 !job.cancelled() && self.latest_start(job) < earliest_replacement
             })
         });
-        self.subtract_placeable(&mut lost);
-        lost
+        self.subtract_placeable(&mut lost_tasks);
+        lost_tasks
     }
 
-    /// Time of day by which a machine is up that is requested when the leases in a lost zone have expired.
+    /// Time of day by which a machine would be up if it were requested when the leases in a lost zone have expired.
     fn earliest_replacement(&self) -> Micros {
         let types = self.cell.machine_types();
         let slowest_boot = types
@@ -48,18 +48,18 @@
         tasks
     }
 
-    /// Subtracts the tasks that find room on machines there are. Nothing of them can be assigned before the leases
+    /// Subtracts the tasks that will find room on existing machines. None of them can be assigned before the leases
     /// expire, and by then other tasks have ended. The jobs with the most time left get this room.
-    fn subtract_placeable(&self, lost: &mut HashMap<JobId, u64>) {
+    fn subtract_placeable(&self, lost_tasks: &mut HashMap<JobId, u64>) {
         let mut free_cores = self.free_cores_after_leases();
-        let mut by_latest_start: Vec<(Micros, JobId)> = lost
+        let mut by_latest_start: Vec<(Micros, JobId)> = lost_tasks
             .keys()
             .filter_map(|id| Some((self.latest_start(self.cell.jobs.get(id)?), *id)))
             .collect();
         by_latest_start.sort_unstable();
         for (_, id) in by_latest_start.into_iter().rev() {
             let cores_per_task = self.cell.need(id).cores.max(1);
-            if let Some(tasks) = lost.get_mut(&id) {
+            if let Some(tasks) = lost_tasks.get_mut(&id) {
                 let placeable = (*tasks).min(free_cores / cores_per_task);
                 free_cores -= placeable * cores_per_task;
                 *tasks -= placeable;
@@ -67,8 +67,9 @@
         }
     }
 
-    /// An estimate of the cores that are free outside lost zones when the leases that run now have expired: what is free
-    /// now and what is expected to end until then, less what waits and what is expected to be submitted.
+    /// An estimate of the cores that are free outside lost zones when the current leases have expired: the cores that are
+    /// free now and those of tasks that are expected to end by then, less the cores for tasks that wait and tasks that are
+    /// expected to be submitted.
     fn free_cores_after_leases(&self) -> u64 {
         let free: u64 = self
             .cell
@@ -90,8 +91,8 @@
             .sum()
     }
 
-    /// The cores of a task by the part of its estimated run time that the lease covers. When the task started is not on
-    /// record, but it was not before its job was submitted.
+    /// The cores of a task, scaled by the fraction of its estimated runtime that the lease covers. The start time of the task
+    /// is not recorded, but it cannot be before its job was submitted.
     fn cores_per_task_ending_within_lease(&self, job: &Job) -> u64 {
         let lease = self.settings.lease;
         let spec = job.spec();
@@ -103,7 +104,7 @@
         (u128::from(spec.need.cores) * covered / u128::from(runtime.0.max(1))) as u64
     }
 
-    /// Cores of the tasks that wait now, and of as much work as was submitted within the last lease.
+    /// Cores of the tasks that wait now, and of as many tasks as were submitted within the last lease duration.
     fn expected_demand(&self) -> u64 {
         let lease = self.settings.lease;
         let live = self.cell.jobs.iter().filter(|(_, job)| !job.cancelled());
--- a/src/coordination/health/zones/unreachable.rs
+++ b/src/coordination/health/zones/unreachable.rs
@@ -6,9 +6,9 @@
 use crate::storage::records::MachineHealth;
 
 impl Controller {
-    /// Marks all machines that this controller leads in lost zones, together and at once rather than each when its own
-    /// silence shows: so they take no more work, and other controllers see what is lost. A machine whose agent is in
-    /// contact again is marked schedulable by its heartbeat.
+    /// Marks all machines that this controller leads in lost zones, together and at once rather than each machine when its
+    /// own silence is detected. So they get no more work, and other controllers see which machines are lost. A machine
+    /// whose agent is in contact again is marked schedulable by its heartbeat.
     pub(super) fn mark_unreachable_zones(&mut self) {
         let mut marked = 0;
         for (machine, change) in self.machines_lost_with_zones() {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Machines in lost zones that are not marked yet and whose agents have not been in contact since.
+    /// Machines in lost zones that are not marked yet and whose agents have not been in contact since the loss.
     fn machines_lost_with_zones(&self) -> Vec<(MachineId, HealthChange)> {
         let lost = self.agents.iter().filter_map(|(machine, agent)| {
             let record = self.cell.machine(*machine)?;
