--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -185,9 +185,7 @@
             }
             match self.launch_refusal(record, assignment, attempt) {
                 None => self.launch(attempt, delivery),
-                Some(refusal) if delivery == Delivery::InResponse => {
-                    self.release_unlaunched(attempt, refusal)
-                }
+                Some(refusal) if delivery == Delivery::InResponse => self.release(attempt, refusal),
                 Some(_) => {}
             }
         }
@@ -235,7 +233,7 @@
     /// Releases an assignment that is not launched, once no launch of it can arrive any more. If the launch was sent in a
     /// heartbeat response, that was to an earlier heartbeat, so it has arrived or the agent has given up on that response by now.
     /// Only a pushed launch may still be in flight.
-    fn release_unlaunched(&mut self, attempt: Attempt, refusal: LaunchRefusal) {
+    fn release(&mut self, attempt: Attempt, refusal: LaunchRefusal) {
         if !self.agent.has_current_token() {
             return;
         }
--- a/src/coordination/autoscaler/idle_window.rs
+++ b/src/coordination/autoscaler/idle_window.rs
@@ -13,8 +13,8 @@
 /// The minimum number of idle machines of one offer within a sliding window.
 ///
 /// In a large fleet the idle machines change all the time, so it can be that no single machine is idle for long although many are
-/// idle at any time. If at least this many were idle throughout the time that a new machine takes to boot, that many are not
-/// needed. Should they turn out to be needed after all, replacements are up after as long as the machines were idle.
+/// idle at any time. As many machines as were idle at every moment within the boot time of a new machine are not needed. Should
+/// they turn out to be needed after all, replacements are up after as long as the machines were idle.
 #[derive(Debug, Default)]
 pub(super) struct IdleWindow {
     /// When the window began.
