--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -1,10 +1,10 @@
-//! The commands in the answer to a heartbeat, and what the heartbeat proves about assignments.
+//! The commands in the response to a heartbeat, and what the heartbeat proves about assignments.
 //!
-//! What is proved is handed to the next commit round.
+//! Releases of assignments that are proved to have ended are passed to the next commit round.
 
 use super::Outcome;
 use super::agent::Agent;
-use super::launch_policy::{PreemptionWindow, beyond_limit, grace_period, has_room};
+use super::launch_policy::{PreemptionWindow, exceeds_quota, grace_period, has_room};
 use crate::coordination::Controller;
 use crate::coordination::commit::Rounds;
 use crate::coordination::constraints::{Rules, log_forbidden_launch};
@@ -19,19 +19,19 @@
 /// How the commands that are built relate to the agent's newest heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
-    /// In the answer to the agent's newest heartbeat.
-    InAnswer,
-    /// Not as the answer to its newest heartbeat: the answer to another one may still be on its way.
+    /// They are sent in the response to the agent's newest heartbeat.
+    InResponse,
+    /// They are not sent in the response to its newest heartbeat: the response to another one may still be in flight.
     OutOfOrder,
 }
 
-/// Why an assignment that the agent does not report is not launched.
+/// Why an assigned task that the agent does not report is not launched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LaunchRefusal {
     /// The rules of its job or machine forbid the launch.
     Forbidden,
-    /// Its team is beyond its quota.
-    BeyondQuota,
+    /// Its team uses more than its quota.
+    OverQuota,
     /// Its job is cancelled, it is preempted, or its machine takes no more work.
     Unwanted,
 }
@@ -49,17 +49,17 @@
     machine: MachineId,
     record: Option<&'a MachineRecord>,
     commands: Vec<Command>,
-    /// A launch is left to a pushed command.
-    push_wanted: bool,
+    /// A launch was left out; it has to be sent by a pushed command.
+    push_needed: bool,
 }
 
 impl CommandBuilder<'_> {
-    fn for_reported_tasks(&mut self) {
+    fn add_commands_for_reported_tasks(&mut self) {
         for index in 0..self.agent.reported_tasks().len() {
             let (attempt, state) = self.agent.reported_tasks()[index];
             match (self.is_assigned(&attempt), state) {
                 (true, TaskState::Exited(ended)) => self.on_exited(attempt, ended),
-                (true, state) => self.stop_if_unwanted(attempt, state),
+                (true, state) => self.stop_if_required(attempt, state),
                 (false, TaskState::Exited(_)) => self.forget_if_settled(attempt),
                 (false, _) => self.commands.push(Command::Stop(attempt, Micros::ZERO)),
             }
@@ -80,9 +80,9 @@
         self.record.map_or(MachineHealth::Schedulable, |r| r.health)
     }
 
-    /// An assigned task has ended: its assignment is released.
+    /// Releases the assignment of a task that has exited.
     fn on_exited(&mut self, attempt: Attempt, ended: ExitReason) {
-        // A heartbeat of an earlier term proves nothing about who commands the agent.
+        // Without a token of this term an earlier leader may still command the agent.
         if !self.agent.has_current_token() {
             return;
         }
@@ -96,15 +96,16 @@
             .release(self.machine, attempt, outcome, self.now)
         {
             tracing::info!(task = %attempt, machine = %self.machine, ?ended, "task exited");
-            self.note_outcome(attempt, outcome);
+            self.record_outcome_for_machine(attempt, outcome);
         }
     }
 
-    /// Notes what the end of a task says about the machine.
-    fn note_outcome(&mut self, attempt: Attempt, outcome: Outcome) {
+    /// Records what the end of a task shows about the machine: a failure may quarantine it, a completed task clears earlier
+    /// failures.
+    fn record_outcome_for_machine(&mut self, attempt: Attempt, outcome: Outcome) {
         let job = attempt.task.job;
         match outcome {
-            // That a suspect job fails says nothing about the machine.
+            // The failure of a suspect job is no evidence against the machine.
             Outcome::Failed if self.rounds.is_suspect(job) => {}
             Outcome::Failed => {
                 if self.agent.on_task_failed(job) {
@@ -116,15 +117,15 @@
         }
     }
 
-    /// Stops an assigned task that must not run on, or that can't end before its machine is reclaimed.
-    fn stop_if_unwanted(&mut self, attempt: Attempt, state: TaskState) {
-        if let Some(grace) = self.grace_of_stop(attempt, state) {
+    /// Stops an assigned task that must not continue, or that cannot end before its machine is reclaimed.
+    fn stop_if_required(&mut self, attempt: Attempt, state: TaskState) {
+        if let Some(grace) = self.stop_grace_period(attempt, state) {
             self.commands.push(Command::Stop(attempt, grace));
         }
     }
 
-    /// The time that the task is given to save, if it has to be stopped.
-    fn grace_of_stop(&self, attempt: Attempt, state: TaskState) -> Option<Micros> {
+    /// The grace period for saving a checkpoint, if the task has to be stopped.
+    fn stop_grace_period(&self, attempt: Attempt, state: TaskState) -> Option<Micros> {
         let id = attempt.task.job;
         let Some(job) = self.cell.jobs.get(&id).filter(|job| !job.cancelled()) else {
             return Some(Micros::ZERO);
@@ -141,14 +142,14 @@
             .reclaimed_at()
             .filter(|_| state == TaskState::Running)?;
         PreemptionWindow {
-            left: reclaimed_at.since(self.now),
+            remaining: reclaimed_at.since(self.now),
             heartbeat_interval: self.settings.heartbeat_interval,
         }
-        .grace_of_stop(job.spec(), self.agent.running_for(&attempt, self.now))
+        .stop_grace_period(job.spec(), self.agent.running_for(&attempt, self.now))
     }
 
-    /// An ended task's assignment is released, so its outcome is on record. It is forgotten only once no launch of it can
-    /// arrive any more: it would run again.
+    /// Makes the agent forget an exited task whose assignment has been released, so its outcome is recorded. The agent must
+    /// remember the task until no launch of it can arrive any more; otherwise it would run again.
     fn forget_if_settled(&mut self, attempt: Attempt) {
         if !self.agent.has_current_token() {
             return;
@@ -160,7 +161,7 @@
         }
     }
 
-    /// A higher fencing token ends launches that are held up somewhere.
+    /// Requests a new leader term: with its higher fencing token the agent refuses launches that are delayed in the network.
     fn request_new_term(&mut self) {
         self.leadership.request_new_term(
             self.shard,
@@ -169,14 +170,14 @@
         );
     }
 
-    fn for_unreported_assignments(&mut self, delivery: Delivery) {
+    fn handle_unreported_assignments(&mut self, delivery: Delivery) {
         let Some(record) = self.record else {
             return;
         };
         for assignment in &record.tasks {
             let attempt = assignment.attempt();
-            // What is being released is never launched again in this term: the commit may be applied at any time, and the
-            // task be assigned elsewhere. The agent may be restarted in between.
+            // An assignment that is being released is never launched again in this term: its release may be committed at any
+            // time and the task be assigned elsewhere. The agent may be restarted in between.
             if self.agent.reported_state(&attempt).is_some()
                 || self.rounds.is_being_released(self.machine, attempt)
             {
@@ -184,7 +185,7 @@
             }
             match self.launch_refusal(record, assignment, attempt) {
                 None => self.launch(attempt, delivery),
-                Some(refusal) if delivery == Delivery::InAnswer => self.give_back(attempt, refusal),
+                Some(refusal) if delivery == Delivery::InResponse => self.release(attempt, refusal),
                 Some(_) => {}
             }
         }
@@ -203,8 +204,8 @@
         {
             return Some(LaunchRefusal::Forbidden);
         }
-        if beyond_limit(self.cell, self.settings, id) {
-            return Some(LaunchRefusal::BeyondQuota);
+        if exceeds_quota(self.cell, self.settings, id) {
+            return Some(LaunchRefusal::OverQuota);
         }
         let unwanted = self.cell.jobs.get(&id).is_none_or(Job::cancelled)
             || self.health() != MachineHealth::Schedulable
@@ -218,20 +219,21 @@
             return;
         }
         match delivery {
-            Delivery::InAnswer => {
+            Delivery::InResponse => {
                 self.agent.launches_mut().note_sent(attempt);
                 self.commands.push(Command::Launch(attempt));
             }
             Delivery::OutOfOrder => {
                 self.agent.launches_mut().drop_sent(&attempt);
-                self.push_wanted = true;
+                self.push_needed = true;
             }
         }
     }
 
-    /// Releases an assignment that is not launched, once no launch of it can arrive any more. An earlier launch in an answer
-    /// answered an earlier heartbeat, so it has arrived or was given up by now; only a pushed one may still be on its way.
-    fn give_back(&mut self, attempt: Attempt, refusal: LaunchRefusal) {
+    /// Releases an assignment that is not launched, once no launch of it can arrive any more. If the launch was sent in a
+    /// heartbeat response, that was to an earlier heartbeat, so it has arrived or the agent has given up on that response by now.
+    /// Only a pushed launch may still be in flight.
+    fn release(&mut self, attempt: Attempt, refusal: LaunchRefusal) {
         if !self.agent.has_current_token() {
             return;
         }
@@ -247,8 +249,8 @@
         }
         match refusal {
             LaunchRefusal::Forbidden => log_forbidden_launch(attempt.task, self.machine),
-            LaunchRefusal::BeyondQuota => {
-                tracing::info!(task = %attempt, machine = %self.machine, "assignment given back: team beyond its quota");
+            LaunchRefusal::OverQuota => {
+                tracing::info!(task = %attempt, machine = %self.machine, "assignment released: team exceeds its quota");
             }
             LaunchRefusal::Unwanted => {}
         }
@@ -256,8 +258,8 @@
 }
 
 impl Controller {
-    /// The commands for a machine's agent, from its newest heartbeat and the cell state.
-    pub(super) fn commands(
+    /// Builds the commands for a machine's agent from its newest heartbeat and the cell state.
+    pub(super) fn build_commands(
         &mut self,
         shard: ShardId,
         machine: MachineId,
@@ -278,12 +280,12 @@
             machine,
             record: self.cell.machine(machine),
             commands: Vec::new(),
-            push_wanted: false,
+            push_needed: false,
         };
-        builder.for_reported_tasks();
-        builder.for_unreported_assignments(delivery);
-        let (commands, push_wanted) = (builder.commands, builder.push_wanted);
-        if push_wanted {
+        builder.add_commands_for_reported_tasks();
+        builder.handle_unreported_assignments(delivery);
+        let (commands, push_needed) = (builder.commands, builder.push_needed);
+        if push_needed {
             self.agents_to_command.insert(machine);
         }
         commands
--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -1,8 +1,8 @@
-//! Pushed commands: those that are sent to an agent without waiting for its next heartbeat.
+//! Pushed commands: commands that are sent to an agent without waiting for its next heartbeat.
 
 use super::agent::Agent;
 use super::commands::Delivery;
-use super::launch_policy::{beyond_limit, grace_period, has_room};
+use super::launch_policy::{exceeds_quota, grace_period, has_room};
 use super::launches::PushedCommand;
 use crate::coordination::commit::Rounds;
 use crate::coordination::constraints::Rules;
@@ -14,9 +14,9 @@
 use crate::storage::records::{Assignment, MachineHealth, MachineRecord};
 use crate::time::Micros;
 
-/// Commands are pushed only while contact with the state store is newer than this.
-const CONTACT_LIMIT: Micros = Micros::secs(4);
-/// Added to two heartbeat intervals: for so long after an acknowledged heartbeat launches are pushed.
+/// Commands are pushed only while the last contact with the state store is no older than this.
+const MAX_STATE_CONTACT_AGE: Micros = Micros::secs(4);
+/// Added to two heartbeat intervals, this is how long after an acknowledged heartbeat launches may be pushed.
 const RECENT_HEARTBEAT_MARGIN: Micros = Micros::millis(500);
 
 /// Builds the command that is pushed to one agent.
@@ -64,34 +64,34 @@
         self.may_launch
             && has_room(self.agent, self.cell, Some(self.record), &attempt)
             && !self.rounds.is_being_released(self.machine, attempt)
-            && !beyond_limit(self.cell, self.settings, job)
+            && !exceeds_quota(self.cell, self.settings, job)
             && !self
                 .rules
                 .forbids_launch(self.cell, self.machine, self.record, job)
     }
 }
 
-/// Whether launches may be pushed to a machine. An agent without a recent heartbeat gets them in the answer to its next one. Stops
-/// are pushed all the same: it may reach no controller, but receive commands.
+/// Whether launches may be pushed to a machine. An agent without a recent heartbeat gets them in the response to its next one.
+/// Stop commands are pushed to it all the same: it may receive commands although its heartbeats reach no controller.
 fn may_push_launches(
     settings: &Settings,
     agent: &Agent,
     record: &MachineRecord,
     now: Micros,
 ) -> bool {
-    let recent = settings.heartbeat_interval * 2 + RECENT_HEARTBEAT_MARGIN;
+    let recent_heartbeat_limit = settings.heartbeat_interval * 2 + RECENT_HEARTBEAT_MARGIN;
     agent
         .acknowledged_at()
-        .is_some_and(|at| now.since(at) < recent)
+        .is_some_and(|at| now.since(at) < recent_heartbeat_limit)
         && record.health == MachineHealth::Schedulable
         && agent.reclaimed_at().is_none()
 }
 
 impl Controller {
-    /// How long the answer to a pushed command is waited for.
+    /// How long to wait for the response to a pushed command.
     const PUSH_TIMEOUT: Micros = Micros::millis(2_500);
 
-    /// Pushes commands to the agents that may need some.
+    /// Pushes commands to the agents that may need them.
     pub(in crate::coordination) fn drive_agents(&mut self) {
         for machine in std::mem::take(&mut self.agents_to_command) {
             self.push_commands_to(machine);
@@ -103,7 +103,8 @@
         let Some(agent) = self.agents.get_mut(&machine) else {
             return;
         };
-        if agent.launches_mut().defer_push() || agent.is_fenced() || contact > CONTACT_LIMIT {
+        if agent.launches_mut().defer_push() || agent.is_fenced() || contact > MAX_STATE_CONTACT_AGE
+        {
             return;
         }
         let Some(record) = self.cell.machine(machine) else {
@@ -131,8 +132,8 @@
         }
     }
 
-    /// A pushed command was answered, or was given up: then there is no result. The result is whether the command was carried out,
-    /// and a heartbeat.
+    /// Handles the response to a pushed command: whether the command was executed, and a heartbeat. There is no result if the
+    /// response did not arrive in time.
     pub(in crate::coordination) fn on_pushed_command(
         &mut self,
         call: CallId,
@@ -159,17 +160,17 @@
                 agent.launches_mut().drop_sent(attempt);
             }
         }
-        let applies = heartbeat.machine == machine
+        let is_applicable = heartbeat.machine == machine
             && agent.is_newer(&heartbeat)
             && heartbeat.incarnation() > agent.fenced_incarnation();
-        if applies {
+        if is_applicable {
             let shard = self.cell.shard_of_machine(machine);
             self.apply_heartbeat(shard, &heartbeat);
-            self.commands(shard, machine, Delivery::OutOfOrder);
+            self.build_commands(shard, machine, Delivery::OutOfOrder);
         }
     }
 
-    /// Pushes commands to an agent. There may be none: then the answer only shows whether the agent receives commands.
+    /// Pushes commands to an agent. An empty list is a probe: the response only shows whether the agent receives commands.
     pub(in crate::coordination) fn push_commands(
         &mut self,
         machine: MachineId,
