--- a/src/coordination/commit/assignment.rs
+++ b/src/coordination/commit/assignment.rs
@@ -1,5 +1,5 @@
-//! Assignment: pending tasks are placed on the machines as the transaction would leave them, and
-//! assigned as far as the transaction has room.
+//! Assignment: pending tasks are placed on the machines as the transaction would leave them, and as
+//! many as fit into the transaction are assigned.
 
 use super::candidates::Candidates;
 use super::fair_shares::FairShares;
@@ -15,32 +15,32 @@
 use crate::storage::ids::{JobId, MachineId};
 use std::collections::BTreeSet;
 
-/// How often starved jobs are planned in one round: where a team's limit has room for one task more,
-/// one that finds no machine must not hold it from the next.
+/// How often starved jobs are planned in one round. If a team's limit allows only one more task, a
+/// starved job that finds no machine must not keep that task from the next starved job of the team.
 const STARVED_JOB_PASSES: usize = 6;
 
-/// The plan of one round: the machines, and what is claimed of them so far.
+/// The plan of one round: the machines, and the claims on them so far.
 struct AssignmentPlan<'a> {
     candidates: Candidates<'a>,
     groups: GroupAllowance,
-    /// Claims of free room.
+    /// Claims of free capacity.
     claims: Vec<Claim>,
-    /// All claims, with those that preempt others.
+    /// All claims, including those of capacity that preempted tasks release.
     all_claims: Vec<Claim>,
-    /// Jobs of which all tasks are assigned or none.
-    gang: BTreeSet<JobId>,
+    /// Gangs: jobs of which either all tasks are assigned or none.
+    gang_jobs: BTreeSet<JobId>,
 }
 
-/// Puts the number of the leader in place of the shard, see [`Controller::owner_numbers`].
-fn number_owners(requests: &mut [PlacementRequest<'_>], owners: &[usize]) {
+/// Replaces the shard of each request by the number of its leader, see [`Controller::owner_numbers`].
+fn set_owner_numbers(requests: &mut [PlacementRequest<'_>], owners: &[usize]) {
     for request in requests {
         request.owner = owners[request.owner];
     }
 }
 
-fn log_taken_reservations(claims: &[Claim], reserved: &BTreeSet<MachineId>) {
-    let taken = |claim: &&Claim| reserved.contains(&claim.machine);
-    for Claim { job, machine, .. } in claims.iter().filter(taken) {
+fn log_assigned_reserved_machines(claims: &[Claim], reserved: &BTreeSet<MachineId>) {
+    let is_reserved = |claim: &&Claim| reserved.contains(&claim.machine);
+    for Claim { job, machine, .. } in claims.iter().filter(is_reserved) {
         tracing::debug!(%job, %machine, "reserved machine assigned to a starved job");
     }
 }
@@ -52,42 +52,42 @@
             groups,
             claims: Vec::new(),
             all_claims: Vec::new(),
-            gang: BTreeSet::new(),
+            gang_jobs: BTreeSet::new(),
         }
     }
 
     fn claims_left(&self) -> usize {
-        Controller::MAX_CLAIMS.saturating_sub(self.claims.len())
+        Controller::MAX_CLAIMS_PER_ROUND.saturating_sub(self.claims.len())
     }
 
-    /// Claims free room for the requests; returns the new claims.
+    /// Claims free capacity for the requests; returns the new claims.
     fn place(&mut self, requests: &mut [PlacementRequest<'a>]) -> Vec<Claim> {
         let claims_left = self.claims_left();
-        let new = plan(
+        let new_claims = plan(
             &mut self.candidates.usable,
             requests,
             &mut self.groups,
             claims_left,
         );
-        let gang = requests.iter().filter(|request| request.gang);
-        self.gang.extend(gang.map(|request| request.job));
-        self.claims.extend(&new);
-        self.all_claims.extend(&new);
-        new
+        let gang_jobs = requests.iter().filter(|request| request.gang);
+        self.gang_jobs.extend(gang_jobs.map(|request| request.job));
+        self.claims.extend(&new_claims);
+        self.all_claims.extend(&new_claims);
+        new_claims
     }
 
-    /// Claims the room of tasks that may be preempted.
+    /// Claims the capacity of tasks that may be preempted.
     fn preempt(
         &mut self,
         requests: &[PlacementRequest<'a>],
-        running: &dyn Fn(MachineId) -> Vec<PreemptibleTask>,
+        preemptible_tasks: &dyn Fn(MachineId) -> Vec<PreemptibleTask>,
     ) -> Vec<Preemption> {
         let preemptions = preempt(
             &mut self.candidates.usable,
             requests,
             &self.claims,
-            Controller::MAX_PREEMPTIONS,
-            running,
+            Controller::MAX_PREEMPTION_MACHINES_PER_ROUND,
+            preemptible_tasks,
         );
         for preemption in &preemptions {
             self.all_claims.extend(&preemption.claims);
@@ -97,8 +97,8 @@
 }
 
 impl Controller {
-    /// Plans on the replica as the transaction would leave it, and assigns what the transaction has
-    /// room for.
+    /// Plans on the replica as the transaction would leave it, and assigns as many of the claims as fit
+    /// into the transaction.
     pub(super) fn assign(
         &self,
         transaction: &mut TransactionBuilder<'_>,
@@ -124,9 +124,9 @@
         let candidates = self.candidates(transaction, context, &owners, &mut groups, &starved);
         groups.left = self.group_allowance(transaction, &requests);
         let mut plan = AssignmentPlan::new(candidates, groups);
-        number_owners(&mut requests, &owners);
+        set_owner_numbers(&mut requests, &owners);
         plan.place(&mut requests);
-        self.log_waiting_sets(&requests, &plan.candidates.usable, &plan.claims);
+        self.log_waiting_gangs(&requests, &plan.candidates.usable, &plan.claims);
         let mut assigned = self.assign_preempting(&mut plan, &requests, transaction, &fair_shares);
         if scope == RoundScope::All && !starved.is_empty() && plan.claims_left() > 0 {
             self.place_starved_jobs(&mut plan, &starved, transaction, context, &owners);
@@ -135,14 +135,15 @@
         assigned
     }
 
-    /// Leaves only own jobs that must start at once to this round; the others keep their turns.
+    /// Limits the jobs that this controller assigns in this round to those that must start at once. The
+    /// other requests still take part in the plan, so that urgent jobs do not get ahead of their turn.
     fn limit_to_urgent(&self, requests: &mut [PlacementRequest<'_>]) {
         for request in requests {
             request.is_local &= self.starts_at_once(request.spec);
         }
     }
 
-    /// Assigns tasks in the room of others that are preempted for them.
+    /// Assigns tasks to the capacity of others that are preempted for them.
     fn assign_preempting<'a>(
         &'a self,
         plan: &mut AssignmentPlan<'a>,
@@ -156,15 +157,15 @@
         {
             return Vec::new();
         }
-        let running = |machine| {
+        let preemptible_tasks = |machine| {
             self.cell.machine(machine).map_or(Vec::new(), |record| {
-                self.running(record, transaction.machine(machine), fair_shares)
+                self.preemptible_tasks(record, transaction.machine(machine), fair_shares)
             })
         };
-        let preemptions = plan.preempt(requests, &running);
+        let preemptions = plan.preempt(requests, &preemptible_tasks);
         let mut assigned = Vec::new();
         for preemption in preemptions {
-            let planned = self.planned(&preemption.claims);
+            let planned = self.planned_assignments(&preemption.claims);
             let attempts: Vec<_> = planned.iter().map(PlannedAssignment::attempt).collect();
             if !transaction.assign_preempting(preemption.machine, &preemption.victims, &attempts) {
                 continue;
@@ -182,7 +183,7 @@
         assigned
     }
 
-    /// Places tasks of starved jobs on what is left, whatever it is kept for.
+    /// Places tasks of starved jobs on the remaining free capacity, even if it is reserved for others.
     fn place_starved_jobs<'a>(
         &'a self,
         plan: &mut AssignmentPlan<'a>,
@@ -192,21 +193,22 @@
         owners: &[usize],
     ) {
         let reserved = plan.candidates.reserved_machines();
-        plan.candidates.open_to_starved_jobs();
+        plan.candidates.open_all_to_starved_jobs();
         let mut unplaceable = BTreeSet::new();
         for _ in 0..STARVED_JOB_PASSES {
             let turns = starved.iter().filter(|(id, _)| !unplaceable.contains(id));
             let mut requests =
                 self.requests_of_starved_jobs(turns, &plan.all_claims, transaction, context);
-            number_owners(&mut requests, owners);
-            let new = plan.place(&mut requests);
-            log_taken_reservations(&new, &reserved);
-            // What of its team's limit was set aside for a job that finds no room is for others again.
+            set_owner_numbers(&mut requests, owners);
+            let new_claims = plan.place(&mut requests);
+            log_assigned_reserved_machines(&new_claims, &reserved);
+            // A job that finds no machine is left out of the next pass, so that other jobs can use the
+            // part of the team's limit that was set aside for it.
             unplaceable.extend(
                 requests
                     .iter()
                     .map(|request| request.job)
-                    .filter(|id| new.iter().all(|claim| claim.job != *id)),
+                    .filter(|id| new_claims.iter().all(|claim| claim.job != *id)),
             );
             if requests.is_empty() || plan.claims_left() == 0 {
                 break;
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Assigns what was claimed of free room.
+    /// Assigns the claims of free capacity.
     fn assign_claims(
         &self,
         plan: &AssignmentPlan<'_>,
@@ -222,28 +224,28 @@
     ) -> Vec<PlannedAssignment> {
         let mut assigned = Vec::new();
         for claims in plan.claims.chunk_by(|a, b| a.job == b.job) {
-            let planned = self.planned(claims);
-            if !plan.gang.contains(&claims[0].job) {
+            let planned = self.planned_assignments(claims);
+            if !plan.gang_jobs.contains(&claims[0].job) {
                 assigned.extend(planned.into_iter().filter(|assignment| {
                     transaction.assign(assignment.claim.machine, assignment.attempt())
                 }));
                 continue;
             }
-            let set: Vec<MachineAttempt> = planned
+            let gang_attempts: Vec<MachineAttempt> = planned
                 .iter()
                 .map(|assignment| MachineAttempt {
                     machine: assignment.claim.machine,
                     attempt: assignment.attempt(),
                 })
                 .collect();
-            if transaction.assign_all(&set) {
+            if transaction.assign_gang(&gang_attempts) {
                 assigned.extend(planned);
             }
         }
         assigned
     }
 
-    fn planned(&self, claims: &[Claim]) -> Vec<PlannedAssignment> {
+    fn planned_assignments(&self, claims: &[Claim]) -> Vec<PlannedAssignment> {
         claims
             .iter()
             .map(|claim| PlannedAssignment {
--- a/src/coordination/commit/budget.rs
+++ b/src/coordination/commit/budget.rs
@@ -1,17 +1,17 @@
-//! A controller's share of the state store's rates.
+//! A controller's share of the request and change rates of the state store.
 
 use crate::time::Micros;
 
-/// Part of the share that is used: the steady clocks of controllers and store differ a little.
-const SHARE_MARGIN: f64 = 0.97;
+/// Fraction of the share that is used: the steady clocks of controllers and store differ a little.
+const USED_SHARE_FRACTION: f64 = 0.97;
 
-/// Requests and changes that must be there for a full round.
-const ROUND_RESERVE: f64 = 2.0;
+/// Requests and changes that must be available before a full round is sent.
+const MIN_ROUND_TOKENS: f64 = 2.0;
 
-/// How much more a peer may spend than it said last, as a factor and in changes a second: it may
-/// spend more before its next message.
-const PEER_GROWTH: f64 = 1.25;
-const PEER_RESERVE: f64 = 0.5;
+/// How much more a peer is expected to spend than it last reported, as a factor and in changes a
+/// second: its spending may grow before its next message.
+const PEER_RATE_GROWTH_FACTOR: f64 = 1.25;
+const PEER_RATE_RESERVE: f64 = 0.5;
 
 /// A token bucket.
 #[derive(Debug)]
@@ -19,7 +19,7 @@
     /// Tokens a second.
     rate: f64,
     capacity: f64,
-    /// Tokens that are there; below zero if overdrawn.
+    /// Available tokens; below zero if overdrawn.
     level: f64,
 }
 
@@ -34,18 +34,18 @@
         }
     }
 
-    fn refill(&mut self, span: Micros) {
-        self.level = (self.level + self.rate * span.as_secs_f64()).min(self.capacity);
+    fn refill(&mut self, elapsed: Micros) {
+        self.level = (self.level + self.rate * elapsed.as_secs_f64()).min(self.capacity);
     }
 
-    /// Time until the level is `tokens`, or the bucket full if it can't hold as many.
+    /// Time until the level is `tokens`, or until the bucket is full if its capacity is smaller.
     fn time_until(&self, tokens: f64) -> Micros {
         let missing = (tokens.min(self.capacity) - self.level).max(0.0);
         Micros::from_secs_f64(missing / self.rate)
     }
 
-    /// Drops what was saved up; a debt stays.
-    fn empty(&mut self) {
+    /// Drops the available tokens; a debt stays.
+    fn drop_tokens(&mut self) {
         self.level = self.level.min(0.0);
     }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Changes spent since the rate of spending was last computed.
+/// Changes spent since the spending rate was last computed.
 #[derive(Debug)]
 struct Spending {
     changes: f64,
@@ -74,16 +74,16 @@
 }
 
 impl Budget {
-    /// Shortest wait before a budget is asked again.
-    const MIN_WAIT: Micros = Micros::millis(1);
+    /// Shortest delay before a spender asks the budget again.
+    const MIN_DELAY: Micros = Micros::millis(1);
 
     /// A full budget at these rates a second.
     pub fn new(requests: f64, writes: f64) -> Budget {
         Budget {
-            requests: TokenBucket::new(requests * SHARE_MARGIN),
-            writes: TokenBucket::new(writes * SHARE_MARGIN),
+            requests: TokenBucket::new(requests * USED_SHARE_FRACTION),
+            writes: TokenBucket::new(writes * USED_SHARE_FRACTION),
             refilled_at: Micros::ZERO,
-            even_share: writes * SHARE_MARGIN,
+            even_share: writes * USED_SHARE_FRACTION,
             spending: Spending {
                 changes: 0.0,
                 since: Micros::ZERO,
@@ -98,52 +98,55 @@
             since: now,
         };
         let spent = std::mem::replace(&mut self.spending, restarted);
-        let span = now.since(spent.since).as_secs_f64();
-        if span > 0.0 {
-            spent.changes / span
+        let elapsed = now.since(spent.since).as_secs_f64();
+        if elapsed > 0.0 {
+            spent.changes / elapsed
         } else {
             0.0
         }
     }
 
-    /// Takes over what the others leave of their shares, by the changes a second that they said they
-    /// spend: `None` for one without a recent message. This is only a matter of speed: a controller
-    /// that turns out to have taken too much is refused, and retries later.
+    /// Borrows the unused part of the other controllers' shares. `others`: the changes a second that each
+    /// reported to spend, `None` without a recent message. A wrong estimate costs only time: if this
+    /// controller borrows too much, the store refuses requests and they are retried later.
     pub fn borrow_unused(&mut self, now: Micros, others: impl Iterator<Item = Option<f64>>) {
         self.refill(now);
-        let unused_of = |spends: f64| {
-            let expected = spends * PEER_GROWTH;
-            (self.even_share - expected - PEER_RESERVE).max(0.0)
+        let unused_of = |reported_rate: f64| {
+            let expected_rate = reported_rate * PEER_RATE_GROWTH_FACTOR;
+            (self.even_share - expected_rate - PEER_RATE_RESERVE).max(0.0)
         };
-        let unused: f64 = others.map(|spends| spends.map_or(0.0, unused_of)).sum();
+        let unused: f64 = others
+            .map(|reported_rate| reported_rate.map_or(0.0, unused_of))
+            .sum();
         self.writes.rate = self.even_share + unused;
     }
 
-    /// Sets this controller's share of another rate of changes a second.
+    /// Sets this controller's share of changes a second, after the store's rate has changed.
     pub fn set_write_rate(&mut self, writes: f64) {
-        self.even_share = writes * SHARE_MARGIN;
+        self.even_share = writes * USED_SHARE_FRACTION;
         self.writes.rate = self.writes.rate.min(self.even_share);
         self.writes.set_capacity(self.even_share.max(1.0));
     }
 
     fn refill(&mut self, now: Micros) {
-        let span = now.since(self.refilled_at);
+        let elapsed = now.since(self.refilled_at);
         self.refilled_at = self.refilled_at.max(now);
-        self.requests.refill(span);
-        self.writes.refill(span);
+        self.requests.refill(elapsed);
+        self.writes.refill(elapsed);
     }
 
-    /// Ok if there is nothing to wait for, else when to ask again.
+    /// Ok if `wait` is zero, otherwise the time at which to ask again.
     fn admit(now: Micros, wait: Micros) -> Result<(), Micros> {
         if wait > Micros::ZERO {
-            Err(now + wait.max(Self::MIN_WAIT))
+            Err(now + wait.max(Self::MIN_DELAY))
         } else {
             Ok(())
         }
     }
 
-    /// Spends one request with `writes` changes if that leaves `reserve` of both buckets (0 to 1; below
-    /// zero it may be overdrawn by as much). Otherwise returns when to ask again.
+    /// Spends one request with `writes` changes if that leaves the fraction `reserve` of both buckets (0
+    /// to 1; if it is negative, the buckets may be overdrawn by that fraction). Otherwise returns when to
+    /// ask again.
     pub fn spend(&mut self, now: Micros, writes: usize, reserve: f64) -> Result<(), Micros> {
         self.refill(now);
         let requests_needed = 1.0 + reserve * self.requests.capacity;
@@ -162,9 +165,10 @@
         Ok(())
     }
 
-    /// Spends one request with `writes` changes of users: ahead of rounds, also just after the largest,
-    /// of `round` changes. Beyond a round's debt it may be overdrawn by what the bucket holds; rounds
-    /// make up for it. Otherwise returns when to ask again.
+    /// Spends one request with `writes` changes for users. Users go ahead of rounds, even directly after
+    /// the largest round, of `round` changes: in addition to the debt of that round, the bucket may be
+    /// overdrawn by its capacity, and later rounds wait until the debt is repaid. Otherwise returns when
+    /// to ask again.
     pub fn spend_for_users(
         &mut self,
         now: Micros,
@@ -185,24 +189,25 @@
         Ok(())
     }
 
-    /// Whether a round may be sent now, of whatever size: a large one is paid for by the time until
-    /// the next, for a few large rounds do more with the same changes than many small ones.
-    /// Otherwise returns when to ask again.
+    /// Whether a round of any size may be sent now; otherwise returns when to ask again. A large round
+    /// may overdraw the budget, and the next round waits until the debt is repaid, since a few large
+    /// rounds achieve more with the same number of changes than many small ones.
     pub fn admit_round(&mut self, now: Micros) -> Result<(), Micros> {
         self.refill(now);
-        let wait_for_requests = self.requests.time_until(ROUND_RESERVE);
-        let wait_for_writes = self.writes.time_until(ROUND_RESERVE);
+        let wait_for_requests = self.requests.time_until(MIN_ROUND_TOKENS);
+        let wait_for_writes = self.writes.time_until(MIN_ROUND_TOKENS);
         Self::admit(now, wait_for_requests.max(wait_for_writes))
     }
 
-    /// Whether requests are plenty: at least half of the bucket's capacity is there.
+    /// Whether there are plenty of requests left: more than half of the bucket's capacity.
     pub fn has_requests(&mut self, now: Micros) -> bool {
         self.refill(now);
         self.requests.level * 2.0 > self.requests.capacity
     }
 
-    /// Whether a small round that must not wait may be sent: it may be paid for afterwards, by as much
-    /// as a second's changes. Otherwise returns when to ask again.
+    /// Whether an urgent-only round may be sent now; otherwise returns when to ask again. Such a round is
+    /// small and must not wait, so it may be sent while the changes are overdrawn by up to one second's
+    /// changes.
     pub fn admit_urgent_round(&mut self, now: Micros) -> Result<(), Micros> {
         self.refill(now);
         let wait_for_requests = self.requests.time_until(1.0);
@@ -210,7 +215,8 @@
         Self::admit(now, wait_for_requests.max(wait_for_writes))
     }
 
-    /// Spends one request with `writes` changes whatever is there: for what must not wait.
+    /// Spends one request with `writes` changes even if that overdraws the budget: for requests that
+    /// must not wait.
     pub fn charge(&mut self, now: Micros, writes: usize) {
         self.refill(now);
         self.requests.level -= 1.0;
@@ -221,7 +227,7 @@
     /// The store refused a request for its rate: some controller spends more than was assumed.
     pub fn on_refused(&mut self, now: Micros) {
         self.refill(now);
-        self.requests.empty();
-        self.writes.empty();
+        self.requests.drop_tokens();
+        self.writes.drop_tokens();
     }
 }
--- a/src/coordination/commit/candidates.rs
+++ b/src/coordination/commit/candidates.rs
@@ -1,4 +1,4 @@
-//! Machines that a round may assign tasks to, and how many groups it may write for them.
+//! Machines that a round may assign tasks to, and how many machine groups it may write for them.
 
 use crate::coordination::Controller;
 use crate::coordination::commit::transaction::TransactionBuilder;
@@ -12,26 +12,28 @@
 use crate::storage::resources::Amount;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One in so many of the changes left is for groups, however many usage records are to be written.
-const GROUPS_PART: usize = 3;
+/// The remaining changes of a transaction divided by this number are for machine groups, however many
+/// usage records are to be written.
+const GROUP_CHANGES_DIVISOR: usize = 3;
 
 /// Machines that tasks may be assigned to.
 pub(super) struct Candidates<'a> {
     pub usable: Vec<Candidate<'a>>,
-    /// Machines of zones that are recovering, or that other controllers reach though this one does
-    /// not: only for starved jobs.
+    /// Machines of zones that are recovering, or of zones that this controller cannot reach while other
+    /// controllers can. They are only for starved jobs.
     recovering: Vec<Candidate<'a>>,
 }
 
 impl Candidates<'_> {
-    /// Machines that the plan has reserved for requests that found no room.
+    /// Machines that are reserved in this plan for requests that could not be placed.
     pub fn reserved_machines(&self) -> BTreeSet<MachineId> {
         let reserved = self.usable.iter().filter(|candidate| candidate.reserved);
         reserved.map(|candidate| candidate.machine).collect()
     }
 
-    /// Opens to starved jobs what is kept from others, and what is reserved for others.
-    pub fn open_to_starved_jobs(&mut self) {
+    /// Opens to starved jobs the machines that other jobs may not use yet, and those that are reserved
+    /// in this plan.
+    pub fn open_all_to_starved_jobs(&mut self) {
         self.usable.append(&mut self.recovering);
         for candidate in &mut self.usable {
             candidate.reserved = false;
@@ -50,7 +52,7 @@
 }
 
 impl Controller {
-    /// Machines that take work. Numbers their groups in `groups`; `owners`: see
+    /// Machines that accept tasks. Numbers their groups in `groups`. For `owners` see
     /// [`Controller::owner_numbers`].
     pub(super) fn candidates<'a>(
         &'a self,
@@ -64,9 +66,9 @@
             usable: Vec::new(),
             recovering: Vec::new(),
         };
-        let held = self.machines_held_for_set();
+        let gang_reserved = self.machines_held_for_set();
         for machine in self.free_machines(transaction, groups) {
-            // A machine that the transaction adds is planned on in the next round.
+            // A machine that this transaction adds is used from the next round on.
             let Some(record) = self.cell.machine(machine.machine) else {
                 continue;
             };
@@ -78,7 +80,8 @@
             let Some(mut candidate) = self.candidate(machine, transaction, context, owners) else {
                 continue;
             };
-            candidate.held = held.is_some_and(|held| held.contains(&machine.machine));
+            candidate.held =
+                gang_reserved.is_some_and(|gang_reserved| gang_reserved.contains(&machine.machine));
             if accepts_tasks {
                 candidates.usable.push(candidate);
             } else {
@@ -152,9 +155,10 @@
         })
     }
 
-    /// How many more groups the transaction may write beside the usage records of the own requests.
-    /// Teams of more shards may wait than a transaction has changes: some of these stay for groups,
-    /// or nothing at all would be assigned. Requests that find no change left wait for the next round.
+    /// How many more machine groups the transaction may write in addition to the usage records of this
+    /// controller's requests. Teams of more shards may wait than a transaction has changes, so some
+    /// changes are kept for groups; otherwise nothing at all would be assigned. Requests for which no
+    /// change is left wait for the next round.
     pub(super) fn group_allowance(
         &self,
         transaction: &TransactionBuilder<'_>,
@@ -172,11 +176,13 @@
             .filter(|shard| !transaction.writes_usage(**shard))
             .count();
         let changes_left = transaction.changes_left();
-        let reserved = (changes_left / GROUPS_PART).max(1).min(changes_left);
+        let reserved = (changes_left / GROUP_CHANGES_DIVISOR)
+            .max(1)
+            .min(changes_left);
         changes_left.saturating_sub(new_usage_records).max(reserved)
     }
 
-    /// A number for each shard that is the same for all shards of one leader.
+    /// A number for each shard; all shards of one leader have the same number.
     pub(super) fn owner_numbers(&self) -> Vec<usize> {
         let leader = |shard: ShardId| {
             self.cell.leaders[shard]
--- a/src/coordination/commit/compaction_round.rs
+++ b/src/coordination/commit/compaction_round.rs
@@ -2,13 +2,13 @@
 
 use super::PlannedRound;
 use crate::coordination::Controller;
-use crate::coordination::commit::transaction::compaction::too_large;
+use crate::coordination::commit::transaction::compaction::is_record_larger_than;
 use crate::coordination::commit::transaction::{TransactionBuilder, TransactionLimits};
 use crate::storage::records::Key;
 
 impl Controller {
-    /// Looks for own records that are larger than the next limits allow. Once all controllers have
-    /// this version none is written any more, so this runs at that time, and after takeovers.
+    /// Finds own records that are larger than the next limits allow. Once all controllers run this
+    /// version no such record is written any more, so this runs at that time, and after takeovers.
     pub(in crate::coordination) fn find_oversized_records(&mut self) {
         if !self.cell.uses_compact_encoding() {
             return;
@@ -22,7 +22,7 @@
             let oversized = groups
                 .map(|group| Key::Group(shard, *group))
                 .chain([Key::Usage(shard)])
-                .filter(|key| too_large(&self.cell, key, value_bytes));
+                .filter(|key| is_record_larger_than(&self.cell, key, value_bytes));
             self.rounds.add_oversized(oversized);
         }
         if !self.rounds.oversized().is_empty() {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// A step that compacts an oversized record, groups first.
+    /// Plans a step that compacts an oversized record, machine groups first.
     pub(super) fn plan_compaction_round(
         &mut self,
         limits: TransactionLimits,
@@ -46,20 +46,26 @@
             }
             _ => false,
         };
-        self.rounds
-            .retain_oversized(|key| leads(key) && too_large(&self.cell, key, limits.value_bytes));
+        self.rounds.retain_oversized(|key| {
+            leads(key) && is_record_larger_than(&self.cell, key, limits.value_bytes)
+        });
         if self.rounds.oversized().is_empty() {
             return None;
         }
-        let full_sizes = self.full_sizes();
-        let full_size = |machine_type: &str| full_sizes.get(machine_type).copied().unwrap_or(0);
+        let full_record_bytes_by_type = self.full_record_bytes_by_type();
+        let full_record_bytes = |machine_type: &str| {
+            full_record_bytes_by_type
+                .get(machine_type)
+                .copied()
+                .unwrap_or(0)
+        };
         let leader_record = self.leader_record();
         for key in self.rounds.oversized() {
             let mut transaction = TransactionBuilder::new(&self.cell, limits);
-            if transaction.compact(key, &leader_record, &full_size) {
+            if transaction.compact(key, &leader_record, &full_record_bytes) {
                 tracing::info!(record = %key, "record compaction planned");
                 return Some(PlannedRound {
-                    commit: transaction.commit(),
+                    transaction: transaction.build(),
                     assigned: Vec::new(),
                     released: 0,
                 });
--- a/src/coordination/commit/fair_shares.rs
+++ b/src/coordination/commit/fair_shares.rs
@@ -1,5 +1,6 @@
-//! Classes and teams that are behind their fair share in a lasting shortage, by this replica: see
-//! [`crate::scheduler::fair_shares`]. All controllers compute it alike.
+//! Classes and teams that are behind their fair share in a lasting shortage, see
+//! [`crate::scheduler::fair_shares`]. They follow from the replica alone, so all controllers find the
+//! same ones.
 
 use crate::coordination::Controller;
 use crate::scheduler::fair_shares::{Deficit, Share, deficits};
@@ -30,24 +31,24 @@
 /// The shares of all classes and teams that have jobs.
 type Shares<'a> = BTreeMap<ShareOwner<'a>, Share>;
 
-/// What classes and teams are due under a lasting shortage, in thousandths of a core; nothing for all
-/// others.
+/// The deficits of classes and teams under a lasting shortage, in thousandths of a core. Classes and
+/// teams without a deficit have no entry.
 #[derive(Clone, Debug, Default)]
 pub struct FairShares<'a> {
     deficits: BTreeMap<ShareOwner<'a>, Deficit>,
-    /// Jobs that are not preempted: they are late, and their class or team is behind its share.
+    /// Jobs that are not preempted, since they are late and their class or team is behind its share.
     protected: HashSet<JobId>,
 }
 
 impl<'a> FairShares<'a> {
-    /// The deficits by these shares. `room`: cores of all machines; `late`: jobs that are late.
-    fn new(room: u64, shares: Shares<'a>, late: &[(JobId, &'a Job)]) -> FairShares<'a> {
+    /// The deficits by these shares. `total_cores`: cores of all machines; `late`: jobs that are late.
+    fn new(total_cores: u64, shares: Shares<'a>, late: &[(JobId, &'a Job)]) -> FairShares<'a> {
         let (classes, teams): (Vec<_>, Vec<_>) = shares
             .into_iter()
             .partition(|(owner, _)| matches!(owner, ShareOwner::Class(_)));
         let mut fair_shares = FairShares::default();
         for kind in [classes, teams] {
-            fair_shares.add_deficits(room, kind);
+            fair_shares.add_deficits(total_cores, kind);
         }
         fair_shares.protected = late
             .iter()
@@ -57,11 +58,11 @@
         fair_shares
     }
 
-    fn add_deficits(&mut self, room: u64, shares: Vec<(ShareOwner<'a>, Share)>) {
+    fn add_deficits(&mut self, total_cores: u64, shares: Vec<(ShareOwner<'a>, Share)>) {
         let (owners, shares): (Vec<ShareOwner<'a>>, Vec<Share>) = shares.into_iter().unzip();
         let with_deficit = owners
             .into_iter()
-            .zip(deficits(room, &shares))
+            .zip(deficits(total_cores, &shares))
             .filter(|(_, deficit)| *deficit != Deficit::default());
         self.deficits.extend(with_deficit);
     }
@@ -74,8 +75,9 @@
         })
     }
 
-    /// Takes from the deficits what tasks of this job may go ahead of their turn; how many tasks.
-    pub fn take(&mut self, job: &'a Job, tasks: u64) -> u64 {
+    /// Returns how many tasks of this job may go ahead of their precedence, and subtracts them from the
+    /// deficits.
+    pub fn take_tasks_ahead(&mut self, job: &'a Job, tasks: u64) -> u64 {
         if self.deficits.is_empty() {
             return 0;
         }
@@ -86,7 +88,7 @@
             .map(|deficit| deficit.ahead)
             .max()
             .unwrap_or(0);
-        // One more than fits, or a deficit smaller than a task would never be made up.
+        // Rounded up, otherwise a deficit smaller than a task would never be made up.
         let tasks_ahead = tasks.min(cores_ahead.div_ceil(cores_per_task));
         for owner in ShareOwner::of(job) {
             if let Some(deficit) = self.deficits.get_mut(&owner) {
@@ -96,15 +98,15 @@
         tasks_ahead
     }
 
-    /// Whether a job's tasks are not preempted.
-    pub fn protects(&self, id: JobId) -> bool {
+    /// Whether a job's tasks are protected from preemption.
+    pub fn is_protected(&self, id: JobId) -> bool {
         self.protected.contains(&id)
     }
 }
 
 impl Controller {
-    /// Classes and teams that are behind their fair share, with the whole cores that they lack to half
-    /// of it.
+    /// Classes and teams that are behind their fair share, with the number of whole cores that they are
+    /// short of half of it.
     pub(in crate::coordination) fn starved_classes_and_teams(&self) -> Vec<(String, u64)> {
         self.jobs_in_order()
             .fair_shares
@@ -118,7 +120,7 @@
             .collect()
     }
 
-    /// Which classes and teams are behind their fair share now. `waiting`: jobs with tasks to place.
+    /// The classes and teams that are behind their fair share now. `waiting`: jobs with tasks to place.
     pub(super) fn fair_shares<'a>(&'a self, waiting: &[(JobId, &'a Job)]) -> FairShares<'a> {
         let late = self.late_jobs();
         if late.is_empty() {
@@ -131,18 +133,18 @@
             shares.entry(owner).or_default().late = true;
         }
         self.cap_by_limits(&mut shares);
-        let room = self
+        let total_cores = self
             .cell
             .machines_up()
             .filter_map(|(_, record)| self.cell.machine_type(&record.machine_type))
             .map(|machine_type| machine_type.room.cores)
             .sum();
-        FairShares::new(room, shares, &late)
+        FairShares::new(total_cores, shares, &late)
     }
 
-    /// Jobs that are so late that machines provisioned for them would be up: the shortage lasts. Jobs
-    /// whose tasks are all assigned count as well: were they preempted, they would be late and wait
-    /// again.
+    /// Jobs that are so late that machines provisioned for them would be up by now, which shows that the
+    /// shortage lasts. Jobs whose tasks are all assigned are included: if they were preempted, they would
+    /// be late and wait again.
     fn late_jobs(&self) -> Vec<(JobId, &Job)> {
         let longest_boot = self
             .cell
@@ -182,7 +184,7 @@
         }
     }
 
-    /// What a team waits for beyond its limit does not count.
+    /// Leaves out what a team waits for beyond its limit.
     fn cap_by_limits(&self, shares: &mut Shares<'_>) {
         for (owner, share) in shares {
             if let ShareOwner::Team(name) = owner
--- a/src/coordination/commit/job_order.rs
+++ b/src/coordination/commit/job_order.rs
@@ -1,4 +1,4 @@
-//! The order in which jobs with pending tasks take their turn in a plan.
+//! The order in which jobs with pending tasks are considered in a plan.
 
 use super::fair_shares::FairShares;
 use crate::coordination::Controller;
@@ -7,17 +7,18 @@
 use crate::storage::job::Priority;
 use crate::time::Micros;
 
-/// Where a job stands in the order, the most significant criterion first; lesser values go first.
+/// The precedence of a job: the most significant criterion is the first field, and lesser values go
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Precedence {
     /// Suspect jobs go last.
     suspect: bool,
-    /// Work within its team's guarantee goes before work beyond it.
+    /// Work within its team's guarantee goes before work beyond the guarantee.
     borrows: bool,
     priority: Priority,
-    /// What must start soonest goes first.
+    /// Jobs that must start soonest go first.
     latest_start: Micros,
-    /// Then the oldest.
+    /// Among otherwise equal jobs the oldest goes first.
     submitted: Micros,
 }
 
@@ -27,24 +28,24 @@
     pub job: &'a Job,
     /// Most of its tasks that may be placed in this turn.
     pub max_tasks: u64,
-    /// It goes ahead of others because its class or team is behind its fair share.
+    /// The job goes ahead of its precedence because its class or team is behind its fair share.
     pub ahead: bool,
 }
 
 /// Jobs with tasks to place.
 pub(super) struct JobOrder<'a> {
-    /// The most pressing first.
+    /// Their turns, in order.
     pub turns: Vec<Turn<'a>>,
-    /// What classes and teams that are behind their fair share are due.
+    /// The deficits of classes and teams that are behind their fair share.
     pub fair_shares: FairShares<'a>,
 }
 
 impl Controller {
-    /// All jobs with tasks to place. First goes the one for which machines are held, then classes and
-    /// teams that are behind their fair share, the others by their precedence.
+    /// All jobs with tasks to place. The job that has the gang reservation goes first, then jobs whose
+    /// class or team is behind its fair share, then all others by their precedence.
     pub(super) fn jobs_in_order(&self) -> JobOrder<'_> {
         let mut jobs = self.jobs_by_precedence();
-        let holder = jobs
+        let reservation_turn = jobs
             .iter()
             .position(|(id, _)| self.has_reservation(*id))
             .map(|position| jobs.remove(position))
@@ -65,7 +66,7 @@
             let tasks_ahead = if self.rounds.is_suspect(id) {
                 0
             } else {
-                shares_left.take(job, self.cell.pending_count(id, job).into())
+                shares_left.take_tasks_ahead(job, self.cell.pending_count(id, job).into())
             };
             if tasks_ahead > 0 {
                 ahead.push(Turn {
@@ -84,7 +85,11 @@
             }
         }
         JobOrder {
-            turns: holder.into_iter().chain(ahead).chain(in_order).collect(),
+            turns: reservation_turn
+                .into_iter()
+                .chain(ahead)
+                .chain(in_order)
+                .collect(),
             fair_shares,
         }
     }
@@ -105,7 +110,7 @@
     pub(super) fn is_placeable(&self, id: JobId, job: &Job) -> bool {
         job.ready()
             && self.cell.pending_count(id, job) > 0
-            // A job that fails on every machine is retried ever more seldom, until its user ends it.
+            // A job that fails on every machine is retried less and less often, until its user ends it.
             && !self.rounds.is_backing_off(id, self.now.steady)
             && !self.belongs_to_team_without_shard(job)
             && !self.rules.is_unschedulable(id)
--- a/src/coordination/commit/ordering.rs
+++ b/src/coordination/commit/latest_start.rs
@@ -1,4 +1,4 @@
-//! When a job has to start.
+//! The latest start of a job, from its deadline and the objectives.
 
 use crate::coordination::Controller;
 use crate::protocol::settings::ObjectiveKind;
@@ -8,21 +8,22 @@
 use crate::time::Micros;
 
 impl Controller {
-    /// The time of day by which a job's tasks should start in order to end in time: an estimate is
-    /// often wrong, of many tasks some run longer, and the image may have to be fetched.
+    /// The time of day by which a job's tasks should start in order to end in time. The expected
+    /// runtime is longer than the estimate, since estimates are often wrong and some of many tasks run
+    /// longer; the image may have to be fetched, too.
     pub(in crate::coordination) fn latest_start(&self, job: &Job) -> Micros {
         let spec = job.spec();
-        // Deadlines count from the submission, everything else from when the job could begin.
+        // Deadlines count from the submission, objectives from when the job was ready to start.
         let ready_at = job.ready_since();
-        let own_due = spec.deadline.map_or_else(
+        let own_due_at = spec.deadline.map_or_else(
             || ready_at + self.finish_objective(spec),
             |deadline| job.record.submitted + deadline,
         );
-        let due = job
+        let due_at = job
             .dependency_state
             .required_by
-            .map_or(own_due, |required_by| required_by.min(own_due));
-        let latest_start = due - (expected_runtime(spec) + self.shortest_fetch(spec));
+            .map_or(own_due_at, |required_by| required_by.min(own_due_at));
+        let latest_start = due_at - (expected_runtime(spec) + self.shortest_fetch(spec));
         let start_objective = self
             .start_objective(spec)
             .filter(|objective| *objective >= self.shortest_boot());
@@ -31,7 +32,7 @@
         })
     }
 
-    /// The least time that a machine with room for a task takes to fetch its image.
+    /// The shortest time in which a machine that is large enough for a task can fetch its image.
     fn shortest_fetch(&self, spec: &JobSpec) -> Micros {
         self.cell
             .machine_types()
@@ -47,7 +48,7 @@
             .is_some_and(|objective| objective < self.shortest_boot())
     }
 
-    /// Within what time the objectives require tasks of this class to start.
+    /// The time within which the objectives require tasks of this class to start.
     fn start_objective(&self, spec: &JobSpec) -> Option<Micros> {
         self.objectives(spec)
             .filter_map(|objective| match objective {
@@ -57,16 +58,16 @@
             .min()
     }
 
-    /// Within what time a job without a deadline should be done: as the objectives require it, or
-    /// some time that is long for it.
+    /// The time within which a job without a deadline should be done: as the objectives require, or a
+    /// time that is long compared to its estimated runtime.
     fn finish_objective(&self, spec: &JobSpec) -> Micros {
-        const DEFAULT_RUNTIMES: u64 = 2;
-        const DEFAULT_DELAY: Micros = Micros::secs(300);
+        const DEFAULT_RUNTIME_FACTOR: u64 = 2;
+        const DEFAULT_EXTRA_DELAY: Micros = Micros::secs(300);
         let objective = self.objectives(spec).find_map(|objective| match objective {
             ObjectiveKind::Finished(within) => Some(within),
             _ => None,
         });
-        objective.unwrap_or(spec.estimated_runtime * DEFAULT_RUNTIMES + DEFAULT_DELAY)
+        objective.unwrap_or(spec.estimated_runtime * DEFAULT_RUNTIME_FACTOR + DEFAULT_EXTRA_DELAY)
     }
 
     fn objectives<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = ObjectiveKind> + 'a {
@@ -79,7 +80,7 @@
             .map(|objective| objective.kind)
     }
 
-    /// The least time that a machine takes to boot: what may start later than that has time.
+    /// The shortest boot time of all machine types: work that may start later than that is not urgent.
     fn shortest_boot(&self) -> Micros {
         self.cell
             .machine_types()
--- a/src/coordination/commit/mod.rs
+++ b/src/coordination/commit/mod.rs
@@ -1,27 +1,27 @@
-//! Rounds: what is proven and what is planned is committed in one transaction at a time, conditional
-//! on the revisions of the records that it changes.
+//! Commit rounds: proven ends of tasks and planned assignments are committed by one transaction at a
+//! time, conditional on the revisions of the records that it changes.
 
 mod assignment;
 pub(super) mod budget;
 mod candidates;
 mod compaction_round;
 mod fair_shares;
+mod gang_reservation;
 mod job_order;
+mod latest_start;
 pub(super) mod limits;
-mod ordering;
-mod partial_sets;
+mod partial_gangs;
 mod pending;
 mod placement_requests;
 mod preemption;
 mod price;
 mod result;
 mod round;
-mod set_reservation;
 mod starvation;
-mod suspicion;
+mod suspect_jobs;
 pub(super) mod transaction;
 mod urgent_round;
-mod waiting_sets;
+mod waiting_gangs;
 
 pub use pending::Rounds;
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// What a round may hold.
+/// What a round may contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RoundScope {
     All,
@@ -75,26 +75,26 @@
 
 /// A round that is ready to be sent.
 struct PlannedRound {
-    commit: PlannedTransaction,
+    transaction: PlannedTransaction,
     assigned: Vec<PlannedAssignment>,
     /// How many assignments it releases.
     released: usize,
 }
 
 impl Controller {
-    /// How long small rounds are gathered while a peer has more to write than its share.
+    /// How long changes are batched into one round while a peer has more to write than its share.
     const BATCH_WINDOW: Micros = Micros::millis(800);
 
     /// Most claims of one round.
-    const MAX_CLAIMS: usize = 256;
+    const MAX_CLAIMS_PER_ROUND: usize = 256;
 
     /// Most machines on which one round preempts tasks.
-    const MAX_PREEMPTIONS: usize = 4;
+    const MAX_PREEMPTION_MACHINES_PER_ROUND: usize = 4;
 
     /// Conditions of a transaction for each change that it may have.
     const CONDITIONS_PER_CHANGE: usize = 4;
 
-    /// Changes that the end of a job takes besides those of the release that causes it.
+    /// Changes that the end of a job takes in addition to those of the release that causes it.
     const JOB_END_CHANGES: usize = 2;
 
     /// Plans and sends the next round if it is due.
@@ -106,7 +106,7 @@
         let Some(scope) = self.admit_round() else {
             return;
         };
-        if !self.read_before_round() {
+        if !self.ensure_fresh_replica() {
             return;
         }
         let limits = self.transaction_limits();
@@ -138,8 +138,9 @@
         true
     }
 
-    /// What the budget admits; nothing before it is asked again. A large round of work that has time
-    /// must not hold up what must start at once: that may overdraw.
+    /// The scope of the round that the budget admits now; none if the round has to wait. Work that must
+    /// start at once must not wait until a large round of less urgent work is paid for, so an
+    /// urgent-only round may overdraw the budget.
     fn admit_round(&mut self) -> Option<RoundScope> {
         let now = self.now.steady;
         let Err(retry_at) = self.budget.admit_round(now) else {
@@ -163,38 +164,40 @@
             value_bytes: self.limits.value_bytes(),
             stored_value_bytes: self.limits.stored_value_bytes(),
             oversized_may_grow: !self.cell.uses_compact_encoding(),
-            group_bytes: self.part_bytes(),
+            group_bytes: self.target_group_bytes(),
         }
     }
 
     fn send_round(&mut self, planned: PlannedRound, limits: TransactionLimits) {
         let PlannedRound {
-            commit,
+            transaction,
             assigned,
             released,
         } = planned;
         let now = self.now.steady;
-        let changes = commit.txn.changes.len();
+        let changes = transaction.txn.changes.len();
         self.budget.charge(now, changes);
-        // A job's end has no room where fewer changes are left, so a full round may be a little short.
+        // The end of a job does not fit if fewer changes than it takes are left, so a round counts as
+        // full even if it leaves these changes unused.
         let unusable_changes = (limits.changes / 6).min(Self::JOB_END_CHANGES);
         let full = changes + unusable_changes >= limits.changes;
         self.rounds.on_sent(now, full);
         let in_flight = InFlight {
-            changes: commit.changes,
-            ended: commit.ended,
+            changes: transaction.changes,
+            ended: transaction.ended,
             assigned,
             released,
         };
         self.ask_state(
             Purpose::Round(Box::new(in_flight)),
-            StateRequest::Transaction(commit.txn),
+            StateRequest::Transaction(transaction.txn),
         );
     }
 
-    /// Whether the replica is fresh enough for a round, or a read has made it so. The watch pauses
-    /// after each answer; a plan on what others have changed in that time would only conflict.
-    fn read_before_round(&mut self) -> bool {
+    /// Makes sure that the replica is fresh enough for a round; false while a read for that is under
+    /// way. The watch pauses after each response, and a plan on records that other controllers have
+    /// changed during the pause would only conflict.
+    fn ensure_fresh_replica(&mut self) -> bool {
         const READ_TIMEOUT: Micros = Micros::millis(100);
         let now = self.now.steady;
         if let Some(read) = self.rounds.barrier_read() {
@@ -221,8 +224,8 @@
         false
     }
 
-    /// Whether small rounds should be gathered into larger ones: a peer has more to write than its
-    /// share of the rate, this controller has not, and nothing here must start at once.
+    /// Whether changes should be batched into larger rounds: a peer has more to write than its share of
+    /// the rate, this controller has not, and no work of this controller must start at once.
     fn should_batch(&self) -> bool {
         const HINT_VALID_FOR: Micros = Micros::secs(3);
         let now = self.now.steady;
--- a/src/coordination/commit/pending.rs
+++ b/src/coordination/commit/pending.rs
@@ -1,9 +1,9 @@
-//! What waits to be committed, and when the next round may be planned.
+//! Changes that wait to be committed, and when the next round may be planned.
 
 use super::RoundScope;
-use super::set_reservation::SetReservations;
+use super::gang_reservation::GangReservations;
 use super::starvation::StarvationPrevention;
-use super::suspicion::Suspicions;
+use super::suspect_jobs::SuspectJobs;
 use crate::coordination::agents::{HealthChange, Outcome};
 use crate::storage::cell_state::CellState;
 use crate::storage::ids::{Attempt, JobId, MachineId};
@@ -44,30 +44,30 @@
     releases: BTreeMap<(MachineId, Attempt), PendingRelease>,
     health_changes: BTreeMap<MachineId, HealthChange>,
     machines_to_add: BTreeSet<MachineId>,
-    /// Machines that the provider has proven gone, while this process owns the fleet.
-    machines_gone: BTreeSet<MachineId>,
-    /// Machines that scale-in is about to return.
+    /// Machines that no longer exist, as the provider has proven while this process owns the fleet.
+    terminated_machines: BTreeSet<MachineId>,
+    /// Machines that scale-in is about to return to the provider.
     machines_to_decommission: BTreeSet<MachineId>,
-    /// The last round held only work that must start at once.
+    /// The last round was an urgent-only one.
     last_was_urgent: bool,
     /// The last round compacted an oversized record.
     last_was_compaction: bool,
     /// The last full round had no room left for assignments, so the next one assigns before it
     /// releases.
     assignments_first: bool,
-    /// Ends of jobs in rounds with unknown outcome; logged once the replica shows them.
+    /// Ends of jobs in rounds with an unknown outcome; they are logged once the replica shows them.
     unknown_ends: BTreeMap<JobId, FinalRecord>,
     /// Nothing is planned before the replica has reached this revision.
     hold_until_revision: u64,
     /// Nothing is planned before a read that began after this call.
     hold_until_read_after: Option<u64>,
-    /// Jobs that are suspected to fail on every machine.
-    suspects: Suspicions,
-    /// How long jobs have waited.
+    /// Jobs that seem to fail on every machine.
+    suspects: SuspectJobs,
+    /// How long jobs have waited for an assignment.
     starvation: StarvationPrevention,
-    /// Machines held for a set that has waited for long.
-    pub(super) sets: SetReservations,
-    /// Own records that are larger than the next limits allow, and are to be compacted.
+    /// Machines reserved for a gang that has waited long.
+    pub(super) gang_reservations: GangReservations,
+    /// Own records that are larger than the next limits allow and are to be compacted.
     oversized: BTreeSet<Key>,
 }
 
@@ -78,8 +78,8 @@
         self.requested = true;
     }
 
-    /// Requests the release of an assignment; false if that was requested already. The first outcome
-    /// stands: a missed heartbeat proves less than an end that was reported before it.
+    /// Requests the release of an assignment; false if that was requested already. In that case the
+    /// first outcome is kept: a missed heartbeat proves less than an end that was reported before it.
     pub fn release(
         &mut self,
         machine: MachineId,
@@ -119,63 +119,68 @@
         self.machines_to_add.insert(machine);
     }
 
-    /// Requests the removal of a machine that is proven gone.
+    /// Requests the removal of a machine that is proven to exist no longer.
     pub fn remove_machine(&mut self, machine: MachineId) {
         self.requested = true;
-        self.machines_gone.insert(machine);
+        self.terminated_machines.insert(machine);
     }
 
-    /// Requests that a machine is marked before it is returned; false if that was requested already.
+    /// Requests that a machine is marked as decommissioning before it is returned to the provider;
+    /// false if that was requested already.
     pub fn decommission(&mut self, machine: MachineId) -> bool {
         self.requested = true;
         self.machines_to_decommission.insert(machine)
     }
 
-    /// Drops requests for machines whose shard this process leads no more.
-    pub fn drop_requests_for_machines(&mut self, lost: impl Fn(MachineId) -> bool) {
-        self.releases.retain(|(machine, _), _| !lost(*machine));
-        self.health_changes.retain(|machine, _| !lost(*machine));
-        self.machines_to_add.retain(|machine| !lost(*machine));
+    /// Drops requests for machines whose shard this process no longer leads.
+    pub fn drop_requests_for_machines(&mut self, is_led_elsewhere: impl Fn(MachineId) -> bool) {
+        self.releases
+            .retain(|(machine, _), _| !is_led_elsewhere(*machine));
+        self.health_changes
+            .retain(|machine, _| !is_led_elsewhere(*machine));
+        self.machines_to_add
+            .retain(|machine| !is_led_elsewhere(*machine));
     }
 
     /// Drops requests of the fleet's owner.
     pub fn drop_fleet_requests(&mut self) {
-        self.machines_gone.clear();
+        self.terminated_machines.clear();
         self.machines_to_decommission.clear();
     }
 
-    /// Suspects a job whose tasks have failed this often; whether that is new.
+    /// Marks a job as suspect whose tasks have failed this often; returns whether that is new.
     pub fn suspect(&mut self, job: JobId, failures: u32, now: Micros) -> bool {
         self.suspects.add(job, failures, now)
     }
 
-    /// Clears a suspicion when the job has ended or a task of it was completed; whether there was one.
+    /// Clears the mark of a suspect job when the job has ended or one of its tasks was completed; returns
+    /// whether the job was suspect.
     pub fn clear_suspect(&mut self, job: JobId) -> bool {
         self.suspects.remove(job)
     }
 
-    /// Whether a job is suspected to fail on every machine.
+    /// Whether a job is suspect: it seems to fail on every machine.
     pub fn is_suspect(&self, job: JobId) -> bool {
         self.suspects.contains(job)
     }
 
-    /// Whether some job waits for the end of its back-off.
+    /// Whether any job is suspect, and so may wait for the end of its backoff.
     pub fn has_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
 
-    /// Whether a suspected job waits for its next retry.
+    /// Whether a suspect job waits for its next retry.
     pub(super) fn is_backing_off(&self, job: JobId, now: Micros) -> bool {
         self.suspects.is_backing_off(job, now)
     }
 
-    /// Takes which jobs have how many tasks to place now.
-    pub(super) fn note_waiting(
+    /// Updates which jobs have tasks to place now, and how many.
+    pub(super) fn update_waiting(
         &mut self,
         now: Micros,
         waiting: impl Iterator<Item = (JobId, u32)>,
     ) {
-        self.starvation.note(now, waiting);
+        self.starvation.update(now, waiting);
     }
 
     /// Whether a job has waited for longer than [`StarvationPrevention::THRESHOLD`].
@@ -188,19 +193,22 @@
         self.releases.len()
     }
 
-    /// Whether more waits than rounds have had room for lately.
+    /// Whether a round was full lately, so that more changes wait than rounds have room for.
     pub fn is_saturated(&self, now: Micros) -> bool {
-        const SATURATED_FOR: Micros = Micros::secs(3);
+        const SATURATION_WINDOW: Micros = Micros::secs(3);
         self.last_full_at
-            .is_some_and(|full_at| now.since(full_at) < SATURATED_FOR)
+            .is_some_and(|full_at| now.since(full_at) < SATURATION_WINDOW)
     }
 
-    /// A read has brought the replica to this revision. `read`: the call at which it began.
-    pub fn on_read(&mut self, revision: u64, read: u64) {
+    /// A read has brought the replica to this revision. `read_call`: the call at which it began.
+    pub fn on_read(&mut self, revision: u64, read_call: u64) {
         if self.hold_until_revision <= revision {
             self.hold_until_revision = 0;
         }
-        if self.hold_until_read_after.is_some_and(|call| read > call) {
+        if self
+            .hold_until_read_after
+            .is_some_and(|call| read_call > call)
+        {
             self.hold_until_read_after = None;
         }
     }
@@ -210,8 +218,8 @@
 impl Rounds {
     /// Whether a round is requested and none is in flight or held back by an earlier one.
     pub(super) fn is_due(&self) -> bool {
-        let held = self.hold_until_revision > 0 || self.hold_until_read_after.is_some();
-        self.requested && !self.in_flight && !held
+        let on_hold = self.hold_until_revision > 0 || self.hold_until_read_after.is_some();
+        self.requested && !self.in_flight && !on_hold
     }
 
     /// No round is planned before this time.
@@ -235,7 +243,8 @@
         self.barrier_read = read;
     }
 
-    /// Notes that nothing could be planned. A round for urgent work alone has not looked at the rest.
+    /// Notes that nothing could be planned. After an urgent-only round the request stays, since that
+    /// round did not consider other work.
     pub(super) fn on_nothing_planned(&mut self, scope: RoundScope) {
         self.requested = scope == RoundScope::UrgentOnly;
     }
@@ -272,7 +281,7 @@
     }
 }
 
-/// What goes into the next round.
+/// The contents of the next round.
 impl Rounds {
     /// Drops requests that the replica shows as carried out.
     pub(super) fn drop_applied(&mut self, cell: &CellState) {
@@ -289,7 +298,7 @@
         });
         self.machines_to_add
             .retain(|machine| cell.machine(*machine).is_none());
-        self.machines_gone
+        self.terminated_machines
             .retain(|machine| cell.machine(*machine).is_some());
         self.machines_to_decommission.retain(|machine| {
             cell.machine(*machine).is_some_and(|record| {
@@ -299,13 +308,14 @@
         });
     }
 
-    /// Assignments to be released. A round writes few records: first come those for which most
-    /// waits, each release counting by how long it has waited, so that none starves.
+    /// Assignments to be released, in the order in which rounds should release them. A round writes few
+    /// machine groups, so the groups for which most releases wait come first. Each release counts by
+    /// how long it has waited, so that none is starved.
     pub(super) fn releases_in_order(&self, cell: &CellState, now: Micros) -> Vec<PendingRelease> {
-        const HEAD_START: Micros = Micros::millis(500);
+        const BASE_WAIT: Micros = Micros::millis(500);
         let mut weights: HashMap<_, u64> = HashMap::new();
         for release in self.releases.values() {
-            let waited = now.since(release.requested_at) + HEAD_START;
+            let waited = now.since(release.requested_at) + BASE_WAIT;
             *weights
                 .entry(cell.group_of_machine(release.machine))
                 .or_default() += waited.0;
@@ -342,8 +352,8 @@
         &self.machines_to_add
     }
 
-    pub(super) fn machines_gone(&self) -> &BTreeSet<MachineId> {
-        &self.machines_gone
+    pub(super) fn terminated_machines(&self) -> &BTreeSet<MachineId> {
+        &self.terminated_machines
     }
 
     pub(super) fn machines_to_decommission(&self) -> &BTreeSet<MachineId> {
--- a/src/coordination/commit/placement_requests.rs
+++ b/src/coordination/commit/placement_requests.rs
@@ -1,4 +1,4 @@
-//! What jobs request of a plan, in their order, as far as their teams' limits allow.
+//! Placement requests of the jobs in their order, as far as their teams' limits allow.
 
 use super::job_order::Turn;
 use crate::coordination::Controller;
@@ -20,12 +20,12 @@
     pub spot: bool,
 }
 
-/// Builds the requests of one plan, and counts what they take of their teams' limits.
+/// Builds the requests of one plan, and counts how much of the teams' limits they use.
 struct RequestPlanner<'a, 't> {
     controller: &'a Controller,
     transaction: &'t TransactionBuilder<'t>,
     context: Option<&'a PlacementContext<'a>>,
-    /// What teams claim besides, once those claims are planned.
+    /// What teams have claimed already in this plan; none while the first requests are built.
     claimed: Option<&'t BTreeMap<&'t str, Amount>>,
     machine_kinds: BTreeSet<MachineKind<'a>>,
     usage: BTreeMap<&'a str, TeamUsage>,
@@ -34,7 +34,7 @@
 }
 
 impl<'a> RequestPlanner<'a, '_> {
-    /// The request of a job in its turn; none if limits or its state hold it back.
+    /// The request of a job in its turn; none if its team's limits or its state prevent it.
     fn request(&mut self, turn: &Turn<'a>) -> Option<PlacementRequest<'a>> {
         let Turn { id, job, .. } = *turn;
         let controller = self.controller;
@@ -55,12 +55,13 @@
             self.own_tasks += tasks.len();
         }
         let allowed = (tasks.len() as u64).min(most);
-        // Once the other claims are planned nothing is saved for sets that exceed the limits now.
+        // Once the other claims are planned, no part of the limits is set aside for gangs that exceed
+        // the limits now.
         if gang && allowed < tasks.len() as u64 && self.claimed.is_some() {
             return None;
         }
         if !has_reservation {
-            self.count(spec, allowed);
+            self.count_usage(spec, allowed);
         }
         Some(PlacementRequest {
             job: id,
@@ -72,10 +73,11 @@
             price_limit: self.price_limit(id, job, suspect),
             owner: shard,
             is_local,
-            // What goes ahead for its class or team waits for room; it preempts nothing.
+            // A job that goes ahead because of the deficit of its class or team preempts nothing; it
+            // waits for free capacity.
             preempts: controller.preempts(job) && !suspect && !turn.ahead,
             never_reserves: suspect || has_reservation,
-            uses_held_machines: controller.may_use_held_machines(id, spec),
+            uses_held_machines: controller.may_use_gang_reservation(id, spec),
             guaranteed: team.is_some_and(Team::has_share) && !controller.borrows(job, shard),
             gang,
             avoid: &job.record.failed_machines,
@@ -83,13 +85,13 @@
         })
     }
 
-    /// Counts all that machines are held for, also what its team's limit does not allow yet: the rest must not go to
-    /// others of the team meanwhile. Whether machines are held for the job.
+    /// Counts all tasks that a gang reservation is for, including those that the team's limit does not allow yet:
+    /// otherwise other jobs of the team would use up the limit meanwhile. Returns whether the job has the reservation.
     fn count_reservation(&mut self, id: JobId, job: &'a Job) -> bool {
         let has_reservation = self.controller.has_reservation(id);
         if has_reservation {
             let tasks = self.controller.tasks_needed_at_once(id, job);
-            self.count(job.spec(), tasks);
+            self.count_usage(job.spec(), tasks);
         }
         has_reservation
     }
@@ -97,13 +99,13 @@
     fn price_limit(&self, id: JobId, job: &Job, suspect: bool) -> u64 {
         let controller = self.controller;
         if suspect {
-            controller.fair_price(job.spec())
+            controller.regular_price_limit(job.spec())
         } else {
-            controller.price_limit_among(id, job, &self.machine_kinds)
+            controller.placement_price_limit(id, job, &self.machine_kinds)
         }
     }
 
-    /// How many more tasks of this kind the team's limits allow.
+    /// How many more tasks of this job the team's limits allow.
     fn tasks_within_limits(
         &mut self,
         shard: ShardId,
@@ -145,8 +147,8 @@
     /// Most tasks that a job requests in its turn.
     fn max_tasks(&self, turn: &Turn<'_>, suspect: bool, gang: bool) -> usize {
         let spec = turn.job.spec();
-        let left = Controller::MAX_CLAIMS - self.own_tasks;
-        let of_job = if suspect && !spec.runs_all_tasks_at_once() {
+        let left = Controller::MAX_CLAIMS_PER_ROUND - self.own_tasks;
+        let max_for_job = if suspect && !spec.runs_all_tasks_at_once() {
             1
         } else if gang {
             left.max(spec.task_count as usize)
@@ -154,14 +156,14 @@
             left
         };
         if gang {
-            of_job
+            max_for_job
         } else {
-            of_job.min(usize::try_from(turn.max_tasks).unwrap_or(usize::MAX))
+            max_for_job.min(usize::try_from(turn.max_tasks).unwrap_or(usize::MAX))
         }
     }
 
     /// Counts requested tasks to their team's usage.
-    fn count(&mut self, spec: &JobSpec, tasks: u64) {
+    fn count_usage(&mut self, spec: &JobSpec, tasks: u64) {
         if let Some(usage) = self.usage.get_mut(spec.team.as_str()) {
             usage.add(spec, tasks);
         }
@@ -169,9 +171,9 @@
 }
 
 impl Controller {
-    /// What the jobs request, as far as their teams' limits allow. `claimed`: what teams claim
-    /// besides, once those claims are planned; then nothing is saved for sets that exceed the limits
-    /// now.
+    /// What the jobs request, as far as their teams' limits allow. `claimed`: what teams have claimed
+    /// already in this plan. If it is given, no part of the limits is set aside for gangs that exceed
+    /// the limits now.
     pub(super) fn requests<'a>(
         &'a self,
         turns: Vec<Turn<'a>>,
@@ -199,7 +201,7 @@
         };
         let mut requests = Vec::new();
         for turn in &turns {
-            if planner.own_tasks >= Self::MAX_CLAIMS {
+            if planner.own_tasks >= Self::MAX_CLAIMS_PER_ROUND {
                 break;
             }
             requests.extend(planner.request(turn));
@@ -207,9 +209,9 @@
         requests
     }
 
-    /// Requests of own jobs that are starved and have no claim in this plan: one task of each, or a
-    /// set as a whole, may go to what is left, whatever that is kept for. Only what machines are held for
-    /// keeps its part of its team's limit.
+    /// Requests of own jobs that are starved and have no claim in this plan. One task of each, or a
+    /// whole gang, may use the remaining capacity, even if it is reserved for others. Only a job with
+    /// a gang reservation keeps the part of the team's limit that is set aside for it.
     pub(super) fn requests_of_starved_jobs<'a, 'b>(
         &'a self,
         starved: impl Iterator<Item = &'b (JobId, &'a Job)>,
@@ -259,22 +261,23 @@
         claimed
     }
 
-    /// Whether a job waits until those of its tasks that are assigned have ended.
+    /// Whether a job waits until its assigned tasks have ended.
     fn waits_for_running_tasks(&self, id: JobId, spec: &JobSpec, suspect: bool) -> bool {
         if self.cell.assigned(id).is_none() {
             return false;
         }
-        // What is left of a gang that lost a task ends by itself; then all are placed anew.
-        let broken_gang = spec.gang && !self.is_in_parts(id);
-        broken_gang || suspect && !spec.service
+        // The remaining tasks of a gang that lost a task end by themselves; then all tasks are placed
+        // anew.
+        let is_incomplete_gang = spec.gang && !self.is_assigned_in_parts(id);
+        is_incomplete_gang || suspect && !spec.service
     }
 
-    /// Whether all tasks of a job are assigned in one transaction, or none.
+    /// Whether the tasks of a job are assigned by one transaction, all or none.
     fn is_all_or_nothing(&self, id: JobId, spec: &JobSpec) -> bool {
         spec.runs_all_tasks_at_once()
             && self.cell.assigned(id).is_none()
-            && (spec.task_count as usize) <= Self::MAX_CLAIMS
-            && !self.needs_parts(id, spec)
+            && (spec.task_count as usize) <= Self::MAX_CLAIMS_PER_ROUND
+            && !self.must_be_assigned_in_parts(id, spec)
     }
 
     /// Assigned tasks of a job by zone, where its placement depends on them.
--- a/src/coordination/commit/preemption.rs
+++ b/src/coordination/commit/preemption.rs
@@ -8,12 +8,12 @@
 use crate::time::Micros;
 
 /// How long before its latest start a job may preempt others.
-const PREEMPTION_LEAD: Micros = Micros::secs(5);
+const PREEMPTION_LEAD_TIME: Micros = Micros::secs(5);
 
 impl Controller {
-    /// Tasks on a machine that may be preempted, the latest started last. `planned`: the machine as
-    /// the transaction would leave it.
-    pub(super) fn running(
+    /// Tasks on a machine that may be preempted, by priority, and those that started last at the end.
+    /// `planned`: the machine as the transaction would leave it.
+    pub(super) fn preemptible_tasks(
         &self,
         record: &MachineRecord,
         planned: Option<&MachineRecord>,
@@ -22,25 +22,26 @@
         let stays = |assignment: &Assignment| {
             planned.is_some_and(|planned| planned.tasks.contains(assignment))
         };
-        let mut running: Vec<PreemptibleTask> = record
+        let mut tasks: Vec<PreemptibleTask> = record
             .tasks
             .iter()
             .filter(|assignment| !record.preempted.contains(assignment) && stays(assignment))
-            .filter_map(|assignment| self.running_task(assignment, fair_shares))
+            .filter_map(|assignment| self.preemptible_task(assignment, fair_shares))
             .collect();
-        // More urgent tasks are never reached; of the rest the latest have the least to lose.
-        running.sort_by_key(|task| (task.priority, task.assignment.number));
-        running
+        // Tasks of higher priority are never preempted; among the others, those that started last lose
+        // the least work.
+        tasks.sort_by_key(|task| (task.priority, task.assignment.number));
+        tasks
     }
 
-    fn running_task(
+    fn preemptible_task(
         &self,
         assignment: &Assignment,
         fair_shares: &FairShares<'_>,
     ) -> Option<PreemptibleTask> {
         let id = assignment.attempt().task.job;
         let job = self.cell.jobs.get(&id)?;
-        if fair_shares.protects(id) {
+        if fair_shares.is_protected(id) {
             return None;
         }
         let spec = job.spec();
@@ -57,11 +58,11 @@
         })
     }
 
-    /// Whether a job may preempt others: its class must start at once, or it is about to be late.
+    /// Whether a job may preempt others: its class must start at once, or the job is about to be late.
     pub(super) fn preempts(&self, job: &Job) -> bool {
         let now = self.now.day;
         let latest_start = self.latest_start(job);
-        let is_about_to_be_late = latest_start < now + PREEMPTION_LEAD
+        let is_about_to_be_late = latest_start < now + PREEMPTION_LEAD_TIME
             && now < latest_start + job.spec().estimated_runtime;
         self.starts_at_once(job.spec()) || is_about_to_be_late
     }
--- a/src/coordination/commit/price.rs
+++ b/src/coordination/commit/price.rs
@@ -1,4 +1,4 @@
-//! What machines may cost for a job.
+//! Price limits: the most that a machine may cost for a job.
 
 use super::placement_requests::MachineKind;
 use crate::coordination::Controller;
@@ -10,22 +10,22 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// Most that a core may cost for a job: expensive machines are for jobs that would be late, or
-    /// have to start at once.
+    /// Most that a core may cost for a job. Expensive machines are only for jobs that would be late
+    /// otherwise, or that must start at once.
     pub(in crate::coordination) fn price_limit(&self, job: &Job) -> u64 {
-        const MIN_MARGIN: Micros = Micros::secs(10);
+        const MIN_LATENESS_MARGIN: Micros = Micros::secs(10);
         let spec = job.spec();
-        let margin = MIN_MARGIN + Micros(spec.estimated_runtime.0 / 4);
+        let margin = MIN_LATENESS_MARGIN + Micros(spec.estimated_runtime.0 / 4);
         if self.starts_at_once(spec) || self.latest_start(job) < self.now.day + margin {
             u64::MAX
         } else {
-            self.fair_price(spec)
+            self.regular_price_limit(spec)
         }
     }
 
-    /// The same for placing: where only expensive machines are up, waiting for cheaper ones would
-    /// leave them idle at full cost.
-    pub(super) fn price_limit_among(
+    /// Most that a core may cost for a job that is to be placed. There is no limit if only expensive
+    /// machines are up that fit the job: waiting for cheaper ones would leave these idle at full cost.
+    pub(super) fn placement_price_limit(
         &self,
         id: JobId,
         job: &Job,
@@ -66,8 +66,8 @@
             })
     }
 
-    /// Most that a core may cost for work that has time.
-    pub(super) fn fair_price(&self, spec: &JobSpec) -> u64 {
+    /// Most that a core may cost for work that is not urgent.
+    pub(super) fn regular_price_limit(&self, spec: &JobSpec) -> u64 {
         let allows =
             |machine_type: &str, zone: &str, spot: bool| spec.allows(machine_type, zone, spot);
         self.cell
--- a/src/coordination/commit/result.rs
+++ b/src/coordination/commit/result.rs
@@ -1,4 +1,4 @@
-//! The state store's answer to a round.
+//! The state store's response to a round.
 
 use super::{InFlight, PlannedAssignment};
 use crate::coordination::Controller;
@@ -9,7 +9,7 @@
 use crate::storage::records::Key;
 use crate::time::Micros;
 
-/// How long a round that the store did not take waits for its retry.
+/// Delay before the next round after the store did not accept one.
 const RETRY_DELAY: Micros = Micros::millis(250);
 
 fn log_end(job: JobId, end: FinalRecord) {
@@ -18,7 +18,7 @@
 }
 
 impl Controller {
-    /// Takes the result of the round in flight.
+    /// Handles the result of the round in flight.
     pub(in crate::coordination) fn on_round_result(
         &mut self,
         round: InFlight,
@@ -105,7 +105,7 @@
         tracing::info!(claims = round.assigned.len(), "commit outcome unknown");
         self.rounds.hold_until_read_after(self.next_call);
         for (job, end) in round.ended {
-            // The watch has often shown the end before the call times out.
+            // Often the watch has already shown the end when the call times out.
             if self.cell.jobs.contains_key(&job) {
                 self.rounds.add_unknown_end(job, end);
             } else {
@@ -115,7 +115,8 @@
         self.replica.request_barrier();
     }
 
-    /// A job has left the replica: if a round with unknown outcome ended it, its end is logged now.
+    /// Logs the end of a job that was removed from the replica, if a round with an unknown outcome ended
+    /// it.
     pub(in crate::coordination) fn on_job_removed(&mut self, job: JobId) {
         if let Some(end) = self.rounds.take_unknown_end(job) {
             log_end(job, end);
--- a/src/coordination/commit/round.rs
+++ b/src/coordination/commit/round.rs
@@ -1,5 +1,5 @@
-//! What goes into a full round, in this order: machines that are gone, releases, health changes,
-//! additions, ends of jobs, assignments; within the limits of a transaction.
+//! The contents of a full round, within the limits of a transaction, in this order: removals of
+//! terminated machines, releases, health changes, additions of machines, ends of jobs, assignments.
 
 use super::{PlannedRound, RoundScope};
 use crate::coordination::Controller;
@@ -21,7 +21,7 @@
         scope: RoundScope,
     ) -> Option<PlannedRound> {
         self.rounds.drop_applied(&self.cell);
-        // Every other round at most: urgent work may arrive without end.
+        // At most every other round is an urgent-only one, since urgent work may keep arriving.
         if !self.rounds.set_urgent(false)
             && let Some(planned) = self.plan_urgent_round(limits)
         {
@@ -31,8 +31,8 @@
         if scope == RoundScope::UrgentOnly {
             return None;
         }
-        // Every other round, too: nothing is assigned to an oversized record, but work elsewhere
-        // goes on.
+        // At most every other round compacts a record: nothing can be assigned to an oversized record,
+        // but work on other records must go on.
         if !self.rounds.set_compaction(false)
             && let Some(planned) = self.plan_compaction_round(limits)
         {
@@ -43,22 +43,23 @@
     }
 
     fn plan_full_round(&mut self, limits: TransactionLimits) -> Option<PlannedRound> {
-        // Where a transaction holds few changes, releases would leave no room for assignments for as
-        // long as tasks end, and the other way round: they take turns.
+        // If a transaction may have only few changes, releases would leave no room for assignments as
+        // long as tasks keep ending, and the other way round. So they alternate: after a round without room
+        // for assignments the next one assigns first.
         let assignments_first = self.rounds.set_assignments_first(false);
         let mut transaction = TransactionBuilder::new(&self.cell, limits);
-        let mut released = self.remove_gone_machines(&mut transaction);
+        let mut released = self.remove_terminated_machines(&mut transaction);
         let mut assigned = Vec::new();
         if assignments_first {
             assigned = self.assign(&mut transaction, RoundScope::All);
         }
         released += self.release_assignments(&mut transaction);
-        let filled = transaction.changes_left() == 0;
+        let releases_filled_transaction = transaction.changes_left() == 0;
         self.change_health(&mut transaction);
         self.add_machines(&mut transaction);
         self.decommission_machines(&mut transaction);
         self.end_jobs(&mut transaction);
-        self.settle_completions(&mut transaction);
+        self.move_completions_to_jobs(&mut transaction);
         if !assignments_first {
             assigned = self.assign(&mut transaction, RoundScope::All);
         }
@@ -66,20 +67,20 @@
             return None;
         }
         let planned = PlannedRound {
-            commit: transaction.commit(),
+            transaction: transaction.build(),
             assigned,
             released,
         };
         self.rounds
-            .set_assignments_first(filled && planned.assigned.is_empty());
+            .set_assignments_first(releases_filled_transaction && planned.assigned.is_empty());
         Some(planned)
     }
 
-    /// Releases what is assigned to machines that are gone, and removes those that are then empty;
-    /// how many assignments were to be released.
-    fn remove_gone_machines(&self, transaction: &mut TransactionBuilder<'_>) -> usize {
+    /// Releases the assignments of terminated machines, and removes the machines that have none left.
+    /// Returns how many assignments were to be released.
+    fn remove_terminated_machines(&self, transaction: &mut TransactionBuilder<'_>) -> usize {
         let mut released = 0;
-        for machine in self.rounds.machines_gone() {
+        for machine in self.rounds.terminated_machines() {
             let Some(record) = self.cell.machine(*machine) else {
                 continue;
             };
@@ -97,7 +98,7 @@
         released
     }
 
-    /// Releases assignments whose end is proven; how many the transaction has room for.
+    /// Releases assignments whose end is proven; returns how many fit into the transaction.
     fn release_assignments(&self, transaction: &mut TransactionBuilder<'_>) -> usize {
         self.rounds
             .releases_in_order(&self.cell, self.now.steady)
@@ -119,12 +120,17 @@
         if self.rounds.machines_to_add().is_empty() {
             return;
         }
-        let full_sizes = self.full_sizes();
-        let full_size = |machine_type: &str| full_sizes.get(machine_type).copied().unwrap_or(0);
+        let full_record_bytes_by_type = self.full_record_bytes_by_type();
+        let full_record_bytes = |machine_type: &str| {
+            full_record_bytes_by_type
+                .get(machine_type)
+                .copied()
+                .unwrap_or(0)
+        };
         for machine in self.rounds.machines_to_add() {
             if let Some(agent) = self.agents.get(machine) {
                 let shard = self.cell.shard_of_machine(*machine);
-                transaction.add(shard, *machine, agent.record(), &full_size);
+                transaction.add(shard, *machine, agent.record(), &full_record_bytes);
             }
         }
     }
@@ -139,7 +145,7 @@
         }
     }
 
-    /// Ends own jobs that are cancelled or done, and of which nothing is assigned.
+    /// Ends own jobs that are cancelled or done and have no assignments.
     fn end_jobs(&self, transaction: &mut TransactionBuilder<'_>) {
         let has_ended = |id: JobId, job: &Job| {
             (job.cancelled() || job.done() >= job.spec().task_count)
@@ -154,18 +160,18 @@
         }
     }
 
-    /// Moves completions of jobs whose team has no shard from usage records to the jobs' own.
-    fn settle_completions(&self, transaction: &mut TransactionBuilder<'_>) {
-        let is_unsettled = |_: JobId, job: &Job| {
+    /// Moves completions of jobs whose team has no shard from usage records to the jobs' own records.
+    fn move_completions_to_jobs(&self, transaction: &mut TransactionBuilder<'_>) {
+        let has_completions_in_usage = |_: JobId, job: &Job| {
             !job.record.finished.covers(&job.ends) && self.belongs_to_team_without_shard(job)
         };
-        for id in self.own_jobs(is_unsettled) {
-            transaction.settle(id);
+        for id in self.own_jobs(has_completions_in_usage) {
+            transaction.move_completions_to_job(id);
         }
     }
 
-    /// Jobs of own shards that pass the filter, by id: the order of a hash map differs from process
-    /// to process.
+    /// Jobs of own shards that pass the filter, sorted by id, since the order of a hash map differs
+    /// from process to process.
     fn own_jobs(&self, filter: impl Fn(JobId, &Job) -> bool) -> Vec<JobId> {
         let mut own: Vec<JobId> = self
             .cell
@@ -183,26 +189,28 @@
         self.leads(self.cell.shard_of_job(id, job.spec()))
     }
 
-    /// Bytes that a group should have at most. Every change of a group is sent whole to every
-    /// controller, so at the full rate of changes it must be read with a small part of the processor
-    /// share; within that, a larger group carries more changes with one write.
-    pub(super) fn part_bytes(&self) -> usize {
-        /// Bytes of records that one core reads in a second.
-        const READ_BYTES_PER_CORE: f64 = 100e6;
-        /// Part of the processor share that may be spent on reading.
-        const READ_SHARE: f64 = 0.05;
-        const MIN_BYTES: usize = 4_096;
-        let read_rate = READ_BYTES_PER_CORE * READ_SHARE;
-        let affordable = self.settings.core_share * read_rate / self.limits.writes_per_second();
+    /// Most bytes that a machine group should have. Every controller receives the whole group after
+    /// each change, and at the full rate of changes it may spend only a small part of its processor
+    /// share on reading them. Within this limit a larger group is better, since one write carries more
+    /// changes.
+    pub(super) fn target_group_bytes(&self) -> usize {
+        /// Bytes of records that one core can read in a second.
+        const READ_BYTES_PER_CORE_SECOND: f64 = 100e6;
+        /// Fraction of the processor share that may be spent on reading.
+        const READ_CORE_FRACTION: f64 = 0.05;
+        const MIN_GROUP_BYTES: usize = 4_096;
+        let read_rate = READ_BYTES_PER_CORE_SECOND * READ_CORE_FRACTION;
+        let affordable_bytes =
+            self.settings.core_share * read_rate / self.limits.writes_per_second();
         let value_bytes = self.limits.value_bytes();
-        (affordable as usize)
-            .max(MIN_BYTES)
+        (affordable_bytes as usize)
+            .max(MIN_GROUP_BYTES)
             .min(value_bytes - value_bytes / 16)
     }
 
-    /// Bytes that a machine's record takes when the machine is full of the smallest tasks there are.
-    fn full_size(&self, machine_type: &str) -> usize {
-        const MAX_TASKS: u64 = 1_000;
+    /// Bytes that a machine's record takes when the machine is full of the smallest tasks of all jobs.
+    fn full_record_bytes(&self, machine_type: &str) -> usize {
+        const MAX_TASKS_PER_MACHINE: u64 = 1_000;
         let room = self
             .cell
             .machine_type(machine_type)
@@ -212,7 +220,7 @@
             .cell
             .jobs
             .values()
-            .map(|job| job.spec().need.times_in(&room, MAX_TASKS))
+            .map(|job| job.spec().need.times_in(&room, MAX_TASKS_PER_MACHINE))
             .max();
         GroupRecord::estimated_machine_bytes(
             tasks.unwrap_or(0).max(1),
@@ -221,12 +229,12 @@
     }
 
     /// Bytes that a machine's record takes when the machine is full, by type.
-    pub(super) fn full_sizes(&self) -> BTreeMap<String, usize> {
+    pub(super) fn full_record_bytes_by_type(&self) -> BTreeMap<String, usize> {
         self.cell
             .machine_types()
             .map(|machine_type| {
-                let full_size = self.full_size(&machine_type.name);
-                (machine_type.name.clone(), full_size)
+                let full_record_bytes = self.full_record_bytes(&machine_type.name);
+                (machine_type.name.clone(), full_record_bytes)
             })
             .collect()
     }
--- a/src/coordination/commit/transaction/assignments.rs
+++ b/src/coordination/commit/transaction/assignments.rs
@@ -1,7 +1,7 @@
 //! Assignments in a transaction.
 
 use super::limits::SPARE_BYTES;
-use super::reservation::Needs;
+use super::required_records::RequiredRecords;
 use super::{MachineAttempt, TransactionBuilder};
 use crate::storage::ids::{Attempt, MachineId};
 use crate::storage::job::JobSpec;
@@ -12,19 +12,19 @@
     pub fn assign(&mut self, machine: MachineId, attempt: Attempt) -> bool {
         let id = attempt.task.job;
         let cell = self.cell;
-        let (Some(job), Some(group)) = (cell.jobs.get(&id), self.home(machine)) else {
+        let (Some(job), Some(group)) = (cell.jobs.get(&id), self.group_of(machine)) else {
             return false;
         };
         let spec = job.spec();
         let shard = cell.shard_of_job(id, spec);
-        let needs = Needs {
+        let required = RequiredRecords {
             groups: &[group],
             usage: Some(shard),
             conditions: &[Key::ShardLeader(shard), Key::Job(id), Key::Meta],
-            ..Needs::default()
+            ..RequiredRecords::default()
         };
         let growth = GroupRecord::assignment_bytes(&attempt, &spec.image, spec.size);
-        if !self.reserve(needs) || !self.grow(group, growth, SPARE_BYTES) {
+        if !self.reserve(required) || !self.grow(group, growth, SPARE_BYTES) {
             return false;
         }
         if !self.push_assignment(machine, attempt, spec) {
@@ -34,7 +34,7 @@
         true
     }
 
-    /// Adds the assignment to the machine's record; false if the group doesn't hold the machine.
+    /// Adds the assignment to the machine's record; false if the group does not contain the machine.
     fn push_assignment(&mut self, machine: MachineId, attempt: Attempt, spec: &JobSpec) -> bool {
         let cell = self.cell;
         let Some(record) = self.machine_mut(machine) else {
@@ -48,24 +48,24 @@
         true
     }
 
-    /// Assigns tasks to a machine in the room of others that are preempted there: all or nothing,
-    /// since without the others' room the machine would be assigned more than it has.
+    /// Assigns tasks to a machine on which others are preempted for them: all or nothing, since without
+    /// the preemptions the machine would be assigned more than its capacity.
     pub fn assign_preempting(
         &mut self,
         machine: MachineId,
         victims: &[Assignment],
         tasks: &[Attempt],
     ) -> bool {
-        let mut trial = self.clone();
-        let Some(group) = self.home(machine) else {
+        let mut copy = self.clone();
+        let Some(group) = self.group_of(machine) else {
             return false;
         };
         let growth = GroupRecord::PREEMPTED_BYTES * victims.len();
-        let assigns_all = tasks.iter().all(|attempt| trial.assign(machine, *attempt));
-        if !assigns_all || !trial.grow(group, growth, SPARE_BYTES) {
+        let assigns_all = tasks.iter().all(|attempt| copy.assign(machine, *attempt));
+        if !assigns_all || !copy.grow(group, growth, SPARE_BYTES) {
             return false;
         }
-        let Some(record) = trial.machine_mut(machine) else {
+        let Some(record) = copy.machine_mut(machine) else {
             return false;
         };
         for victim in victims {
@@ -74,18 +74,18 @@
             }
             record.preempted.push(*victim);
         }
-        *self = trial;
+        *self = copy;
         true
     }
 
-    /// Assigns all of an indivisible set, or nothing.
-    pub fn assign_all(&mut self, set: &[MachineAttempt]) -> bool {
-        let mut trial = self.clone();
-        let assigns_all = set
+    /// Assigns all tasks of a gang, or none.
+    pub fn assign_gang(&mut self, gang: &[MachineAttempt]) -> bool {
+        let mut copy = self.clone();
+        let assigns_all = gang
             .iter()
-            .all(|assignment| trial.assign(assignment.machine, assignment.attempt));
+            .all(|assignment| copy.assign(assignment.machine, assignment.attempt));
         if assigns_all {
-            *self = trial;
+            *self = copy;
         }
         assigns_all
     }
--- a/src/coordination/commit/transaction/compaction.rs
+++ b/src/coordination/commit/transaction/compaction.rs
@@ -1,17 +1,17 @@
-//! Records that were written under larger limits than the state store will have, or has by now: they
-//! are compacted in steps that are each complete.
+//! Compaction of records that were written under larger limits than the state store has now or will
+//! have: each step leaves a complete state.
 
 use super::edits::{GroupEdit, size_of};
 use super::limits::{MAX_TRANSACTION_BYTES, SPARE_BYTES};
-use super::reservation::{JobNeed, Needs};
+use super::required_records::{RequiredJob, RequiredRecords};
 use super::{GroupId, TermUpdate, TransactionBuilder, TransactionLimits};
 use crate::storage::cell_state::CellState;
 use crate::storage::completion_bitmap::CompletionBitmap;
 use crate::storage::ids::{JobId, MachineId, ShardId};
 use crate::storage::records::{GroupRecord, Key, ShardLeaderRecord};
 
-/// Whether the replica has this record larger than `max_bytes`.
-pub fn too_large(cell: &CellState, key: &Key, max_bytes: usize) -> bool {
+/// Whether this record is larger than `max_bytes` in the replica.
+pub fn is_record_larger_than(cell: &CellState, key: &Key, max_bytes: usize) -> bool {
     match key {
         Key::Group(shard, index) => cell.groups[*shard]
             .get(index)
@@ -21,11 +21,11 @@
     }
 }
 
-/// A group whose machines are moved to new groups until the rest is small enough.
+/// A machine group from which machines are moved to new groups until the rest is small enough.
 struct GroupSplit<'s> {
     limits: TransactionLimits,
     /// Bytes that a machine of a type takes once it is full.
-    full_size: &'s dyn Fn(&str) -> usize,
+    full_record_bytes: &'s dyn Fn(&str) -> usize,
     compact_encoding: bool,
     rest: GroupRecord,
     new_groups: Vec<GroupRecord>,
@@ -36,7 +36,7 @@
 }
 
 impl GroupSplit<'_> {
-    /// Moves machines, the last one first, until the rest is small enough or the transaction full.
+    /// Moves machines, the last one first, until the rest is small enough or the transaction is full.
     fn run(&mut self) {
         let machines: Vec<MachineId> = self.rest.machines.keys().rev().copied().collect();
         let target_bytes = self.limits.value_bytes.min(self.limits.group_bytes);
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Moves a machine to the last new group, or to another one. One that has no room alone stays.
-    /// False if the transaction is full.
+    /// Moves a machine to the last new group, or to another new one if that has no room. A machine that
+    /// is too large even for a group of its own is not moved. False if the transaction is full.
     fn move_machine(&mut self, machine: MachineId) -> bool {
         let Some(record) = self.rest.machines.get(&machine).cloned() else {
             return true;
         };
-        let full_bytes = (self.full_size)(&record.machine_type);
+        let full_bytes = (self.full_record_bytes)(&record.machine_type);
         let mut alone = self.empty_group();
         alone.machines.insert(machine, record);
         let bytes = size_of(&alone);
@@ -63,10 +63,10 @@
         if self.bytes + bytes > MAX_TRANSACTION_BYTES {
             return false;
         }
-        // Once full it may take more than now.
+        // A full machine may take more bytes than it does now.
         let reserved_bytes = full_bytes.max(bytes);
         if self.new_groups.is_empty() || reserved_bytes > self.bytes_left {
-            // The group itself, or the term, takes one change.
+            // One change is for the group itself, or for the shard's term.
             if self.new_groups.len() >= self.limits.changes - 1 {
                 return false;
             }
@@ -91,31 +91,33 @@
 }
 
 impl TransactionBuilder<'_> {
-    /// A step that makes a record smaller; false if none is possible. The transaction must be empty.
+    /// Adds a step that makes a record smaller; false if none is possible. The transaction must be
+    /// empty.
     pub fn compact(
         &mut self,
         key: &Key,
         leader_record: &ShardLeaderRecord,
-        full_size: &dyn Fn(&str) -> usize,
+        full_record_bytes: &dyn Fn(&str) -> usize,
     ) -> bool {
         match key {
             Key::Group(shard, index) => {
-                self.compact_group((*shard, *index), leader_record, full_size)
+                self.compact_group((*shard, *index), leader_record, full_record_bytes)
             }
             Key::Usage(shard) => self.compact_usage(*shard),
             _ => false,
         }
     }
 
-    /// Moves machines of a group to new ones. If it is too large to be written at all they are copied,
-    /// and the copies count, until what is left can be written: see [`CellState::is_superseded`]. Every step
-    /// of that raises the shard's term, on which every write to its groups is conditional: so nothing
-    /// that was planned on the group itself can still be applied, nor the same step twice.
+    /// Moves machines of a group to new groups. If the group is too large to be written at all, the
+    /// machines are copied instead, and the copies are authoritative until the rest of the group can be
+    /// written, see [`CellState::is_superseded`]. Every such step raises the shard's term, on which every
+    /// write to its groups is conditional. So nothing that was planned on the group before the step can
+    /// be applied any more, and the same step cannot be applied twice.
     fn compact_group(
         &mut self,
         group: GroupId,
         leader_record: &ShardLeaderRecord,
-        full_size: &dyn Fn(&str) -> usize,
+        full_record_bytes: &dyn Fn(&str) -> usize,
     ) -> bool {
         let (shard, index) = group;
         let Some(before) = self.cell.groups[shard].get(&index) else {
@@ -128,7 +130,7 @@
         let bytes = size_of(&rest);
         let mut split = GroupSplit {
             limits: self.limits,
-            full_size,
+            full_record_bytes,
             compact_encoding: self.compact_encoding,
             rest,
             new_groups: Vec::new(),
@@ -157,7 +159,7 @@
         true
     }
 
-    /// Adds groups after the last one of the shard.
+    /// Adds new groups after the last group of the shard.
     fn insert_new_groups(&mut self, shard: ShardId, new_groups: Vec<GroupRecord>) {
         let next_index = self.cell.groups[shard]
             .keys()
@@ -170,30 +172,31 @@
         }
     }
 
-    /// Moves completions from a usage record to the records of their jobs, the largest sets first. If
-    /// it is too large to be written they are copied: a job's completions are those of both, and what
-    /// its own record has is dropped as soon as the rest can be written.
+    /// Moves completions from a usage record to the records of their jobs, the largest bitmaps first. If
+    /// the usage record is too large to be written they are copied: a job's completions are then those in
+    /// either record, and the usage record drops those that are in the job's own record as soon as the
+    /// rest of it can be written.
     fn compact_usage(&mut self, shard: ShardId) -> bool {
-        let opened = self.reserve(Needs {
+        let opened = self.reserve(RequiredRecords {
             usage: Some(shard),
             conditions: &[Key::ShardLeader(shard)],
-            ..Needs::default()
+            ..RequiredRecords::default()
         });
-        if opened && self.is_usage_small(shard) {
+        if opened && self.is_usage_small_enough(shard) {
             return true;
         }
         let mut moved = false;
-        for id in self.jobs_by_kept_bytes(shard) {
-            let needs = Needs {
+        for id in self.jobs_by_bitmap_bytes(shard) {
+            let required = RequiredRecords {
                 usage: opened.then_some(shard),
-                job: Some(JobNeed {
+                job: Some(RequiredJob {
                     id,
                     more_changes: 0,
                 }),
                 conditions: &[Key::ShardLeader(shard), Key::Usage(shard)],
-                ..Needs::default()
+                ..RequiredRecords::default()
             };
-            if !self.reserve(needs) {
+            if !self.reserve(required) {
                 break;
             }
             let kept = self.cell.usage[shard].value.ends.get(&id);
@@ -205,30 +208,30 @@
         moved
     }
 
-    fn is_usage_small(&self, shard: ShardId) -> bool {
+    fn is_usage_small_enough(&self, shard: ShardId) -> bool {
         self.usage
             .get(&shard)
             .is_some_and(|edit| size_of(&edit.record) <= self.limits.value_bytes)
     }
 
-    /// Jobs of which the usage record keeps completions that their own records do not have, the
-    /// largest sets first.
-    fn jobs_by_kept_bytes(&self, shard: ShardId) -> Vec<JobId> {
+    /// Jobs for which the usage record keeps completions that their own records do not contain, the
+    /// largest bitmaps first.
+    fn jobs_by_bitmap_bytes(&self, shard: ShardId) -> Vec<JobId> {
         let is_copied = |id: &JobId, ends: &CompletionBitmap| {
             self.cell
                 .jobs
                 .get(id)
                 .is_none_or(|job| job.record.finished.covers(ends))
         };
-        let mut sets: Vec<(usize, JobId)> = self.cell.usage[shard]
+        let mut bitmaps: Vec<(usize, JobId)> = self.cell.usage[shard]
             .value
             .ends
             .iter()
             .filter(|(id, ends)| !is_copied(id, ends))
             .map(|(id, ends)| (ends.bytes(), *id))
             .collect();
-        sets.sort_unstable_by(|a, b| b.cmp(a));
-        sets.into_iter().map(|(_, id)| id).collect()
+        bitmaps.sort_unstable_by(|a, b| b.cmp(a));
+        bitmaps.into_iter().map(|(_, id)| id).collect()
     }
 }
 
--- a/src/coordination/commit/transaction/compaction/tests.rs
+++ b/src/coordination/commit/transaction/compaction/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `compaction`.
 
-use super::super::tests::{apply, holds, machine, replica_of};
+use super::super::tests::{apply, conditions_hold, machine, replica_of};
 use super::super::{PlannedTransaction, TransactionLimits};
 use super::*;
 use crate::coordination::agents::Outcome;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Many machines in one group, each with a task of a job of its own.
+/// A replica with many machines in one group, each with a task of a job of its own.
 fn large_group(machines: u64) -> CellState {
     let mut cell = replica_of(LATEST_FORMAT);
     let mut group = GroupRecord::default();
@@ -76,14 +76,14 @@
     cell
 }
 
-fn step(cell: &CellState, key: &Key, stored_value_bytes: usize) -> Option<PlannedTransaction> {
+fn plan_step(cell: &CellState, key: &Key, stored_value_bytes: usize) -> Option<PlannedTransaction> {
     let mut transaction = TransactionBuilder::new(cell, limits(stored_value_bytes));
     transaction
         .compact(key, &leader_record(), &|_| 16)
-        .then(|| transaction.commit())
+        .then(|| transaction.build())
 }
 
-/// What the store holds, by key, with the revision of the last write.
+/// The contents of the store by key, with the revision of the last write.
 type Store = BTreeMap<String, (Content, u64)>;
 
 fn apply_to_store(
@@ -93,7 +93,7 @@
     commit: &PlannedTransaction,
     mod_revision: u64,
 ) {
-    assert!(holds(cell, commit));
+    assert!(conditions_hold(cell, commit));
     assert!(
         commit.txn.changes.len() <= 4 && commit.txn.when.len() <= 16,
         "{key}"
@@ -117,11 +117,12 @@
         .collect()
 }
 
-/// A group that is too large for the limits in force is copied in steps of which each is complete:
-/// at any time every reader sees every machine once, nothing planned before a step is applied after
-/// it, and no machine is removed while it would reappear.
+/// A group that is too large for the limits in force is copied in steps, each of which leaves a complete
+/// state: every reader sees every machine once at any time, no transaction that was planned before a step
+/// is applied after it, and a machine cannot be removed while a lower group still lists it, since it
+/// would reappear.
 #[test]
-fn a_group_too_large_to_be_written_is_copied_in_complete_steps() {
+fn unwritable_group_is_copied_in_complete_steps() {
     let mut cell = large_group(700);
     let all = machines(&cell);
     let before = cell.groups[0][&0].clone();
@@ -132,24 +133,27 @@
     );
     let key = Key::Group(0, 0);
     let mut mod_revision = 2;
-    let mut copied = 0;
-    while too_large(&cell, &key, MAX_BYTES) {
-        // Planned on the replica before the step, by the leader of another shard: a task of a machine
-        // that is copied now is released.
+    let mut copied_steps = 0;
+    while is_record_larger_than(&cell, &key, MAX_BYTES) {
+        // The leader of another shard has planned a release on the replica before the step: of a task on
+        // a machine that this step copies.
         let (m, record) = cell.groups[0][&0].value.machines.last_key_value().unwrap();
-        let mut planned_before = TransactionBuilder::new(&cell, limits(16 * 1_024));
-        assert!(planned_before.release(*m, record.tasks[0].attempt(), Outcome::Reassign, 7));
-        let planned_before = planned_before.commit();
-        let commit = step(&cell, &key, MAX_BYTES).expect("a step");
-        let again = step(&cell, &key, MAX_BYTES).expect("a step");
+        let mut stale_transaction = TransactionBuilder::new(&cell, limits(16 * 1_024));
+        assert!(stale_transaction.release(*m, record.tasks[0].attempt(), Outcome::Reassign, 7));
+        let stale_transaction = stale_transaction.build();
+        let commit = plan_step(&cell, &key, MAX_BYTES).expect("a step");
+        let repeated_step = plan_step(&cell, &key, MAX_BYTES).expect("a step");
         mod_revision += 1;
         apply_to_store(&cell, &key, &mut store, &commit, mod_revision);
         apply(&mut cell, commit, mod_revision);
         assert!(
-            !holds(&cell, &planned_before),
-            "what was planned before is applied"
+            !conditions_hold(&cell, &stale_transaction),
+            "a transaction planned before the step is applied"
+        );
+        assert!(
+            !conditions_hold(&cell, &repeated_step),
+            "the step is applied twice"
         );
-        assert!(!holds(&cell, &again), "the step is applied twice");
         assert_eq!(machines(&cell), all, "after step {mod_revision}");
         // A controller that starts now reads the keys in their order.
         let mut fresh = replica_of(LATEST_FORMAT);
@@ -162,14 +166,14 @@
         assert_eq!(
             machines(&fresh),
             all,
-            "a fresh replica after step {mod_revision}"
+            "new replica after step {mod_revision}"
         );
         if let Some(stale) = cell
             .machines()
             .map(|(_, m, _)| m)
             .find(|m| cell.is_superseded(*m))
         {
-            copied += 1;
+            copied_steps += 1;
             let mut transaction = TransactionBuilder::new(&cell, limits(MAX_BYTES));
             let assignment = cell.machine(stale).unwrap().tasks[0].attempt();
             assert!(transaction.release(stale, assignment, Outcome::Reassign, 0));
@@ -179,7 +183,7 @@
             );
         }
     }
-    assert!(copied > 1, "nothing was copied");
+    assert!(copied_steps > 1, "nothing was copied");
     assert!(cell.machines().all(|(_, m, _)| !cell.is_superseded(m)));
     assert!(
         cell.groups[0]
@@ -188,15 +192,15 @@
     );
 }
 
-/// While it can still be written, its machines are moved.
+/// An oversized group that can still be written is split: its machines are moved to new groups.
 #[test]
-fn an_oversized_group_that_can_be_written_is_split() {
+fn oversized_writable_group_is_split() {
     let mut cell = large_group(300);
     let all = machines(&cell);
     let key = Key::Group(0, 0);
     let mut mod_revision = 2;
-    while too_large(&cell, &key, MAX_BYTES) {
-        let commit = step(&cell, &key, 16 * 1_024).expect("a step");
+    while is_record_larger_than(&cell, &key, MAX_BYTES) {
+        let commit = plan_step(&cell, &key, 16 * 1_024).expect("a step");
         assert!(
             commit
                 .txn
@@ -212,9 +216,9 @@
     }
 }
 
-/// Ends are never lost on their way from a usage record to those of the jobs.
+/// No completion is lost while completions are moved from a usage record to the records of the jobs.
 #[test]
-fn no_completion_is_lost_when_an_oversized_usage_record_is_compacted() {
+fn compaction_of_oversized_usage_record_loses_no_completions() {
     for stored_value_bytes in [16 * 1_024, MAX_BYTES] {
         let mut cell = replica_of(LATEST_FORMAT);
         let mut usage = UsageRecord::default();
@@ -240,8 +244,8 @@
         cell.advance(2);
         assert!(encode(&cell.usage[0].value).unwrap().get().len() > MAX_BYTES);
         let mut mod_revision = 2;
-        while too_large(&cell, &Key::Usage(0), MAX_BYTES) {
-            let commit = step(&cell, &Key::Usage(0), stored_value_bytes).expect("a step");
+        while is_record_larger_than(&cell, &Key::Usage(0), MAX_BYTES) {
+            let commit = plan_step(&cell, &Key::Usage(0), stored_value_bytes).expect("a step");
             assert!(commit.txn.changes.len() <= 4);
             assert!(stored_value_bytes > MAX_BYTES || commit.txn.largest() <= MAX_BYTES);
             mod_revision += 1;
--- a/src/coordination/commit/transaction/edits.rs
+++ b/src/coordination/commit/transaction/edits.rs
@@ -1,6 +1,6 @@
 //! Edited copies of records.
 
-use super::limits::{PRUNED_IMAGES, SPARE_BYTES};
+use super::limits::{IMAGES_KEPT_BY_PRUNING, SPARE_BYTES};
 use crate::protocol::state::encode;
 use crate::storage::cell_state::Job;
 use crate::storage::completion_bitmap::{CompletionBitmap, TASKS_PER_CHUNK};
@@ -8,7 +8,7 @@
 use crate::storage::records::{GroupRecord, UsageRecord};
 use std::collections::BTreeMap;
 
-/// Bytes of a value as it is written.
+/// Bytes of a value in its stored encoding.
 pub(super) fn size_of<T: serde::Serialize>(value: &T) -> usize {
     encode(value).map_or(0, |encoded| encoded.get().len())
 }
@@ -21,12 +21,12 @@
     pub bytes: usize,
     /// Most bytes that the record may have.
     max_bytes: usize,
-    /// All but a few images of its machines were dropped.
+    /// Whether all but [`IMAGES_KEPT_BY_PRUNING`] images of each machine were dropped.
     pruned: bool,
 }
 
 impl GroupEdit {
-    /// An edit of a record that has so many bytes.
+    /// An edit of a record that takes `bytes` now and may grow to `max_bytes`.
     pub fn new(record: GroupRecord, bytes: usize, max_bytes: usize) -> GroupEdit {
         GroupEdit {
             record,
@@ -36,25 +36,26 @@
         }
     }
 
-    /// Makes sure that the record may grow by `growth` bytes and still leaves `spare`, of a small
-    /// record less. `may_prune`: images may be dropped for it.
-    pub fn make_room(&mut self, growth: usize, spare: usize, may_prune: bool) -> bool {
-        let needed = growth + spare.min(self.max_bytes / 16);
-        if self.bytes + needed > self.max_bytes {
-            // The sum consists of upper bounds; near the limit the exact size is needed.
+    /// Whether the record may grow by `growth` bytes and still has `spare` bytes free (less in a small
+    /// record). `may_prune`: images may be dropped for that.
+    pub fn ensure_capacity(&mut self, growth: usize, spare: usize, may_prune: bool) -> bool {
+        let needed_bytes = growth + spare.min(self.max_bytes / 16);
+        if self.bytes + needed_bytes > self.max_bytes {
+            // The size so far is a sum of upper bounds; near the limit the exact size is needed.
             self.bytes = size_of(&self.record);
         }
-        if self.bytes + needed > self.max_bytes && may_prune && !self.pruned {
+        if self.bytes + needed_bytes > self.max_bytes && may_prune && !self.pruned {
             self.prune_images();
         }
-        self.bytes + needed <= self.max_bytes
+        self.bytes + needed_bytes <= self.max_bytes
     }
 
-    /// Fetching an image again costs less than a machine without work.
+    /// Drops most images of the machines: fetching an image again costs less than leaving a machine
+    /// without work.
     fn prune_images(&mut self) {
         self.pruned = true;
         for machine in self.record.machines.values_mut() {
-            machine.forget_images(PRUNED_IMAGES);
+            machine.forget_images(IMAGES_KEPT_BY_PRUNING);
         }
         self.bytes = size_of(&self.record);
     }
@@ -64,7 +65,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct UsageEdit {
     pub record: UsageRecord,
-    /// Upper bound of the record's bytes, with [`SPARE_BYTES`].
+    /// Upper bound of the record's bytes, including [`SPARE_BYTES`].
     pub bytes: usize,
 }
 
@@ -74,7 +75,7 @@
         UsageEdit { record, bytes }
     }
 
-    /// Bytes of the record when it was opened, without those kept free.
+    /// Bytes of the record when it was opened, without [`SPARE_BYTES`].
     pub fn record_bytes(&self) -> usize {
         self.bytes - SPARE_BYTES
     }
@@ -98,12 +99,13 @@
         }
     }
 
-    /// Changes of the transaction that it takes. The end of a job takes two: its record is removed,
-    /// and its final record is written.
+    /// Changes that the edit takes in the transaction. The end of a job takes two: its record is
+    /// removed, and its final record is written.
     pub fn changes(&self) -> usize {
         self.chunks.len() + 1 + usize::from(self.ended.is_some())
     }
-    /// Completes a task. `job`: as it was before the transaction.
+
+    /// Marks a task as completed. `job`: the job as it was before the transaction.
     pub fn complete(&mut self, index: u32, job: &Job) {
         let chunk_index = index / TASKS_PER_CHUNK;
         if chunk_index == 0 {
@@ -113,8 +115,8 @@
         }
     }
 
-    /// Completes a task in a further chunk. A complete chunk needs no record, so that the end of a
-    /// large job is a small change.
+    /// Marks a task as completed in a chunk other than the first. A complete chunk needs no record, so
+    /// that the end of a large job is a small change.
     fn complete_in_chunk(&mut self, chunk_index: u32, index: u32, job: &Job) {
         let chunk = self.chunks.entry(chunk_index).or_insert_with(|| {
             job.chunks
--- a/src/coordination/commit/transaction/job_ends.rs
+++ b/src/coordination/commit/transaction/job_ends.rs
@@ -1,14 +1,14 @@
 //! Ends of jobs in a transaction.
 
 use super::TransactionBuilder;
-use super::reservation::{JobNeed, Needs};
+use super::required_records::{RequiredJob, RequiredRecords};
 use crate::storage::cell_state::Job;
 use crate::storage::ids::JobId;
 use crate::storage::job::FinalRecord;
 use crate::storage::records::Key;
 
 impl TransactionBuilder<'_> {
-    /// Ends a job whose tasks are all done.
+    /// Ends a job of which all tasks are done.
     pub fn end_done(&mut self, id: JobId) -> bool {
         let Some(job) = self.cell.jobs.get(&id) else {
             return true;
@@ -21,8 +21,8 @@
         self.end(id, job, end)
     }
 
-    /// Ends a cancelled job of which nothing is assigned. A large one drops its chunks first, one at
-    /// a time.
+    /// Ends a cancelled job that has no assignments. The chunks of a large job are removed first, one by
+    /// each call.
     pub fn end_cancelled(&mut self, id: JobId) -> bool {
         let Some(job) = self.cell.jobs.get(&id) else {
             return true;
@@ -44,21 +44,22 @@
 
     fn end(&mut self, id: JobId, job: &Job, end: FinalRecord) -> bool {
         let shard = self.cell.shard_of_job(id, job.spec());
-        // What the usage record keeps of it is dropped along with it, if that can be written.
+        // The completions that the usage record keeps for the job are dropped in the same transaction,
+        // if the usage record can be written.
         let is_kept_in_usage =
             !self.usage_from_groups && self.cell.usage[shard].value.ends.contains_key(&id);
         let conditions = [Key::ShardLeader(shard)];
-        let needs = |usage| Needs {
+        let required = |usage| RequiredRecords {
             usage,
-            job: Some(JobNeed {
+            job: Some(RequiredJob {
                 id,
                 more_changes: 1,
             }),
             conditions: &conditions,
-            ..Needs::default()
+            ..RequiredRecords::default()
         };
         let usage = is_kept_in_usage.then_some(shard);
-        if !self.reserve(needs(usage)) && !self.reserve(needs(None)) {
+        if !self.reserve(required(usage)) && !self.reserve(required(None)) {
             return false;
         }
         if let Some(edit) = self.jobs.get_mut(&id) {
@@ -67,20 +68,20 @@
         true
     }
 
-    /// Moves the completions of a job that usage records keep into the job's own record.
-    pub fn settle(&mut self, id: JobId) -> bool {
+    /// Moves the completions that usage records keep for a job to the job's own record.
+    pub fn move_completions_to_job(&mut self, id: JobId) -> bool {
         let Some(job) = self.cell.jobs.get(&id) else {
             return true;
         };
         let shard = self.cell.shard_of_job(id, job.spec());
-        self.reserve(Needs {
+        self.reserve(RequiredRecords {
             usage: (!self.usage_from_groups).then_some(shard),
-            job: Some(JobNeed {
+            job: Some(RequiredJob {
                 id,
                 more_changes: 0,
             }),
             conditions: &[Key::ShardLeader(shard)],
-            ..Needs::default()
+            ..RequiredRecords::default()
         })
     }
 }
--- a/src/coordination/commit/transaction/limits.rs
+++ b/src/coordination/commit/transaction/limits.rs
@@ -3,21 +3,21 @@
 /// Bytes that a transaction may take; the state store allows a little more.
 pub(super) const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
 
-/// Bytes kept free in a record for changes that must not wait: health changes of machines. In a small
-/// record less is kept free.
+/// Bytes kept free in a record for health changes of machines, which must not wait. In a small record
+/// less is kept free.
 pub(super) const SPARE_BYTES: usize = 256;
 
-/// Images that are remembered of each machine where a record has no room for more assignments otherwise.
-pub(super) const PRUNED_IMAGES: usize = 2;
+/// Images that a record keeps for each machine if it would have no room for more assignments otherwise.
+pub(super) const IMAGES_KEPT_BY_PRUNING: usize = 2;
 
-/// Tasks of the largest job whose completions go into its shard's usage record. The completions of
-/// larger jobs come in numbers, so one write of their own record carries many.
-pub(super) const MAX_TASKS_IN_USAGE: u32 = 256;
+/// Most tasks of a job whose completions go into the usage record of a shard. Larger jobs have many
+/// completions at a time, so one write of their own record carries many of them.
+pub(super) const MAX_JOB_TASKS_IN_USAGE: u32 = 256;
 
-/// Bytes that one more job adds to a usage record, beside its bitmap.
+/// Bytes that one more job adds to a usage record, in addition to its bitmap.
 pub(super) const USAGE_ENTRY_BYTES: usize = 26;
 
-/// What a transaction may take.
+/// Limits of one transaction.
 #[derive(Clone, Copy, Debug)]
 pub struct TransactionLimits {
     /// Most changes.
@@ -26,19 +26,19 @@
     pub conditions: usize,
     /// Bytes that a value may grow to.
     pub value_bytes: usize,
-    /// Bytes of the largest value that the state store takes: a value that is larger than
-    /// `value_bytes` must not grow, but may be written.
+    /// Bytes of the largest value that the state store accepts. A value that is larger than
+    /// `value_bytes` may be written up to this size, but must not grow.
     pub stored_value_bytes: usize,
-    /// Values that are larger than `value_bytes` may grow all the same: controllers of the version
-    /// before let them grow, too.
+    /// Whether values that are larger than `value_bytes` may grow nevertheless: controllers of the
+    /// previous version let them grow, too.
     pub oversized_may_grow: bool,
-    /// Bytes that a group should have at most once its machines are full, and the bound of what
-    /// a usage record keeps of completed tasks.
+    /// Most bytes that a machine group should have once its machines are full. The same limit applies to
+    /// usage records when completions are added.
     pub group_bytes: usize,
 }
 
 impl TransactionLimits {
-    /// Bytes that a value may grow to that has so many bytes now.
+    /// Bytes that a value may grow to that has `bytes` bytes now.
     pub(super) fn max_bytes(&self, bytes: usize) -> usize {
         if bytes <= self.value_bytes {
             self.value_bytes
--- a/src/coordination/commit/transaction/machines.rs
+++ b/src/coordination/commit/transaction/machines.rs
@@ -1,7 +1,7 @@
 //! Machines in a transaction: additions, health changes, removals.
 
 use super::limits::SPARE_BYTES;
-use super::reservation::Needs;
+use super::required_records::RequiredRecords;
 use super::{GroupId, TransactionBuilder};
 use crate::coordination::agents::HealthChange;
 use crate::storage::ids::{MachineId, ShardId};
@@ -10,30 +10,30 @@
 /// Bytes of a group without machines.
 const EMPTY_GROUP_BYTES: usize = 64;
 
-/// Bytes that a higher fenced incarnation can add to a machine's record.
-const INCARNATION_BYTES: usize = 6;
+/// Most bytes that a higher fenced incarnation adds to a machine's record.
+const FENCED_INCARNATION_GROWTH_BYTES: usize = 6;
 
 impl TransactionBuilder<'_> {
-    /// Adds a machine whose agent registers for the first time, to the first of the shard's groups
-    /// that will still have room when all of its machines are full, else to a new one. `full_size`:
-    /// bytes that a machine of a type takes then.
+    /// Adds a machine whose agent registers for the first time. It is added to the first of the shard's
+    /// groups that has room for it even when all machines of the group are full, otherwise to a new
+    /// group. `full_record_bytes`: bytes that a full machine of a type takes.
     ///
-    /// Every addition writes the shard's first group, which is never removed. So an addition with
-    /// unknown outcome cannot succeed beside a later one of the same machine to another group; one
-    /// of an earlier leader fails for its term.
+    /// Every addition writes the shard's first group, which is never removed. So an addition with an
+    /// unknown outcome cannot succeed in addition to a later one that adds the same machine to another
+    /// group. An addition by an earlier leader fails because of its term.
     pub fn add(
         &mut self,
         shard: ShardId,
         machine: MachineId,
         record: MachineRecord,
-        full_size: &dyn Fn(&str) -> usize,
+        full_record_bytes: &dyn Fn(&str) -> usize,
     ) -> bool {
         let size = GroupRecord::machine_bytes(machine, &record);
-        let size_when_full = full_size(&record.machine_type).max(size);
+        let size_when_full = full_record_bytes(&record.machine_type).max(size);
         for index in 0.. {
             let group = (shard, index);
-            let full_bytes = self.full_bytes_of(group, full_size) + size_when_full;
-            if !self.may_hold(group, full_bytes) {
+            let full_bytes = self.full_bytes_of(group, full_record_bytes) + size_when_full;
+            if !self.is_group_size_allowed(group, full_bytes) {
                 continue;
             }
             let exists = self.group(group).is_some();
@@ -67,23 +67,27 @@
     }
 
     /// Bytes that the machines of a group take once they are full.
-    fn full_bytes_of(&mut self, group: GroupId, full_size: &dyn Fn(&str) -> usize) -> usize {
+    fn full_bytes_of(
+        &mut self,
+        group: GroupId,
+        full_record_bytes: &dyn Fn(&str) -> usize,
+    ) -> usize {
         if let Some(bytes) = self.full_bytes.get(&group) {
             return *bytes;
         }
         let bytes = self.group(group).map_or(EMPTY_GROUP_BYTES, |record| {
             let machines = record.machines.values();
             machines
-                .map(|machine| full_size(&machine.machine_type))
+                .map(|machine| full_record_bytes(&machine.machine_type))
                 .sum()
         });
         self.full_bytes.insert(group, bytes);
         bytes
     }
 
-    /// Whether a group may take so many bytes when full. One with a single machine may be larger than
-    /// a group should be.
-    fn may_hold(&self, group: GroupId, full_bytes: usize) -> bool {
+    /// Whether a group may take this many bytes when its machines are full. A group with a single
+    /// machine may exceed the limit for groups.
+    fn is_group_size_allowed(&self, group: GroupId, full_bytes: usize) -> bool {
         full_bytes <= self.limits.group_bytes
             || self
                 .group(group)
@@ -98,16 +102,22 @@
         } else {
             &first_and_group
         };
-        self.reserve(Needs {
+        self.reserve(RequiredRecords {
             groups,
             conditions: &[Key::ShardLeader(shard)],
-            ..Needs::default()
+            ..RequiredRecords::default()
         })
     }
 
-    /// Sets a machine's health and its fenced incarnation. `by`: the shard whose leader decides.
-    pub fn set_health(&mut self, machine: MachineId, change: HealthChange, by: ShardId) -> bool {
-        let (Some(before), Some(group)) = (self.machine(machine), self.home(machine)) else {
+    /// Sets a machine's health and its fenced incarnation. `deciding_shard`: the shard whose leader
+    /// decides that.
+    pub fn set_health(
+        &mut self,
+        machine: MachineId,
+        change: HealthChange,
+        deciding_shard: ShardId,
+    ) -> bool {
+        let (Some(before), Some(group)) = (self.machine(machine), self.group_of(machine)) else {
             return true;
         };
         // A machine that may have been returned to the provider is never used again.
@@ -121,13 +131,13 @@
             return true;
         }
         let is_fenced_anew = fenced_incarnation > before.fenced_incarnation;
-        let growth = usize::from(is_fenced_anew) * INCARNATION_BYTES;
-        let needs = Needs {
+        let growth = usize::from(is_fenced_anew) * FENCED_INCARNATION_GROWTH_BYTES;
+        let required = RequiredRecords {
             groups: &[group],
-            conditions: &[Key::ShardLeader(by)],
-            ..Needs::default()
+            conditions: &[Key::ShardLeader(deciding_shard)],
+            ..RequiredRecords::default()
         };
-        if !self.reserve(needs) || !self.grow(group, growth, 0) {
+        if !self.reserve(required) || !self.grow(group, growth, 0) {
             return false;
         }
         if let Some(record) = self.machine_mut(machine) {
@@ -137,20 +147,20 @@
         true
     }
 
-    /// Removes a machine that is gone; all its assignments must have been released.
+    /// Removes a machine that no longer exists; all its assignments must have been released.
     pub fn remove(&mut self, machine: MachineId) -> bool {
-        let (Some(record), Some(group)) = (self.machine(machine), self.home(machine)) else {
+        let (Some(record), Some(group)) = (self.machine(machine), self.group_of(machine)) else {
             return true;
         };
         if self.cell.is_superseded(machine) || !record.tasks.is_empty() {
             return false;
         }
-        let needs = Needs {
+        let required = RequiredRecords {
             groups: &[group],
             conditions: &[Key::ShardLeader(0)],
-            ..Needs::default()
+            ..RequiredRecords::default()
         };
-        if !self.reserve(needs) {
+        if !self.reserve(required) {
             return false;
         }
         if let Some(edit) = self.groups.get_mut(&group) {
--- a/src/coordination/commit/transaction/mod.rs
+++ b/src/coordination/commit/transaction/mod.rs
@@ -1,4 +1,4 @@
-//! A transaction in the making: edited copies of records, with their conditions.
+//! The builder of a transaction: edited copies of records, and the conditions of the transaction.
 
 mod assignments;
 pub mod compaction;
@@ -10,13 +10,13 @@
 mod model;
 mod output;
 mod releases;
-mod reservation;
+mod required_records;
+mod resulting_state;
 #[cfg(test)]
 mod tests;
-mod view;
 
 pub use limits::TransactionLimits;
-pub use view::TeamUsage;
+pub use resulting_state::TeamUsage;
 
 use crate::protocol::state::Transaction;
 use crate::storage::cell_state::{CellState, Change};
@@ -24,8 +24,8 @@
 use crate::storage::job::FinalRecord;
 use crate::storage::records::{Key, ShardLeaderRecord};
 use edits::{GroupEdit, JobEdit, UsageEdit};
+use resulting_state::UsageChange;
 use std::collections::{BTreeMap, BTreeSet};
-use view::UsageChange;
 
 /// A group of machines: its shard, and its index there.
 type GroupId = (ShardId, GroupIndex);
@@ -46,38 +46,38 @@
     record: ShardLeaderRecord,
 }
 
-/// Builds a transaction within its limits. Edits that return `bool` change nothing if they return
-/// false: the transaction has no room for them.
+/// Builds a transaction within its limits. Edits that return `bool` return false if they do not fit
+/// into the transaction, and then change nothing.
 #[derive(Clone, Debug)]
 pub struct TransactionBuilder<'a> {
     cell: &'a CellState,
     limits: TransactionLimits,
     groups: BTreeMap<GroupId, GroupEdit>,
-    /// Machines that it adds, with their groups.
+    /// Machines that the transaction adds, with their groups.
     added: BTreeMap<MachineId, GroupId>,
     /// Bytes that the machines of a group will take once they are full.
     full_bytes: BTreeMap<GroupId, usize>,
     usage: BTreeMap<ShardId, UsageEdit>,
-    /// How it changes the usage of teams.
+    /// How the transaction changes the usage of teams.
     usage_changes: BTreeMap<&'a str, UsageChange>,
     jobs: BTreeMap<JobId, JobEdit>,
     removed_chunks: BTreeSet<(JobId, u32)>,
     conditions: BTreeSet<Key>,
     /// Upper bound of the bytes of all values.
     bytes: usize,
-    /// Every controller reads the compact encoding of records.
+    /// Whether every controller reads the compact encoding of records.
     compact_encoding: bool,
-    /// Usage of teams follows from the groups alone: see [`CellState::fenced`].
+    /// Whether the usage of teams follows from the machine groups alone, see [`CellState::fenced`].
     usage_from_groups: bool,
     term_update: Option<TermUpdate>,
 }
 
-/// A finished transaction, and what it changes in the replica when it succeeds.
+/// A finished transaction, and its changes to the replica if it succeeds.
 #[derive(Debug)]
 pub struct PlannedTransaction {
     /// The transaction.
     pub txn: Transaction,
-    /// Its changes; their revisions are set when it has one.
+    /// Its changes. Their revisions are set once the transaction is applied.
     pub changes: Vec<Change>,
     /// Jobs that it ends.
     pub ended: Vec<(JobId, FinalRecord)>,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Whether it changes nothing.
+    /// Whether the transaction changes nothing.
     pub fn is_empty(&self) -> bool {
         self.changes() == 0
     }
@@ -116,7 +116,7 @@
         records + jobs + usize::from(self.term_update.is_some())
     }
 
-    /// Changes that it may still take.
+    /// Number of changes that may still be added.
     pub fn changes_left(&self) -> usize {
         self.limits.changes.saturating_sub(self.changes())
     }
--- a/src/coordination/commit/transaction/model/invariants.rs
+++ b/src/coordination/commit/transaction/model/invariants.rs
@@ -1,11 +1,11 @@
-//! What must hold in the store after every step.
+//! Invariants of the store that are checked after every step.
 
 use super::state::State;
 use super::{CORES_LIMIT, JOB, TASK_CORES, TASKS};
 use std::collections::BTreeSet;
 
 impl State {
-    /// The first invariant that is violated.
+    /// Returns the first violated invariant as an error.
     pub fn check_invariants(&self) -> Result<(), String> {
         let store = self.store();
         let assigned: Vec<u32> = store
@@ -15,10 +15,10 @@
             .collect();
         let distinct: BTreeSet<u32> = assigned.iter().copied().collect();
         if distinct.len() < assigned.len() {
-            return Err(format!("assigned twice: {assigned:?}"));
+            return Err(format!("task assigned twice: {assigned:?}"));
         }
         if assigned.len() as u64 * TASK_CORES > CORES_LIMIT {
-            return Err(format!("beyond the limit: {assigned:?}"));
+            return Err(format!("team limit exceeded: {assigned:?}"));
         }
         let Some(job) = store.jobs.get(&JOB) else {
             return self.check_end(&assigned);
@@ -26,12 +26,12 @@
         let recorded: BTreeSet<u32> = (0..TASKS).filter(|index| job.finished(*index)).collect();
         if recorded != self.done {
             return Err(format!(
-                "done are {:?}, recorded are {recorded:?}",
+                "tasks {:?} are done, but {recorded:?} are recorded as done",
                 self.done
             ));
         }
         if let Some(index) = distinct.intersection(&recorded).next() {
-            return Err(format!("assigned after its end: {index}"));
+            return Err(format!("task assigned after its completion: {index}"));
         }
         Ok(())
     }
@@ -42,7 +42,7 @@
             return Ok(());
         }
         Err(format!(
-            "ended with {:?} done, {assigned:?} assigned",
+            "job ended with {:?} done, {assigned:?} assigned",
             self.done
         ))
     }
--- a/src/coordination/commit/transaction/model/mod.rs
+++ b/src/coordination/commit/transaction/model/mod.rs
@@ -1,8 +1,8 @@
-//! A model of two controllers that commit transactions: all interleavings of a small case are played,
-//! and what the state store holds is checked after every step.
+//! A model of two controllers that commit transactions: all interleavings of a small case are explored,
+//! and the contents of the state store are checked after every step.
 //!
 //! The case: two tasks of a team that may have one assigned at a time, a transaction that is applied
-//! late, a crash with the failover after it.
+//! late, and a crash with the failover after it.
 
 mod invariants;
 mod state;
@@ -24,51 +24,52 @@
 /// The team of the job may have one core assigned.
 const CORES_LIMIT: u64 = 1_000;
 
-/// Tasks that are lost with their machines; with one of them the case takes minutes.
+/// Number of tasks that are lost with their machines. With one lost task the case takes minutes.
 fn max_failures() -> u32 {
     std::env::var("FAILURES").map_or(0, |failures| failures.parse().expect("a number"))
 }
 
-/// Plays every interleaving; returns how many states there are, and in how many the job has ended.
-fn play_all(record_format: u32) -> (usize, usize) {
+/// Explores every interleaving; returns how many states there are, and in how many of them the job has
+/// ended.
+fn explore_all_interleavings(record_format: u32) -> (usize, usize) {
     let mut seen = HashSet::new();
-    let mut left = vec![State::new(record_format)];
+    let mut unexplored = vec![State::new(record_format)];
     let mut ended = 0;
-    while let Some(state) = left.pop() {
+    while let Some(state) = unexplored.pop() {
         if !seen.insert(state.digest()) {
             continue;
         }
         if let Err(violation) = state.check_invariants() {
-            panic!("layout {record_format}: {violation}\n{:#?}", state.log);
+            panic!("format {record_format}: {violation}\n{:#?}", state.log);
         }
         let steps = state.steps();
         let has_ended = state.store().jobs.is_empty();
         ended += usize::from(has_ended);
-        assert!(!steps.is_empty() || has_ended, "stuck: {state:#?}");
-        left.extend(steps);
+        assert!(!steps.is_empty() || has_ended, "deadlock: {state:#?}");
+        unexplored.extend(steps);
     }
     (seen.len(), ended)
 }
 
-/// No interleaving assigns a task twice or after its end, goes beyond the limit, or loses or invents a
-/// completion; and the job can always still end. `FAILURES=1 cargo test --release model` plays a larger
-/// case in both ways of keeping usage.
+/// No interleaving assigns a task twice or after its completion, exceeds the team's limit, or loses or
+/// invents a completion, and the job can always still end. `FAILURES=1 cargo test --release model`
+/// explores a larger case with usage kept in usage records and with usage derived from the groups.
 #[test]
 fn every_interleaving_keeps_the_invariants() {
-    let layouts = if max_failures() > 0 {
+    let formats = if max_failures() > 0 {
         vec![COMPACT_FORMAT, FENCED_FORMAT]
     } else {
         vec![FENCED_FORMAT]
     };
-    for record_format in layouts {
-        let (states, ended) = play_all(record_format);
+    for record_format in formats {
+        let (states, ended) = explore_all_interleavings(record_format);
         assert!(ended > 0 && states > 1_000, "{states} states, {ended} ends");
     }
 }
 
-/// Completions that an earlier layout left in a usage record count in later ones.
+/// Completions that an earlier record format left in a usage record still count in later formats.
 #[test]
-fn completions_in_a_usage_record_of_an_earlier_layout_count() {
+fn completions_in_usage_records_of_earlier_formats_count() {
     let mut state = State::new(FENCED_FORMAT);
     let mut ends = CompletionBitmap::default();
     ends.insert(1);
--- a/src/coordination/commit/transaction/model/state.rs
+++ b/src/coordination/commit/transaction/model/state.rs
@@ -1,4 +1,4 @@
-//! The state of the model: the store's log, the processes, and what is under way between them.
+//! The state of the model: the store's log, the processes, and the messages in flight between them.
 
 use super::super::PlannedTransaction;
 use super::super::tests::machine;
@@ -14,14 +14,15 @@
 #[derive(Clone, Debug)]
 pub(super) struct Process {
     pub incarnation: u64,
-    /// How many of the store's transactions its replica has, in order.
+    /// Number of transactions of the store's log that its replica contains, from the start of the log.
     pub applied: usize,
-    /// Its own transactions that its replica has besides, by their place in the log.
+    /// Later transactions of its own that its replica contains as well, by their index in the log.
     pub applied_ahead: Vec<usize>,
-    /// It waits for the answer to a transaction.
-    pub waits: bool,
-    /// A call timed out: nothing is planned before everything is read.
-    pub must_read: bool,
+    /// Whether it waits for the response to a transaction.
+    pub awaits_response: bool,
+    /// Whether it may plan nothing before it has read the whole log, since a call timed out or a
+    /// transaction failed by a conflict.
+    pub must_read_all: bool,
 }
 
 impl Process {
@@ -30,22 +31,23 @@
             incarnation,
             applied,
             applied_ahead,
-            waits: false,
-            must_read: false,
+            awaits_response: false,
+            must_read_all: false,
         }
     }
 }
 
 /// A transaction on its way to the store.
 #[derive(Clone, Debug)]
-pub(super) struct Sent {
-    /// Keys and values that it writes: two transactions that write the same are one to the digest.
+pub(super) struct SentTransaction {
+    /// Keys and values that it writes. The digest contains these instead of the transaction, so that
+    /// transactions that write the same are considered equal.
     pub writes: Vec<(Key, Option<String>)>,
     pub commit: Rc<PlannedTransaction>,
-    /// The process that waits for the answer, if it still does.
-    pub waiting: Option<usize>,
-    /// Tasks that it completes.
-    pub completes: Vec<u32>,
+    /// The process that waits for the response; none if it no longer waits.
+    pub awaited_by: Option<usize>,
+    /// Tasks that the transaction completes.
+    pub completed_tasks: Vec<u32>,
 }
 
 #[derive(Clone, Debug)]
@@ -53,18 +55,18 @@
     /// Changes of each transaction that was applied.
     pub log: Vec<Rc<Vec<Change>>>,
     pub processes: Vec<Process>,
-    pub sent: Vec<Sent>,
-    /// Tasks that were released as done, whatever the records say.
+    pub sent: Vec<SentTransaction>,
+    /// Tasks that were released as done, independent of the records.
     pub done: BTreeSet<u32>,
     pub crashes: u32,
-    /// Answers that were lost.
-    pub losses: u32,
-    /// Tasks that were released to run again.
+    /// Number of responses that were lost.
+    pub lost_responses: u32,
+    /// Number of tasks that were released to run again.
     pub failures: u32,
 }
 
 /// The change by which a process becomes the leader of a shard.
-pub(super) fn lead(shard: ShardId, incarnation: u64) -> Change {
+pub(super) fn leader_change(shard: ShardId, incarnation: u64) -> Change {
     put(
         Key::ShardLeader(shard),
         Content::ShardLeader(ShardLeaderRecord {
@@ -82,8 +84,8 @@
     }
 }
 
-/// What the store holds at first: two shards with a leader and a machine each, and the job.
-fn first_transaction(record_format: u32) -> Vec<Change> {
+/// The initial contents of the store: two shards with a leader and a machine each, and the job.
+fn initial_transaction(record_format: u32) -> Vec<Change> {
     let text =
         r#"{"s":{"l":"lane","w":"red","u":"2","n":2,"r":{"c":1000},"i":"img","g":9000000},"t":1}"#;
     let job: JobRecord = serde_json::from_str(text).expect("a job");
@@ -92,7 +94,11 @@
         shards: 2,
         teams: BTreeMap::from([(TEAM.to_owned(), 0)]),
     };
-    let mut changes = vec![put(Key::Meta, Content::Meta(meta)), lead(0, 0), lead(1, 1)];
+    let mut changes = vec![
+        put(Key::Meta, Content::Meta(meta)),
+        leader_change(0, 0),
+        leader_change(1, 1),
+    ];
     for (shard, id) in MACHINES.into_iter().enumerate() {
         let mut group = GroupRecord::default();
         group.machines.insert(id, machine());
@@ -105,7 +111,7 @@
 impl State {
     pub fn new(record_format: u32) -> State {
         State {
-            log: vec![Rc::new(first_transaction(record_format))],
+            log: vec![Rc::new(initial_transaction(record_format))],
             processes: vec![
                 Process::new(0, 1, Vec::new()),
                 Process::new(1, 1, Vec::new()),
@@ -113,7 +119,7 @@
             sent: Vec::new(),
             done: BTreeSet::new(),
             crashes: 0,
-            losses: 0,
+            lost_responses: 0,
             failures: 0,
         }
     }
@@ -141,19 +147,19 @@
         cell
     }
 
-    /// What the store holds.
+    /// The contents of the store.
     pub fn store(&self) -> CellState {
         self.replica(&Process::new(0, self.log.len(), Vec::new()))
     }
 
-    /// What tells states apart.
+    /// A string that identifies the state.
     pub fn digest(&self) -> String {
         let sent: Vec<_> = self
             .sent
             .iter()
-            .map(|sent| (&sent.writes, sent.waiting, &sent.commit.txn.when))
+            .map(|sent| (&sent.writes, sent.awaited_by, &sent.commit.txn.when))
             .collect();
-        let counts = (self.crashes, self.losses, self.failures);
+        let counts = (self.crashes, self.lost_responses, self.failures);
         format!("{:?}{:?}{sent:?}{counts:?}", self.log, self.processes)
     }
 }
--- a/src/coordination/commit/transaction/model/steps.rs
+++ b/src/coordination/commit/transaction/model/steps.rs
@@ -1,7 +1,7 @@
-//! The steps of the model: reads, plans, deliveries, lost answers, a crash.
+//! The steps of the model: reads, plans, deliveries, lost responses, a crash.
 
 use super::super::{PlannedTransaction, TransactionBuilder, TransactionLimits};
-use super::state::{Process, Sent, State, lead};
+use super::state::{Process, SentTransaction, State, leader_change};
 use super::{CORES_LIMIT, JOB, MACHINES, TASK_CORES, TASKS, TEAM, max_failures};
 use crate::coordination::agents::Outcome;
 use crate::storage::cell_state::{CellState, Job};
@@ -22,20 +22,20 @@
 }
 
 impl State {
-    /// All states that may follow.
+    /// All states that may follow this one.
     pub fn steps(&self) -> Vec<State> {
         let mut steps = Vec::new();
         for (index, process) in self.processes.iter().enumerate() {
-            if !process.waits {
+            if !process.awaits_response {
                 self.read(index, &mut steps);
             }
-            if !process.waits && !process.must_read {
+            if !process.awaits_response && !process.must_read_all {
                 self.plan(index, &mut steps);
             }
         }
         for index in 0..self.sent.len() {
             steps.push(self.deliver(index));
-            steps.extend(self.lose_answer(index));
+            steps.extend(self.lose_response(index));
         }
         if self.crashes == 0 {
             self.crash(&mut steps);
@@ -43,7 +43,7 @@
         steps
     }
 
-    /// A process reads what it has not applied, one transaction or all.
+    /// A process reads transactions that it has not applied: the next one, or all.
     fn read(&self, index: usize, steps: &mut Vec<State>) {
         let applied = self.processes[index].applied;
         if applied == self.log.len() {
@@ -52,7 +52,7 @@
         for read_to in BTreeSet::from([applied + 1, self.log.len()]) {
             let mut next = self.clone();
             next.processes[index].applied = read_to;
-            next.processes[index].must_read &= read_to < self.log.len();
+            next.processes[index].must_read_all &= read_to < self.log.len();
             steps.push(next);
         }
     }
@@ -96,7 +96,7 @@
                 number: cell.latest,
             };
             if used + TASK_CORES <= CORES_LIMIT && transaction.assign(machine, attempt) {
-                steps.push(self.send(process, transaction.commit(), Vec::new()));
+                steps.push(self.send(process, transaction.build(), Vec::new()));
             }
         }
     }
@@ -105,7 +105,7 @@
         let has_ended = job.done() >= TASKS && cell.assigned(JOB).is_none();
         let mut transaction = transaction(cell);
         if has_ended && transaction.end_done(JOB) {
-            steps.push(self.send(process, transaction.commit(), Vec::new()));
+            steps.push(self.send(process, transaction.build(), Vec::new()));
         }
     }
 
@@ -124,21 +124,21 @@
             let attempt = assignment.attempt();
             let mut completion = transaction(cell);
             if completion.release(machine, attempt, Outcome::Done, shard) {
-                let completes = vec![attempt.task.index];
-                steps.push(self.send(process, completion.commit(), completes));
+                let completed_tasks = vec![attempt.task.index];
+                steps.push(self.send(process, completion.build(), completed_tasks));
             }
-            let mut loss = transaction(cell);
+            let mut lost_task_release = transaction(cell);
             if self.failures < max_failures()
-                && loss.release(machine, attempt, Outcome::Reassign, shard)
+                && lost_task_release.release(machine, attempt, Outcome::Reassign, shard)
             {
-                let mut next = self.send(process, loss.commit(), Vec::new());
+                let mut next = self.send(process, lost_task_release.build(), Vec::new());
                 next.failures += 1;
                 steps.push(next);
             }
         }
     }
 
-    fn send(&self, process: usize, commit: PlannedTransaction, completes: Vec<u32>) -> State {
+    fn send(&self, process: usize, commit: PlannedTransaction, completed_tasks: Vec<u32>) -> State {
         let mut next = self.clone();
         let writes = commit
             .txn
@@ -149,64 +149,69 @@
                 (put.key.clone(), value)
             })
             .collect();
-        next.sent.push(Sent {
+        next.sent.push(SentTransaction {
             writes,
             commit: Rc::new(commit),
-            waiting: Some(process),
-            completes,
+            awaited_by: Some(process),
+            completed_tasks,
         });
-        next.processes[process].waits = true;
+        next.processes[process].awaits_response = true;
         next
     }
 
-    /// The store applies a transaction if its conditions hold, and answers.
+    /// The store applies a transaction if its conditions hold, and responds.
     fn deliver(&self, index: usize) -> State {
         let mut next = self.clone();
         let sent = next.sent.remove(index);
         let store = self.store();
         let conditions = &sent.commit.txn.when;
-        let holds = conditions
+        let conditions_hold = conditions
             .iter()
             .all(|(key, revision)| store.mod_revision(key) == *revision);
-        if holds {
-            next.done.extend(&sent.completes);
+        if conditions_hold {
+            next.done.extend(&sent.completed_tasks);
             next.log.push(Rc::new(sent.commit.changes.clone()));
         }
-        if let Some(process) = sent.waiting {
+        if let Some(process) = sent.awaited_by {
             let applied = next.log.len() - 1;
             let process = &mut next.processes[process];
-            process.waits = false;
-            process.must_read = !holds;
-            if holds {
+            process.awaits_response = false;
+            process.must_read_all = !conditions_hold;
+            if conditions_hold {
                 process.applied_ahead.push(applied);
             }
         }
         next
     }
 
-    /// The process gives up waiting; the transaction may still be applied. Once in a case.
-    fn lose_answer(&self, index: usize) -> Option<State> {
-        let process = self.sent[index].waiting.filter(|_| self.losses == 0)?;
+    /// The response is lost and the process stops waiting, but the transaction may still be applied.
+    /// This happens at most once in a run.
+    fn lose_response(&self, index: usize) -> Option<State> {
+        let process = self.sent[index]
+            .awaited_by
+            .filter(|_| self.lost_responses == 0)?;
         let mut next = self.clone();
-        next.losses += 1;
-        next.sent[index].waiting = None;
-        next.processes[process].waits = false;
-        next.processes[process].must_read = true;
+        next.lost_responses += 1;
+        next.sent[index].awaited_by = None;
+        next.processes[process].awaits_response = false;
+        next.processes[process].must_read_all = true;
         Some(next)
     }
 
-    /// The first process crashes; what it sent may still be applied. Its next incarnation takes over
-    /// the shard: the replica has that at once, all else as it was read at some time before.
+    /// The first process crashes; the transactions that it sent may still be applied. Its next
+    /// incarnation takes over the shard. Its replica contains the takeover at once, and everything else
+    /// as it was at some earlier time.
     fn crash(&self, steps: &mut Vec<State>) {
         const NEXT_INCARNATION: u64 = 2;
         let mut next = self.clone();
         next.crashes += 1;
         for sent in &mut next.sent {
-            if sent.waiting == Some(0) {
-                sent.waiting = None;
+            if sent.awaited_by == Some(0) {
+                sent.awaited_by = None;
             }
         }
-        next.log.push(Rc::new(vec![lead(0, NEXT_INCARNATION)]));
+        next.log
+            .push(Rc::new(vec![leader_change(0, NEXT_INCARNATION)]));
         let takeover = next.log.len() - 1;
         for applied in 1..=self.log.len() {
             let mut restarted = next.clone();
--- a/src/coordination/commit/transaction/output.rs
+++ b/src/coordination/commit/transaction/output.rs
@@ -1,4 +1,4 @@
-//! The transaction as it is sent, and the changes that it makes to the replica.
+//! The transaction as it is sent to the state store, and its changes to the replica.
 
 use super::edits::{GroupEdit, JobEdit};
 use super::{GroupId, PlannedTransaction, TransactionBuilder};
@@ -42,8 +42,8 @@
         });
     }
 
-    /// A group without machines is removed, but for the first of a shard, see
-    /// [`TransactionBuilder::add`].
+    /// Writes a group, or removes it if it has no machines. The first group of a shard is never
+    /// removed, see [`TransactionBuilder::add`].
     fn put_group(&mut self, (shard, index): GroupId, edit: GroupEdit) {
         let stays = index == 0 || !edit.record.machines.is_empty();
         self.put(
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Writes the final records of jobs that end. The replica does not hold them.
+    /// Writes the final records of jobs that end. The replica does not contain final records.
     fn put_final_records(&mut self) {
         for (id, end) in &self.ended {
             let key = Key::Final(*id);
@@ -109,8 +109,8 @@
 }
 
 impl TransactionBuilder<'_> {
-    /// The transaction: every record that it writes is a condition.
-    pub fn commit(self) -> PlannedTransaction {
+    /// The finished transaction. It is conditional on the revision of every record that it writes.
+    pub fn build(self) -> PlannedTransaction {
         let mut output = Output {
             cell: self.cell,
             conditions: self.conditions,
--- a/src/coordination/commit/transaction/releases.rs
+++ b/src/coordination/commit/transaction/releases.rs
@@ -1,8 +1,8 @@
 //! Releases of assignments in a transaction, with their outcomes.
 
 use super::edits::size_of;
-use super::limits::{MAX_TASKS_IN_USAGE, SPARE_BYTES, USAGE_ENTRY_BYTES};
-use super::reservation::{JobNeed, Needs};
+use super::limits::{MAX_JOB_TASKS_IN_USAGE, SPARE_BYTES, USAGE_ENTRY_BYTES};
+use super::required_records::{RequiredJob, RequiredRecords};
 use super::{GroupId, TransactionBuilder};
 use crate::coordination::agents::Outcome;
 use crate::storage::cell_state::Job;
@@ -14,9 +14,9 @@
 /// Where the outcome of an attempt is recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OutcomeRecord {
-    /// Nowhere: the task runs again, or its job is cancelled.
+    /// Nowhere, since the task runs again or its job is cancelled.
     None,
-    /// In the usage record of the shard, until the job's own is written.
+    /// In the usage record of the shard, until the job's own record is written.
     Usage,
     /// In the job's own record.
     Job,
@@ -28,8 +28,8 @@
     outcome: Outcome,
     group: GroupId,
     job: &'a Job,
-    /// The shard whose leader decides.
-    by: ShardId,
+    /// The shard whose leader decides on the release.
+    deciding_shard: ShardId,
     /// The shard of the job.
     job_shard: ShardId,
     /// The shard whose usage record is written.
@@ -37,30 +37,30 @@
     record: OutcomeRecord,
 }
 
-/// Whether, and how much of, the records for a release could be opened.
+/// How many of the records that a release writes could be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ReleaseRoom {
+enum ReleaseExtent {
     None,
-    /// The end of the job has no room in the same transaction.
-    WithoutJobEnd,
+    /// The end of the job does not fit into the same transaction.
+    AllButJobEnd,
     All,
 }
 
 impl<'a> TransactionBuilder<'a> {
-    /// Releases an assignment: its outcome, its room and its team's usage in one. `by`: the shard
-    /// whose leader decides.
+    /// Releases an assignment: in one transaction its outcome is recorded, and its resources and its
+    /// team's usage are freed. `deciding_shard`: the shard whose leader decides that.
     pub fn release(
         &mut self,
         machine: MachineId,
         attempt: Attempt,
         outcome: Outcome,
-        by: ShardId,
+        deciding_shard: ShardId,
     ) -> bool {
-        let Some(release) = self.plan_release(machine, attempt, outcome, by) else {
+        let Some(release) = self.plan_release(machine, attempt, outcome, deciding_shard) else {
             return true;
         };
-        let room = self.reserve_release(&release);
-        if room == ReleaseRoom::None {
+        let extent = self.reserve_release(&release);
+        if extent == ReleaseExtent::None {
             return false;
         }
         self.subtract_usage(release.job_shard, release.job.spec());
@@ -72,7 +72,7 @@
         match (release.record, outcome) {
             (OutcomeRecord::None, _) => {}
             (OutcomeRecord::Usage, _) => self.complete_in_usage(&release),
-            (OutcomeRecord::Job, Outcome::Done) => self.complete_in_job(&release, room),
+            (OutcomeRecord::Job, Outcome::Done) => self.complete_in_job(&release, extent),
             (OutcomeRecord::Job, _) => {
                 if let Some(edit) = self.jobs.get_mut(&attempt.task.job) {
                     edit.record.failed_on(machine);
@@ -82,16 +82,16 @@
         true
     }
 
-    /// What a release takes; none if there is nothing to release.
+    /// The records that a release needs; none if there is nothing to release.
     fn plan_release(
         &self,
         machine: MachineId,
         attempt: Attempt,
         outcome: Outcome,
-        by: ShardId,
+        deciding_shard: ShardId,
     ) -> Option<Release<'a>> {
         let cell = self.cell;
-        let group = self.home(machine)?;
+        let group = self.group_of(machine)?;
         let is_assigned = self
             .machine(machine)?
             .tasks
@@ -103,7 +103,7 @@
         let job = cell.jobs.get(&id)?;
         let job_shard = cell.shard_of_job(id, job.spec());
         let usage_shard = if self.usage_from_groups {
-            by
+            deciding_shard
         } else {
             job_shard
         };
@@ -119,23 +119,23 @@
             outcome,
             group,
             job,
-            by,
+            deciding_shard,
             job_shard,
             usage_shard,
             record,
         })
     }
 
-    /// Opens the records that a release writes. Where the end of the job has no room in the same
-    /// transaction it is written later: see [`TransactionBuilder::end_done`].
-    fn reserve_release(&mut self, release: &Release<'_>) -> ReleaseRoom {
+    /// Opens the records that a release writes. If the end of the job does not fit into the same
+    /// transaction it is written later, see [`TransactionBuilder::end_done`].
+    fn reserve_release(&mut self, release: &Release<'_>) -> ReleaseExtent {
         let writes_usage = release.record == OutcomeRecord::Usage || !self.usage_from_groups;
         let writes_job = release.record == OutcomeRecord::Job;
-        let (groups, conditions) = ([release.group], [Key::ShardLeader(release.by)]);
-        let needs = |more_changes| Needs {
+        let (groups, conditions) = ([release.group], [Key::ShardLeader(release.deciding_shard)]);
+        let required = |more_changes| RequiredRecords {
             groups: &groups,
             usage: writes_usage.then_some(release.usage_shard),
-            job: writes_job.then_some(JobNeed {
+            job: writes_job.then_some(RequiredJob {
                 id: release.attempt.task.job,
                 more_changes,
             }),
@@ -146,24 +146,24 @@
         } else {
             0
         };
-        if self.reserve(needs(more_changes)) {
-            ReleaseRoom::All
+        if self.reserve(required(more_changes)) {
+            ReleaseExtent::All
         } else if more_changes >= 2
             && self.compact_encoding
-            && self.reserve(needs(more_changes - 1))
+            && self.reserve(required(more_changes - 1))
         {
-            ReleaseRoom::WithoutJobEnd
+            ReleaseExtent::AllButJobEnd
         } else {
-            ReleaseRoom::None
+            ReleaseExtent::None
         }
     }
 
-    /// Whether a completion is kept in this shard's usage record: its job is small, goes on after it,
-    /// is not written for another reason, and there is room.
+    /// Whether a completion is kept in this shard's usage record: its job is small, does not end with
+    /// it, and is not written by this transaction anyway, and the usage record has room.
     fn is_kept_in_usage(&self, job: &Job, attempt: Attempt, shard: ShardId) -> bool {
         let id = attempt.task.job;
         let task_count = job.spec().task_count;
-        if task_count > MAX_TASKS_IN_USAGE || self.jobs.contains_key(&id) {
+        if task_count > MAX_JOB_TASKS_IN_USAGE || self.jobs.contains_key(&id) {
             return false;
         }
         let ends = self.ends_in_usage(id, job);
@@ -174,13 +174,13 @@
             || size_of(&self.cell.usage[shard].value) + SPARE_BYTES,
             |edit| edit.bytes,
         );
-        let bitmap_bytes = (MAX_TASKS_IN_USAGE / 4) as usize;
+        let bitmap_bytes = (MAX_JOB_TASKS_IN_USAGE / 4) as usize;
         let max_bytes = self.limits.group_bytes.min(self.limits.value_bytes);
         completed < task_count
             && bytes + USAGE_ENTRY_BYTES + bitmap_bytes + SPARE_BYTES <= max_bytes
     }
 
-    /// Completions of a job that usage records would keep.
+    /// Completions of a job that usage records would keep after this transaction.
     fn ends_in_usage(&self, id: JobId, job: &Job) -> CompletionBitmap {
         let mut ends = job.ends.clone();
         self.usage
@@ -190,8 +190,8 @@
         ends
     }
 
-    /// Changes that a completion takes beyond those of its group, its team's usage and its job's
-    /// record: a further chunk, and the end of the job.
+    /// Changes that a completion takes in addition to those of its machine group, its team's usage and
+    /// its job's record: one for another chunk, and one for the end of the job.
     fn completion_changes(&self, job: &Job, attempt: Attempt) -> usize {
         let id = attempt.task.job;
         let edit = self.jobs.get(&id);
@@ -227,14 +227,15 @@
         self.bytes += growth;
     }
 
-    /// Completes a task in its job's record, and ends the job with the last one if there is room.
-    fn complete_in_job(&mut self, release: &Release<'_>, room: ReleaseRoom) {
+    /// Marks a task as completed in its job's record. Ends the job if this was the last task and the end
+    /// fits into the transaction.
+    fn complete_in_job(&mut self, release: &Release<'_>, extent: ReleaseExtent) {
         let Some(edit) = self.jobs.get_mut(&release.attempt.task.job) else {
             return;
         };
         edit.complete(release.attempt.task.index, release.job);
         let completed = edit.record.done();
-        if room == ReleaseRoom::All && completed >= edit.record.spec.task_count {
+        if extent == ReleaseExtent::All && completed >= edit.record.spec.task_count {
             edit.ended = Some(FinalRecord {
                 cancelled: false,
                 done: completed,
--- a/src/coordination/commit/transaction/reservation.rs
+++ b/src/coordination/commit/transaction/required_records.rs
@@ -1,4 +1,4 @@
-//! Reservation: records are opened for an edit only if the whole edit is within the limits.
+//! The records that an edit requires. They are opened only if the whole edit is within the limits.
 
 use super::edits::{GroupEdit, JobEdit, UsageEdit, size_of};
 use super::limits::MAX_TRANSACTION_BYTES;
@@ -8,26 +8,27 @@
 use crate::storage::ids::{JobId, ShardId};
 use crate::storage::records::{GroupRecord, Key};
 
-/// A job that an edit needs.
+/// A job whose record an edit requires.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct JobNeed {
+pub(super) struct RequiredJob {
     pub id: JobId,
-    /// Changes that the edit takes beyond that of the job's record.
+    /// Changes that the edit takes in addition to that of the job's record.
     pub more_changes: usize,
 }
 
-/// Records that an edit needs.
+/// Records that an edit requires.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Needs<'a> {
+pub(super) struct RequiredRecords<'a> {
     pub groups: &'a [GroupId],
     pub usage: Option<ShardId>,
-    pub job: Option<JobNeed>,
+    pub job: Option<RequiredJob>,
     pub conditions: &'a [Key],
 }
 
-impl Needs<'_> {
-    /// Keys that must not have changed. While machines of a shard are being copied from an oversized
-    /// group, the shard's term changes with every step: a plan on an earlier replica then fails.
+impl RequiredRecords<'_> {
+    /// Keys that must not have changed. They include the leader records of the groups' shards: while
+    /// machines of a shard are copied from an oversized group, every step changes the shard's term, so
+    /// that a plan on an earlier replica fails.
     fn all_conditions(&self) -> Vec<Key> {
         let leaders = self
             .groups
@@ -37,7 +38,7 @@
     }
 }
 
-/// Records that an edit needs and the transaction does not write yet.
+/// Records that an edit requires and that the transaction does not write yet.
 struct MissingRecords {
     groups: Vec<GroupId>,
     usage: Option<ShardId>,
@@ -59,7 +60,7 @@
         groups + self.usage.as_ref().map_or(0, |(_, edit)| edit.bytes)
     }
 
-    fn has_larger_than(&self, max_bytes: usize) -> bool {
+    fn has_record_larger_than(&self, max_bytes: usize) -> bool {
         let is_larger = |bytes: usize| bytes > max_bytes;
         self.groups.iter().any(|(_, edit)| is_larger(edit.bytes))
             || self
@@ -70,15 +71,16 @@
 }
 
 impl TransactionBuilder<'_> {
-    /// Makes sure that the records can be edited within the limits; changes nothing otherwise.
-    pub(super) fn reserve(&mut self, needs: Needs<'_>) -> bool {
-        let missing = self.missing_records(&needs);
-        let conditions = needs.all_conditions();
+    /// Opens the required records if the edit is within the limits; otherwise returns false and changes
+    /// nothing.
+    pub(super) fn reserve(&mut self, required: RequiredRecords<'_>) -> bool {
+        let missing = self.missing_records(&required);
+        let conditions = required.all_conditions();
         if !self.is_within_counts(missing.changes, &conditions) {
             return false;
         }
         let opened = self.open_records(&missing);
-        if opened.has_larger_than(self.limits.stored_value_bytes) {
+        if opened.has_record_larger_than(self.limits.stored_value_bytes) {
             return false;
         }
         let bytes = self.bytes + opened.bytes() + missing.job_bytes;
@@ -88,47 +90,49 @@
         self.bytes = bytes;
         self.groups.extend(opened.groups);
         self.usage.extend(opened.usage);
-        if let Some(job) = needs.job {
+        if let Some(job) = required.job {
             self.open_job(job.id);
         }
         self.conditions.extend(conditions);
         true
     }
 
-    fn missing_records(&self, needs: &Needs<'_>) -> MissingRecords {
-        let groups: Vec<GroupId> = needs
+    fn missing_records(&self, required: &RequiredRecords<'_>) -> MissingRecords {
+        let groups: Vec<GroupId> = required
             .groups
             .iter()
             .copied()
             .filter(|group| !self.groups.contains_key(group))
             .collect();
-        let usage = needs.usage.filter(|shard| !self.usage.contains_key(shard));
+        let usage = required
+            .usage
+            .filter(|shard| !self.usage.contains_key(shard));
         let mut missing = MissingRecords {
             changes: groups.len() + usize::from(usage.is_some()),
             groups,
             usage,
             job_bytes: 0,
         };
-        if let Some(need) = needs.job
+        if let Some(need) = required.job
             && let Some(job) = self.cell.jobs.get(&need.id)
         {
             missing.changes += need.more_changes;
             if !self.jobs.contains_key(&need.id) {
                 missing.changes += 1;
-                missing.job_bytes = max_job_bytes(job);
+                missing.job_bytes = max_job_edit_bytes(job);
             }
         }
         missing
     }
 
-    /// Whether the limits allow so many more changes and these conditions.
+    /// Whether the limits allow this many more changes, and these conditions.
     fn is_within_counts(&self, more_changes: usize, conditions: &[Key]) -> bool {
         let changes = self.changes() + more_changes;
         let new_conditions = conditions
             .iter()
             .filter(|key| !self.conditions.contains(key))
             .count();
-        // Everything written is a condition as well.
+        // Every written key is a condition as well.
         let all_conditions = changes + self.conditions.len() + new_conditions;
         changes <= self.limits.changes && all_conditions <= self.limits.conditions
     }
@@ -159,7 +163,9 @@
 
     fn open_usage(&self, shard: ShardId) -> UsageEdit {
         let mut record = self.cell.usage[shard].value.clone();
-        record.ends.retain(|id, ends| self.is_needed(*id, ends));
+        record
+            .ends
+            .retain(|id, ends| self.has_unrecorded_completions(*id, ends));
         for ends in record.ends.values_mut() {
             ends.set_compact_encoding(self.compact_encoding);
         }
@@ -169,17 +175,18 @@
         UsageEdit::new(record)
     }
 
-    /// Whether completions that are kept beside their job's record still say something: not those of
-    /// a job that has ended itself, and not those that its record has.
-    fn is_needed(&self, id: JobId, ends: &CompletionBitmap) -> bool {
+    /// Whether completions in a usage record are still needed: their job has not ended, and its own
+    /// record does not contain all of them.
+    fn has_unrecorded_completions(&self, id: JobId, ends: &CompletionBitmap) -> bool {
         self.cell
             .jobs
             .get(&id)
             .is_some_and(|job| !job.record.finished.covers(ends))
     }
 
-    /// Opens a job's record if it is not open. A record that is written takes what usage records keep
-    /// for it; usage records that are not written with it drop that when they are next written.
+    /// Opens a job's record if it is not open. The completions that usage records keep for the job are
+    /// moved to its record. Usage records that this transaction does not write drop them the next time
+    /// that they are written.
     fn open_job(&mut self, id: JobId) {
         let Some(job) = self.cell.jobs.get(&id) else {
             return;
@@ -197,12 +204,12 @@
         self.jobs.insert(id, JobEdit::new(record));
     }
 
-    /// Makes sure that a group may grow by some bytes, and still leaves `spare`.
+    /// Lets a group grow by this many bytes if that leaves `spare` bytes free; false otherwise.
     pub(super) fn grow(&mut self, group: GroupId, growth: usize, spare: usize) -> bool {
         let Some(edit) = self.groups.get_mut(&group) else {
             return false;
         };
-        if !edit.make_room(growth, spare, self.compact_encoding)
+        if !edit.ensure_capacity(growth, spare, self.compact_encoding)
             || self.bytes + growth > MAX_TRANSACTION_BYTES
         {
             return false;
@@ -213,9 +220,9 @@
     }
 }
 
-/// Upper bound of the bytes that the edit of a job takes. The bitmaps, which may be full already, are
-/// two hexadecimal digits a byte.
-fn max_job_bytes(job: &Job) -> usize {
+/// Upper bound of the bytes that the edit of a job takes. The bitmaps may be full already; each of
+/// their bytes is written as two hexadecimal digits.
+fn max_job_edit_bytes(job: &Job) -> usize {
     const OVERHEAD_BYTES: usize = 512;
     const BITMAP_OVERHEAD_BYTES: usize = 16;
     let bitmap_bytes =
--- a/src/coordination/commit/transaction/view.rs
+++ b/src/coordination/commit/transaction/resulting_state.rs
@@ -1,11 +1,11 @@
-//! The cell as a transaction would leave it.
+//! The state of the cell as a transaction would leave it.
 
 use super::{GroupId, TransactionBuilder};
 use crate::storage::ids::{Attempt, MachineId, ShardId};
 use crate::storage::job::JobSpec;
 use crate::storage::records::MachineRecord;
 
-/// What tasks of a team are assigned.
+/// Resources that are assigned to tasks of a team.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TeamUsage {
     /// Cores, in thousandths.
@@ -15,7 +15,7 @@
 }
 
 impl TeamUsage {
-    /// Adds what some tasks of a kind need.
+    /// Adds the resources that `tasks` tasks of a job need.
     pub fn add(&mut self, spec: &JobSpec, tasks: u64) {
         self.cores += tasks * spec.need.cores;
         self.accelerators += tasks * spec.need.accelerators;
@@ -49,22 +49,22 @@
 }
 
 impl<'a> TransactionBuilder<'a> {
-    /// Whether it writes this group already.
+    /// Whether the transaction writes this group already.
     pub fn writes_group(&self, group: GroupId) -> bool {
         self.groups.contains_key(&group)
     }
 
-    /// Whether it writes this shard's usage record already.
+    /// Whether the transaction writes this shard's usage record already.
     pub fn writes_usage(&self, shard: ShardId) -> bool {
         self.usage.contains_key(&shard)
     }
 
-    /// Whether the release of this assignment writes only records that it writes already, or that no
-    /// other controller writes.
-    pub fn covers(&self, machine: MachineId, attempt: Attempt) -> bool {
+    /// Whether the release of this assignment writes only records that the transaction writes already,
+    /// or that no other controller writes.
+    pub fn can_release_without_new_records(&self, machine: MachineId, attempt: Attempt) -> bool {
         let id = attempt.task.job;
         let writes_group = self
-            .home(machine)
+            .group_of(machine)
             .is_some_and(|group| self.writes_group(group));
         let writes_usage = || {
             self.cell
@@ -75,8 +75,8 @@
         writes_group && (self.usage_from_groups || writes_usage())
     }
 
-    /// The group that holds a machine.
-    pub(super) fn home(&self, machine: MachineId) -> Option<GroupId> {
+    /// The group that contains a machine.
+    pub(super) fn group_of(&self, machine: MachineId) -> Option<GroupId> {
         self.added
             .get(&machine)
             .copied()
@@ -85,7 +85,7 @@
 
     /// The machine as this transaction would leave it.
     pub fn machine(&self, machine: MachineId) -> Option<&MachineRecord> {
-        match self.groups.get(&self.home(machine)?) {
+        match self.groups.get(&self.group_of(machine)?) {
             Some(edit) => edit.record.machines.get(&machine),
             None => self.cell.machine(machine),
         }
@@ -93,7 +93,7 @@
 
     /// The machine's record for an edit; none if its group is not open.
     pub(super) fn machine_mut(&mut self, machine: MachineId) -> Option<&mut MachineRecord> {
-        let group = self.home(machine)?;
+        let group = self.group_of(machine)?;
         self.groups
             .get_mut(&group)?
             .record
@@ -121,7 +121,7 @@
             })
     }
 
-    /// What would be assigned to tasks of a team of a shard.
+    /// What would be assigned to tasks of a team that belongs to this shard.
     pub fn used(&self, shard: ShardId, team: &str) -> TeamUsage {
         if !self.usage_from_groups {
             let record = self
@@ -134,7 +134,7 @@
         change.apply(self.cell.used(shard, team).into())
     }
 
-    /// Counts an assigned task to its team's usage.
+    /// Adds an assigned task to its team's usage.
     pub(super) fn add_usage(&mut self, shard: ShardId, spec: &'a JobSpec) {
         if !self.usage_from_groups
             && let Some(edit) = self.usage.get_mut(&shard)
@@ -146,7 +146,7 @@
         change.assigned.add(spec, 1);
     }
 
-    /// Takes a released task from its team's usage.
+    /// Subtracts a released task from its team's usage.
     pub(super) fn subtract_usage(&mut self, shard: ShardId, spec: &'a JobSpec) {
         if !self.usage_from_groups
             && let Some(edit) = self.usage.get_mut(&shard)
--- a/src/coordination/commit/transaction/tests.rs
+++ b/src/coordination/commit/transaction/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of transactions: machines, groups, ends of large jobs.
+//! Tests of transactions: machines, groups, and ends of large jobs.
 
 use super::{PlannedTransaction, TransactionBuilder, TransactionLimits};
 use crate::coordination::agents::Outcome;
@@ -25,8 +25,11 @@
     }
 }
 
-fn planned(cell: &CellState, work: impl FnOnce(&mut TransactionBuilder<'_>)) -> PlannedTransaction {
-    // Groups have room for two machines.
+fn plan_transaction(
+    cell: &CellState,
+    edit: impl FnOnce(&mut TransactionBuilder<'_>),
+) -> PlannedTransaction {
+    // With these limits a group has room for two machines.
     let limits = TransactionLimits {
         changes: 12,
         conditions: 48,
@@ -36,16 +39,16 @@
         group_bytes: 500,
     };
     let mut transaction = TransactionBuilder::new(cell, limits);
-    work(&mut transaction);
-    transaction.commit()
+    edit(&mut transaction);
+    transaction.build()
 }
 
 fn add(transaction: &mut TransactionBuilder<'_>, id: u64) {
     assert!(transaction.add(0, MachineId(id), machine(), &|_| 200));
 }
 
-/// Whether the store would apply the transaction, as the replica knows the store.
-pub(super) fn holds(cell: &CellState, commit: &PlannedTransaction) -> bool {
+/// Whether the store would apply the transaction, according to this replica of it.
+pub(super) fn conditions_hold(cell: &CellState, commit: &PlannedTransaction) -> bool {
     commit
         .txn
         .when
@@ -54,7 +57,7 @@
 }
 
 pub(super) fn apply(cell: &mut CellState, commit: PlannedTransaction, mod_revision: u64) {
-    assert!(holds(cell, &commit));
+    assert!(conditions_hold(cell, &commit));
     cell.apply(
         commit.changes.into_iter().map(|change| Change {
             mod_revision,
@@ -65,11 +68,11 @@
     cell.advance(mod_revision);
 }
 
-fn first_replica() -> CellState {
+fn initial_replica() -> CellState {
     replica_of(INITIAL_FORMAT)
 }
 
-/// An empty replica of this layout.
+/// An empty replica with this record format.
 pub(super) fn replica_of(record_format: u32) -> CellState {
     let mut cell = CellState::default();
     let meta = MetaRecord {
@@ -87,47 +90,51 @@
     cell
 }
 
-/// An addition with unknown outcome must not be applied beside a later one of the same machine to
-/// another group, which has room since a machine was removed: the machine would be in two.
+/// If the outcome of an addition is unknown, the machine may be added again, and to another group if
+/// that has got room by the removal of a machine. The first addition must not be applied as well, or
+/// the machine would be in two groups.
 #[test]
-fn an_addition_with_unknown_outcome_conflicts_with_a_later_one() {
-    let mut cell = first_replica();
-    let commit = planned(&cell, |transaction| {
+fn addition_with_unknown_outcome_conflicts_with_later_addition() {
+    let mut cell = initial_replica();
+    let commit = plan_transaction(&cell, |transaction| {
         (1..=4).for_each(|id| add(transaction, id));
     });
     apply(&mut cell, commit, 2);
     assert_eq!(cell.group_of_machine(MachineId(4)), Some((0, 1)));
-    let unknown_outcome = planned(&cell, |transaction| add(transaction, 5));
-    let commit = planned(&cell, |transaction| {
+    let unknown_outcome = plan_transaction(&cell, |transaction| add(transaction, 5));
+    let commit = plan_transaction(&cell, |transaction| {
         assert!(transaction.remove(MachineId(3)));
     });
     apply(&mut cell, commit, 3);
-    let commit = planned(&cell, |transaction| add(transaction, 5));
+    let commit = plan_transaction(&cell, |transaction| add(transaction, 5));
     apply(&mut cell, commit, 4);
     assert_eq!(cell.group_of_machine(MachineId(5)), Some((0, 1)));
-    assert!(!holds(&cell, &unknown_outcome), "it is in two groups now");
+    assert!(
+        !conditions_hold(&cell, &unknown_outcome),
+        "the machine is in two groups"
+    );
 }
 
-/// Groups are added when the others are full and removed when they are empty, but for the first.
+/// A group is added when all others are full, and removed when it is empty, except for the first group.
 #[test]
-fn groups_are_added_when_full_and_removed_when_empty() {
-    let mut cell = first_replica();
-    let commit = planned(&cell, |transaction| {
+fn groups_are_added_when_others_are_full_and_removed_when_empty() {
+    let mut cell = initial_replica();
+    let commit = plan_transaction(&cell, |transaction| {
         (1..=5).for_each(|id| add(transaction, id));
     });
     apply(&mut cell, commit, 2);
     assert_eq!(cell.groups[0].len(), 3);
-    let commit = planned(&cell, |transaction| {
+    let commit = plan_transaction(&cell, |transaction| {
         (1..=5).for_each(|id| assert!(transaction.remove(MachineId(id))));
     });
     apply(&mut cell, commit, 3);
     assert_eq!(cell.groups[0].keys().copied().collect::<Vec<_>>(), [0]);
 }
 
-/// With few changes in a transaction the last task of a job with several chunks and the end of the
-/// job are committed one after the other, and no reader in between takes it for less than done.
+/// If a transaction may have only few changes, the last completion of a job with several chunks and the
+/// end of the job are committed by two transactions. A reader between them sees all tasks as done.
 #[test]
-fn a_large_job_ends_in_two_steps_where_a_transaction_has_few_changes() {
+fn large_job_ends_in_two_transactions_when_changes_are_limited() {
     let mut cell = replica_of(COMPACT_FORMAT);
     let text = r#"{"s":{"l":"lane","w":"free","u":"2","n":8193,"r":{"c":1000},"i":"img","g":9000000},"t":1}"#;
     let mut job: JobRecord = serde_json::from_str(text).unwrap();
@@ -170,9 +177,9 @@
     let mut transaction = TransactionBuilder::new(&cell, limits);
     assert!(
         transaction.release(MachineId(1), last, Outcome::Done, 0),
-        "never released"
+        "the assignment was not released"
     );
-    let commit = transaction.commit();
+    let commit = transaction.build();
     assert!(commit.txn.changes.len() <= 4 && commit.ended.is_empty());
     assert!(
         commit.txn.largest() <= 2_048,
@@ -183,7 +190,7 @@
     assert_eq!(cell.jobs[&id].done(), TASKS_PER_CHUNK + 1);
     let mut transaction = TransactionBuilder::new(&cell, limits);
     assert!(transaction.end_done(id));
-    let commit = transaction.commit();
+    let commit = transaction.build();
     assert_eq!(commit.ended.len(), 1);
     assert_eq!(commit.ended[0].1.done, TASKS_PER_CHUNK + 1);
     apply(&mut cell, commit, 4);
--- a/src/coordination/commit/urgent_round.rs
+++ b/src/coordination/commit/urgent_round.rs
@@ -1,4 +1,4 @@
-//! Rounds for work that must start at once.
+//! Urgent-only rounds: small rounds for work that must start at once.
 
 use super::{PlannedRound, RoundScope};
 use crate::coordination::Controller;
@@ -7,9 +7,9 @@
 use crate::storage::ids::JobId;
 
 impl Controller {
-    /// A round for what must start at once, and for the releases that write the same records. The
-    /// fewer records a round writes the less it conflicts, and the sooner there may be another. None
-    /// if there is no urgent work, or if it needs the room that other releases give back.
+    /// Plans a round for work that must start at once, and for releases that write the same records.
+    /// The fewer records a round writes, the fewer conflicts it has, and the sooner the next round may
+    /// be sent. None if there is no urgent work, or if it needs capacity that other releases free.
     pub(super) fn plan_urgent_round(&self, limits: TransactionLimits) -> Option<PlannedRound> {
         let pending: u32 = self
             .urgent_jobs()
@@ -23,28 +23,28 @@
         if assigned.len() < pending as usize {
             return None;
         }
-        let released = self.release_covered(&mut transaction);
+        let released = self.release_from_written_records(&mut transaction);
         Some(PlannedRound {
-            commit: transaction.commit(),
+            transaction: transaction.build(),
             assigned,
             released,
         })
     }
 
-    /// Releases assignments that write no further record; how many.
-    fn release_covered(&self, transaction: &mut TransactionBuilder<'_>) -> usize {
+    /// Releases assignments whose release writes no further record; returns how many.
+    fn release_from_written_records(&self, transaction: &mut TransactionBuilder<'_>) -> usize {
         self.rounds
             .releases_in_order(&self.cell, self.now.steady)
             .iter()
             .filter(|release| {
                 let shard = self.cell.shard_of_machine(release.machine);
-                transaction.covers(release.machine, release.attempt)
+                transaction.can_release_without_new_records(release.machine, release.attempt)
                     && transaction.release(release.machine, release.attempt, release.outcome, shard)
             })
             .count()
     }
 
-    /// Whether tasks wait that must start at once.
+    /// Whether tasks are pending that must start at once.
     pub(super) fn has_urgent_work(&self) -> bool {
         self.urgent_jobs()
             .any(|(id, job)| self.cell.pending_count(id, job) > 0)
--- a/src/coordination/commit/waiting_sets.rs
+++ b/src/coordination/commit/waiting_gangs.rs
@@ -1,12 +1,12 @@
-//! Log lines about sets of tasks that wait for room to start together.
+//! Log lines about gangs that wait for enough free capacity to start together.
 
 use crate::coordination::Controller;
 use crate::scheduler::placement::{Candidate, Claim, PlacementRequest};
 use crate::time::Micros;
 
 impl Controller {
-    /// Logs each set of this controller that found no room, with the machines that it could use.
-    pub(super) fn log_waiting_sets(
+    /// Logs each gang of this controller that was not placed, with the machines that it could use.
+    pub(super) fn log_waiting_gangs(
         &self,
         requests: &[PlacementRequest<'_>],
         candidates: &[Candidate<'_>],
@@ -19,12 +19,12 @@
             |request: &PlacementRequest<'_>| claims.iter().any(|claim| claim.job == request.job);
         for request in requests {
             if request.is_local && request.gang && !is_placed(request) {
-                self.log_waiting_set(request, candidates);
+                self.log_waiting_gang(request, candidates);
             }
         }
     }
 
-    fn log_waiting_set(&self, request: &PlacementRequest<'_>, candidates: &[Candidate<'_>]) {
+    fn log_waiting_gang(&self, request: &PlacementRequest<'_>, candidates: &[Candidate<'_>]) {
         let need = request.spec.need;
         let count = |filter: &dyn Fn(&Candidate<'_>) -> bool| {
             let usable = candidates
@@ -32,7 +32,7 @@
                 .filter(|machine| need.fits(&machine.capacity));
             usable.filter(|machine| filter(machine)).count()
         };
-        let waits: Option<Micros> = self
+        let waiting_time: Option<Micros> = self
             .cell
             .jobs
             .get(&request.job)
@@ -45,8 +45,8 @@
             reserved = count(&|machine| machine.reserved),
             with_room = count(&|machine| need.fits(&machine.free)),
             reserved_with_room = count(&|machine| machine.reserved && need.fits(&machine.free)),
-            waits = waits.map(|waits| waits.0 / 1_000_000),
-            "set waits for room"
+            waits = waiting_time.map(|waited| waited.0 / 1_000_000),
+            "gang waits for free machines"
         );
     }
 }
