--- a/src/coordination/commit/compaction_round.rs
+++ b/src/coordination/commit/compaction_round.rs
@@ -52,13 +52,9 @@
         if self.rounds.oversized().is_empty() {
             return None;
         }
-        let full_record_bytes_by_type = self.full_record_bytes_by_type();
-        let full_record_bytes = |machine_type: &str| {
-            full_record_bytes_by_type
-                .get(machine_type)
-                .copied()
-                .unwrap_or(0)
-        };
+        let bytes_by_type = self.full_record_bytes_by_type();
+        let full_record_bytes =
+            |machine_type: &str| bytes_by_type.get(machine_type).copied().unwrap_or(0);
         let leader_record = self.leader_record();
         for key in self.rounds.oversized() {
             let mut transaction = TransactionBuilder::new(&self.cell, limits);
--- a/src/coordination/commit/limits.rs
+++ b/src/coordination/commit/limits.rs
@@ -69,7 +69,7 @@
         self.current.value_bytes.min(self.next.value_bytes)
     }
 
-    /// Bytes of the largest value that the store takes.
+    /// Bytes of the largest value that the store accepts.
     pub fn stored_value_bytes(&self) -> usize {
         self.sizes().value_bytes
     }
--- a/src/coordination/commit/mod.rs
+++ b/src/coordination/commit/mod.rs
@@ -138,9 +138,9 @@
         true
     }
 
-    /// The scope of the round that the budget admits now; none if the round has to wait. Work that must
-    /// start at once must not wait until a large round of less urgent work is paid for, so an
-    /// urgent-only round may overdraw the budget.
+    /// The scope of the round that the budget admits now; none if the round has to wait. An urgent-only
+    /// round may overdraw the budget, since work that must start at once must not wait until the budget
+    /// has recovered from a large round of less urgent work.
     fn admit_round(&mut self) -> Option<RoundScope> {
         let now = self.now.steady;
         let Err(retry_at) = self.budget.admit_round(now) else {
--- a/src/coordination/commit/pending.rs
+++ b/src/coordination/commit/pending.rs
@@ -193,7 +193,7 @@
         self.releases.len()
     }
 
-    /// Whether a round was full lately, so that more changes wait than rounds have room for.
+    /// Whether a recent round was full: then more changes wait than rounds have room for.
     pub fn is_saturated(&self, now: Micros) -> bool {
         const SATURATION_WINDOW: Micros = Micros::secs(3);
         self.last_full_at
@@ -216,7 +216,7 @@
 
 /// When a round may be planned.
 impl Rounds {
-    /// Whether a round is requested and none is in flight or held back by an earlier one.
+    /// Whether a round is requested, none is in flight, and planning is not on hold after an earlier one.
     pub(super) fn is_due(&self) -> bool {
         let on_hold = self.hold_until_revision > 0 || self.hold_until_read_after.is_some();
         self.requested && !self.in_flight && !on_hold
--- a/src/coordination/commit/round.rs
+++ b/src/coordination/commit/round.rs
@@ -120,13 +120,9 @@
         if self.rounds.machines_to_add().is_empty() {
             return;
         }
-        let full_record_bytes_by_type = self.full_record_bytes_by_type();
-        let full_record_bytes = |machine_type: &str| {
-            full_record_bytes_by_type
-                .get(machine_type)
-                .copied()
-                .unwrap_or(0)
-        };
+        let bytes_by_type = self.full_record_bytes_by_type();
+        let full_record_bytes =
+            |machine_type: &str| bytes_by_type.get(machine_type).copied().unwrap_or(0);
         for machine in self.rounds.machines_to_add() {
             if let Some(agent) = self.agents.get(machine) {
                 let shard = self.cell.shard_of_machine(*machine);
