--- a/src/coordination/commit/candidates.rs
+++ b/src/coordination/commit/candidates.rs
@@ -12,8 +12,8 @@
 use crate::storage::resources::Amount;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The remaining changes of a transaction divided by this number are for machine groups, however many
-/// usage records are to be written.
+/// The remaining changes of a transaction divided by this number are kept for machine groups, however
+/// many usage records are to be written.
 const GROUP_CHANGES_DIVISOR: usize = 3;
 
 /// Machines that tasks may be assigned to.
--- a/src/coordination/commit/fair_shares.rs
+++ b/src/coordination/commit/fair_shares.rs
@@ -41,7 +41,8 @@
 }
 
 impl<'a> FairShares<'a> {
-    /// The deficits by these shares. `total_cores`: cores of all machines; `late`: jobs that are late.
+    /// Computes the deficits from these shares. `total_cores`: cores of all machines; `late`: jobs that
+    /// are late.
     fn new(total_cores: u64, shares: Shares<'a>, late: &[(JobId, &'a Job)]) -> FairShares<'a> {
         let (classes, teams): (Vec<_>, Vec<_>) = shares
             .into_iter()
--- a/src/coordination/commit/mod.rs
+++ b/src/coordination/commit/mod.rs
@@ -1,5 +1,6 @@
-//! Commit rounds: proven ends of tasks and planned assignments are committed by one transaction at a
-//! time, conditional on the revisions of the records that it changes.
+//! Commit rounds: what is proven (such as ends of tasks and the health of machines) and what is planned
+//! is committed by one transaction at a time, conditional on the revisions of the records that it
+//! changes.
 
 mod assignment;
 pub(super) mod budget;
