--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,41 +1,42 @@
 //! Placement of pending tasks on machines: a pure plan over candidates and requests.
 //!
-//! Requests are served in order of precedence. [`plan`] packs tasks into free room and reserves machines for what
-//! does not fit; [`preempt`] then makes room for what must start at once.
+//! Requests are served in order of precedence. [`plan`] packs tasks into free room and reserves machines for the tasks
+//! that do not fit; [`preempt`] then makes room for tasks that must start at once.
 
 mod candidate;
-mod drain;
+mod gang_reservation;
+mod plan_reservation;
 mod preemption;
 mod request;
-mod reservation;
 
 pub use candidate::{Candidate, GroupAllowance, PreemptibleTask};
-pub use drain::{Drain, DrainCandidate, DrainDemand, EndingTask, drain};
+pub use gang_reservation::{Drain, DrainCandidate, DrainDemand, EndingTask, drain};
 pub use preemption::{Preemption, preempt};
 pub use request::{Claim, PlacementRequest, PlacementRules};
 
 use crate::storage::ids::MachineId;
+use plan_reservation::reserve;
 use request::RequestShape;
-use reservation::reserve;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Places as many tasks as fit, in the order of the requests, and takes their room from the candidates.
+/// Places as many tasks as fit, in the order of the requests, and subtracts their resources from the free room of the
+/// candidates.
 ///
-/// `groups`: machine records that may be written. `most`: bound on the number of claims.
+/// `groups`: machine groups that may be written. `claim_limit`: largest number of claims.
 pub fn plan<'a>(
     candidates: &mut [Candidate<'a>],
     requests: &mut [PlacementRequest<'a>],
     groups: &mut GroupAllowance,
-    most: usize,
+    claim_limit: usize,
 ) -> Vec<Claim> {
-    let mut planner = Planner::new(candidates, groups, most);
+    let mut planner = Planner::new(candidates, groups, claim_limit);
     for request in requests {
         planner.retain_available();
-        if planner.is_full() || planner.live.is_empty() {
+        if planner.claim_limit_reached() || planner.available.is_empty() {
             break;
         }
-        if request.is_local || planner.followed < most {
+        if request.is_local || planner.placed_for_others < claim_limit {
             planner.plan_request(request);
         }
     }
@@ -48,29 +49,29 @@
     groups: &'p mut GroupAllowance,
     claim_limit: usize,
     claims: Vec<Claim>,
-    /// Indexes of the candidates with free room. Room only shrinks, so a full machine is not visited again.
-    live: Vec<usize>,
-    /// Shapes that fit no machine. Room only shrinks, so their search is not repeated.
-    unplaceable: Vec<RequestShape<'a>>,
-    /// Tasks placed for other controllers, whose claims only take room here. Bounded, because a long plan for
-    /// others costs more than it prevents.
-    followed: usize,
+    /// Indexes of the candidates with free room. Free room only shrinks, so a full machine is not visited again.
+    available: Vec<usize>,
+    /// Shapes that fit no machine. Free room only shrinks, so no machine is searched for them again.
+    unplaceable_shapes: Vec<RequestShape<'a>>,
+    /// Tasks placed for other controllers, whose claims only take room in this plan. Bounded, because a long
+    /// plan for other controllers costs more than it prevents, see [`PlacementRequest::is_local`].
+    placed_for_others: usize,
 }
 
 /// Order in which machines are filled; the least is the best, compared field by field.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct MachineRank {
-    held: bool,
+    in_gang_reservation: bool,
     avoided: bool,
     score: Reverse<u32>,
     image_missing: bool,
     /// The machine's agent is served by another controller, so the ends of its tasks are not committed together
-    /// with the claims of this one.
+    /// with the claims of this controller.
     other_owner: bool,
-    /// Best fit: the fullest machine first.
+    /// Best fit: the machine with the least free room first.
     free_cores: u64,
     free_memory: u64,
-    opens_group: bool,
+    needs_group_write: bool,
     price: u64,
     machine: MachineId,
     /// Index of the candidate.
@@ -83,7 +84,7 @@
         groups: &'p mut GroupAllowance,
         claim_limit: usize,
     ) -> Planner<'p, 'a> {
-        let live = (0..candidates.len())
+        let available = (0..candidates.len())
             .filter(|index| candidates[*index].free.cores > 0)
             .collect();
         Planner {
@@ -91,45 +92,45 @@
             groups,
             claim_limit,
             claims: Vec::new(),
-            live,
-            unplaceable: Vec::new(),
-            followed: 0,
+            available,
+            unplaceable_shapes: Vec::new(),
+            placed_for_others: 0,
         }
     }
 
-    fn is_full(&self) -> bool {
+    fn claim_limit_reached(&self) -> bool {
         self.claims.len() >= self.claim_limit
     }
 
     fn retain_available(&mut self) {
-        self.live
+        self.available
             .retain(|index| self.candidates[*index].is_available());
     }
 
-    /// Places tasks of a request and reserves machines for those that found no room.
+    /// Places tasks of a request and reserves machines in this plan for those that found no room.
     fn plan_request(&mut self, request: &mut PlacementRequest<'a>) {
         let first_claim = self.claims.len();
         let shape = RequestShape::of(request);
-        if shape.is_none_or(|shape| !self.unplaceable.contains(&shape)) {
+        if shape.is_none_or(|shape| !self.unplaceable_shapes.contains(&shape)) {
             let any_fits = self.place_tasks(request);
-            self.unplaceable.extend(shape.filter(|_| !any_fits));
+            self.unplaceable_shapes.extend(shape.filter(|_| !any_fits));
         }
         let placed = self.claims.len() - first_claim;
         let missing = request.tasks.len() - placed;
         if request.gang && missing > 0 {
-            self.release(request, first_claim);
+            self.withdraw_claims(request, first_claim);
         }
-        reserve(self.candidates, &self.live, request, missing as u64);
+        reserve(self.candidates, &self.available, request, missing as u64);
         if !request.is_local {
-            self.followed += placed;
+            self.placed_for_others += placed;
             self.claims.truncate(first_claim);
         }
     }
 
-    /// Releases the room of a gang that could not be placed whole.
-    fn release(&mut self, request: &PlacementRequest<'_>, first_claim: usize) {
+    /// Withdraws the claims of a gang that could not be placed completely.
+    fn withdraw_claims(&mut self, request: &PlacementRequest<'_>, first_claim: usize) {
         if self.claims.len() > first_claim {
-            self.unplaceable.clear();
+            self.unplaceable_shapes.clear();
         }
         for claim in self.claims.drain(first_claim..) {
             let candidate = self
@@ -144,24 +145,24 @@
         }
     }
 
-    /// Places tasks of a request, machine by machine; returns whether any machine has room for one.
+    /// Places tasks of a request, machine by machine; returns whether any machine has room for a task.
     fn place_tasks(&mut self, request: &mut PlacementRequest<'a>) -> bool {
-        // A machine that takes a task holds the image from then on and is fuller, so it stays the first choice
-        // until it is full: one ranking serves all tasks of the job.
+        // A machine that was assigned a task has the image and less free room than before, so it stays the first
+        // choice until it is full: one ranking is enough for all tasks of the job.
         let mut ranked = self.rank_machines(request);
         let any_fits = !ranked.is_empty();
         let task_limit = request.most.min(self.claim_limit as u64) as usize;
         let task_count = request.tasks.len().min(task_limit);
         let mut placed = 0;
-        while placed < task_count && !self.is_full() {
+        while placed < task_count && !self.claim_limit_reached() {
             let Some(Reverse(best)) = ranked.pop() else {
                 break;
             };
-            // Rules about the current state are evaluated here and not in the ranking, because the turn of most
-            // machines never comes.
+            // Rules about the current state are evaluated here and not in the ranking, because most machines of the
+            // ranking are never used.
             let candidate = &self.candidates[best.candidate];
-            if !request.admitted(candidate)
-                || request.is_local && !self.groups.take(candidate.group)
+            if !request.rules_admit(candidate)
+                || request.is_local && !self.groups.add_write(candidate.group)
             {
                 continue;
             }
@@ -170,17 +171,17 @@
         any_fits
     }
 
-    /// The machines with room for a task of the request, the best on top.
+    /// The machines with room for a task of the request, as a heap with the best one on top.
     fn rank_machines(&self, request: &PlacementRequest<'a>) -> BinaryHeap<Reverse<MachineRank>> {
         let zone = self.required_zone(request);
         let fits = |candidate: &Candidate<'_>| {
             request.spec.need.fits(&candidate.free)
-                && request.matches_request(candidate)
+                && request.allows_machine(candidate)
                 && zone.is_none_or(|zone| zone == candidate.zone)
-                && (!request.is_local || self.groups.may(candidate.group))
-                && request.class_admitted(candidate)
+                && (!request.is_local || self.groups.may_write(candidate.group))
+                && request.rules_may_admit_class(candidate)
         };
-        self.live
+        self.available
             .iter()
             .filter(|index| fits(&self.candidates[**index]))
             .map(|index| Reverse(self.rank(*index, request)))
@@ -190,32 +191,32 @@
     fn rank(&self, index: usize, request: &PlacementRequest<'_>) -> MachineRank {
         let candidate = &self.candidates[index];
         MachineRank {
-            held: candidate.held,
+            in_gang_reservation: candidate.held,
             avoided: request.avoid.contains(&candidate.machine),
             score: Reverse(request.score(candidate)),
             image_missing: !candidate.has_image(&request.spec.image),
             other_owner: candidate.owner != request.owner,
             free_cores: candidate.free.cores,
             free_memory: candidate.free.memory,
-            opens_group: !self.groups.open[candidate.group],
+            needs_group_write: !self.groups.open[candidate.group],
             price: candidate.price,
             machine: candidate.machine,
             candidate: index,
         }
     }
 
-    /// The zone that all tasks of the job must share: that of its assigned tasks, else the one with the most room.
-    /// `None` if the job is not bound to a single zone, or no zone has a machine for it.
+    /// The zone that all tasks of the job must share: that of its assigned tasks, if there are any, otherwise the zone
+    /// with the most room. `None` if the job is not bound to a single zone, or no zone has a machine for it.
     fn required_zone(&self, request: &PlacementRequest<'a>) -> Option<&'a str> {
         if !request.spec.single_zone {
             return None;
         }
         let assigned = request.zones.keys().next().copied();
-        assigned.or_else(|| roomiest_zone(self.candidates, request))
+        assigned.or_else(|| zone_with_most_room(self.candidates, request))
     }
 
-    /// Claims tasks of the request on a machine until it is full; returns how many. `pending`: positions of the
-    /// tasks that are left.
+    /// Claims room on a machine for tasks of the request until the machine is full; returns the number of claims.
+    /// `pending`: positions of the tasks that are not placed yet.
     fn fill_machine(
         &mut self,
         index: usize,
@@ -224,16 +225,16 @@
     ) -> usize {
         let candidate = &mut self.candidates[index];
         let spec = request.spec;
-        let in_zone = request.zones.entry(candidate.zone).or_default();
+        let tasks_in_zone = request.zones.entry(candidate.zone).or_default();
         let zone_limit = spec.zone_limit();
         let mut placed = 0;
         for task in &request.tasks[pending] {
-            let may_claim = self.claims.len() < self.claim_limit && *in_zone < zone_limit;
+            let may_claim = self.claims.len() < self.claim_limit && *tasks_in_zone < zone_limit;
             if !may_claim || !spec.need.fits(&candidate.free) {
                 break;
             }
-            candidate.assign(spec.need, &spec.image);
-            *in_zone += 1;
+            candidate.claim_room(spec.need, &spec.image);
+            *tasks_in_zone += 1;
             placed += 1;
             self.claims.push(Claim {
                 job: request.job,
@@ -242,14 +243,14 @@
             });
         }
         if placed > 0 {
-            request.add_to(candidate);
+            request.add_resident_to(candidate);
         }
         placed
     }
 }
 
-/// The zone with room for the most tasks of a job, the last by name among equals.
-fn roomiest_zone<'a>(
+/// The zone with room for the most tasks of a job; of several such zones, the last by name.
+fn zone_with_most_room<'a>(
     candidates: &[Candidate<'a>],
     request: &PlacementRequest<'_>,
 ) -> Option<&'a str> {
@@ -257,7 +258,7 @@
     let task_count = u64::from(spec.task_count);
     let feasible = candidates.iter().filter(|candidate| {
         spec.allows(candidate.machine_type, candidate.zone, candidate.spot)
-            && request.admitted(candidate)
+            && request.rules_admit(candidate)
     });
     let mut room_by_zone: BTreeMap<&str, u64> = BTreeMap::new();
     for candidate in feasible {
--- a/src/scheduler/placement/candidate.rs
+++ b/src/scheduler/placement/candidate.rs
@@ -1,4 +1,4 @@
-//! Machines that a plan may place tasks on, and the machine records that it may write.
+//! Machines that a plan may place tasks on, and the machine groups that it may write.
 
 use crate::scheduler::constraints::MachineContext;
 use crate::storage::ids::{JobId, MachineId};
@@ -13,7 +13,7 @@
 pub struct Candidate<'a> {
     /// The machine.
     pub machine: MachineId,
-    /// Index of the machine's record in [`GroupAllowance::open`].
+    /// Index of the machine's group in [`GroupAllowance::open`].
     pub group: usize,
     /// Controller that serves the machine's agent, numbered like [`super::PlacementRequest::owner`].
     pub owner: usize,
@@ -29,26 +29,26 @@
     pub capacity: Amount,
     /// Unassigned capacity.
     pub free: Amount,
-    /// Reserved for a request of higher precedence that found no room.
+    /// Reserved in this plan for a request of higher precedence that found no room.
     pub reserved: bool,
-    /// Held for a set that has waited for long, see [`super::drain`]: only for requests that may use such machines.
+    /// Part of a gang reservation, see [`super::drain`]: usable only by requests that may use reserved machines.
     pub held: bool,
     /// Images that the machine holds or fetches.
     pub images: &'a [(Arc<str>, u64)],
     /// Image that the machine has to fetch for tasks placed by this plan.
     pub fetching_image: Option<&'a str>,
-    /// Tasks that may be preempted, the latest started last.
+    /// Tasks that may be preempted, the most recently started last.
     pub running: Vec<PreemptibleTask>,
-    /// Machine class, where rules need it.
+    /// Machine class, if rules need it.
     pub class: ClassId,
-    /// Jobs with tasks on the machine, where rules need them.
+    /// Jobs with tasks on the machine, if rules need them.
     pub residents: Vec<JobId>,
-    /// Whether rules of one of these jobs restrict which jobs may be colocated with it.
+    /// Whether the rules of any of these jobs restrict which jobs may be colocated with it.
     pub restricts_colocation: bool,
 }
 
 impl<'a> Candidate<'a> {
-    /// What rules may ask about the machine.
+    /// The properties of the machine that rules may test.
     pub(super) fn machine_context(&self) -> MachineContext<'_> {
         MachineContext {
             class: self.class,
@@ -69,36 +69,36 @@
         !self.reserved && self.free.cores > 0
     }
 
-    /// Assigns one task that needs `need` and runs `image`.
-    pub(super) fn assign(&mut self, need: Amount, image: &'a str) {
+    /// Claims the room of a task that needs `need` and runs `image`.
+    pub(super) fn claim_room(&mut self, need: Amount, image: &'a str) {
         self.free -= need;
         self.fetching_image = Some(image);
     }
 }
 
-/// Machine records that a round may write. Each record is one operation of the transaction, and the number of
-/// operations is bounded.
+/// Machine groups that a commit round may write. Each machine group is one operation of the round's transaction, and
+/// the number of operations is bounded.
 #[derive(Clone, Debug, Default)]
 pub struct GroupAllowance {
-    /// By record: whether the round writes it already.
+    /// For each machine group: whether the round writes it already.
     pub open: Vec<bool>,
-    /// How many more records the round may write.
+    /// How many more machine groups the round may write.
     pub left: usize,
 }
 
 impl GroupAllowance {
-    /// Whether the round may write a record.
-    pub(super) fn may(&self, group: usize) -> bool {
+    /// Whether the round may write a machine group.
+    pub(super) fn may_write(&self, group: usize) -> bool {
         self.left > 0 || self.open[group]
     }
 
-    /// Marks a record as written; false if that exceeds the allowance.
-    pub(super) fn take(&mut self, group: usize) -> bool {
-        if !self.may(group) {
+    /// Adds a machine group to those that the round writes; returns false if that exceeds the allowance.
+    pub(super) fn add_write(&mut self, group: usize) -> bool {
+        if !self.may_write(group) {
             return false;
         }
-        let was_open = std::mem::replace(&mut self.open[group], true);
-        if !was_open {
+        let already_written = std::mem::replace(&mut self.open[group], true);
+        if !already_written {
             self.left -= 1;
         }
         true
@@ -110,10 +110,10 @@
 pub struct PreemptibleTask {
     /// Its assignment.
     pub assignment: Assignment,
-    /// Resources that it holds.
+    /// Resources that are assigned to it.
     pub need: Amount,
     /// Its priority.
     pub priority: Priority,
-    /// Whether its team has more assigned than its guarantee.
+    /// Whether its team is assigned more than the team's guarantee.
     pub borrowed: bool,
 }
--- a/src/scheduler/placement/drain/tests.rs
+++ b/src/scheduler/placement/gang_reservation/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `drain`.
+//! Tests of `gang_reservation`.
 
 use super::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-const CAPACITY: u64 = 8_000;
+const MACHINE_MILLICORES: u64 = 8_000;
 
 fn cores(thousandths: u64) -> Amount {
     Amount {
@@ -14,7 +14,8 @@
     }
 }
 
-/// A machine of eight cores, full of tasks of one core with these run times in seconds; what is left is free.
+/// A machine of eight cores, with a task of one core for each of these estimated runtimes in seconds; the remaining
+/// cores are free.
 fn machine(id: u64, runtimes: &[u64]) -> DrainCandidate<'static> {
     let task = |seconds: &u64| EndingTask {
         estimated_runtime: Micros::secs(*seconds),
@@ -23,14 +24,14 @@
     DrainCandidate {
         machine: MachineId(id),
         zone: if id.is_multiple_of(2) { "a" } else { "b" },
-        free: cores(CAPACITY - runtimes.len() as u64 * 1_000),
+        free: cores(MACHINE_MILLICORES - runtimes.len() as u64 * 1_000),
         ending: runtimes.iter().map(task).collect(),
     }
 }
 
 fn whole_machines(tasks: u64) -> DrainDemand {
     DrainDemand {
-        need: cores(CAPACITY),
+        need: cores(MACHINE_MILLICORES),
         tasks,
         single_zone: false,
         zone_limit: tasks,
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn full_machines_that_are_free_soonest_are_held_for_all_tasks() {
+fn machines_expected_free_soonest_are_reserved_for_all_tasks() {
     let machines = [
         machine(1, &[300; 8]),
         machine(2, &[10; 8]),
@@ -50,50 +51,53 @@
         machine(4, &[]),
         machine(5, &[12; 8]),
     ];
-    let held = drain(&machines, &whole_machines(3));
-    assert_eq!(ids(&held), [2, 4, 5]);
-    assert_eq!((held.tasks, held.duration), (3, Micros::secs(12)));
+    let reservation = drain(&machines, &whole_machines(3));
+    assert_eq!(ids(&reservation), [2, 4, 5]);
+    assert_eq!(
+        (reservation.tasks, reservation.duration),
+        (3, Micros::secs(12))
+    );
     assert_eq!(drain(&machines, &whole_machines(5)).tasks, 5);
     assert_eq!(drain(&machines, &whole_machines(6)).tasks, 5);
 }
 
 #[test]
-fn tasks_that_never_end_leave_no_room() {
-    let mut occupied = machine(1, &[10; 4]);
-    occupied.free = cores(0);
-    let held = drain(&[occupied.clone()], &whole_machines(1));
-    assert_eq!(held, Drain::default());
+fn resources_of_endless_tasks_are_not_counted_as_room() {
+    let mut with_endless_tasks = machine(1, &[10; 4]);
+    with_endless_tasks.free = cores(0);
+    let reservation = drain(&[with_endless_tasks.clone()], &whole_machines(1));
+    assert_eq!(reservation, Drain::default());
     let demand = DrainDemand {
         need: cores(2_000),
         ..whole_machines(3)
     };
-    assert_eq!(drain(&[occupied], &demand).tasks, 2);
+    assert_eq!(drain(&[with_endless_tasks], &demand).tasks, 2);
 }
 
 #[test]
-fn zones_are_kept_together_or_apart() {
+fn reservation_respects_single_zone_and_zone_limit() {
     let machines: Vec<_> = (1..=7).map(|id| machine(id, &[10; 8])).collect();
-    let together = DrainDemand {
+    let one_zone = DrainDemand {
         single_zone: true,
         ..whole_machines(4)
     };
-    assert_eq!(ids(&drain(&machines, &together)), [1, 3, 5, 7]);
-    let apart = DrainDemand {
+    assert_eq!(ids(&drain(&machines, &one_zone)), [1, 3, 5, 7]);
+    let two_per_zone = DrainDemand {
         zone_limit: 2,
         ..whole_machines(4)
     };
-    assert_eq!(ids(&drain(&machines, &apart)), [1, 2, 3, 4]);
+    assert_eq!(ids(&drain(&machines, &two_per_zone)), [1, 2, 3, 4]);
 }
 
-/// Machines that are not held are filled again with work of any length whenever a task ends; held ones are not. In no
-/// order of ends does the set wait longer than twice the longest task: once for the machines that are held first, once
-/// more where one was exchanged for another whose tasks are shorter.
+/// Machines that are not reserved are filled again with tasks of any runtime whenever a task ends; reserved ones are not.
+/// Whatever the order in which tasks end, the gang waits at most twice the longest runtime: once for the machines that are
+/// reserved first, and once more if one of them was replaced by a machine with shorter tasks.
 #[test]
-fn a_set_is_drained_within_twice_the_longest_task_whatever_ends_when() {
+fn reservation_completes_within_twice_the_longest_runtime() {
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut now = 0;
-        // By machine: the tasks' run times, and when they end.
+        // By machine: the tasks' runtimes, and when they end.
         let mut running: Vec<Vec<(u64, u64)>> = vec![Vec::new(); 10];
         let start = |rng: &mut StdRng, now: u64| {
             let runtime = rng.random_range(3..40);
@@ -103,7 +107,7 @@
             tasks.extend((0..8).map(|_| start(&mut rng, 0)));
         }
         let demand = whole_machines(6);
-        let drained_at = loop {
+        let completed_at = loop {
             let machines: Vec<_> = (0..)
                 .zip(&running)
                 .map(|(id, tasks)| {
@@ -111,21 +115,21 @@
                     machine(id, &runtimes)
                 })
                 .collect();
-            let held = drain(&machines, &demand);
-            if held.duration == Micros::ZERO {
+            let reservation = drain(&machines, &demand);
+            if reservation.duration == Micros::ZERO {
                 break now;
             }
             now += 1;
             for (id, tasks) in (0..).zip(&mut running) {
                 tasks.retain(|(_, ends_at)| *ends_at > now);
-                if !held.machines.contains(&MachineId(id)) {
+                if !reservation.machines.contains(&MachineId(id)) {
                     tasks.resize_with(8, || start(&mut rng, now));
                 }
             }
         };
         assert!(
-            drained_at <= 2 * 40,
-            "seed {seed}: drained after {drained_at} s"
+            completed_at <= 2 * 40,
+            "seed {seed}: reservation complete after {completed_at} s"
         );
     }
 }
--- a/src/scheduler/placement/reservation.rs
+++ b/src/scheduler/placement/plan_reservation.rs
@@ -1,18 +1,18 @@
-//! Reservation: machines that are kept for requests that found no room.
+//! Reservation within one plan: machines that are kept free for requests that found no room.
 
 use super::candidate::Candidate;
 use super::request::PlacementRequest;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// One in so many machines may be reserved for a single request.
-const RESERVABLE_FRACTION: usize = 3;
+/// Of all machines, one in this many may be reserved for a single request.
+const RESERVABLE_MACHINES_DIVISOR: usize = 3;
 
 /// Reserves the machines with the most free room for the `missing` tasks of a request, so that smaller tasks of
-/// lower precedence do not take the room as it becomes free. `live`: indexes of the machines with free room.
+/// lower precedence do not take the room as it becomes free. `available`: indexes of the machines with free room.
 pub(super) fn reserve(
     candidates: &mut [Candidate<'_>],
-    live: &[usize],
+    available: &[usize],
     request: &PlacementRequest<'_>,
     missing: u64,
 ) {
@@ -20,18 +20,18 @@
     if missing == 0 || request.never_reserves {
         return;
     }
-    let suitable = suitable_machines(candidates, live, request);
+    let suitable = suitable_machines(candidates, available, request);
     if !request.gang && has_room(candidates, &suitable, request) {
-        // The bounds of the round are exhausted, not the machines.
+        // The tasks were not placed because of the limits of the commit round, not for lack of room.
         return;
     }
-    // A heap, because only a few of many are taken.
-    let by_free_room = |index: usize| {
+    // A heap instead of a sort, because only a few of many machines are needed.
+    let with_free_room = |index: usize| {
         let free = &candidates[index].free;
         (free.cores, free.memory, Reverse(index))
     };
-    let mut most_free: BinaryHeap<_> = suitable.into_iter().map(by_free_room).collect();
-    for _ in 0..candidates.len().div_ceil(RESERVABLE_FRACTION) {
+    let mut most_free: BinaryHeap<_> = suitable.into_iter().map(with_free_room).collect();
+    for _ in 0..candidates.len().div_ceil(RESERVABLE_MACHINES_DIVISOR) {
         if missing == 0 {
             return;
         }
@@ -48,13 +48,14 @@
 /// The machines that could run a task of the request if they were empty.
 fn suitable_machines(
     candidates: &[Candidate<'_>],
-    live: &[usize],
+    available: &[usize],
     request: &PlacementRequest<'_>,
 ) -> Vec<usize> {
     let fits = |candidate: &Candidate<'_>| {
         request.spec.need.fits(&candidate.capacity) && request.is_feasible(candidate)
     };
-    live.iter()
+    available
+        .iter()
         .copied()
         .filter(|index| fits(&candidates[*index]))
         .collect()
--- a/src/scheduler/placement/preemption.rs
+++ b/src/scheduler/placement/preemption.rs
@@ -6,13 +6,13 @@
 use crate::storage::records::Assignment;
 use crate::storage::resources::Amount;
 
-/// Most cores that may be preempted for each core that is gained.
-const MAX_LOSS_RATIO: u64 = 4;
+/// Largest number of cores that may be preempted for each core that is gained.
+const MAX_LOST_CORES_PER_GAINED_CORE: u64 = 4;
 
-/// Resolution in which loss per gain is compared.
-const LOSS_SCALE: u64 = 16;
+/// Factor by which the ratio of lost to gained cores is scaled up for integer comparison.
+const LOSS_PER_GAIN_SCALE: u64 = 16;
 
-/// Tasks to assign to a machine in the room of tasks that are preempted for them.
+/// Tasks to assign to a machine, and the tasks that are preempted to make room for them.
 #[derive(Clone, Debug)]
 pub struct Preemption {
     /// The machine.
@@ -23,20 +23,20 @@
     pub claims: Vec<Claim>,
 }
 
-/// The latest started tasks of a machine that make room for some tasks of a request.
+/// The most recently started tasks of a machine whose preemption makes room for tasks of a request.
 struct VictimSet {
-    /// How many of the latest started tasks are preempted.
+    /// How many of the most recently started tasks are preempted.
     count: usize,
-    /// Free capacity without them.
+    /// Free capacity after the preemption.
     room: Amount,
-    /// How many tasks of the request fit then.
+    /// How many tasks of the request fit after the preemption.
     tasks: u64,
 }
 
-/// Cost of preempting on a machine; the least is preferred, compared field by field.
+/// Cost of preemption on a machine; the lowest is preferred, compared field by field.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionCost {
-    held: bool,
+    in_gang_reservation: bool,
     image_missing: bool,
     loss_per_gain: u64,
     machine: MachineId,
@@ -50,16 +50,16 @@
     victims: VictimSet,
 }
 
-/// Makes room for tasks that `plan` did not place, by preemption: the latest started tasks of a machine first, on
-/// the machines where the least work is lost.
+/// Makes room for tasks that `plan` did not place, by preemption: the most recently started tasks of a machine first,
+/// on the machines where the least work is lost.
 ///
-/// `claims`: what `plan` placed. `most`: bound on the number of preemptions. `running`: the tasks of a machine that
-/// may be preempted; it is called only if a request preempts.
+/// `claims`: the claims of `plan`. `preemption_limit`: largest number of preemptions. `running`: returns the tasks of a
+/// machine that may be preempted; it is called only if a request preempts.
 pub fn preempt(
     candidates: &mut [Candidate<'_>],
     requests: &[PlacementRequest<'_>],
     claims: &[Claim],
-    most: usize,
+    preemption_limit: usize,
     running: &dyn Fn(MachineId) -> Vec<PreemptibleTask>,
 ) -> Vec<Preemption> {
     let mut preemptions = Vec::new();
@@ -77,19 +77,19 @@
             running_loaded = true;
         }
         let mut pending = request.tasks[placed..].iter().copied();
-        while missing > 0 && preemptions.len() < most {
+        while missing > 0 && preemptions.len() < preemption_limit {
             let Some(option) = cheapest_option(candidates, request, missing) else {
                 break;
             };
             missing -= option.victims.tasks;
-            preemptions.push(apply(candidates, request, option, &mut pending));
+            preemptions.push(apply_preemption(candidates, request, option, &mut pending));
         }
     }
     preemptions
 }
 
-/// Whether a request may preempt. Gangs and jobs that are bound to a zone or spread over machines may not: a single
-/// machine does not decide whether their tasks can start.
+/// Whether a request may preempt. Gangs and jobs that are bound to a single zone or spread over machines may not:
+/// whether their tasks can start depends on more than a single machine.
 fn may_preempt(request: &PlacementRequest<'_>) -> bool {
     request.is_local
         && request.preempts
@@ -132,19 +132,19 @@
 ) -> Option<PreemptionOption> {
     let victims = select_victims(candidate, request, missing)?;
     let first_victim = candidate.running.len() - victims.count;
-    let lost: u64 = candidate.running[first_victim..]
+    let lost_cores: u64 = candidate.running[first_victim..]
         .iter()
         .map(|victim| victim.need.cores)
         .sum();
-    let gained = victims.tasks * request.spec.need.cores;
-    if lost > gained * MAX_LOSS_RATIO {
+    let gained_cores = victims.tasks * request.spec.need.cores;
+    if lost_cores > gained_cores * MAX_LOST_CORES_PER_GAINED_CORE {
         return None;
     }
     Some(PreemptionOption {
         cost: PreemptionCost {
-            held: candidate.held,
+            in_gang_reservation: candidate.held,
             image_missing: !candidate.has_image(&request.spec.image),
-            loss_per_gain: lost * LOSS_SCALE / gained.max(1),
+            loss_per_gain: lost_cores * LOSS_PER_GAIN_SCALE / gained_cores.max(1),
             machine: candidate.machine,
         },
         candidate: index,
@@ -152,7 +152,8 @@
     })
 }
 
-/// The fewest of the latest started tasks that make room for the most tasks of a request, at most `missing`.
+/// The smallest number of the most recently started tasks that make room for the most tasks of a request, at most
+/// `missing`.
 fn select_victims(
     candidate: &Candidate<'_>,
     request: &PlacementRequest<'_>,
@@ -160,15 +161,15 @@
 ) -> Option<VictimSet> {
     let mut room = candidate.free;
     let mut best = None;
-    let mut fitting = 0;
+    let mut fitting_tasks = 0;
     for (index, task) in candidate.running.iter().rev().enumerate() {
-        if !is_preemptible(task, request) || fitting >= missing {
+        if !is_preemptible(task, request) || fitting_tasks >= missing {
             break;
         }
         room += task.need;
         let tasks = request.spec.need.times_in(&room, missing);
-        if tasks > fitting {
-            fitting = tasks;
+        if tasks > fitting_tasks {
+            fitting_tasks = tasks;
             best = Some(VictimSet {
                 count: index + 1,
                 room,
@@ -183,8 +184,8 @@
     task.priority > request.priority || (task.borrowed && request.guaranteed)
 }
 
-/// Takes the room of the victims for the next pending tasks of a request.
-fn apply(
+/// Gives the room of the victims to the next pending tasks of a request.
+fn apply_preemption(
     candidates: &mut [Candidate<'_>],
     request: &PlacementRequest<'_>,
     option: PreemptionOption,
@@ -194,7 +195,7 @@
     let candidate = &mut candidates[option.candidate];
     candidate.free = victims.room;
     candidate.free -= request.spec.need.times(victims.tasks);
-    request.add_to(candidate);
+    request.add_resident_to(candidate);
     let first_victim = candidate.running.len() - victims.count;
     let machine = candidate.machine;
     let claim = |index| Claim {
--- a/src/scheduler/placement/request.rs
+++ b/src/scheduler/placement/request.rs
@@ -1,4 +1,4 @@
-//! Requests to place tasks of one job, and the claims that answer them.
+//! Requests to place tasks of one job, and the claims that result from them.
 
 use super::candidate::Candidate;
 use crate::scheduler::constraints::{
@@ -22,23 +22,24 @@
     pub tasks: Vec<u32>,
     /// Assigned tasks of the job by zone.
     pub zones: BTreeMap<&'a str, u32>,
-    /// Most tasks that the quota of its team still allows.
+    /// Largest number of tasks that the quota of its team still allows.
     pub most: u64,
     /// Highest price per core of a machine that may run it.
     pub price_limit: u64,
     /// Controller that places the job, numbered like [`Candidate::owner`].
     pub owner: usize,
-    /// Whether this controller places the job. The plan follows jobs of other controllers as well, so that
-    /// nothing of lower precedence takes the room that they are about to claim.
+    /// Whether this controller places the job. The plan places jobs of other controllers as well, so that no request of
+    /// lower precedence takes the room that these controllers are about to claim.
     pub is_local: bool,
     /// Whether it must start at once and may preempt other tasks.
     pub preempts: bool,
     /// Whether it is within the guarantee of its team.
     pub guaranteed: bool,
-    /// Whether no machine is reserved for it: it uses leftover capacity only, or machines are held for it already.
+    /// Whether the plan reserves no machines for it: it uses leftover capacity only, or it has a gang reservation
+    /// already.
     pub never_reserves: bool,
-    /// Whether it may use machines that are held: they are held for it, or it does not delay the job that they are
-    /// held for.
+    /// Whether it may use machines of gang reservations: the reservation is its own, or it does not delay the gang that
+    /// the machines are reserved for.
     pub uses_held_machines: bool,
     /// Whether it is a gang: all of its tasks are placed or none.
     pub gang: bool,
@@ -51,7 +52,7 @@
 /// The rules that restrict where the tasks of a job are placed.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRules<'a> {
-    /// Current state that rules ask about.
+    /// The current state that rules test.
     pub context: &'a PlacementContext<'a>,
     /// Constraints of the job itself; without them, rules of colocated jobs may still apply.
     pub constraints: Option<&'a JobConstraints>,
@@ -67,13 +68,14 @@
         }
     }
 
-    /// Whether the job may run on the machine, whatever room is left there.
+    /// Whether the job may run on the machine, regardless of the free room there.
     pub(super) fn is_feasible(&self, candidate: &Candidate<'_>) -> bool {
-        self.matches_request(candidate) && self.admitted(candidate)
+        self.allows_machine(candidate) && self.rules_admit(candidate)
     }
 
-    /// Whether price, type, zone and kind of the machine match the specification, and it is not held for another job.
-    pub(super) fn matches_request(&self, candidate: &Candidate<'_>) -> bool {
+    /// Whether price, type, zone and kind (spot or not) of the machine match the request, and the request may use it if
+    /// it is part of a gang reservation.
+    pub(super) fn allows_machine(&self, candidate: &Candidate<'_>) -> bool {
         (self.uses_held_machines || !candidate.held)
             && candidate.price <= self.price_limit
             && self
@@ -82,7 +84,7 @@
     }
 
     /// Whether rules admit the job to the machine in its current state.
-    pub(super) fn admitted(&self, candidate: &Candidate<'_>) -> bool {
+    pub(super) fn rules_admit(&self, candidate: &Candidate<'_>) -> bool {
         self.rules.is_none_or(|rules| {
             rules.context.admits(
                 self.job_ref(),
@@ -94,7 +96,7 @@
     }
 
     /// Whether rules may admit the job to a machine of this class.
-    pub(super) fn class_admitted(&self, candidate: &Candidate<'_>) -> bool {
+    pub(super) fn rules_may_admit_class(&self, candidate: &Candidate<'_>) -> bool {
         let Some(rules) = self.rules else {
             return true;
         };
@@ -114,8 +116,8 @@
         })
     }
 
-    /// Records on the machine that it runs tasks of the job, if rules ask about colocated jobs.
-    pub(super) fn add_to(&self, candidate: &mut Candidate<'_>) {
+    /// Records on the candidate that it runs tasks of the job, if rules test colocated jobs.
+    pub(super) fn add_resident_to(&self, candidate: &mut Candidate<'_>) {
         let Some(rules) = self.rules.filter(|rules| rules.context.colocated) else {
             return;
         };
@@ -137,8 +139,8 @@
     pub machine: MachineId,
 }
 
-/// Everything that decides whether a machine has room for a task of a job. Requests of equal shape fit the same
-/// machines.
+/// All properties of a request that decide whether a task of it fits on a machine. Requests of equal shape fit on the
+/// same machines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct RequestShape<'a> {
     need: Amount,
@@ -147,11 +149,11 @@
     spot: bool,
     price_limit: u64,
     is_local: bool,
-    uses_held_machines: bool,
+    may_use_gang_reservations: bool,
 }
 
 impl<'a> RequestShape<'a> {
-    /// The shape of a request; `None` if rules or the zone of its other tasks decide as well.
+    /// The shape of a request; `None` if placement also depends on rules or on the zone of the job's other tasks.
     pub(super) fn of(request: &PlacementRequest<'a>) -> Option<RequestShape<'a>> {
         let spec = request.spec;
         if request.rules.is_some() || spec.single_zone {
@@ -164,7 +166,7 @@
             spot: spec.spot_allowed,
             price_limit: request.price_limit,
             is_local: request.is_local,
-            uses_held_machines: request.uses_held_machines,
+            may_use_gang_reservations: request.uses_held_machines,
         })
     }
 }
--- a/src/scheduler/placement/tests.rs
+++ b/src/scheduler/placement/tests.rs
@@ -78,7 +78,8 @@
     }
 }
 
-/// Price limits that differ, and exclude no machine, make all shapes distinct, so that none is skipped.
+/// Distinct price limits that exclude no machine make all request shapes distinct, so that no request is skipped. The
+/// plan must be the same as with equal price limits, where requests of unplaceable shapes are skipped.
 #[test]
 fn skipping_requests_of_unplaceable_shape_leaves_the_plan_unchanged() {
     for seed in 0..400 {
