--- a/src/scheduler/boot_times.rs
+++ b/src/scheduler/boot_times.rs
@@ -19,57 +19,65 @@
 /// Recent boots, by machine type.
 #[derive(Debug, Default)]
 pub struct BootTimeEstimates {
-    ended: HashMap<String, VecDeque<BootRecord>>,
+    completed_boots: HashMap<String, VecDeque<BootRecord>>,
 }
 
 impl BootTimeEstimates {
-    /// Most boots that are kept of a type.
-    const MAX_RECORDS: usize = 8;
-    /// How long a completed boot counts.
-    const MAX_AGE: Micros = Micros::secs(90);
-    /// A boot is stuck if it takes so many times as long as the boot of a machine that was requested after it.
-    const STUCK_FACTOR: u64 = 2;
-    /// A boot that is late is expected to take one in so many parts of its age more.
-    const LATE_MARGIN: u64 = 4;
+    /// Largest number of completed boots that are kept of a machine type.
+    const MAX_BOOTS_PER_TYPE: usize = 8;
+    /// Age at which a completed boot no longer counts.
+    const MAX_BOOT_AGE: Micros = Micros::secs(90);
+    /// A boot is stuck if it takes more than this many times as long as the boot of a machine that was requested after
+    /// it.
+    const STUCK_BOOT_FACTOR: u64 = 2;
+    /// A late boot is expected to take its age divided by this number longer.
+    const LATE_BOOT_MARGIN_DIVISOR: u64 = 4;
 
     /// Records that a machine has come up.
-    pub fn ended(&mut self, machine_type: &str, at: Micros, took: Micros) {
-        let records = self.ended.entry(machine_type.to_owned()).or_default();
+    pub fn ended(&mut self, machine_type: &str, at: Micros, duration: Micros) {
+        let records = self
+            .completed_boots
+            .entry(machine_type.to_owned())
+            .or_default();
         records.push_back(BootRecord {
             ended_at: at,
-            duration: took,
+            duration,
         });
-        if records.len() > Self::MAX_RECORDS {
+        if records.len() > Self::MAX_BOOTS_PER_TYPE {
             records.pop_front();
         }
     }
 
-    /// Expected duration of a boot of this type: the median of recent boots and of boots under way that are late,
-    /// so that a slowdown shows before any boot ends.
+    /// Expected duration of a boot of this type: the median of recent boots and of late boots in progress, so that a
+    /// slowdown is noticed before any boot ends.
     ///
-    /// `nominal`: the boot time of the catalog. It counts twice, so that a single boot does not decide. `waiting`:
-    /// ages of the boots under way. Stuck ones are ignored: they say nothing about the others.
+    /// `nominal`: the boot time of the catalog. It counts twice, so that a single boot does not determine the result.
+    /// `ages_in_progress`: ages of the boots in progress. Stuck ones are ignored, because they do not indicate how long
+    /// other boots take.
     pub fn expected(
         &self,
         machine_type: &str,
         nominal: Micros,
         now: Micros,
-        waiting: impl Iterator<Item = Micros>,
+        ages_in_progress: impl Iterator<Item = Micros>,
     ) -> Micros {
-        let records = || self.ended.get(machine_type).into_iter().flatten();
-        let recent = records()
-            .filter(|boot| now.since(boot.ended_at) < Self::MAX_AGE)
+        let type_boots = || self.completed_boots.get(machine_type).into_iter().flatten();
+        let recent = type_boots()
+            .filter(|boot| now.since(boot.ended_at) < Self::MAX_BOOT_AGE)
             .map(|boot| boot.duration);
         let mut durations: Vec<Micros> = recent.chain([nominal, nominal]).collect();
-        let usual = median(&mut durations);
-        // Machines that are requested together differ in their boot times, so being overtaken is not enough.
+        let usual_duration = median(&mut durations);
+        // Boot times of machines that are requested together differ, so a boot is not stuck merely because a boot that
+        // started later has ended.
         let is_stuck = |age: Micros| {
-            records().any(|boot| {
-                boot.started_at() >= now - age && age > boot.duration * Self::STUCK_FACTOR
+            type_boots().any(|boot| {
+                boot.started_at() >= now - age && age > boot.duration * Self::STUCK_BOOT_FACTOR
             })
         };
-        let late = waiting.filter(|age| *age > usual && !is_stuck(*age));
-        durations.extend(late.map(|age| nominal.max(age + Micros(age.0 / Self::LATE_MARGIN))));
+        let late = ages_in_progress.filter(|age| *age > usual_duration && !is_stuck(*age));
+        durations.extend(
+            late.map(|age| nominal.max(age + Micros(age.0 / Self::LATE_BOOT_MARGIN_DIVISOR))),
+        );
         median(&mut durations)
     }
 }
--- a/src/scheduler/boot_times/tests.rs
+++ b/src/scheduler/boot_times/tests.rs
@@ -5,7 +5,7 @@
 const NOMINAL: Micros = Micros::secs(30);
 
 #[test]
-fn boots_that_are_late_raise_the_estimate_before_they_end() {
+fn late_boots_raise_the_estimate_before_they_end() {
     let boots = BootTimeEstimates::default();
     let expected = |ages: &[u64]| {
         boots.expected(
@@ -17,7 +17,7 @@
     };
     assert_eq!(expected(&[]), NOMINAL);
     assert_eq!(expected(&[20, 25]), NOMINAL, "nothing is late yet");
-    assert_eq!(expected(&[90]), NOMINAL, "a single one may be stuck");
+    assert_eq!(expected(&[90]), NOMINAL, "a single late boot may be stuck");
     assert_eq!(expected(&[80, 80, 80, 80]), Micros::secs(100));
 }
 
@@ -39,12 +39,12 @@
     assert_eq!(
         expected(110, &[5, 5, 5]),
         NOMINAL,
-        "boots under way are not as quick"
+        "boots in progress take longer"
     );
     assert_eq!(expected(300, &[]), NOMINAL);
     assert_eq!(
         expected(180, &[90, 90, 90, 90, 90, 90]),
         Micros::secs(1),
-        "stuck boots, which later ones overtook, do not count"
+        "stuck boots do not count: boots that started later have ended"
     );
 }
--- a/src/scheduler/constraints.rs
+++ b/src/scheduler/constraints.rs
@@ -1,8 +1,8 @@
 //! Evaluation of placement rules for jobs.
 //!
-//! Rules are evaluated once for each class of equal machines. What a class leaves open depends on the current state
-//! of a machine (its images and the jobs colocated there) and is evaluated machine by machine. Colocation rules hold
-//! in both directions. Nothing here is stored: everything follows from the rule sets and the cell state.
+//! Rules are evaluated once for each class of equal machines. The parts of a rule that depend on the current state of a
+//! machine (its images and the jobs colocated there) are evaluated for each machine. Colocation rules apply in both
+//! directions. Nothing here is part of the stored data: all results follow from the rule sets and the cell state.
 
 mod conflicts;
 mod evaluation;
--- a/src/scheduler/constraints/conflicts.rs
+++ b/src/scheduler/constraints/conflicts.rs
@@ -1,4 +1,4 @@
-//! Explanation of conflicts: the smallest sets of rules that leave a job no machine.
+//! Explanation of conflicts: the smallest sets of rules that exclude a job from all machines.
 
 use super::evaluation::JobConstraints;
 use super::machine_context::{JobRef, MachineContext, PlacementContext};
@@ -20,8 +20,8 @@
     "submission: size of a task",
 ];
 
-/// By field of [`FIELDS`]: whether it excludes a class.
-fn fields_failing(spec: &JobSpec, class: &Class, catalog: &Catalog) -> [bool; FIELDS.len()] {
+/// For each field of [`FIELDS`]: whether it excludes a class.
+fn excluding_fields(spec: &JobSpec, class: &Class, catalog: &Catalog) -> [bool; FIELDS.len()] {
     let type_excluded = spec
         .machine_types
         .as_ref()
@@ -36,7 +36,7 @@
 
 /// Names of the fields of a submission that exclude a class.
 pub fn fields_against(spec: &JobSpec, class: &Class, catalog: &Catalog) -> Vec<&'static str> {
-    let failing = fields_failing(spec, class, catalog);
+    let failing = excluding_fields(spec, class, catalog);
     FIELDS
         .into_iter()
         .zip(failing)
@@ -56,22 +56,25 @@
 ) -> Option<Vec<String>> {
     let mut failing_by_class = Vec::new();
     for (id, class) in possible_classes(classes) {
-        let failing = fields_failing(spec, class, catalog)
+        let failing = excluding_fields(spec, class, catalog)
             .into_iter()
             .chain(requirements_excluding(constraints, id));
-        failing_by_class.push(mask(failing)?);
+        failing_by_class.push(rule_mask(failing)?);
     }
     for class in labelled_offers(sets, classes) {
         let class_traits = traits(&class, sets, catalog);
         let constraints = JobConstraints::of(spec, sets, &[class_traits]).unwrap_or_default();
-        let failing = fields_failing(spec, &class, catalog)
+        let failing = excluding_fields(spec, &class, catalog)
             .into_iter()
             .chain(requirements_excluding(&constraints, 0));
-        failing_by_class.push(mask(failing)?);
+        failing_by_class.push(rule_mask(failing)?);
     }
-    let clash = smallest(&failing_by_class)?;
+    let conflict = smallest(&failing_by_class)?;
     let fields = FIELDS.into_iter();
-    Some(names(clash, fields.chain(requirement_names(constraints))))
+    Some(rule_names(
+        conflict,
+        fields.chain(requirement_names(constraints)),
+    ))
 }
 
 /// Classes of machines that are up or could be provisioned.
@@ -83,8 +86,8 @@
         .filter(|(id, _)| classes.is_possible(*id))
 }
 
-/// The classes of labelled machines that have not come up yet, which may be of any type that is offered. Of machines
-/// with equal labels only one is considered.
+/// The classes of labelled machines that have not come up yet; such a machine may be of any type that is offered. Of
+/// several machines with equal labels, only one is considered.
 fn labelled_offers<'a>(
     sets: &'a [Arc<RuleSet>],
     classes: &'a Classes,
@@ -130,7 +133,7 @@
 }
 
 /// The rules that fail, as bits; `None` if none does. Rules beyond the width of the mask are ignored.
-fn mask(failing: impl Iterator<Item = bool>) -> Option<RuleMask> {
+fn rule_mask(failing: impl Iterator<Item = bool>) -> Option<RuleMask> {
     let mask = failing
         .take(RuleMask::BITS as usize)
         .enumerate()
@@ -139,10 +142,10 @@
 }
 
 /// Names of the rules in a mask. Two versions of a rule that are in force at the same time share one name.
-fn names<'a>(clash: RuleMask, all: impl Iterator<Item = &'a str>) -> Vec<String> {
+fn rule_names<'a>(conflict: RuleMask, all: impl Iterator<Item = &'a str>) -> Vec<String> {
     let mut names: Vec<String> = Vec::new();
     for (bit, name) in all.take(RuleMask::BITS as usize).enumerate() {
-        if clash >> bit & 1 == 1 && !names.iter().any(|known| known == name) {
+        if conflict >> bit & 1 == 1 && !names.iter().any(|known| known == name) {
             names.push(name.to_owned());
         }
     }
@@ -160,15 +163,15 @@
     ) -> Option<Vec<String>> {
         let failing_by_machine: Vec<RuleMask> = machines
             .map(|machine| {
-                let view = self.view(job, machine);
+                let view = self.machine_view(job, machine);
                 let violated = constraints
                     .requirements()
                     .iter()
                     .map(|requirement| !requirement.holds(machine.class, &view));
-                mask(violated).unwrap_or(0)
+                rule_mask(violated).unwrap_or(0)
             })
             .collect();
-        let clash = smallest(&failing_by_machine)?;
-        Some(names(clash, requirement_names(constraints)))
+        let conflict = smallest(&failing_by_machine)?;
+        Some(rule_names(conflict, requirement_names(constraints)))
     }
 }
--- a/src/scheduler/constraints/evaluation.rs
+++ b/src/scheduler/constraints/evaluation.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Requirement {
     pub(super) name: String,
-    /// Its tests of colocated jobs.
+    /// The tests of colocated jobs in the rule.
     colocation_tests: Vec<(Field, Words)>,
     by_class: Vec<Evaluation>,
 }
@@ -37,17 +37,17 @@
         }
     }
 
-    /// Whether no machine of the class can meet it.
+    /// Whether no machine of the class can meet the rule.
     pub(super) fn excludes_class(&self, class: ClassId) -> bool {
         excludes(&self.by_class, class)
     }
 
-    /// Whether a machine of the class meets it in its current state.
+    /// Whether a machine of the class meets the rule in its current state.
     pub(super) fn holds(&self, class: ClassId, state: &dyn MachineState) -> bool {
         holds(&self.by_class, class, state)
     }
 
-    /// Whether one of its tests of colocated jobs applies to a job. `matches`: whether the job has one of these
+    /// Whether one of the rule's tests of colocated jobs applies to a job. `matches`: whether the job has one of these
     /// values in the field.
     pub(super) fn tests_job(&self, matches: impl Fn(Field, &Words) -> bool) -> bool {
         self.colocation_tests
@@ -86,14 +86,14 @@
 }
 
 impl JobConstraints {
-    /// Evaluates the rules that concern a job; `None` if there is none. If several sets are in force, the hard rules
-    /// of all apply, but only the preferences of the last. `classes`: the traits of every class.
+    /// Evaluates the rules that concern a job; `None` if there is none. If several rule sets are in force, the hard
+    /// rules of all of them apply, but only the preferences of the last set. `classes`: the traits of every class.
     pub fn of(
         spec: &JobSpec,
         sets: &[Arc<RuleSet>],
         classes: &[ClassTraits],
     ) -> Option<JobConstraints> {
-        let rules = concerning(spec, sets);
+        let rules = rules_concerning(spec, sets);
         if rules.is_empty() {
             return None;
         }
@@ -122,9 +122,9 @@
     }
 
     fn add_requirement(&mut self, rule: &Rule, by_class: Vec<Evaluation>) {
-        for (all, evaluation) in self.conjunction.iter_mut().zip(&by_class) {
-            *all = both(
-                std::mem::replace(all, Evaluation::Always),
+        for (combined, evaluation) in self.conjunction.iter_mut().zip(&by_class) {
+            *combined = conjunction(
+                std::mem::replace(combined, Evaluation::Always),
                 evaluation.clone(),
             );
         }
@@ -159,7 +159,7 @@
             .map(|(_, preference)| preference)
     }
 
-    /// Whether machines of the class may run the job, in some state of theirs.
+    /// Whether machines of the class may run the job, in some state of the machine.
     pub fn may_run_on(&self, class: ClassId, required_preferences: RequiredPreferences) -> bool {
         !excludes(&self.conjunction, class)
             && self
@@ -208,7 +208,7 @@
         matches!(self.conjunction.get(class), Some(Evaluation::Depends(_)))
     }
 
-    /// Whether a requirement asks which jobs are colocated.
+    /// Whether a requirement tests which jobs are colocated.
     pub fn tests_colocation(&self) -> bool {
         self.requirements
             .iter()
@@ -256,28 +256,30 @@
     sets: Range<usize>,
 }
 
-/// The rules that concern a job: its own under all sets, those of a set under that set.
-fn concerning<'a>(spec: &'a JobSpec, sets: &'a [Arc<RuleSet>]) -> Vec<RuleInSets<'a>> {
+/// The rules that concern a job: its own rules, evaluated under all rule sets, and those of each set, evaluated under
+/// that set.
+fn rules_concerning<'a>(spec: &'a JobSpec, sets: &'a [Arc<RuleSet>]) -> Vec<RuleInSets<'a>> {
     let subject = subject(spec);
-    let own = spec.rules.iter().map(|rule| RuleInSets {
+    let own_rules = spec.rules.iter().map(|rule| RuleInSets {
         rule,
         sets: 0..sets.len().max(1),
     });
-    let of_sets = sets.iter().enumerate().flat_map(|(index, set)| {
+    let rules_of_sets = sets.iter().enumerate().flat_map(|(index, set)| {
         set.rules.iter().map(move |rule| RuleInSets {
             rule,
             sets: index..index + 1,
         })
     });
-    own.chain(of_sets.filter(|found| found.rule.concerns(&subject)))
+    own_rules
+        .chain(rules_of_sets.filter(|rule_in_sets| rule_in_sets.rule.concerns(&subject)))
         .collect()
 }
 
 /// Whether any hard rule concerns a job.
 pub fn has_hard(spec: &JobSpec, sets: &[Arc<RuleSet>]) -> bool {
-    concerning(spec, sets)
+    rules_concerning(spec, sets)
         .iter()
-        .any(|found| found.rule.is_hard())
+        .any(|rule_in_sets| rule_in_sets.rule.is_hard())
 }
 
 /// The properties of a job that select the rules which concern it.
@@ -296,7 +298,7 @@
         traits[sets.clone()]
             .iter()
             .map(|traits| rule.expr.reduce(traits))
-            .fold(Evaluation::Always, both)
+            .fold(Evaluation::Always, conjunction)
     };
     classes
         .iter()
@@ -309,7 +311,7 @@
 }
 
 /// The conjunction of two results.
-fn both(first: Evaluation, second: Evaluation) -> Evaluation {
+fn conjunction(first: Evaluation, second: Evaluation) -> Evaluation {
     match (first, second) {
         (Evaluation::Never, _) | (_, Evaluation::Never) => Evaluation::Never,
         (Evaluation::Always, other) | (other, Evaluation::Always) => other,
@@ -322,14 +324,14 @@
     }
 }
 
-/// Whether no machine of the class can meet it. A class that is not evaluated yet is excluded.
+/// Whether no machine of the class can meet the rule. A class that is not evaluated yet is excluded.
 fn excludes(by_class: &[Evaluation], class: ClassId) -> bool {
     by_class
         .get(class)
         .is_none_or(|evaluation| *evaluation == Evaluation::Never)
 }
 
-/// Whether a machine of the class meets it in its current state.
+/// Whether a machine of the class meets the rule in its current state.
 fn holds(by_class: &[Evaluation], class: ClassId, state: &dyn MachineState) -> bool {
     by_class
         .get(class)
--- a/src/scheduler/constraints/machine_context.rs
+++ b/src/scheduler/constraints/machine_context.rs
@@ -39,22 +39,22 @@
     pub jobs: &'a HashMap<JobId, Job>,
     /// Constraints of the jobs that some rule concerns.
     pub job_constraints: &'a HashMap<JobId, JobConstraints>,
-    /// Whether any rule asks about colocated jobs.
+    /// Whether any rule tests colocated jobs.
     pub colocated: bool,
 }
 
-/// The current state of a machine that rules may ask about.
+/// The current state of a machine, as far as rules may test it.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineContext<'a> {
     /// Its class.
     pub class: ClassId,
     /// Images that it holds or fetches.
     pub images: &'a [(Arc<str>, u64)],
-    /// One more image, which it has to fetch for the plan.
+    /// An additional image, which it has to fetch for tasks placed by the plan.
     pub fetching_image: Option<&'a str>,
     /// Jobs with tasks there.
     pub residents: &'a [JobId],
-    /// Whether rules of one of these jobs restrict which jobs may be colocated with it.
+    /// Whether the rules of any of these jobs restrict which jobs may be colocated with it.
     pub restricts_colocation: bool,
 }
 
@@ -64,8 +64,8 @@
     machine: MachineContext<'a>,
     job: JobId,
     image: &'a str,
-    /// A job that is to be placed there as well.
-    newcomer: Option<JobRef<'a>>,
+    /// A further job that is to be placed on the machine.
+    incoming_job: Option<JobRef<'a>>,
 }
 
 impl MachineView<'_> {
@@ -85,13 +85,13 @@
     }
 
     fn has_colocated(&self, field: Field, words: &Words) -> bool {
-        let others = self.machine.residents.iter().filter(|id| **id != self.job);
-        let known = others.filter_map(|id| {
+        let other_residents = self.machine.residents.iter().filter(|id| **id != self.job);
+        let other_jobs = other_residents.filter_map(|id| {
             let spec = self.context.jobs.get(id)?.spec();
             Some(JobRef { id: *id, spec })
         });
-        known
-            .chain(self.newcomer)
+        other_jobs
+            .chain(self.incoming_job)
             .any(|job| job.matches(field, words))
     }
 }
@@ -114,7 +114,7 @@
         required_preferences: RequiredPreferences,
         machine: MachineContext<'_>,
     ) -> bool {
-        let view = self.view(job, machine);
+        let view = self.machine_view(job, machine);
         let own_rules_hold = constraints.is_none_or(|constraints| {
             constraints.holds(machine.class, required_preferences, &view)
         });
@@ -122,10 +122,11 @@
     }
 
     /// Whether the rules of all jobs on a machine admit another job.
-    fn residents_admit(&self, newcomer: JobRef<'_>, machine: MachineContext<'_>) -> bool {
+    fn residents_admit(&self, incoming_job: JobRef<'_>, machine: MachineContext<'_>) -> bool {
         !machine.restricts_colocation
             || machine.residents.iter().all(|resident| {
-                *resident == newcomer.id || self.resident_admits(*resident, newcomer, machine)
+                *resident == incoming_job.id
+                    || self.resident_admits(*resident, incoming_job, machine)
             })
     }
 
@@ -133,7 +134,7 @@
     fn resident_admits(
         &self,
         resident: JobId,
-        newcomer: JobRef<'_>,
+        incoming_job: JobRef<'_>,
         machine: MachineContext<'_>,
     ) -> bool {
         let Some(constraints) = self.job_constraints.get(&resident) else {
@@ -144,10 +145,10 @@
             machine,
             job: resident,
             image: self.jobs.get(&resident).map_or("", |job| &job.spec().image),
-            newcomer: Some(newcomer),
+            incoming_job: Some(incoming_job),
         };
         constraints.requirements().iter().all(|requirement| {
-            !requirement.tests_job(|field, words| newcomer.matches(field, words))
+            !requirement.tests_job(|field, words| incoming_job.matches(field, words))
                 || requirement.holds(machine.class, &view)
         })
     }
@@ -160,12 +161,12 @@
         machine: MachineContext<'_>,
     ) -> u32 {
         constraints.map_or(0, |constraints| {
-            constraints.score(machine.class, &self.view(job, machine))
+            constraints.score(machine.class, &self.machine_view(job, machine))
         })
     }
 
     /// A machine as the rules of a job see it.
-    pub(super) fn view<'a>(
+    pub(super) fn machine_view<'a>(
         &'a self,
         job: JobRef<'a>,
         machine: MachineContext<'a>,
@@ -175,7 +176,7 @@
             machine,
             job: job.id,
             image: &job.spec.image,
-            newcomer: None,
+            incoming_job: None,
         }
     }
 }
--- a/src/scheduler/constraints/traits.rs
+++ b/src/scheduler/constraints/traits.rs
@@ -13,14 +13,14 @@
 /// Microseconds in a millisecond, the unit of times in rules.
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// Traits of the machines of a class: one entry per rule set, or a single one without labels if there is none.
+/// Traits of the machines of a class: one entry per rule set, or a single one without labels if there is no rule set.
 pub fn traits(class: &Class, sets: &[Arc<RuleSet>], catalog: &Catalog) -> ClassTraits {
     let built_in = built_in_traits(catalog, &class.machine_type, &class.zone, class.spot)?;
     if sets.is_empty() {
         return Some(vec![built_in]);
     }
     let machine = class.machine.map(|machine| machine.to_string());
-    let labelled_by = |set: &Arc<RuleSet>| {
+    let traits_under = |set: &Arc<RuleSet>| {
         let mut traits = built_in.clone();
         set.label(
             &mut traits,
@@ -30,7 +30,7 @@
         );
         traits
     };
-    Some(sets.iter().map(labelled_by).collect())
+    Some(sets.iter().map(traits_under).collect())
 }
 
 /// Traits that a machine has by its type, zone and kind.
@@ -65,7 +65,7 @@
     Some(traits.map(|(name, value)| (name.to_owned(), value)).into())
 }
 
-/// Machines that the labels of any rule set name.
+/// Machines that have labels in any rule set.
 pub fn labelled(sets: &[Arc<RuleSet>]) -> BTreeSet<MachineId> {
     sets.iter()
         .flat_map(|set| set.file.labels.machines.keys())
--- a/src/scheduler/fair_shares.rs
+++ b/src/scheduler/fair_shares.rs
@@ -1,9 +1,9 @@
 //! Fair shares of classes and teams under a lasting shortage of room.
 //!
-//! Jobs are ordered by guarantee, priority and latest start. Under a lasting shortage, whatever comes last in this
-//! order would get nothing. So a class or team that is late and has less than half of its fair share, while another
-//! has more than half of its own, goes ahead until it has that half. Without a shortage nothing is late for long,
-//! and the order is unchanged.
+//! Jobs are ordered by guarantee, priority and latest start. Under a lasting shortage, the classes and teams that come
+//! last in this order would be starved. Therefore, a class or team that is late and has less than half of its fair
+//! share, while another one has more than half of its own, takes precedence until it has that half. Without a shortage
+//! no class or team is late for long, and the order is unchanged.
 
 /// Assigned and pending cores of one class or one team, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -23,32 +23,32 @@
 }
 
 /// Max-min fair shares of `room`, one for each of `shares`: as even as possible, and none exceeds its demand.
-pub fn fair(room: u64, shares: &[Share]) -> Vec<u64> {
+pub fn max_min_fair_shares(room: u64, shares: &[Share]) -> Vec<u64> {
     let mut by_demand: Vec<usize> = (0..shares.len()).collect();
     by_demand.sort_unstable_by_key(|index| shares[*index].demand());
     let mut fair = vec![0; shares.len()];
-    let mut unshared = room;
+    let mut remaining_room = room;
     for (served, index) in by_demand.iter().enumerate() {
-        let even_part = unshared / (shares.len() - served) as u64;
-        fair[*index] = shares[*index].demand().min(even_part);
-        unshared -= fair[*index];
+        let even_share = remaining_room / (shares.len() - served) as u64;
+        fair[*index] = shares[*index].demand().min(even_share);
+        remaining_room -= fair[*index];
     }
     fair
 }
 
-/// What a class or team is due under a lasting shortage.
+/// What a class or team lacks of its fair share under a lasting shortage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Deficit {
-    /// Cores that it may be assigned ahead of the order, in thousandths: what it lacks to half of its fair share.
+    /// Cores that it may be assigned ahead of the order, in thousandths: what it lacks of half of its fair share.
     pub ahead: u64,
-    /// Whether its late tasks are protected from preemption: it has no more than its fair share. Were they protected
-    /// only up to the half, the room assigned ahead of the order would be preempted as soon as the half is reached.
+    /// Whether its late tasks are protected from preemption: it has no more than its fair share. If they were protected
+    /// only up to half of it, the room assigned ahead of the order would be preempted as soon as that half is reached.
     pub protected: bool,
 }
 
-/// What each class or team is due, while another has more than half of its own fair share.
+/// The deficit of each class or team; none unless it is late and another one has more than half of its own fair share.
 pub fn deficits(room: u64, shares: &[Share]) -> Vec<Deficit> {
-    let fair = fair(room, shares);
+    let fair = max_min_fair_shares(room, shares);
     let exceeds_half = |index: usize| shares[index].assigned > fair[index] / 2;
     let other_exceeds_half =
         |index: usize| (0..shares.len()).any(|other| other != index && exceeds_half(other));
--- a/src/scheduler/placement/gang_reservation.rs
+++ b/src/scheduler/placement/gang_reservation.rs
@@ -63,8 +63,8 @@
     u64::BITS - (runtime.0 / MICROS_PER_SECOND).leading_zeros()
 }
 
-/// Room for tasks of the demand on a machine, once the tasks there up to some estimated runtime have ended. The order of
-/// the fields is the order of preference.
+/// Room for tasks of the demand on a machine, once the tasks there up to some estimated runtime have ended. The order
+/// of the fields is the order of preference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RoomOffer<'a> {
     /// Whether tasks have to end first.
--- a/src/scheduler/placement/gang_reservation/tests.rs
+++ b/src/scheduler/placement/gang_reservation/tests.rs
@@ -89,9 +89,9 @@
     assert_eq!(ids(&drain(&machines, &two_per_zone)), [1, 2, 3, 4]);
 }
 
-/// Machines that are not reserved are filled again with tasks of any runtime whenever a task ends; reserved ones are not.
-/// Whatever the order in which tasks end, the gang waits at most twice the longest runtime: once for the machines that are
-/// reserved first, and once more if one of them was replaced by a machine with shorter tasks.
+/// Machines that are not reserved are filled again with tasks of any runtime whenever a task ends; reserved ones are
+/// not. Whatever the order in which tasks end, the gang waits at most twice the longest runtime: once for the machines
+/// that are reserved first, and once more if one of them was replaced by a machine with shorter tasks.
 #[test]
 fn reservation_completes_within_twice_the_longest_runtime() {
     for seed in 0..200 {
--- a/src/scheduler/provisioning.rs
+++ b/src/scheduler/provisioning.rs
@@ -10,16 +10,16 @@
 
 use crate::storage::catalog::Catalog;
 use crate::storage::machine_classes::ClassId;
-use offers::{Backlog, ChosenOffer, OfferChoice};
-use pools::Prices;
+use offers::{Backlog, BorrowedOffer, OfferChoice};
+use pools::PriceFilter;
 
-/// Most machines that one plan provisions.
-const MACHINE_LIMIT: u32 = 400;
+/// Largest number of machines that one plan provisions.
+const MAX_MACHINES_PER_PLAN: u32 = 400;
 
-/// Machines to provision, with how many of each. Demands are served in their order, from the pools first.
+/// The machines to provision, with the number of each. Demands are served in their order, from the pools first.
 ///
-/// `offered`: whether the cloud may have such a machine. `class_of`: the class of a machine that is provisioned,
-/// where rules need it.
+/// `offered`: whether the cloud may have such a machine. `class_of`: the class of a provisioned machine, if rules
+/// need it.
 pub fn plan<'a>(
     catalog: &'a Catalog,
     demands: &[Demand<'_>],
@@ -50,20 +50,23 @@
     class_of: &'p dyn Fn(&MachineOffer) -> Option<ClassId>,
     requests: Vec<(MachineOffer, u32)>,
     provisioned: u32,
-    /// Core time of the tasks for which no machine is provisioned: they wait for those that are up.
+    /// Core time of the tasks for which no machine is provisioned: they wait for the machines that are up.
     unplaced_work: u128,
 }
 
 impl<'a> Planner<'_, 'a> {
     fn plan_demand(&mut self, demand: &Demand<'_>) {
-        let mut missing = self.pools.assign(demand, Prices::WithinLimit, demand.count);
-        let mut prices = Prices::WithinLimit;
-        while missing > 0 && self.provisioned < MACHINE_LIMIT {
-            let backlog = self.backlog(demand, missing, prices);
-            if prices == Prices::WithinLimit && backlog.duration() > demand.slack {
-                // Dear machines are for work that would be late, whatever they were provisioned for.
-                missing = self.pools.assign(demand, Prices::AboveLimit, missing);
-                prices = Prices::Any;
+        let mut missing = self
+            .pools
+            .place(demand, PriceFilter::WithinLimit, demand.count);
+        let mut price_filter = PriceFilter::WithinLimit;
+        while missing > 0 && self.provisioned < MAX_MACHINES_PER_PLAN {
+            let backlog = self.backlog(demand, missing, price_filter);
+            if price_filter == PriceFilter::WithinLimit && backlog.duration() > demand.slack {
+                // Expensive machines are used for work that would otherwise be late, regardless of the demand that
+                // they were provisioned for.
+                missing = self.pools.place(demand, PriceFilter::AboveLimit, missing);
+                price_filter = PriceFilter::Any;
                 continue;
             }
             let choice = OfferChoice::new(self.catalog, demand, missing, backlog);
@@ -75,14 +78,14 @@
         }
     }
 
-    /// Work ahead of the machines that could run a demand, its own `missing` tasks included.
-    fn backlog(&self, demand: &Demand<'_>, missing: u64, prices: Prices) -> Backlog {
+    /// Work ahead of the machines that could run a demand, including its own `missing` tasks.
+    fn backlog(&self, demand: &Demand<'_>, missing: u64, price_filter: PriceFilter) -> Backlog {
         let need = &demand.spec.need;
         let mut backlog = Backlog {
             cores: 0,
             work: self.unplaced_work + demand.task_work() * u128::from(missing),
         };
-        for pool in self.pools.feasible(demand, prices) {
+        for pool in self.pools.feasible(demand, price_filter) {
             let usable_cores = need.times_in(&pool.capacity, u64::from(u32::MAX)) * need.cores;
             if usable_cores > 0 {
                 backlog.cores += u128::from(usable_cores * pool.count);
@@ -93,7 +96,7 @@
     }
 
     /// Provisions one machine for the `missing` tasks of a demand; returns how many fit on it.
-    fn provision(&mut self, chosen: ChosenOffer<'a>, demand: &Demand<'_>, missing: u64) -> u64 {
+    fn provision(&mut self, chosen: BorrowedOffer<'a>, demand: &Demand<'_>, missing: u64) -> u64 {
         let need = &demand.spec.need;
         let room = chosen.machine_type.room;
         let tasks = need.times_in(&room, missing);
@@ -107,7 +110,11 @@
             demand.task_work() * u128::from(tasks),
         );
         self.provisioned += 1;
-        match self.requests.iter_mut().find(|(known, _)| *known == offer) {
+        match self
+            .requests
+            .iter_mut()
+            .find(|(requested, _)| *requested == offer)
+        {
             Some((_, count)) => *count += 1,
             None => self.requests.push((offer, 1)),
         }
--- a/src/scheduler/provisioning/demand.rs
+++ b/src/scheduler/provisioning/demand.rs
@@ -8,9 +8,9 @@
 
 /// The machines that rules allow one job.
 pub trait PlacementFilter {
-    /// Whether machines of a class may run it, in some state of theirs.
+    /// Whether machines of a class may run it, in some state of the machine.
     fn class(&self, class: ClassId) -> bool;
-    /// Whether a machine may run it in its current state; `None` is a machine that is not up yet.
+    /// Whether a machine may run it in its current state; `None` stands for a machine that is not up yet.
     fn machine(&self, class: ClassId, machine: Option<MachineId>) -> bool;
     /// Total weight of the preferences that a machine provisioned for it meets; `None` if it may not run there.
     fn offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u32>;
@@ -24,9 +24,10 @@
     pub count: u64,
     /// Time until the tasks must start to meet their deadline; zero if that has passed.
     pub slack: Micros,
-    /// Estimated run time of a task.
+    /// Estimated runtime of a task.
     pub run: Micros,
-    /// Highest price per core of machines for tasks that have time, see [`super::price_limit`].
+    /// Highest price per core of machines for tasks that are not at risk of being late, see
+    /// [`super::price_limit`].
     pub price_limit: u64,
     /// The machines that rules allow, if any rule applies.
     pub placement_filter: Option<Box<dyn PlacementFilter + 'a>>,
--- a/src/scheduler/provisioning/offers.rs
+++ b/src/scheduler/provisioning/offers.rs
@@ -10,16 +10,17 @@
 const CORE_PRICE_SCALE: u64 = 1_000_000;
 
 /// Shortest time that the cloud charges for.
-const MIN_CHARGED: Micros = Micros::secs(60);
+const MIN_CHARGED_TIME: Micros = Micros::secs(60);
 
-/// Shortest run time that costs are estimated with.
-const MIN_RUN: Micros = Micros::secs(10);
+/// Shortest runtime that costs are estimated with.
+const MIN_ESTIMATED_RUNTIME: Micros = Micros::secs(10);
 
-/// Runs of a task that costs are estimated for: a machine is mostly used again before it is released.
-const RUNS_PER_MACHINE: u64 = 2;
+/// Number of consecutive runs of a task that costs are estimated for, because most machines are used again before they
+/// are released.
+const RUNS_PER_COST_ESTIMATE: u64 = 2;
 
-/// A machine has to find at least one in so many of the tasks that fit on it when it comes up.
-const MIN_USEFUL_FRACTION: u128 = 2;
+/// A machine is useful if work for at least one in this many of the tasks that fit on it is left when it comes up.
+const MIN_USEFUL_TASKS_DIVISOR: u128 = 2;
 
 /// A type, zone and kind of machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -37,8 +38,8 @@
     machine_type.price_of(spot) * CORE_PRICE_SCALE / machine_type.room.cores.max(1)
 }
 
-/// Highest price per core for work that has time: half as much again as that of the cheapest machine that the job
-/// may use. Dearer machines are for work that would otherwise be late.
+/// Highest price per core for work that is not at risk of being late: 1.5 times the price of the cheapest machine that
+/// the job may use. More expensive machines are for work that would otherwise be late.
 ///
 /// `allows`: whether the job may use machines of a type, zone and kind.
 pub fn price_limit(
@@ -63,7 +64,7 @@
         .map_or(u64::MAX, |cheapest| cheapest.saturating_mul(3) / 2)
 }
 
-/// Work that is ahead of the machines which could run a demand.
+/// Work ahead of the machines that could run a demand.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Backlog {
     /// Usable cores of these machines, in thousandths.
@@ -73,7 +74,7 @@
 }
 
 impl Backlog {
-    /// How long the machines take to complete it.
+    /// Time that the machines need to complete the work.
     pub(super) fn duration(&self) -> Micros {
         self.work
             .checked_div(self.cores)
@@ -81,15 +82,15 @@
     }
 
     /// Work that is left after some time.
-    fn work_after(&self, time: Micros) -> u128 {
+    fn remaining_work_after(&self, time: Micros) -> u128 {
         self.work.saturating_sub(self.cores * u128::from(time.0))
     }
 }
 
-/// Cost of an offer; the least is preferred, compared field by field.
+/// Cost of an offer; the lowest is preferred, compared field by field.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct OfferCost {
-    /// Price per task, with boot, image fetch and shortest charge.
+    /// Price per task, including the boot, the image fetch and the shortest charged time.
     per_task: u128,
     /// Total weight of the preferences that it meets.
     score: Reverse<u32>,
@@ -97,13 +98,13 @@
 
 /// An offer, borrowed from the catalog.
 #[derive(Clone, Copy)]
-pub(super) struct ChosenOffer<'a> {
+pub(super) struct BorrowedOffer<'a> {
     pub(super) machine_type: &'a MachineType,
     pub(super) zone: &'a str,
     pub(super) spot: bool,
 }
 
-impl ChosenOffer<'_> {
+impl BorrowedOffer<'_> {
     pub(super) fn to_offer(self) -> MachineOffer {
         MachineOffer {
             machine_type: self.machine_type.name.clone(),
@@ -140,15 +141,15 @@
         }
     }
 
-    /// The cheapest offer that is of use, by cost per task. `offered`: whether the cloud may have such a machine.
+    /// The cheapest useful offer, by cost per task. `offered`: whether the cloud may have such a machine.
     pub(super) fn cheapest<'a>(
         &self,
         catalog: &'a Catalog,
         offered: &dyn Fn(&MachineOffer) -> bool,
-    ) -> Option<ChosenOffer<'a>> {
+    ) -> Option<BorrowedOffer<'a>> {
         let all = catalog.types.iter().flat_map(|machine_type| {
             machine_type.zones.iter().flat_map(move |zone| {
-                [true, false].map(|spot| ChosenOffer {
+                [true, false].map(|spot| BorrowedOffer {
                     machine_type,
                     zone,
                     spot,
@@ -160,10 +161,10 @@
             .map(|(_, offer)| offer)
     }
 
-    /// The cost of an offer; `None` if it is of no use, not allowed or not offered.
+    /// The cost of an offer; `None` if it is not useful, too expensive, not allowed or not offered.
     fn cost(
         &self,
-        offer: ChosenOffer<'_>,
+        offer: BorrowedOffer<'_>,
         offered: &dyn Fn(&MachineOffer) -> bool,
     ) -> Option<OfferCost> {
         let machine_type = offer.machine_type;
@@ -175,10 +176,10 @@
         if tasks == 0 || !self.is_useful(machine_type, tasks) {
             return None;
         }
-        let is_affordable = self.backlog.cores == 0
+        let is_price_acceptable = self.backlog.cores == 0
             || core_price(machine_type, offer.spot) <= self.price_limit
             || self.prevents_lateness(machine_type);
-        if !is_affordable {
+        if !is_price_acceptable {
             return None;
         }
         let score = self
@@ -196,16 +197,19 @@
     }
 
     /// Whether there is still enough work for a machine when it comes up. A gang needs room for all of its tasks at
-    /// once, however soon each of them ends.
+    /// once, no matter how soon each of them ends.
     fn is_useful(&self, machine_type: &MachineType, tasks: u64) -> bool {
-        let min_work = self.demand.task_work() * u128::from(tasks) / MIN_USEFUL_FRACTION;
+        let min_work = self.demand.task_work() * u128::from(tasks) / MIN_USEFUL_TASKS_DIVISOR;
         self.demand.spec.runs_all_tasks_at_once()
             || self.backlog.cores == 0
-            || self.backlog.work_after(self.ready_after(machine_type)) >= min_work
+            || self
+                .backlog
+                .remaining_work_after(self.ready_after(machine_type))
+                >= min_work
     }
 
-    /// Whether tasks that would be late without a machine are in time with it. It must not take longer to come up
-    /// than the tasks run.
+    /// Whether tasks that would be late without a machine start in time with it. The machine must not take longer to
+    /// come up than a task runs.
     fn prevents_lateness(&self, machine_type: &MachineType) -> bool {
         let ready_after = self.ready_after(machine_type);
         self.backlog.duration() > self.demand.slack
@@ -220,7 +224,8 @@
 
     /// Time that a machine is charged for.
     fn charged_time(&self, machine_type: &MachineType) -> Micros {
-        let busy = self.demand.run.max(MIN_RUN) + machine_type.fetch_time(self.demand.spec.size);
-        (machine_type.boot + busy * RUNS_PER_MACHINE).max(MIN_CHARGED)
+        let busy = self.demand.run.max(MIN_ESTIMATED_RUNTIME)
+            + machine_type.fetch_time(self.demand.spec.size);
+        (machine_type.boot + busy * RUNS_PER_COST_ESTIMATE).max(MIN_CHARGED_TIME)
     }
 }
--- a/src/scheduler/provisioning/pools.rs
+++ b/src/scheduler/provisioning/pools.rs
@@ -1,4 +1,4 @@
-//! Machines that are up or expected, in pools of equal ones.
+//! Pools of equal machines that are up or expected.
 
 use super::demand::Demand;
 use super::offers::core_price;
@@ -24,9 +24,9 @@
     pub count: u64,
     /// Core time that their assigned tasks still take, in thousandths of a core times microseconds.
     pub work: u128,
-    /// Free capacity of the machines that have some, with the machine if it is up.
+    /// Free capacity of each machine that has any, with the machine if it is up.
     pub free: Vec<(Amount, Option<MachineId>)>,
-    /// Their class, where rules need it.
+    /// Their class, if rules need it.
     pub class: Option<ClassId>,
 }
 
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Assigns up to `missing` tasks to free room; returns how many found none.
-    fn assign(&mut self, demand: &Demand<'_>, mut missing: u64) -> u64 {
+    /// Places up to `missing` tasks in free room; returns how many found none.
+    fn place(&mut self, demand: &Demand<'_>, mut missing: u64) -> u64 {
         let need = &demand.spec.need;
         for (free, machine) in &mut self.free {
             if missing == 0 {
@@ -80,7 +80,7 @@
 impl<'a> MachinePools<'a> {
     /// Adds `count` machines of one type, zone and kind.
     ///
-    /// `free`: free capacity of each, and the machine if it is up; without it they are empty and not up. `work`: core
+    /// `free`: free capacity of each, and the machine if it is up; `None` if they are empty and not up. `work`: core
     /// time that the assigned tasks of each still take.
     pub fn add(
         &mut self,
@@ -106,13 +106,13 @@
         catalog: &Catalog,
         class: Option<ClassId>,
     ) -> &mut MachinePool<'a> {
-        let known = self.0.iter().position(|pool| {
+        let existing = self.0.iter().position(|pool| {
             pool.spot == spot
                 && pool.machine_type == machine_type
                 && pool.zone == zone
                 && pool.class == class
         });
-        let index = known.unwrap_or_else(|| {
+        let index = existing.unwrap_or_else(|| {
             self.0.push(MachinePool::empty(
                 (machine_type, zone, spot),
                 catalog,
@@ -123,32 +123,37 @@
         &mut self.0[index]
     }
 
-    /// Assigns up to `missing` tasks to the free room of feasible pools; returns how many found none.
-    pub(super) fn assign(&mut self, demand: &Demand<'_>, prices: Prices, missing: u64) -> u64 {
+    /// Places up to `missing` tasks in the free room of feasible pools; returns how many found none.
+    pub(super) fn place(
+        &mut self,
+        demand: &Demand<'_>,
+        price_filter: PriceFilter,
+        missing: u64,
+    ) -> u64 {
         self.0.iter_mut().fold(missing, |missing, pool| {
-            if missing > 0 && prices.include(pool, demand) && demand.is_feasible(pool) {
-                pool.assign(demand, missing)
+            if missing > 0 && price_filter.includes(pool, demand) && demand.is_feasible(pool) {
+                pool.place(demand, missing)
             } else {
                 missing
             }
         })
     }
 
-    /// The pools that may run a demand, at these prices.
+    /// The pools that may run a demand, within these prices.
     pub(super) fn feasible(
         &self,
         demand: &Demand<'_>,
-        prices: Prices,
+        price_filter: PriceFilter,
     ) -> impl Iterator<Item = &MachinePool<'a>> {
         self.0
             .iter()
-            .filter(move |pool| prices.include(pool, demand) && demand.is_feasible(pool))
+            .filter(move |pool| price_filter.includes(pool, demand) && demand.is_feasible(pool))
     }
 }
 
-/// Which prices of machines are considered, relative to the price limit of a demand.
+/// Selection of machines by price, relative to the price limit of a demand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Prices {
+pub(super) enum PriceFilter {
     /// Up to the limit.
     WithinLimit,
     /// Above the limit only.
@@ -157,12 +162,12 @@
     Any,
 }
 
-impl Prices {
-    fn include(self, pool: &MachinePool<'_>, demand: &Demand<'_>) -> bool {
+impl PriceFilter {
+    fn includes(self, pool: &MachinePool<'_>, demand: &Demand<'_>) -> bool {
         match self {
-            Prices::WithinLimit => pool.price <= demand.price_limit,
-            Prices::AboveLimit => pool.price > demand.price_limit,
-            Prices::Any => true,
+            PriceFilter::WithinLimit => pool.price <= demand.price_limit,
+            PriceFilter::AboveLimit => pool.price > demand.price_limit,
+            PriceFilter::Any => true,
         }
     }
 }
--- a/src/scheduler/zone_health/tests.rs
+++ b/src/scheduler/zone_health/tests.rs
@@ -4,9 +4,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const REPORT: Micros = Micros::secs(8);
+const HEARTBEAT_INTERVAL: Micros = Micros::secs(8);
 
-fn heard(machines: usize) -> ZoneEvidence {
+fn heartbeats(machines: usize) -> ZoneEvidence {
     ZoneEvidence {
         machines,
         other_zones_connected: true,
@@ -14,10 +14,10 @@
     }
 }
 
-fn returned(machines: usize, reconnected: usize) -> ZoneEvidence {
+fn reconnected(machines: usize, reconnected: usize) -> ZoneEvidence {
     ZoneEvidence {
         reconnected,
-        ..heard(machines)
+        ..heartbeats(machines)
     }
 }
 
@@ -25,14 +25,14 @@
     ZoneEvidence {
         quiet: Micros::secs(30),
         unanswered,
-        ..heard(machines)
+        ..heartbeats(machines)
     }
 }
 
-fn lost(zone: &mut ZoneHealth, at: u64) {
-    zone.note(Micros::secs(at), REPORT, &silent(200, 0));
+fn lose_zone(zone: &mut ZoneHealth, at: u64) {
+    zone.note(Micros::secs(at), HEARTBEAT_INTERVAL, &silent(200, 0));
     assert_eq!(
-        zone.note(Micros::secs(at + 3), REPORT, &silent(200, 3)),
+        zone.note(Micros::secs(at + 3), HEARTBEAT_INTERVAL, &silent(200, 3)),
         Some(ZoneState::Lost)
     );
 }
@@ -40,84 +40,111 @@
 #[test]
 fn zone_is_lost_after_silence_and_unanswered_probes() {
     let mut zone = ZoneHealth::default();
-    assert_eq!(zone.note(Micros::secs(1), REPORT, &heard(200)), None);
+    assert_eq!(
+        zone.note(Micros::secs(1), HEARTBEAT_INTERVAL, &heartbeats(200)),
+        None
+    );
     // Neither silence of all zones nor of a single machine is conclusive.
     let disconnected = ZoneEvidence {
         other_zones_connected: false,
         ..silent(200, 3)
     };
-    assert_eq!(zone.note(Micros::secs(2), REPORT, &disconnected), None);
-    assert_eq!(zone.note(Micros::secs(3), REPORT, &silent(1, 1)), None);
     assert_eq!(
-        zone.note(Micros::secs(4), REPORT, &silent(200, 0)),
+        zone.note(Micros::secs(2), HEARTBEAT_INTERVAL, &disconnected),
+        None
+    );
+    assert_eq!(
+        zone.note(Micros::secs(3), HEARTBEAT_INTERVAL, &silent(1, 1)),
+        None
+    );
+    assert_eq!(
+        zone.note(Micros::secs(4), HEARTBEAT_INTERVAL, &silent(200, 0)),
         Some(ZoneState::Suspected)
     );
     assert!(zone.is_suspected() && zone.share(Micros::secs(4)) == 100);
-    assert_eq!(zone.note(Micros::secs(5), REPORT, &silent(200, 2)), None);
+    assert_eq!(
+        zone.note(Micros::secs(5), HEARTBEAT_INTERVAL, &silent(200, 2)),
+        None
+    );
     // One heartbeat ends the suspicion.
     assert_eq!(
-        zone.note(Micros::secs(6), REPORT, &heard(200)),
+        zone.note(Micros::secs(6), HEARTBEAT_INTERVAL, &heartbeats(200)),
         Some(ZoneState::Healthy)
     );
-    lost(&mut zone, 10);
-    assert_eq!(zone.note(Micros::secs(14), REPORT, &returned(200, 1)), None);
+    lose_zone(&mut zone, 10);
     assert_eq!(
-        zone.note(Micros::secs(15), REPORT, &returned(200, 9)),
+        zone.note(Micros::secs(14), HEARTBEAT_INTERVAL, &reconnected(200, 1)),
+        None
+    );
+    assert_eq!(
+        zone.note(Micros::secs(15), HEARTBEAT_INTERVAL, &reconnected(200, 9)),
         Some(ZoneState::Recovering)
     );
 }
 
-/// A controller whose shards moved to others while a zone was lost considered it lost for ever, and kept its jobs off all
-/// machines there.
+/// Guards against a controller that considers a zone lost forever, and keeps its jobs off all machines there, because
+/// its shards moved to other controllers while the zone was lost.
 #[test]
 fn lost_zone_recovers_if_the_controller_serves_no_machine_there() {
     let mut zone = ZoneHealth::default();
-    lost(&mut zone, 10);
+    lose_zone(&mut zone, 10);
     let none = ZoneEvidence {
         quiet: Micros::secs(500),
-        ..heard(0)
+        ..heartbeats(0)
     };
     for at in [14, 30, 43] {
-        assert_eq!(zone.note(Micros::secs(at), REPORT, &none), None);
+        assert_eq!(zone.note(Micros::secs(at), HEARTBEAT_INTERVAL, &none), None);
         assert_eq!(zone.share(Micros::secs(at)), 0);
     }
     assert_eq!(
-        zone.note(Micros::secs(44), REPORT, &none),
+        zone.note(Micros::secs(44), HEARTBEAT_INTERVAL, &none),
         Some(ZoneState::Recovering)
     );
     assert_eq!(
-        zone.note(Micros::secs(65), REPORT, &none),
+        zone.note(Micros::secs(65), HEARTBEAT_INTERVAL, &none),
         Some(ZoneState::Healthy)
     );
 }
 
 #[test]
-fn each_loss_doubles_the_recovery_until_it_is_forgotten() {
+fn each_loss_doubles_the_recovery_until_earlier_losses_expire() {
     let mut zone = ZoneHealth::default();
     let mut at = 1_000;
-    for span in [20, 40, 80, 160, 160] {
-        lost(&mut zone, at);
+    for recovery_s in [20, 40, 80, 160, 160] {
+        lose_zone(&mut zone, at);
         at += 10;
-        zone.note(Micros::secs(at), REPORT, &returned(200, 9));
-        assert_eq!(zone.share(Micros::secs(at)), 10, "{span}");
+        zone.note(Micros::secs(at), HEARTBEAT_INTERVAL, &reconnected(200, 9));
+        assert_eq!(zone.share(Micros::secs(at)), 10, "{recovery_s}");
         assert!(
-            (50..60).contains(&zone.share(Micros::secs(at + span / 2))),
-            "{span}"
+            (50..60).contains(&zone.share(Micros::secs(at + recovery_s / 2))),
+            "{recovery_s}"
         );
         assert_eq!(
-            zone.note(Micros::secs(at + span), REPORT, &heard(200)),
+            zone.note(
+                Micros::secs(at + recovery_s),
+                HEARTBEAT_INTERVAL,
+                &heartbeats(200)
+            ),
             None
         );
         assert_eq!(
-            zone.note(Micros::secs(at + span + 1), REPORT, &heard(200)),
+            zone.note(
+                Micros::secs(at + recovery_s + 1),
+                HEARTBEAT_INTERVAL,
+                &heartbeats(200)
+            ),
             Some(ZoneState::Healthy)
         );
-        at += span + 10;
+        at += recovery_s + 10;
     }
-    lost(&mut zone, at + 700);
-    zone.note(Micros::secs(at + 710), REPORT, &returned(200, 9));
+    lose_zone(&mut zone, at + 700);
+    zone.note(
+        Micros::secs(at + 710),
+        HEARTBEAT_INTERVAL,
+        &reconnected(200, 9),
+    );
     assert_eq!(
-        zone.note(Micros::secs(at + 731), REPORT, &heard(200)),
+        zone.note(Micros::secs(at + 731), HEARTBEAT_INTERVAL, &heartbeats(200)),
         Some(ZoneState::Healthy)
     );
 }
@@ -125,8 +152,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the evidence: a zone is lost only after it was suspected and while other zones send heartbeats, and the
-    /// share never falls during a recovery.
+    /// For any evidence, a zone is lost only after it was suspected and while other zones send heartbeats, and the share
+    /// never falls during a recovery.
     #[test]
     fn zone_is_lost_only_after_suspicion(
         observations in prop::collection::vec((0..5u64, 0..60u64, 0..6usize, 0..6usize, 0..9usize, any::<bool>()), 1..60),
@@ -136,7 +163,7 @@
             let (before, share) = (zone.state(), zone.share(now));
             now += Micros::secs(step);
             let evidence = ZoneEvidence { machines, quiet: Micros::secs(quiet), unanswered, reconnected, other_zones_connected };
-            let after = zone.note(now, REPORT, &evidence);
+            let after = zone.note(now, HEARTBEAT_INTERVAL, &evidence);
             if after == Some(ZoneState::Lost) {
                 prop_assert!(before == ZoneState::Suspected && other_zones_connected && unanswered > 0);
             }
