--- a/src/scheduler/placement/gang_reservation.rs
+++ b/src/scheduler/placement/gang_reservation.rs
@@ -101,10 +101,10 @@
 
 /// The reservation with room for more tasks, otherwise the shorter one; the first of two equal ones.
 fn better_reservation(first: Drain, second: Drain) -> Drain {
-    let rank = |reservation: &Drain| {
+    let rank = |choice: &Drain| {
         (
-            std::cmp::Reverse(reservation.tasks),
-            duration_class(reservation.duration),
+            std::cmp::Reverse(choice.tasks),
+            duration_class(choice.duration),
         )
     };
     if rank(&second) < rank(&first) {
--- a/src/scheduler/placement/gang_reservation/tests.rs
+++ b/src/scheduler/placement/gang_reservation/tests.rs
@@ -38,8 +38,12 @@
     }
 }
 
-fn ids(drain: &Drain) -> Vec<u64> {
-    drain.machines.iter().map(|machine| machine.0).collect()
+fn ids(reservation: &Drain) -> Vec<u64> {
+    reservation
+        .machines
+        .iter()
+        .map(|machine| machine.0)
+        .collect()
 }
 
 #[test]
--- a/src/scheduler/zone_health.rs
+++ b/src/scheduler/zone_health.rs
@@ -131,9 +131,7 @@
                 ZoneState::Suspected
             }
             ZoneState::Recovering if time_in_state > self.recovery_duration() => ZoneState::Healthy,
-            ZoneState::Suspected if !silent && self.is_recovery_unfinished(now) => {
-                ZoneState::Recovering
-            }
+            ZoneState::Suspected if !silent && self.in_recovery(now) => ZoneState::Recovering,
             ZoneState::Suspected if !silent => ZoneState::Healthy,
             ZoneState::Suspected
                 if evidence.other_zones_connected && evidence.unanswered >= quorum =>
@@ -157,7 +155,7 @@
     }
 
     /// Whether the recovery from the last loss is not over yet.
-    fn is_recovery_unfinished(&self, now: Micros) -> bool {
+    fn in_recovery(&self, now: Micros) -> bool {
         self.losses > 0 && now.since(self.lost_at) < self.recovery_duration()
     }
 
