--- a/src/storage/cell_state/assignments.rs
+++ b/src/storage/cell_state/assignments.rs
@@ -9,16 +9,16 @@
 pub struct Place {
     /// The machine.
     pub machine: MachineId,
-    /// The attempt's number.
+    /// Number of the attempt.
     pub number: u64,
 }
 
-/// Places of the assigned tasks, by job and task number; jobs without any have no entry.
+/// Places of the assigned tasks, by job and task number; jobs without assigned tasks have no entry.
 #[derive(Debug, Default)]
 pub(super) struct AssignmentIndex(HashMap<JobId, BTreeMap<u32, Place>>);
 
 impl AssignmentIndex {
-    /// Adds all assignments of a machine. They replace those of the same tasks elsewhere.
+    /// Adds all assignments of a machine. They replace assignments of the same tasks to other machines.
     pub(super) fn add(&mut self, machine: MachineId, record: &MachineRecord) {
         for assignment in &record.tasks {
             let place = Place {
@@ -42,7 +42,7 @@
             let Some(tasks) = self.0.get_mut(&assignment.job) else {
                 continue;
             };
-            // A task that moved is indexed at its new place already.
+            // A task that was moved to another machine is already indexed at its new place.
             if tasks.get(&assignment.index) == Some(&place) {
                 tasks.remove(&assignment.index);
             }
@@ -57,7 +57,7 @@
         self.0.get(&job)
     }
 
-    /// All jobs with assigned tasks, and how many tasks those are.
+    /// All jobs with assigned tasks, and the number of those tasks.
     pub(super) fn task_counts(&self) -> impl Iterator<Item = (JobId, u64)> {
         self.0.iter().map(|(job, tasks)| (*job, tasks.len() as u64))
     }
--- a/src/storage/cell_state/changes.rs
+++ b/src/storage/cell_state/changes.rs
@@ -32,7 +32,7 @@
     Job(Box<JobRecord>),
     /// A further chunk of a job's completion bitmap.
     Chunk(CompletionBitmap),
-    /// A set of rules; `None` if this version cannot read it.
+    /// A rule set; `None` if this version of the software cannot read it.
     Rules(Option<Arc<RuleSet>>),
 }
 
@@ -41,7 +41,7 @@
 pub struct Change {
     /// The key.
     pub key: Key,
-    /// Its new content; `None` if the key was removed.
+    /// New content of the key's record; `None` if the key was removed.
     pub content: Option<Content>,
     /// Revision of the change.
     pub mod_revision: u64,
@@ -54,13 +54,13 @@
     pub job: JobId,
     /// How it ended, if that is known.
     pub how: Option<FinalRecord>,
-    /// Its class.
+    /// Job class.
     pub job_class: String,
-    /// Its team.
+    /// Team.
     pub team: String,
 }
 
-/// What applied changes affected, for those who react to it.
+/// What applied changes affected, for the parts of the controller that react to changes.
 #[derive(Clone, Debug, Default)]
 pub struct CellChanges {
     /// Shards whose leader changed.
@@ -82,9 +82,9 @@
 impl CellState {
     /// Applies changes in order, and adds what they affect to `changes_seen`.
     ///
-    /// Changes that are applied already are skipped, and so is everything up to the replica's revision: the response
-    /// to an own commit may arrive long after the watch delivered that commit and later ones, and must not restore a
-    /// job that has ended since.
+    /// Skips changes that are already applied and those up to the replica's revision: the response to a commit of this
+    /// controller may arrive long after the watch delivered that commit and later ones, and must not restore a job that
+    /// has ended since.
     pub fn apply(
         &mut self,
         changes: impl IntoIterator<Item = Change>,
@@ -95,7 +95,7 @@
                 continue;
             }
             self.latest = self.latest.max(change.mod_revision);
-            self.apply_one(change, changes_seen);
+            self.apply_change(change, changes_seen);
         }
     }
 
@@ -104,7 +104,8 @@
         if revision > self.revision {
             self.revision = revision;
             self.latest = self.latest.max(revision);
-            self.removed.retain(|_, removed_at| *removed_at > revision);
+            self.removed_keys
+                .retain(|_, removed_at| *removed_at > revision);
         }
     }
 
@@ -112,26 +113,27 @@
         let known = self.revision.max(self.mod_revision(&change.key));
         change.mod_revision <= known
             || self
-                .removed
+                .removed_keys
                 .get(&change.key)
                 .is_some_and(|removed_at| change.mod_revision <= *removed_at)
     }
 
-    fn apply_one(&mut self, change: Change, changes_seen: &mut CellChanges) {
+    fn apply_change(&mut self, change: Change, changes_seen: &mut CellChanges) {
         if matches!(change.key, Key::Group(..) | Key::Job(_)) {
             self.assigned_by_team.invalidate();
         }
         match change.content {
             Some(content) => self.put(change.key, content, change.mod_revision, changes_seen),
             None => {
-                self.removed.insert(change.key.clone(), change.mod_revision);
+                self.removed_keys
+                    .insert(change.key.clone(), change.mod_revision);
                 self.remove(change.key, changes_seen);
             }
         }
     }
 
-    /// Stores a record's new content. Content of another kind than its key's is ignored, as is an end, which the
-    /// replica does not keep.
+    /// Stores a record's new content. Ignores content of another kind than its key, and the records of ended jobs,
+    /// which the replica does not keep.
     fn put(
         &mut self,
         key: Key,
@@ -245,7 +247,7 @@
     ) {
         self.ensure_shard(shard);
         let old = std::mem::replace(&mut self.usage[shard], usage);
-        self.refresh_ends(shard, &old.value.ends, changes_seen);
+        self.update_recorded_finished_tasks(shard, &old.value.ends, changes_seen);
         changes_seen.usage = true;
     }
 }
--- a/src/storage/cell_state/groups.rs
+++ b/src/storage/cell_state/groups.rs
@@ -1,8 +1,8 @@
 //! Replacement of a machine group, and the indexes of its machines.
 //!
-//! Machines are moved from a group that is too large to a group with a higher index only. If two groups list the same
-//! machine, the entry in the higher one counts: the lower group was read before its machine was removed from it, or
-//! could not be written any more.
+//! Machines are only moved from a group that is too large to a group with a higher index. If two groups list the same
+//! machine, the entry in the higher group is valid: the lower group was read before the machine was removed from it, or
+//! could no longer be written.
 
 use super::assignments::AssignmentIndex;
 use super::{CellChanges, CellState, Versioned};
@@ -32,14 +32,14 @@
         self.superseded.contains_key(&machine)
     }
 
-    /// Forgets the superseded entries of a group that is about to be replaced. `in_shard`: whether a machine is of
-    /// the group's shard, since other shards have groups of the same index.
-    fn forget_superseded(&mut self, group: GroupIndex, in_shard: impl Fn(MachineId) -> bool) {
+    /// Discards the superseded entries of a group that is about to be replaced. `in_shard`: whether a machine belongs
+    /// to the group's shard, since other shards have groups with the same index.
+    fn discard_superseded(&mut self, group: GroupIndex, in_shard: impl Fn(MachineId) -> bool) {
         self.superseded
             .retain(|machine, listed_in| *listed_in != group || !in_shard(*machine));
     }
 
-    /// Removes from a group's new machines those that belong to a higher group already.
+    /// Removes from a group's new machines those that already belong to a higher group.
     fn drop_superseded(&mut self, group: GroupIndex, machines: &mut Machines) {
         machines.retain(|machine, _| {
             let is_in_higher = self
@@ -53,15 +53,20 @@
         });
     }
 
-    /// The lower group that a machine of `group` was moved from, which is noted as still listing it.
-    fn supersede_lower(&mut self, machine: MachineId, group: GroupIndex) -> Option<GroupIndex> {
+    /// Records that the lower group that a machine of `group` was moved from still lists the machine; returns that
+    /// lower group, or `None` if the machine was not moved.
+    fn supersede_in_lower_group(
+        &mut self,
+        machine: MachineId,
+        group: GroupIndex,
+    ) -> Option<GroupIndex> {
         let lower = self.group_of(machine).filter(|other| *other < group)?;
         self.superseded.insert(machine, lower);
         Some(lower)
     }
 }
 
-/// Brings the indexes from a group's old machines to its new ones.
+/// Updates the indexes from a group's old machines to its new ones.
 struct GroupIndexer<'a> {
     group: GroupIndex,
     locations: &'a mut MachineLocations,
@@ -71,7 +76,7 @@
 }
 
 impl GroupIndexer<'_> {
-    /// Takes machines that are changed or no longer in the group out of the indexes.
+    /// Removes machines that changed or are no longer in the group from the indexes.
     fn remove_outdated(&mut self, before: &Machines, after: &Machines) {
         for (machine, old) in before {
             let new = after.get(machine);
@@ -81,7 +86,7 @@
             self.changed.push(*machine);
             let belongs_to = self.locations.group_of(*machine);
             if belongs_to.is_some_and(|other| other != self.group) {
-                // It was moved to another group, and is indexed there.
+                // The machine was moved to another group, and is indexed there.
                 continue;
             }
             self.assignments.remove(*machine, old);
@@ -92,7 +97,7 @@
         }
     }
 
-    /// Puts machines that are changed or new in the group into the indexes.
+    /// Adds machines that changed or are new in the group to the indexes.
     fn add_updated(&mut self, before: &Machines, after: &Machines) {
         for (machine, new) in after {
             let old = before.get(machine);
@@ -110,7 +115,7 @@
 }
 
 impl CellState {
-    /// Replaces a group, and updates the indexes for the machines that differ.
+    /// Replaces a group, and updates the indexes for the machines that changed.
     pub(super) fn replace_group(
         &mut self,
         shard: ShardId,
@@ -120,20 +125,22 @@
     ) {
         let shards = self.shards();
         self.locations
-            .forget_superseded(group, |machine| shard_of(machine, shards) == shard);
+            .discard_superseded(group, |machine| shard_of(machine, shards) == shard);
         if let Some(new) = &mut new {
             let machines = &mut new.value.machines;
             self.locations.drop_superseded(group, machines);
-            self.take_from_lower_groups(shard, group, machines);
+            self.remove_from_lower_groups(shard, group, machines);
         }
         let groups = &mut self.groups[shard];
         let old = match new {
             Some(new) => groups.insert(group, new),
             None => groups.remove(&group),
         };
-        let none = Machines::new();
-        let before = old.as_ref().map_or(&none, |old| &old.value.machines);
-        let after = groups.get(&group).map_or(&none, |new| &new.value.machines);
+        let no_machines = Machines::new();
+        let before = old.as_ref().map_or(&no_machines, |old| &old.value.machines);
+        let after = groups
+            .get(&group)
+            .map_or(&no_machines, |new| &new.value.machines);
         let mut indexer = GroupIndexer {
             group,
             locations: &mut self.locations,
@@ -146,9 +153,9 @@
     }
 
     /// Removes machines from the lower groups that they were moved from.
-    fn take_from_lower_groups(&mut self, shard: ShardId, group: GroupIndex, machines: &Machines) {
+    fn remove_from_lower_groups(&mut self, shard: ShardId, group: GroupIndex, machines: &Machines) {
         for machine in machines.keys() {
-            let Some(lower) = self.locations.supersede_lower(*machine, group) else {
+            let Some(lower) = self.locations.supersede_in_lower_group(*machine, group) else {
                 continue;
             };
             let moved = self.groups[shard]
@@ -161,7 +168,7 @@
     }
 }
 
-/// The shard of a machine, of so many.
+/// The shard of a machine; `shards`: the number of shards.
 pub(super) fn shard_of(machine: MachineId, shards: usize) -> ShardId {
     (machine.0 % shards.max(1) as u64) as ShardId
 }
--- a/src/storage/cell_state/jobs.rs
+++ b/src/storage/cell_state/jobs.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 impl CellState {
-    /// Stores how a job ended on which live ones depend, and of which that was not known.
+    /// Stores how a job ended on which live jobs depend, and of which this was unknown.
     pub fn on_end_learned(&mut self, id: JobId, end: FinalRecord, changes_seen: &mut CellChanges) {
         self.dependencies
             .on_end_learned(id, end, &mut self.jobs, &mut changes_seen.jobs);
@@ -53,7 +53,7 @@
             record: record.value,
             mod_revision: record.mod_revision,
             chunks: BTreeMap::new(),
-            ends: self.recorded_ends(id),
+            ends: self.recorded_finished_tasks(id),
         };
         self.jobs.insert(id, job);
         self.dependencies
--- a/src/storage/cell_state/mod.rs
+++ b/src/storage/cell_state/mod.rs
@@ -1,13 +1,14 @@
 //! The controller's replica of the state of the whole cell.
 //!
-//! The watch advances it by one consistent revision at a time, and the controller's own commits advance it too.
-//! The latter may be ahead of the watch: every commit that assigns a shard's jobs writes that shard's usage record
-//! conditionally, and every record is written against the revision that the replica has of it. So a commit that
-//! succeeded proves that the replica had missed no assignment of that shard, and nothing of what it wrote.
+//! The watch advances the replica by one consistent revision at a time. The controller's own commits are applied to it
+//! too, and may be ahead of the watch: every commit that assigns a shard's jobs writes that shard's usage record
+//! conditionally, and every record is written on the condition that its revision is the one in the replica. So a commit
+//! that succeeded proves that the replica had missed no assignment of that shard, and no change of the records that the
+//! commit wrote.
 //!
-//! - [`changes`]: changes of records, and how they are applied.
+//! - [`changes`]: changes of records, and how they are applied to the replica.
 //! - `assignments`, `groups`, `jobs`, `usage`: the indexes derived from the records, kept up to date by the changes.
-//! - `queries`: what can be asked of the replica.
+//! - `queries`: queries of the replica.
 
 mod assignments;
 pub mod changes;
@@ -41,7 +42,7 @@
     pub time_of_day: Micros,
     /// All changes up to this revision are applied.
     pub revision: u64,
-    /// The latest revision of which any change is applied; at least `revision`.
+    /// The latest revision from which any change is applied; at least `revision`.
     pub latest: u64,
     /// Number of shards, and the teams' shards.
     pub meta: Versioned<Option<MetaRecord>>,
@@ -61,19 +62,21 @@
     pub jobs: HashMap<JobId, Job>,
     /// Dependencies between the live jobs.
     pub dependencies: DependencyGraph,
-    /// Sets of rules, by digest; `None` if this version cannot read the set.
+    /// Rule sets, by digest; `None` if this version of the software cannot read the rule set.
     pub rules: BTreeMap<u64, Versioned<Option<Arc<RuleSet>>>>,
     /// Classes of equal machines.
     pub classes: Classes,
     locations: MachineLocations,
     assignments: AssignmentIndex,
     assigned_by_team: AssignedByTeam,
-    /// Keys removed ahead of `revision`, with the revision of the removal: an older change must not restore them.
-    removed: HashMap<Key, u64>,
+    /// Keys removed_keys at revisions after `revision`, with the revision of the removal: an older change must not
+    /// restore their records.
+    removed_keys: HashMap<Key, u64>,
 }
 
 impl CellState {
-    /// Makes room for the records of a shard. Records may arrive before the number of shards is known.
+    /// Extends the lists of records by shard to include this shard. Records may arrive before the number of shards is
+    /// known.
     fn ensure_shard(&mut self, shard: ShardId) {
         let count = (shard + 1).max(self.shards());
         if self.leaders.len() < count {
@@ -83,7 +86,8 @@
         }
     }
 
-    /// Forgets everything before a full reread, since the revisions start anew; keeps the time of day.
+    /// Discards everything but the time of day, before the replica is read again in full, since the revisions start
+    /// anew.
     pub fn clear(&mut self) {
         *self = CellState {
             time_of_day: self.time_of_day,
--- a/src/storage/cell_state/queries.rs
+++ b/src/storage/cell_state/queries.rs
@@ -1,4 +1,4 @@
-//! What can be asked of the replica.
+//! Queries of the replica.
 
 use super::groups::shard_of;
 use super::{CellState, Job, Place};
@@ -9,10 +9,10 @@
 use crate::storage::resources::Amount;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Multiplier of the hash that spreads jobs over shards: 2^64 divided by the golden ratio.
+/// Multiplier of the hash that distributes jobs over shards: 2^64 divided by the golden ratio.
 const JOB_HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// Bits of that hash that are dropped: its low ones spread consecutive job numbers badly.
+/// Number of low bits of the hash that are dropped: they distribute consecutive job numbers badly.
 const JOB_HASH_SHIFT: u32 = 33;
 
 /// Shards and record formats.
@@ -27,14 +27,15 @@
         shard_of(machine, self.shards())
     }
 
-    /// Shard of a job: that of its team, or chosen by job if the team has no shard of its own.
+    /// Shard of a job: the shard of its team, or a shard chosen by the job's number if the team has no shard of its
+    /// own.
     pub fn shard_of_job(&self, id: JobId, spec: &JobSpec) -> ShardId {
         let Some(meta) = &self.meta.value else {
             return 0;
         };
         match meta.teams.get(&spec.team) {
             Some(&shard) if shard < meta.shards => shard,
-            // Job numbers follow no known pattern; a multiplicative hash spreads consecutive ones too.
+            // Job numbers follow no known pattern; a multiplicative hash distributes consecutive ones well too.
             _ => {
                 let hash = id.0.wrapping_mul(JOB_HASH_MULTIPLIER) >> JOB_HASH_SHIFT;
                 (hash % meta.shards.max(1) as u64) as ShardId
@@ -64,10 +65,10 @@
         self.known_format().is_fenced()
     }
 
-    /// Whether the stored records are of a format that a version which knows formats up to `understood` cannot read.
-    /// It must not write them then.
-    pub fn is_format_unsupported(&self, understood: u32) -> bool {
-        !(INITIAL_FORMAT..=understood).contains(&self.record_format())
+    /// Whether the stored records are in a format that a controller which can read formats up to `max_readable_format`
+    /// cannot read. Such a controller must not write them.
+    pub fn is_format_unsupported(&self, max_readable_format: u32) -> bool {
+        !(INITIAL_FORMAT..=max_readable_format).contains(&self.record_format())
     }
 
     /// The revision of a key in the replica; 0 if the key does not exist.
@@ -116,13 +117,13 @@
             .get(&machine)
     }
 
-    /// Whether a lower group of its shard still lists a machine that was moved. It must stay in its group then, or it
-    /// would be found in the lower one again.
+    /// Whether a lower group of the machine's shard still lists the machine after it was moved. The machine must stay
+    /// in its group then, since otherwise it would be found in the lower group again.
     pub fn is_superseded(&self, machine: MachineId) -> bool {
         self.locations.is_superseded(machine)
     }
 
-    /// Gives machines that rules name classes of their own.
+    /// Gives each machine that rules label individually a class of its own.
     pub fn label(&mut self, labelled: BTreeSet<MachineId>) {
         let machines = self
             .groups
@@ -141,7 +142,7 @@
         })
     }
 
-    /// Those of them that are schedulable.
+    /// All schedulable machines of all shards.
     pub fn machines_up(&self) -> impl Iterator<Item = (MachineId, &MachineRecord)> {
         self.machines()
             .filter(|(_, _, record)| record.health == MachineHealth::Schedulable)
@@ -168,7 +169,8 @@
         self.types.value.as_ref()?.get(name)
     }
 
-    /// What a machine has left. Preempted tasks are not counted, since their resources are assigned already.
+    /// Free resources of a machine. Preempted tasks are not counted, since their resources are already assigned to
+    /// other tasks.
     pub fn free(&self, record: &MachineRecord) -> Amount {
         let mut free = self
             .machine_type(&record.machine_type)
@@ -184,7 +186,7 @@
 
 /// Jobs and tasks.
 impl CellState {
-    /// What a task of this job needs; nothing for a job that is not live.
+    /// Resources that a task of this job needs; zero for a job that is not live.
     pub fn need(&self, job: JobId) -> Amount {
         self.jobs
             .get(&job)
--- a/src/storage/cell_state/usage.rs
+++ b/src/storage/cell_state/usage.rs
@@ -1,4 +1,4 @@
-//! What the teams have assigned, and the ends of tasks that the shards' usage records hold.
+//! Resources assigned to the teams, and the finished tasks in the shards' usage records.
 
 use super::{CellChanges, CellState};
 use crate::storage::completion_bitmap::CompletionBitmap;
@@ -6,24 +6,24 @@
 use std::cell::OnceCell;
 use std::collections::{BTreeMap, HashMap};
 
-/// Cores and accelerators that each team has assigned, in thousandths. Summed up on demand, since most changes are not
-/// followed by a query.
+/// Cores and accelerators assigned to each team, in thousandths. The sums are computed on demand, since most changes
+/// are not followed by a query.
 #[derive(Debug, Default)]
 pub(super) struct AssignedByTeam(OnceCell<HashMap<String, (u64, u64)>>);
 
 impl AssignedByTeam {
-    /// Discards the sums: a job or a machine group is about to change.
+    /// Discards the sums, because a job or a machine group is about to change.
     pub(super) fn invalidate(&mut self) {
         self.0.take();
     }
 }
 
 impl CellState {
-    /// Cores and accelerators that a team of this shard has assigned, in thousandths.
+    /// Cores and accelerators assigned to a team of this shard, in thousandths.
     ///
-    /// The shard's leader knows all assignments of the shard's jobs, or its next commit fails for its condition on the
-    /// usage record; it may know too few of the releases. So this is never less than what is assigned, and a quota
-    /// that it respects is respected.
+    /// The shard's leader knows all assignments of the shard's jobs; otherwise its next commit fails for its condition
+    /// on the usage record. It may not know all releases. So the returned amounts are never less than what is assigned,
+    /// and a quota that they stay within is not exceeded.
     pub fn used(&self, shard: ShardId, team: &str) -> (u64, u64) {
         if !self.fenced() {
             return self
@@ -48,7 +48,7 @@
             let spec = job.spec();
             let cores = tasks * spec.need.cores;
             let accelerators = tasks * spec.need.accelerators;
-            // Not `entry`, which would copy the name of the team for every job.
+            // `entry` would copy the team's name for every job.
             match sums.get_mut(&spec.team) {
                 Some(sum) => *sum = (sum.0 + cores, sum.1 + accelerators),
                 None => {
@@ -59,9 +59,9 @@
         sums
     }
 
-    /// The finished tasks of a job that usage records hold. A task that has ended stays so, so the ends in several
-    /// records are united.
-    pub(super) fn recorded_ends(&self, id: JobId) -> CompletionBitmap {
+    /// The finished tasks of a job in all usage records. A finished task stays finished, so the result is the union
+    /// over the records.
+    pub(super) fn recorded_finished_tasks(&self, id: JobId) -> CompletionBitmap {
         let mut recorded = self
             .usage
             .iter()
@@ -71,8 +71,8 @@
         all
     }
 
-    /// Updates the jobs whose ends in a shard's usage record differ from those it held before.
-    pub(super) fn refresh_ends(
+    /// Updates the jobs whose finished tasks in a shard's usage record differ from those that it had before.
+    pub(super) fn update_recorded_finished_tasks(
         &mut self,
         shard: ShardId,
         before: &BTreeMap<JobId, CompletionBitmap>,
@@ -88,7 +88,7 @@
             if !self.jobs.contains_key(&id) {
                 continue;
             }
-            let ends = self.recorded_ends(id);
+            let ends = self.recorded_finished_tasks(id);
             if let Some(job) = self.jobs.get_mut(&id)
                 && job.ends != ends
             {
--- a/src/storage/completion_bitmap.rs
+++ b/src/storage/completion_bitmap.rs
@@ -1,33 +1,34 @@
-//! The set of finished tasks of a job, in chunks of a fixed number of tasks so that no value outgrows the store's limit.
+//! Bitmaps of the finished tasks of a job, in chunks of a fixed number of tasks so that no value exceeds the store's
+//! size limit.
 //!
 //! The stored form is a string, in one of two encodings:
 //!
 //! - Plain: the words of the bitmap in hexadecimal, 16 digits each.
-//! - Compact: `=` and the base64 text (URL-safe, without padding) of the words' bytes, lowest first, without the zero
-//!   bytes at the end.
+//! - Compact: `=` and the base64 text (URL-safe, without padding) of the words' bytes, least significant byte first,
+//!   without the zero bytes at the end.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::borrow::Cow;
 
-/// Number of tasks of one chunk: 8,192 bits are 2 KiB in the plain encoding, 1.3 KiB in the compact one.
+/// Number of tasks in one chunk: 8,192 bits are 2 KiB in the plain encoding, 1.3 KiB in the compact one.
 pub const TASKS_PER_CHUNK: u32 = 8_192;
 
-/// First character of the compact encoding; no hexadecimal number has it.
+/// First character of the compact encoding; it is no hexadecimal digit.
 const COMPACT_PREFIX: char = '=';
 
-/// Bits of a word, as task numbers.
+/// Number of bits in a word, in the type of task numbers.
 const WORD_BITS: u32 = u64::BITS;
 
-/// Bytes of a word.
+/// Number of bytes in a word.
 const WORD_BYTES: usize = size_of::<u64>();
 
-/// Hexadecimal digits of a word.
+/// Number of hexadecimal digits of a word.
 const WORD_DIGITS: usize = 2 * WORD_BYTES;
 
-/// A bitmap of the finished tasks of one chunk. Two bitmaps are equal if they hold the same words, whatever their
-/// encoding.
+/// A bitmap of the finished tasks of one chunk. Two bitmaps are equal if they have the same words; their encodings may
+/// differ.
 #[derive(Clone, Debug, Default)]
 pub struct CompletionBitmap {
     words: Vec<u64>,
@@ -52,12 +53,12 @@
         }
     }
 
-    /// Whether no task is in it.
+    /// Whether the bitmap has no task.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Number of tasks in it.
+    /// Number of tasks in the bitmap.
     pub fn count(&self) -> u32 {
         self.count
     }
@@ -67,30 +68,30 @@
         self.words.len() * WORD_DIGITS
     }
 
-    /// Sets whether it is to be written in the compact encoding: only if every controller can read it.
+    /// Sets whether the bitmap is written in the compact encoding, which every controller must be able to read then.
     pub fn set_compact_encoding(&mut self, compact_encoding: bool) {
         self.compact_encoding = compact_encoding;
     }
 
-    /// Whether all tasks of the other are in it.
+    /// Whether the bitmap has all tasks of `other`.
     pub fn covers(&self, other: &CompletionBitmap) -> bool {
         self.count_with(other) == self.count
     }
 
-    /// Whether the task with this number within the chunk is in it.
+    /// Whether the bitmap has the task with this number within the chunk.
     pub fn has(&self, bit: u32) -> bool {
         self.word((bit / WORD_BITS) as usize) >> (bit % WORD_BITS) & 1 == 1
     }
 
-    /// Number of tasks in either.
+    /// Number of tasks that are in at least one of the two bitmaps.
     pub fn count_with(&self, other: &CompletionBitmap) -> u32 {
         let longest = self.words.len().max(other.words.len());
         (0..longest)
-            .map(|at| (self.word(at) | other.word(at)).count_ones())
+            .map(|word_index| (self.word(word_index) | other.word(word_index)).count_ones())
             .sum()
     }
 
-    /// Adds all tasks of the other.
+    /// Adds all tasks of `other`.
     pub fn merge(&mut self, other: &CompletionBitmap) {
         if self.words.len() < other.words.len() {
             self.words.resize(other.words.len(), 0);
@@ -101,22 +102,22 @@
         self.count = count_ones(&self.words);
     }
 
-    /// Adds the task with this number within the chunk; returns false if it was in already.
+    /// Adds the task with this number within the chunk; returns false if the bitmap already had it.
     pub fn insert(&mut self, bit: u32) -> bool {
         if self.has(bit) {
             return false;
         }
-        let at = (bit / WORD_BITS) as usize;
-        if self.words.len() <= at {
-            self.words.resize(at + 1, 0);
+        let word_index = (bit / WORD_BITS) as usize;
+        if self.words.len() <= word_index {
+            self.words.resize(word_index + 1, 0);
         }
-        self.words[at] |= 1 << (bit % WORD_BITS);
+        self.words[word_index] |= 1 << (bit % WORD_BITS);
         self.count += 1;
         true
     }
 
-    fn word(&self, at: usize) -> u64 {
-        self.words.get(at).copied().unwrap_or(0)
+    fn word(&self, word_index: usize) -> u64 {
+        self.words.get(word_index).copied().unwrap_or(0)
     }
 
     fn plain_text(&self) -> String {
@@ -146,14 +147,14 @@
             return Err(BitmapError::Length);
         }
         let words = (0..text.len() / WORD_DIGITS)
-            .map(|at| u64::from_str_radix(&text[at * WORD_DIGITS..(at + 1) * WORD_DIGITS], 16))
+            .map(|i| u64::from_str_radix(&text[i * WORD_DIGITS..(i + 1) * WORD_DIGITS], 16))
             .collect::<Result<_, _>>()?;
         Ok(CompletionBitmap::new(words, false))
     }
 
     fn from_compact_text(text: &str) -> Result<CompletionBitmap, BitmapError> {
         let bytes = URL_SAFE_NO_PAD.decode(text)?;
-        let words = bytes.chunks(WORD_BYTES).map(word_of_bytes).collect();
+        let words = bytes.chunks(WORD_BYTES).map(word_from_le_bytes).collect();
         Ok(CompletionBitmap::new(words, true))
     }
 }
@@ -173,8 +174,8 @@
     words.iter().map(|word| word.count_ones()).sum()
 }
 
-/// The word of at most eight bytes, lowest first.
-fn word_of_bytes(bytes: &[u8]) -> u64 {
+/// Converts at most eight bytes, least significant first, to a word.
+fn word_from_le_bytes(bytes: &[u8]) -> u64 {
     bytes
         .iter()
         .rev()
--- a/src/storage/dependency_graph/mod.rs
+++ b/src/storage/dependency_graph/mod.rs
@@ -1,7 +1,7 @@
 //! Dependencies between jobs, and what follows from them.
 //!
-//! Everything here is derived from facts that never change: how a job ended, that it was cancelled, and which jobs
-//! another one depends on. So every controller derives the same, in whatever order the jobs end.
+//! All states are derived from facts that never change: how a job ended, that it was cancelled, and which jobs it
+//! depends on. So every controller derives the same states, in whatever order the jobs end.
 
 mod propagation;
 
@@ -12,20 +12,21 @@
 use propagation::Propagation;
 use std::collections::{BTreeSet, HashMap};
 
-/// A job's state as far as it follows from the jobs that it depends on and those that depend on it.
+/// The part of a job's state that follows from the jobs that it depends on and those that depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DependencyState {
-    /// Some job that it depends on is not known to be done.
+    /// Whether some job that it depends on is not known to be done.
     pub blocked: bool,
-    /// A job that it depends on, directly or through others, is cancelled.
+    /// Whether a job that it depends on, directly or through others, is cancelled.
     pub cancelled: bool,
-    /// It is not known how some job before it ended, so it may be cancelled.
+    /// Whether it is unknown how some job that it depends on, directly or through others, ended; that job may be
+    /// cancelled, and then this one is too.
     pub cancellation_unknown: bool,
     /// When the last job that it depends on was done, by the time of day; zero if it depends on none.
     pub ready_at: Micros,
-    /// The highest of its own priority and that of all jobs that depend on it.
+    /// The highest of the job's own priority and those of all jobs that depend on it.
     pub priority: Priority,
-    /// When it must be done, by the time of day, for the jobs that depend on it to meet their deadlines.
+    /// When the job must be done, by the time of day, for the jobs that depend on it to meet their deadlines.
     pub required_by: Option<Micros>,
 }
 
@@ -43,8 +44,8 @@
     }
 }
 
-/// How long the tasks of a job are expected to run: the estimate and a quarter of it, since estimates are often wrong,
-/// and of many tasks some run longer.
+/// How long the tasks of a job are expected to run: the user's estimate plus a quarter of it, since estimates are often
+/// wrong, and some of many tasks run longer.
 pub fn expected_runtime(spec: &JobSpec) -> Micros {
     spec.estimated_runtime + Micros(spec.estimated_runtime.0 / 4)
 }
@@ -52,21 +53,21 @@
 /// The dependencies between live jobs.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
-    /// Live jobs, by the jobs that they depend on.
+    /// Live jobs that depend on a job, by that job.
     dependents: HashMap<JobId, BTreeSet<JobId>>,
-    /// How jobs ended on which live ones depend.
+    /// Ended jobs on which live jobs depend, with how they ended.
     ends: HashMap<JobId, FinalRecord>,
-    /// Jobs on which live ones depend, and that are neither live nor known to have ended in some way.
+    /// Jobs on which live jobs depend, and that are neither live nor known to have ended.
     unknown: BTreeSet<JobId>,
 }
 
 impl DependencyGraph {
-    /// Jobs whose ends have to be looked up in the state store.
+    /// Jobs of which the state store has to be queried for how they ended.
     pub fn unknown(&self) -> &BTreeSet<JobId> {
         &self.unknown
     }
 
-    /// Adds a job that is new among `jobs`. Appends the jobs whose states changed to `changed`.
+    /// Adds a job that is new in `jobs`. Appends the jobs whose states changed to `changed`.
     pub fn on_job_added(
         &mut self,
         id: JobId,
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Updates the jobs that depend on one that its user has cancelled. Appends the jobs whose states changed to
-    /// `changed`.
+    /// Updates a job that its user has cancelled, and the jobs that depend on it. Appends the jobs whose states changed
+    /// to `changed`.
     pub fn on_job_cancelled(
         &self,
         id: JobId,
@@ -106,21 +107,21 @@
         self.propagation(jobs, changed).recompute_states(affected);
     }
 
-    /// Removes a job that has ended and is no longer among `jobs`. Appends the jobs whose states changed to `changed`.
-    /// Returns how it ended, at `today` by the time of day, if that is known.
+    /// Removes a job that has ended and is no longer in `jobs`. Appends the jobs whose states changed to `changed`.
+    /// Returns how the job ended, with `time_of_day` as the time of the end, if that is known.
     pub fn on_job_ended(
         &mut self,
         id: JobId,
         job: &Job,
-        today: Micros,
+        time_of_day: Micros,
         jobs: &mut HashMap<JobId, Job>,
         changed: &mut Vec<JobId>,
     ) -> Option<FinalRecord> {
-        let end = derive_end(job, today);
+        let end = derive_end(job, time_of_day);
         self.remove_dependencies(id, job);
         let mut propagation = self.propagation(jobs, changed);
         for dependency in &job.spec().dependencies {
-            // The job may have been what made it urgent.
+            // The dependency may have been urgent only because of the removed job.
             propagation.recompute_urgency(*dependency);
         }
         if self.dependents.contains_key(&id) {
@@ -131,7 +132,7 @@
         end
     }
 
-    /// Stores how a job ended that was among the unknown ones. Appends the jobs whose states changed to `changed`.
+    /// Stores how a job ended of which that was unknown. Appends the jobs whose states changed to `changed`.
     pub fn on_end_learned(
         &mut self,
         id: JobId,
@@ -204,9 +205,9 @@
 
 /// How a job ended whose record was removed, if that is known.
 ///
-/// A record is removed only when its job ends. A job that its user cancelled ends as cancelled. One with dependencies
-/// may be cancelled because of them, which its own record does not say.
-fn derive_end(job: &Job, today: Micros) -> Option<FinalRecord> {
+/// A record is removed only when its job ends. A job that its user cancelled ends as cancelled. A job with dependencies
+/// may have been cancelled because of them, which its own record does not say.
+fn derive_end(job: &Job, time_of_day: Micros) -> Option<FinalRecord> {
     let cancelled = job.cancelled();
     let is_known = cancelled || !job.dependency_state.blocked;
     let done = if cancelled {
@@ -217,6 +218,6 @@
     is_known.then_some(FinalRecord {
         cancelled,
         done,
-        at: today,
+        at: time_of_day,
     })
 }
--- a/src/storage/dependency_graph/propagation.rs
+++ b/src/storage/dependency_graph/propagation.rs
@@ -1,7 +1,7 @@
 //! Recomputes the states that follow from dependencies, along the chains of jobs.
 //!
-//! Cancellation and readiness go from a job to those that depend on it; urgency goes from a job to those that it
-//! depends on.
+//! Cancellation and readiness propagate from a job to the jobs that depend on it; urgency propagates from a job to the
+//! jobs that it depends on.
 
 use super::{DependencyGraph, DependencyState, expected_runtime};
 use crate::storage::ids::JobId;
@@ -36,13 +36,13 @@
     pub(super) graph: &'a DependencyGraph,
     /// The live jobs.
     pub(super) jobs: &'a mut HashMap<JobId, Job>,
-    /// Jobs whose states changed, in order; one may be in it several times.
+    /// Jobs whose states changed, in order; a job may occur several times.
     pub(super) changed: &'a mut Vec<JobId>,
 }
 
 impl Propagation<'_> {
-    /// Recomputes what follows for these jobs from those that they depend on, and for the jobs that depend on the ones
-    /// that change.
+    /// Recomputes the states of these jobs from the jobs that they depend on, and the states of the jobs that depend on
+    /// those that change.
     pub(super) fn recompute_states(&mut self, mut pending: Vec<JobId>) {
         while let Some(id) = pending.pop() {
             let Some(job) = self.jobs.get(&id) else {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A job's state as it follows from the jobs that it depends on; its urgency is kept.
+    /// A job's state as it follows from the jobs that it depends on, with its urgency unchanged.
     fn derive_state(&self, job: &Job) -> DependencyState {
         let mut state = DependencyState {
             blocked: false,
@@ -91,12 +91,12 @@
                 }
             }
         }
-        // A cancelled job stays cancelled, whatever else is not known.
+        // A cancelled job stays cancelled, however the jobs of unknown end ended.
         state.cancellation_unknown &= !state.cancelled && !job.record.cancelled;
         state
     }
 
-    /// Makes the jobs that a new one depends on at least as urgent as it is, and those that they depend on in turn.
+    /// Makes the jobs that a new job depends on, directly or through others, at least as urgent as the new job.
     pub(super) fn raise_urgency_of_dependencies(&mut self, id: JobId) {
         let mut pending = vec![id];
         while let Some(id) = pending.pop() {
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Recomputes a job's urgency from the jobs that depend on it, and that of the jobs that it depends on if it
-    /// changes.
+    /// Recomputes a job's urgency from the jobs that depend on it and, if the urgency changes, that of the jobs that it
+    /// depends on.
     pub(super) fn recompute_urgency(&mut self, id: JobId) {
         let mut pending = vec![id];
         while let Some(id) = pending.pop() {
--- a/src/storage/ids.rs
+++ b/src/storage/ids.rs
@@ -1,30 +1,30 @@
-//! Identifiers. The names that are used on the wire correspond one to one to numbers.
+//! Identifiers. Names on the wire correspond one to one to numbers.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// A name that is not of the form that identifiers of its kind have.
+/// Error for a name that does not have the form of its kind of identifier.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("not a valid name")]
-pub struct BadName;
+pub struct InvalidName;
 
-/// Least number of digits in a name; smaller numbers are padded with zeros.
-const LEAST_DIGITS: usize = 6;
+/// Smallest number of digits in a name; numbers with fewer digits are padded with zeros.
+const MIN_DIGITS: usize = 6;
 
-/// Largest number of digits in a name: such a number always fits into 64 bits.
-const MOST_DIGITS: usize = 18;
+/// Largest number of digits in a name; a number of this many digits always fits into 64 bits.
+const MAX_DIGITS: usize = 18;
 
 /// Parses the digits of a name. There is only one name for each number, so that names can be compared.
-fn parse_number(digits: &str) -> Result<u64, BadName> {
-    let is_padded = digits.len() == LEAST_DIGITS;
+fn parse_number(digits: &str) -> Result<u64, InvalidName> {
+    let is_padded = digits.len() == MIN_DIGITS;
     let is_longer =
-        (LEAST_DIGITS + 1..=MOST_DIGITS).contains(&digits.len()) && !digits.starts_with('0');
+        (MIN_DIGITS + 1..=MAX_DIGITS).contains(&digits.len()) && !digits.starts_with('0');
     if !(is_padded || is_longer) || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
-        return Err(BadName);
+        return Err(InvalidName);
     }
-    digits.parse().map_err(|_| BadName)
+    digits.parse().map_err(|_| InvalidName)
 }
 
 macro_rules! named_number {
@@ -36,14 +36,14 @@
 
         impl fmt::Display for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                write!(f, concat!($prefix, "{:0width$}"), self.0, width = LEAST_DIGITS)
+                write!(f, concat!($prefix, "{:0width$}"), self.0, width = MIN_DIGITS)
             }
         }
 
         impl FromStr for $name {
-            type Err = BadName;
-            fn from_str(name: &str) -> Result<Self, BadName> {
-                let digits = name.strip_prefix($prefix).ok_or(BadName)?;
+            type Err = InvalidName;
+            fn from_str(name: &str) -> Result<Self, InvalidName> {
+                let digits = name.strip_prefix($prefix).ok_or(InvalidName)?;
                 parse_number(digits).map($name)
             }
         }
@@ -64,9 +64,9 @@
 /// One task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job that it belongs to.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// Its number within the job, from 0.
+    /// Number of the task within the job, from 0.
     pub index: u32,
 }
 
@@ -77,22 +77,22 @@
 }
 
 impl FromStr for TaskId {
-    type Err = BadName;
-    fn from_str(name: &str) -> Result<Self, BadName> {
-        let (job, index) = name.split_once('/').ok_or(BadName)?;
+    type Err = InvalidName;
+    fn from_str(name: &str) -> Result<Self, InvalidName> {
+        let (job, index) = name.split_once('/').ok_or(InvalidName)?;
         Ok(TaskId {
             job: job.parse()?,
-            index: index.parse().map_err(|_| BadName)?,
+            index: index.parse().map_err(|_| InvalidName)?,
         })
     }
 }
 
-/// One attempt at a task: the assignment that it was started for.
+/// One attempt at a task. Each assignment of a task is a new attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt {
     /// The task.
     pub task: TaskId,
-    /// The attempt's number; it increases from one assignment of a task to the next.
+    /// Number of the attempt; it increases from one assignment of a task to the next.
     pub number: u64,
 }
 
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -26,7 +26,7 @@
 }
 
 impl Priority {
-    /// Its name in submissions and rules.
+    /// Name of the priority in submissions and rules.
     pub fn name(self) -> &'static str {
         match self {
             Priority::Critical => "critical",
@@ -46,10 +46,10 @@
     /// Team.
     #[serde(rename = "w")]
     pub team: String,
-    /// Whether it is a service, whose tasks are replicas that run until the job is cancelled.
+    /// Whether the job is a service: its tasks are replicas that run until the job is cancelled.
     #[serde(rename = "v", default, skip_serializing_if = "is_false")]
     pub service: bool,
-    /// Whether it is a gang: its tasks wait for each other, so they are placed together or not at all.
+    /// Whether the job is a gang: its tasks wait for each other, so they are placed together or not at all.
     #[serde(rename = "q", default, skip_serializing_if = "is_false")]
     pub gang: bool,
     /// Priority.
@@ -85,39 +85,39 @@
     /// The user's estimate of the run time of a task.
     #[serde(rename = "g")]
     pub estimated_runtime: Micros,
-    /// Interval between checkpoints; zero without checkpoints.
-    #[serde(rename = "k", default, skip_serializing_if = "is_no_time")]
+    /// Interval between checkpoints; zero if the tasks take none.
+    #[serde(rename = "k", default, skip_serializing_if = "is_zero_time")]
     pub checkpoint_interval: Micros,
     /// Time that a task needs for a checkpoint when it is stopped.
-    #[serde(rename = "h", default, skip_serializing_if = "is_no_time")]
+    #[serde(rename = "h", default, skip_serializing_if = "is_zero_time")]
     pub checkpoint_duration: Micros,
     /// Deadline, counted from the submission.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Micros>,
-    /// Jobs that must be done before any of its tasks starts, in order and each once.
+    /// Jobs that must be done before any task of this job starts; sorted, without duplicates.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<JobId>,
-    /// The job's own placement rules. Only written if the record format has them, see
+    /// The job's own placement rules. Only written if the record format has rules, see
     /// [`RecordFormat::has_rules`](crate::storage::records::RecordFormat::has_rules).
     #[serde(rename = "j", default, skip_serializing_if = "Vec::is_empty")]
     pub rules: Vec<Rule>,
 }
 
-/// Whether a field is left out of the stored form, for `skip_serializing_if`.
+/// Whether a field is omitted from the stored form, for `skip_serializing_if`.
 pub(crate) fn is_false(flag: &bool) -> bool {
     !*flag
 }
 
-fn is_no_time(time: &Micros) -> bool {
+fn is_zero_time(time: &Micros) -> bool {
     *time == Micros::ZERO
 }
 
-fn is_no_count(count: &u32) -> bool {
+fn is_zero_count(count: &u32) -> bool {
     *count == 0
 }
 
 impl JobSpec {
-    /// Whether machines of this type and zone, spot or on-demand, may run its tasks.
+    /// Whether the job's tasks may run on spot or on-demand machines of this type and zone.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot_allowed || !spot)
             && self.zone.as_deref().is_none_or(|only| only == zone)
@@ -127,18 +127,18 @@
                 .is_none_or(|allowed| allowed.iter().any(|name| name == machine_type))
     }
 
-    /// Whether an on-demand machine of this type could run one of its tasks.
+    /// Whether an on-demand machine of this type, in one of the type's zones, could run a task of the job.
     pub fn fits_type(&self, machine_type: &MachineType) -> bool {
         let is_allowed_in = |zone: &String| self.allows(&machine_type.name, zone, false);
         self.need.fits(&machine_type.room) && machine_type.zones.iter().any(is_allowed_in)
     }
 
-    /// Whether all of its tasks must be able to run at the same time.
+    /// Whether all of the job's tasks must be able to run at the same time.
     pub fn runs_all_tasks_at_once(&self) -> bool {
         self.service || self.gang
     }
 
-    /// Most tasks that may be in one zone.
+    /// Largest number of the job's tasks that may be in one zone.
     pub fn zone_limit(&self) -> u32 {
         if self.anti_affinity {
             self.task_count.div_ceil(2)
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Number of chunks of its completion bitmap beyond the one in the job's own record.
+    /// Number of chunks of the job's completion bitmap in addition to the one in the job's own record.
     pub fn extra_chunks(&self) -> u32 {
         self.task_count.saturating_sub(1) / TASKS_PER_CHUNK
     }
@@ -156,30 +156,30 @@
 /// The record of a live job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What its user requested.
+    /// What the user requested.
     #[serde(rename = "s")]
     pub spec: JobSpec,
-    /// When it was submitted, by the time of day.
+    /// When the job was submitted, by the time of day.
     #[serde(rename = "t")]
     pub submitted: Micros,
-    /// Whether its user cancelled it.
+    /// Whether the user cancelled the job.
     #[serde(rename = "x", default, skip_serializing_if = "is_false")]
     pub cancelled: bool,
-    /// Completion bitmap of the first chunk.
+    /// Completion bitmap of the first chunk of tasks.
     #[serde(
         rename = "f",
         default,
         skip_serializing_if = "CompletionBitmap::is_empty"
     )]
     pub finished: CompletionBitmap,
-    /// Number of finished tasks of all further chunks together.
-    #[serde(rename = "m", default, skip_serializing_if = "is_no_count")]
+    /// Number of finished tasks in all further chunks together.
+    #[serde(rename = "m", default, skip_serializing_if = "is_zero_count")]
     pub finished_in_chunks: u32,
-    /// Further chunks that are complete, as a bitmap by chunk number; they have no record any more.
-    #[serde(rename = "c", default, skip_serializing_if = "is_no_count")]
+    /// Further chunks of which all tasks are finished, as a bitmap by chunk number; they no longer have records.
+    #[serde(rename = "c", default, skip_serializing_if = "is_zero_count")]
     pub complete_chunks: u32,
     /// Number of failures of its tasks.
-    #[serde(rename = "e", default, skip_serializing_if = "is_no_count")]
+    #[serde(rename = "e", default, skip_serializing_if = "is_zero_count")]
     pub errors: u32,
     /// Machines on which a task failed, the latest last.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
@@ -192,21 +192,21 @@
         self.finished.count() + self.finished_in_chunks
     }
 
-    /// The same record, with its completion bitmap to be written in the compact form or not.
+    /// The same record; `compact_encoding`: whether its completion bitmap is to be written in the compact encoding.
     pub fn with_compact_encoding(mut self, compact_encoding: bool) -> JobRecord {
         self.finished.set_compact_encoding(compact_encoding);
         self
     }
 
-    /// Most machines remembered for the failures on them.
-    const REMEMBERED_MACHINES: usize = 6;
+    /// Largest number of machines that are recorded as having failed a task of the job.
+    const MAX_FAILED_MACHINES: usize = 6;
 
-    /// Remembers that a task failed on a machine.
+    /// Records that a task failed on a machine.
     pub fn failed_on(&mut self, machine: MachineId) {
         self.errors = self.errors.saturating_add(1);
         self.failed_machines.retain(|other| *other != machine);
         self.failed_machines.push(machine);
-        if self.failed_machines.len() > Self::REMEMBERED_MACHINES {
+        if self.failed_machines.len() > Self::MAX_FAILED_MACHINES {
             self.failed_machines.remove(0);
         }
     }
@@ -215,13 +215,13 @@
 /// The record of an ended job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalRecord {
-    /// Whether it was cancelled; otherwise it is done.
+    /// Whether the job was cancelled; otherwise it is done.
     #[serde(rename = "x", default, skip_serializing_if = "is_false")]
     pub cancelled: bool,
     /// Number of finished tasks.
     #[serde(rename = "n")]
     pub done: u32,
-    /// When it ended, by the time of day; zero if that was not stored.
-    #[serde(rename = "t", default, skip_serializing_if = "is_no_time")]
+    /// When the job ended, by the time of day; zero if that was not stored.
+    #[serde(rename = "t", default, skip_serializing_if = "is_zero_time")]
     pub at: Micros,
 }
--- a/src/storage/live_job.rs
+++ b/src/storage/live_job.rs
@@ -11,7 +11,7 @@
 pub struct Versioned<T> {
     /// The value.
     pub value: T,
-    /// Its revision; 0 if the record does not exist.
+    /// Revision of the record; 0 if the record does not exist.
     pub mod_revision: u64,
 }
 
@@ -28,36 +28,37 @@
 /// A live job.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Its record.
+    /// The job's record.
     pub record: JobRecord,
     /// The record's revision.
     pub mod_revision: u64,
     /// Further chunks of the completion bitmap, by chunk number.
     pub chunks: BTreeMap<u32, Versioned<CompletionBitmap>>,
-    /// Finished tasks in the shards' usage records, which the job's own may not have yet.
+    /// Finished tasks in the shards' usage records, which the job's own record may not have yet.
     pub ends: CompletionBitmap,
-    /// What follows from its dependencies.
+    /// The state that follows from the job's dependencies and dependents.
     pub dependency_state: DependencyState,
 }
 
 impl Job {
-    /// Whether it is cancelled, by its user or because of a job that it depends on.
+    /// Whether the job is cancelled, by its user or because a job that it depends on is cancelled.
     pub fn cancelled(&self) -> bool {
         self.record.cancelled || self.dependency_state.cancelled
     }
 
-    /// Whether its tasks may be assigned: all jobs that it depends on are known to be done.
+    /// Whether the job's tasks may be assigned: it is not cancelled, and all jobs that it depends on are known to be
+    /// done.
     pub fn ready(&self) -> bool {
         !self.cancelled() && !self.dependency_state.blocked
     }
 
-    /// Since when its tasks could have started, by the time of day: when it was submitted, or when the last job that it
-    /// depends on was done.
+    /// The earliest time at which the job's tasks could have started, by the time of day: when the job was submitted,
+    /// or when the last job that it depends on was done.
     pub fn ready_since(&self) -> Micros {
         self.record.submitted.max(self.dependency_state.ready_at)
     }
 
-    /// The highest of its own priority and those of the jobs that depend on it.
+    /// The highest of the job's own priority and those of the jobs that depend on it.
     pub fn priority(&self) -> Priority {
         self.dependency_state.priority
     }
@@ -83,21 +84,21 @@
     /// several machines, and more often than they finished. Since the replicas of a service never finish, a service is
     /// allowed as many failures as a job of which some tasks finished.
     pub fn is_suspect(&self) -> bool {
-        const SUSPECT_MACHINES: usize = 2;
-        const SUSPECT_FAILURES: u32 = 2;
-        const SUSPECT_FAILURES_BEYOND_DONE: u32 = 4;
+        const MIN_FAILED_MACHINES: usize = 2;
+        const MIN_FAILURES: u32 = 2;
+        const MIN_FAILURES_BEYOND_DONE: u32 = 4;
 
         let done = self.done();
-        let suspect_failures = if done == 0 && !self.spec().service {
-            SUSPECT_FAILURES
+        let min_failures = if done == 0 && !self.spec().service {
+            MIN_FAILURES
         } else {
-            done.saturating_add(SUSPECT_FAILURES_BEYOND_DONE)
+            done.saturating_add(MIN_FAILURES_BEYOND_DONE)
         };
-        self.record.failed_machines.len() >= SUSPECT_MACHINES
-            && self.record.errors >= suspect_failures
+        self.record.failed_machines.len() >= MIN_FAILED_MACHINES
+            && self.record.errors >= min_failures
     }
 
-    /// What its user requested.
+    /// What the user requested.
     pub fn spec(&self) -> &JobSpec {
         &self.record.spec
     }
--- a/src/storage/machine_classes.rs
+++ b/src/storage/machine_classes.rs
@@ -1,4 +1,4 @@
-//! Classes of equal machines. What a rule says about machines is evaluated once for each class.
+//! Classes of equal machines, so that a rule's conditions on machines are evaluated once for each class.
 
 use crate::storage::catalog::Catalog;
 use crate::storage::ids::MachineId;
@@ -9,7 +9,7 @@
 /// Number of a class.
 pub type ClassId = usize;
 
-/// What the machines of a class have in common: everything that never changes while they are up.
+/// What the machines of a class have in common: all properties that never change while a machine is up.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Class {
     /// Machine type.
@@ -18,17 +18,17 @@
     pub zone: Arc<str>,
     /// Whether they are spot machines.
     pub spot: bool,
-    /// The only machine of the class, if operators gave it labels of its own.
+    /// The only machine of the class, if operators gave this machine labels of its own.
     pub machine: Option<MachineId>,
 }
 
-/// All classes. A class keeps its number for good.
+/// All classes. The number of a class never changes.
 #[derive(Clone, Debug, Default)]
 pub struct Classes {
     classes: Vec<Class>,
     /// Numbers of the classes.
     ids: HashMap<Class, ClassId>,
-    /// Classes of the machines that are up.
+    /// Class of each machine that is up.
     class_of: HashMap<MachineId, ClassId>,
     /// Number of machines that are up, by class.
     counts: Vec<usize>,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Sets the catalog. What it offers has classes even before any such machine is up.
+    /// Sets the catalog. The machines that it offers have classes even before any such machine is up.
     pub fn set_catalog(&mut self, catalog: &Catalog) {
         self.offered.fill(false);
         for machine_type in &catalog.types {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Sets the machines to which operators gave labels of their own. `machines`: those that are up.
+    /// Sets the machines to which operators gave labels of their own. `machines`: all machines that are up.
     pub fn label<'a>(
         &mut self,
         labelled: BTreeSet<MachineId>,
@@ -108,7 +108,7 @@
         self.class_of.get(&machine).copied()
     }
 
-    /// The class of machines that the catalog offers.
+    /// The class of machines of this type and zone, spot or on-demand; `None` if the catalog does not offer them.
     pub fn of_offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<ClassId> {
         let is_offered = |(class, offered): (&Class, &bool)| {
             *offered
@@ -124,7 +124,7 @@
         &self.classes
     }
 
-    /// Whether machines of a class are up or offered.
+    /// Whether machines of a class are up or offered by the catalog.
     pub fn is_possible(&self, id: ClassId) -> bool {
         self.offered[id] || self.is_up(id)
     }
--- a/src/storage/machine_group/encoding/mod.rs
+++ b/src/storage/machine_group/encoding/mod.rs
@@ -7,19 +7,19 @@
 //!
 //! | Field | Content |
 //! |-------|---------|
-//! | `k`   | Kinds of machines: `[type, zone, spot, [port, offset]]`. `spot` is 0 or 1. The address of a machine is its number plus the offset, which is the same for most machines of a cloud; `null` without an address. |
+//! | `k`   | Kinds of machines: `[type, zone, spot, [port, offset]]`. `spot` is 0 or 1. The IPv4 address of a machine is its number plus the offset, which is the same for most machines of a cloud; `null` without an address. |
 //! | `i`   | Images: `[name, size]`. |
 //! | `a`   | Attempts: `[job, attempt number]`. |
-//! | `m`   | Machines in order, each a list of numbers: machine number less the one before, kind, health, fenced incarnation, number of images, the images, then attempt and task number for each assignment. |
+//! | `m`   | Machines in order, each a list of numbers: the difference from the previous machine's number, kind, health, fenced incarnation, number of images, the images, then attempt and task number for each assignment. |
 //! | `p`   | Preempted assignments: `[machine number, attempt, task number]`; left out if there are none. |
 //!
 //! The compact form is a JSON string: the base64 text (URL-safe, without padding) of a MessagePack array of the same
 //! fields in the order `k`, `i`, `a`, `m`, `p`, with these differences:
 //!
-//! - `a` is sorted and flat: first the largest attempt number of all, then for each attempt the job less the one before
-//!   and the largest attempt number less its own.
-//! - In a machine of `m`, health (bits 0 and 1), whether there is a fenced incarnation (bit 2) and the number of images
-//!   (from bit 3 on) are one number. The fenced incarnation follows it only if it is not zero.
+//! - `a` is sorted and flat: first the largest attempt number of all, then for each attempt the difference of its job
+//!   number from that of the previous attempt, and the difference of its attempt number from the largest.
+//! - For each machine in `m`, the health (bits 0 and 1), whether there is a fenced incarnation (bit 2) and the number
+//!   of images (from bit 3 on) are one number. The fenced incarnation follows this number only if it is not zero.
 //! - Assignments are triples: attempt, first task number, and a mask whose bit `n` stands for the task `first + n`.
 
 mod reader;
@@ -27,13 +27,13 @@
 
 use std::borrow::Cow;
 
-/// What the address of a machine adds to the machine's number: port and offset; `None` without an address.
+/// Port, and offset of the IPv4 address from the machine's number; `None` without an address.
 type AddressOffset = Option<(u16, i64)>;
 
-/// Machine type, zone, spot (0 or 1) and address.
+/// What several machines have in common: machine type, zone, spot (0 or 1) and address.
 type Kind = (String, String, u8, AddressOffset);
 
-/// Name and size.
+/// Name and size of an image.
 type Image<'a> = (Cow<'a, str>, u64);
 
 /// Job and attempt number.
@@ -66,14 +66,15 @@
     Vec<PreemptedEntry>,
 );
 
-/// Bits of the compact form's number that holds health, fenced incarnation and number of images.
-mod head {
+/// Layout of the number of the compact form that holds the health, whether there is a fenced incarnation, and the
+/// number of images.
+mod header {
     /// Mask of the health.
-    pub(super) const HEALTH: u64 = 0b11;
+    pub(super) const HEALTH_MASK: u64 = 0b11;
     /// Position of the bit that says whether a fenced incarnation follows.
-    pub(super) const HAS_FENCED: u32 = 2;
-    /// Position of the number of images.
-    pub(super) const IMAGE_COUNT: u32 = 3;
+    pub(super) const HAS_FENCED_INCARNATION_BIT: u32 = 2;
+    /// Position of the lowest bit of the number of images.
+    pub(super) const IMAGE_COUNT_SHIFT: u32 = 3;
 }
 
 #[cfg(test)]
--- a/src/storage/machine_group/encoding/reader.rs
+++ b/src/storage/machine_group/encoding/reader.rs
@@ -1,6 +1,6 @@
-//! Reads machine groups.
+//! Decodes machine groups.
 
-use super::{AddressOffset, AttemptEntry, CompactFields, Kind, PlainFields, head};
+use super::{AddressOffset, AttemptEntry, CompactFields, Kind, PlainFields, header};
 use crate::storage::ids::{JobId, MachineId};
 use crate::storage::machine_group::{Assignment, GroupRecord, MachineHealth, MachineRecord};
 use base64::Engine;
@@ -13,7 +13,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// Why a stored group cannot be read.
+/// Why a stored group cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 enum GroupError {
     #[error("compact machine group is not base64 text")]
@@ -32,7 +32,7 @@
     }
 }
 
-/// Reads either form: the compact one is a string, the plain one a map.
+/// Decodes either form: the compact form is a string, the plain form a map.
 struct GroupVisitor;
 
 impl<'de> Visitor<'de> for GroupVisitor {
@@ -43,18 +43,18 @@
     }
 
     fn visit_str<E: Error>(self, text: &str) -> Result<GroupRecord, E> {
-        read_compact(text).map_err(E::custom)
+        decode_compact(text).map_err(E::custom)
     }
 
     fn visit_map<M: MapAccess<'de>>(self, map: M) -> Result<GroupRecord, M::Error> {
         let fields = PlainFields::deserialize(MapAccessDeserializer::new(map))?;
-        read_fields(fields, false)
+        decode_fields(fields, false)
             .ok_or(GroupError::Reference)
             .map_err(M::Error::custom)
     }
 }
 
-fn read_compact(text: &str) -> Result<GroupRecord, GroupError> {
+fn decode_compact(text: &str) -> Result<GroupRecord, GroupError> {
     let bytes = URL_SAFE_NO_PAD.decode(text)?;
     let (kinds, images, attempts, machines, preempted): CompactFields<'_> =
         rmp_serde::from_slice(&bytes)?;
@@ -65,11 +65,11 @@
         machines,
         preempted,
     };
-    read_fields(fields, true).ok_or(GroupError::Reference)
+    decode_fields(fields, true).ok_or(GroupError::Reference)
 }
 
-/// The group of these fields; `None` if a number is out of range or refers to no entry of its table.
-fn read_fields(fields: PlainFields<'_>, compact: bool) -> Option<GroupRecord> {
+/// Builds the group from its fields; `None` if a number is out of range or refers to no entry of its table.
+fn decode_fields(fields: PlainFields<'_>, compact: bool) -> Option<GroupRecord> {
     let tables = Tables::new(&fields);
     let mut machines = BTreeMap::new();
     let mut number: u64 = 0;
@@ -93,9 +93,9 @@
     })
 }
 
-/// The numbers of one machine.
+/// The numbers of one machine, split by meaning.
 struct MachineNumbers<'a> {
-    /// The machine's number less the one before.
+    /// Difference of the machine's number from that of the previous machine.
     difference: u64,
     kind: u64,
     health: u64,
@@ -110,15 +110,18 @@
             return None;
         };
         let (health, fenced_incarnation, image_count, rest) = match rest {
-            [head, fenced_incarnation, rest @ ..] if compact && has_fenced(*head) => (
-                head & head::HEALTH,
+            [bits, fenced_incarnation, rest @ ..] if compact && has_fenced(*bits) => (
+                bits & header::HEALTH_MASK,
                 *fenced_incarnation,
-                head >> head::IMAGE_COUNT,
+                bits >> header::IMAGE_COUNT_SHIFT,
+                rest,
+            ),
+            [bits, rest @ ..] if compact => (
+                bits & header::HEALTH_MASK,
+                0,
+                bits >> header::IMAGE_COUNT_SHIFT,
                 rest,
             ),
-            [head, rest @ ..] if compact => {
-                (head & head::HEALTH, 0, head >> head::IMAGE_COUNT, rest)
-            }
             [health, fenced_incarnation, image_count, rest @ ..] if !compact => {
                 (*health, *fenced_incarnation, *image_count, rest)
             }
@@ -136,12 +139,12 @@
     }
 }
 
-/// Whether a fenced incarnation follows this number of the compact form.
-fn has_fenced(head: u64) -> bool {
-    head >> head::HAS_FENCED & 1 == 1
+/// Whether a fenced incarnation follows this header number of the compact form.
+fn has_fenced(bits: u64) -> bool {
+    bits >> header::HAS_FENCED_INCARNATION_BIT & 1 == 1
 }
 
-/// What several machines have in common.
+/// A kind of machine: what several machines have in common.
 struct SharedKind {
     machine_type: Arc<str>,
     zone: Arc<str>,
@@ -159,7 +162,7 @@
         }
     }
 
-    /// The address of the machine with this number.
+    /// Address of the machine with this number, `Some(None)` if it has none; `None` if the number is out of range.
     fn endpoint(&self, machine: u64) -> Option<Option<SocketAddrV4>> {
         let Some((port, offset)) = self.address else {
             return Some(None);
@@ -209,15 +212,15 @@
             fenced_incarnation: numbers.fenced_incarnation,
             images: images.collect::<Option<_>>()?,
             tasks: if compact {
-                self.tasks_of_masks(numbers.tasks)?
+                self.assignments_from_masks(numbers.tasks)?
             } else {
-                self.tasks_of_pairs(numbers.tasks)?
+                self.assignments_from_pairs(numbers.tasks)?
             },
             preempted: Vec::new(),
         })
     }
 
-    fn tasks_of_pairs(&self, numbers: &[u64]) -> Option<Vec<Assignment>> {
+    fn assignments_from_pairs(&self, numbers: &[u64]) -> Option<Vec<Assignment>> {
         numbers
             .chunks(2)
             .map(|pair| {
@@ -229,7 +232,7 @@
             .collect()
     }
 
-    fn tasks_of_masks(&self, numbers: &[u64]) -> Option<Vec<Assignment>> {
+    fn assignments_from_masks(&self, numbers: &[u64]) -> Option<Vec<Assignment>> {
         let mut tasks = Vec::new();
         for triple in numbers.chunks(3) {
             let [attempt, first, mask] = triple else {
@@ -256,18 +259,18 @@
     table.get(usize::try_from(position).ok()?)
 }
 
-/// The attempts of their compact form; `None` if a number is missing or out of range.
+/// Decodes the attempts from their compact form; `None` if a number is missing or out of range.
 fn sum_attempt_differences(numbers: &[u64]) -> Option<Vec<AttemptEntry>> {
-    let (newest, differences) = numbers.split_first()?;
+    let (largest, differences) = numbers.split_first()?;
     let mut job: u64 = 0;
     differences
         .chunks(2)
         .map(|pair| {
-            let [beyond_last, before_newest] = pair else {
+            let [job_difference, attempt_difference] = pair else {
                 return None;
             };
-            job = job.checked_add(*beyond_last)?;
-            Some((job, newest.checked_sub(*before_newest)?))
+            job = job.checked_add(*job_difference)?;
+            Some((job, largest.checked_sub(*attempt_difference)?))
         })
         .collect()
 }
--- a/src/storage/machine_group/encoding/tests.rs
+++ b/src/storage/machine_group/encoding/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `encoding`: the stored form as it is documented.
+//! Tests of `encoding`: that the stored form is as documented.
 
 use super::*;
 use crate::storage::ids::{JobId, MachineId};
@@ -6,8 +6,8 @@
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 
-/// The first address of the subnet of the machines: 10.0.0.0.
-const SUBNET: i64 = 10 << 24;
+/// First address of the machines' subnet, 10.0.0.0, as a number.
+const SUBNET_BASE: i64 = 10 << 24;
 
 fn assignment(job: u64, index: u32, number: u64) -> Assignment {
     Assignment {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn plain_form_lists_machines_as_numbers_that_refer_to_tables() {
+fn plain_form_writes_machines_as_numbers_that_refer_to_tables() {
     let text = serde_json::to_string(&group(false)).unwrap();
     assert_eq!(
         text,
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn compact_form_has_sorted_attempts_as_differences_and_tasks_as_masks() {
+fn compact_form_writes_sorted_attempts_as_differences_and_tasks_as_masks() {
     let text = serde_json::to_string(&group(true)).unwrap();
     let bytes = URL_SAFE_NO_PAD.decode(text.trim_matches('"')).unwrap();
     let (kinds, images, attempts, machines, preempted): CompactFields<'_> =
         rmp_serde::from_slice(&bytes).unwrap();
     assert_eq!(
         kinds,
-        [("small".into(), "a".into(), 1, Some((9000, SUBNET)))]
+        [("small".into(), "a".into(), 1, Some((9000, SUBNET_BASE)))]
     );
     assert_eq!(images, [("image".into(), 900)]);
     assert_eq!(attempts, [11, 2, 1, 1, 0]);
--- a/src/storage/machine_group/encoding/writer.rs
+++ b/src/storage/machine_group/encoding/writer.rs
@@ -1,7 +1,7 @@
-//! Writes machine groups.
+//! Encodes machine groups.
 
 use super::{
-    AddressOffset, AttemptEntry, CompactFields, Image, Kind, PlainFields, PreemptedEntry, head,
+    AddressOffset, AttemptEntry, CompactFields, Image, Kind, PlainFields, PreemptedEntry, header,
 };
 use crate::storage::ids::MachineId;
 use crate::storage::machine_group::{Assignment, GroupRecord, MachineRecord};
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The position of the entry with this key, which is added if there is none.
+    /// Position of the entry with this key; adds `entry` if there is none.
     fn position(&mut self, key: K, entry: impl FnOnce() -> V) -> u64 {
         let next = self.entries.len() as u64;
         let entries = &mut self.entries;
@@ -72,7 +72,7 @@
 /// Machine type, zone, spot and address.
 type KindKey<'a> = (&'a str, &'a str, bool, AddressOffset);
 
-/// Collects the fields of a group.
+/// Collects the fields of a group to be encoded.
 struct GroupWriter<'a> {
     compact: bool,
     kinds: Table<KindKey<'a>, Kind>,
@@ -80,7 +80,7 @@
     attempts: Table<AttemptEntry, AttemptEntry>,
     machines: Vec<Vec<u64>>,
     preempted: Vec<PreemptedEntry>,
-    last_machine: u64,
+    previous_machine: u64,
 }
 
 impl<'a> GroupWriter<'a> {
@@ -92,11 +92,12 @@
             attempts: Table::new(),
             machines: Vec::new(),
             preempted: Vec::new(),
-            last_machine: 0,
+            previous_machine: 0,
         }
     }
 
-    /// Adds the attempts of all machines in order, so that each can be written as the difference from the one before.
+    /// Adds the attempts of all machines in ascending order, so that each can be encoded as the difference from the
+    /// previous one.
     fn add_attempts_in_order(&mut self, group: &GroupRecord) {
         let mut assignments: Vec<&Assignment> = group
             .machines
@@ -112,8 +113,8 @@
     fn add_machine(&mut self, id: MachineId, record: &'a MachineRecord) {
         let kind = self.kind(id, record);
         let mut numbers = Vec::with_capacity(5 + record.images.len() + 2 * record.tasks.len());
-        numbers.extend([id.0 - self.last_machine, kind]);
-        self.add_head(record, &mut numbers);
+        numbers.extend([id.0 - self.previous_machine, kind]);
+        self.add_header(record, &mut numbers);
         for (name, size) in &record.images {
             let image = self
                 .images
@@ -126,7 +127,7 @@
             self.preempted
                 .push((id.0, attempt, assignment.index.into()));
         }
-        self.last_machine = id.0;
+        self.previous_machine = id.0;
         self.machines.push(numbers);
     }
 
@@ -143,8 +144,8 @@
         })
     }
 
-    /// Adds health, fenced incarnation and number of images.
-    fn add_head(&self, record: &MachineRecord, numbers: &mut Vec<u64>) {
+    /// Appends the health, the fenced incarnation and the number of images.
+    fn add_header(&self, record: &MachineRecord, numbers: &mut Vec<u64>) {
         let health = record.health as u64;
         let fenced = record.fenced_incarnation;
         let image_count = record.images.len() as u64;
@@ -152,8 +153,8 @@
             numbers.extend([health, fenced, image_count]);
             return;
         }
-        let has_fenced = u64::from(fenced > 0) << head::HAS_FENCED;
-        numbers.push(health | has_fenced | image_count << head::IMAGE_COUNT);
+        let has_fenced_bit = u64::from(fenced > 0) << header::HAS_FENCED_INCARNATION_BIT;
+        numbers.push(health | has_fenced_bit | image_count << header::IMAGE_COUNT_SHIFT);
         if fenced > 0 {
             numbers.push(fenced);
         }
@@ -186,7 +187,7 @@
 }
 
 impl PlainFields<'_> {
-    /// The text of the compact form. Machines must be in that form, and attempts in order.
+    /// Encodes the fields in the compact form. Machines must already be in that form, and attempts in ascending order.
     fn into_compact_text(self) -> Result<String, rmp_serde::encode::Error> {
         let fields: CompactFields<'_> = (
             self.kinds,
@@ -206,28 +207,28 @@
     Some((endpoint.port(), ip.checked_sub(number)?))
 }
 
-/// The compact form of the attempts, which are in order.
+/// Encodes attempts, which must be in ascending order, in the compact form.
 fn attempt_differences(attempts: &[AttemptEntry]) -> Vec<u64> {
-    let newest = attempts
+    let largest = attempts
         .iter()
         .map(|(_, number)| *number)
         .max()
         .unwrap_or(0);
-    let mut last_job = 0;
+    let mut previous_job = 0;
     let differences = attempts.iter().flat_map(|(job, number)| {
-        let beyond_last = job - std::mem::replace(&mut last_job, *job);
-        [beyond_last, newest - number]
+        let job_difference = job - std::mem::replace(&mut previous_job, *job);
+        [job_difference, largest - number]
     });
-    [newest].into_iter().chain(differences).collect()
+    [largest].into_iter().chain(differences).collect()
 }
 
-/// The compact form of a machine's assignments, which are attempts and task numbers in order.
+/// Encodes a machine's assignments, which are pairs of attempt and task number in ascending order, in the compact form.
 fn task_masks(tasks: &[(u64, u64)]) -> Vec<u64> {
     let mut masks: Vec<u64> = Vec::new();
     for (attempt, index) in tasks {
         match &mut masks[..] {
-            [.., last_attempt, first, mask]
-                if last_attempt == attempt && *index - *first < u64::from(u64::BITS) =>
+            [.., mask_attempt, first, mask]
+                if mask_attempt == attempt && *index - *first < u64::from(u64::BITS) =>
             {
                 *mask |= 1 << (*index - *first);
             }
--- a/src/storage/machine_group/mod.rs
+++ b/src/storage/machine_group/mod.rs
@@ -1,8 +1,8 @@
 //! Machine groups: the records that hold machines and their assignments.
 //!
-//! Every change of a group is sent as a whole to every controller, and the store limits the size of a value. So the
-//! stored form is as small as possible, see `encoding`, and the size of a group is estimated before anything is
-//! added to it.
+//! With every change of a group, its whole record is sent to every controller, and the store limits the size of a
+//! value. So the stored form is as small as possible, see `encoding`, and the size of a group is estimated before
+//! anything is added to it.
 
 mod encoding;
 
@@ -23,7 +23,7 @@
 }
 
 impl Assignment {
-    /// The assignment of an attempt.
+    /// The assignment of this attempt.
     pub fn of(attempt: Attempt) -> Assignment {
         Assignment {
             job: attempt.task.job,
@@ -44,22 +44,22 @@
     }
 }
 
-/// What a machine may still be used for.
+/// Whether a machine may be assigned tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MachineHealth {
     /// May be assigned tasks.
     #[default]
     Schedulable,
-    /// Is assigned no further tasks: the cloud will reclaim it, or it is faulty.
+    /// Is assigned no further tasks: the cloud will reclaim it, or it is quarantined.
     Cordoned,
-    /// Its heartbeats are missing: it is assigned no tasks until the next one.
+    /// Its heartbeats are missing: it is assigned no tasks until the next heartbeat.
     Unreachable,
     /// Its release may have been requested: it is never used again.
     Decommissioning,
 }
 
 impl MachineHealth {
-    /// All states, by the number that stands for them in the stored form.
+    /// All states, in the order of the numbers that stand for them in the stored form.
     const ALL: [MachineHealth; 4] = [
         MachineHealth::Schedulable,
         MachineHealth::Cordoned,
@@ -79,24 +79,25 @@
     pub spot: bool,
     /// The agent's address, if it is an IPv4 address with a port.
     pub endpoint: Option<SocketAddrV4>,
-    /// What it may be used for.
+    /// Whether it may be assigned tasks.
     pub health: MachineHealth,
-    /// Agent incarnations up to this one are fenced off for good, whatever the agent itself assumes.
+    /// Agent incarnations up to this one are fenced off permanently, even if the agent considers itself valid.
     pub fenced_incarnation: u64,
-    /// Images in its cache with their sizes in thousandths of a GB, the most recently used last.
+    /// Images in the machine's cache with their sizes in thousandths of a GB, the most recently used last.
     pub images: Vec<(Arc<str>, u64)>,
     /// Assignments.
     pub tasks: Vec<Assignment>,
-    /// Those of them that are preempted: they are being stopped, and their resources are assigned to others already.
+    /// Assignments that are preempted: their tasks are being stopped, and their resources are already assigned to other
+    /// tasks.
     pub preempted: Vec<Assignment>,
 }
 
 impl MachineRecord {
-    /// Most images remembered for one machine.
-    const IMAGES: usize = 8;
+    /// Largest number of images recorded for one machine.
+    const MAX_IMAGES: usize = 8;
 
-    /// Remembers that the machine has, or soon will have, an image. `size` and `cache`, the size of the machine's
-    /// cache, are in thousandths of a GB.
+    /// Records that the machine has, or soon will have, an image. `size` and `cache`, the sizes of the image and of the
+    /// machine's cache, are in thousandths of a GB.
     pub fn use_image(&mut self, name: &str, size: u64, cache: u64) {
         let is_latest = |(latest, _): &(Arc<str>, u64)| **latest == *name;
         if self.images.last().is_some_and(is_latest) {
@@ -105,12 +106,12 @@
         self.images.retain(|(image, _)| **image != *name);
         self.images.push((name.into(), size));
         let mut total: u64 = self.images.iter().map(|(_, size)| size).sum();
-        while self.images.len() > 1 && (self.images.len() > Self::IMAGES || total > cache) {
+        while self.images.len() > 1 && (self.images.len() > Self::MAX_IMAGES || total > cache) {
             total -= self.images.remove(0).1;
         }
     }
 
-    /// Forgets all but the `kept` images that were used last.
+    /// Removes all but the `kept` most recently used images from the record.
     pub fn forget_images(&mut self, kept: usize) {
         self.images.drain(..self.images.len().saturating_sub(kept));
     }
@@ -121,75 +122,80 @@
 pub struct GroupRecord {
     /// Machines, by number.
     pub machines: BTreeMap<MachineId, MachineRecord>,
-    /// Whether it is to be written in the compact form: only if every controller can read it.
+    /// Whether the group is written in the compact form, which every controller must be able to read then.
     pub compact_encoding: bool,
 }
 
-/// Upper bounds and estimates of the size of the stored form, in either form.
+/// Upper bounds and estimates of the size of the stored form, plain or compact.
 impl GroupRecord {
-    /// Most bytes that one more assignment can add.
+    /// Upper bound of the bytes that one more assignment adds.
     pub fn assignment_bytes(attempt: &Attempt, image: &str, size: u64) -> usize {
-        const ATTEMPT_PUNCTUATION: usize = 4;
-        const IMAGE_PUNCTUATION: usize = 6;
-        const IMAGE_REFERENCE: usize = 4;
-        const ATTEMPT_REFERENCE: usize = 5;
-        const SEPARATOR: usize = 1;
-        // Only the compact form has a mask: up to twenty digits beside the task's number, and a separator.
-        const MASK: usize = 21;
-
-        let attempt_entry =
-            digits(attempt.task.job.0) + digits(attempt.number) + ATTEMPT_PUNCTUATION;
-        let image_entry = image.len() + digits(size) + IMAGE_PUNCTUATION + IMAGE_REFERENCE;
-        let task = digits(attempt.task.index.into()) + SEPARATOR + MASK;
-        attempt_entry + image_entry + ATTEMPT_REFERENCE + task
+        const ATTEMPT_PUNCTUATION_BYTES: usize = 4;
+        const IMAGE_PUNCTUATION_BYTES: usize = 6;
+        const IMAGE_REFERENCE_BYTES: usize = 4;
+        const ATTEMPT_REFERENCE_BYTES: usize = 5;
+        const SEPARATOR_BYTES: usize = 1;
+        // Only the compact form has a mask: up to twenty digits in addition to the task's number, and a separator.
+        const MASK_BYTES: usize = 21;
+
+        let attempt_entry_bytes = digit_count(attempt.task.job.0)
+            + digit_count(attempt.number)
+            + ATTEMPT_PUNCTUATION_BYTES;
+        let image_entry_bytes =
+            image.len() + digit_count(size) + IMAGE_PUNCTUATION_BYTES + IMAGE_REFERENCE_BYTES;
+        let task = digit_count(attempt.task.index.into()) + SEPARATOR_BYTES + MASK_BYTES;
+        attempt_entry_bytes + image_entry_bytes + ATTEMPT_REFERENCE_BYTES + task
     }
 
-    /// Most bytes that marking one more assignment as preempted can add: the numbers of the machine, the attempt and
-    /// the task, and punctuation.
+    /// Upper bound of the bytes that marking one more assignment as preempted adds: the numbers of the machine, the
+    /// attempt and the task, and punctuation.
     pub const PREEMPTED_BYTES: usize = 20 + 5 + 10 + 5;
 
-    /// Most bytes that a machine without assignments can add.
+    /// Upper bound of the bytes that a machine without assignments adds.
     pub fn machine_bytes(id: MachineId, record: &MachineRecord) -> usize {
-        const KIND_PUNCTUATION: usize = 10;
-        const SPOT: usize = 2;
-        const PORT: usize = 6;
-        const ADDRESS_OFFSET: usize = 21;
-        const KIND_REFERENCE: usize = 6;
-        const HEALTH_AND_IMAGE_COUNT: usize = 8;
+        const KIND_PUNCTUATION_BYTES: usize = 10;
+        const SPOT_BYTES: usize = 2;
+        const PORT_BYTES: usize = 6;
+        const ADDRESS_OFFSET_BYTES: usize = 21;
+        const KIND_REFERENCE_BYTES: usize = 6;
+        const HEALTH_AND_IMAGE_COUNT_BYTES: usize = 8;
 
         let kind = record.machine_type.len()
             + record.zone.len()
-            + KIND_PUNCTUATION
-            + SPOT
-            + PORT
-            + ADDRESS_OFFSET;
-        let machine = digits(id.0)
-            + KIND_REFERENCE
-            + digits(record.fenced_incarnation)
-            + HEALTH_AND_IMAGE_COUNT;
+            + KIND_PUNCTUATION_BYTES
+            + SPOT_BYTES
+            + PORT_BYTES
+            + ADDRESS_OFFSET_BYTES;
+        let machine = digit_count(id.0)
+            + KIND_REFERENCE_BYTES
+            + digit_count(record.fenced_incarnation)
+            + HEALTH_AND_IMAGE_COUNT_BYTES;
         kind + machine
     }
 
-    /// About as many bytes as a machine with this many assignments takes on average, since names are shared between
-    /// machines. `compact_encoding`: in the compact form, in which tasks of one attempt share their entry.
+    /// Estimated average number of bytes of a machine with this many assignments. It is less than the upper bounds
+    /// since machines share the entries of names. `compact_encoding`: in the compact form, in which tasks of one job
+    /// with the same attempt number share an entry.
     pub fn estimated_machine_bytes(assignments: u64, compact_encoding: bool) -> usize {
-        const COMPACT_MACHINE: usize = 16;
-        const COMPACT_ASSIGNMENT: usize = 4;
-        const MACHINE: usize = 20;
-        const IMAGE: usize = 4;
-        const ASSIGNMENT: usize = 12;
+        const COMPACT_MACHINE_BYTES: usize = 16;
+        const COMPACT_ASSIGNMENT_BYTES: usize = 4;
+        const MACHINE_BYTES: usize = 20;
+        const IMAGE_BYTES: usize = 4;
+        const ASSIGNMENT_BYTES: usize = 12;
 
         let assignments = assignments as usize;
         if compact_encoding {
-            COMPACT_MACHINE + COMPACT_ASSIGNMENT * assignments
+            COMPACT_MACHINE_BYTES + COMPACT_ASSIGNMENT_BYTES * assignments
         } else {
-            MACHINE + IMAGE * MachineRecord::IMAGES / 2 + ASSIGNMENT * assignments
+            MACHINE_BYTES
+                + IMAGE_BYTES * MachineRecord::MAX_IMAGES / 2
+                + ASSIGNMENT_BYTES * assignments
         }
     }
 }
 
-/// Decimal digits of a number.
-fn digits(number: u64) -> usize {
+/// Number of decimal digits of a number.
+fn digit_count(number: u64) -> usize {
     number.checked_ilog10().unwrap_or(0) as usize + 1
 }
 
--- a/src/storage/machine_group/tests.rs
+++ b/src/storage/machine_group/tests.rs
@@ -32,41 +32,47 @@
     serde_json::to_string(group).unwrap().len()
 }
 
-/// A group that is checked to grow by no more than estimated with everything that is added to it.
-struct MeasuredGroup(GroupRecord);
+/// A group of which every addition is checked to grow the stored form by no more than the upper bound.
+struct SizeCheckedGroup(GroupRecord);
 
-impl MeasuredGroup {
+impl SizeCheckedGroup {
     fn add_machine(&mut self, id: MachineId, record: MachineRecord) {
         let before = stored_bytes(&self.0);
-        let most = GroupRecord::machine_bytes(id, &record);
+        let max_growth = GroupRecord::machine_bytes(id, &record);
         self.0.machines.insert(id, record);
-        assert!(stored_bytes(&self.0) <= before + most, "a machine");
+        assert!(
+            stored_bytes(&self.0) <= before + max_growth,
+            "machine exceeds its upper bound"
+        );
     }
 
     fn add_assignment(&mut self, id: MachineId, attempt: Attempt, image: &str) {
         let before = stored_bytes(&self.0);
-        let most = GroupRecord::assignment_bytes(&attempt, image, IMAGE_SIZE);
+        let max_growth = GroupRecord::assignment_bytes(&attempt, image, IMAGE_SIZE);
         let record = self.0.machines.get_mut(&id).unwrap();
         record.tasks.push(Assignment::of(attempt));
         record.use_image(image, IMAGE_SIZE, u64::MAX);
-        assert!(stored_bytes(&self.0) <= before + most, "an assignment");
+        assert!(
+            stored_bytes(&self.0) <= before + max_growth,
+            "assignment exceeds its upper bound"
+        );
     }
 
     fn preempt_last(&mut self, id: MachineId) {
-        // The list's own key is part of the spare room.
-        const LIST_KEY: usize = 8;
+        // Key of the list of preempted assignments, which the callers' spare bytes cover.
+        const LIST_KEY_BYTES: usize = 8;
         let before = stored_bytes(&self.0);
         let record = self.0.machines.get_mut(&id).unwrap();
         record.preempted.extend(record.tasks.last().copied());
         assert!(
-            stored_bytes(&self.0) <= before + GroupRecord::PREEMPTED_BYTES + LIST_KEY,
-            "a preemption"
+            stored_bytes(&self.0) <= before + GroupRecord::PREEMPTED_BYTES + LIST_KEY_BYTES,
+            "preemption exceeds its upper bound"
         );
     }
 }
 
-fn measured_group(compact: bool) -> GroupRecord {
-    let mut group = MeasuredGroup(GroupRecord {
+fn size_checked_group(compact: bool) -> GroupRecord {
+    let mut group = SizeCheckedGroup(GroupRecord {
         compact_encoding: compact,
         ..GroupRecord::default()
     });
@@ -84,12 +90,12 @@
     group.0
 }
 
-/// Every estimate must be at least what the stored form really grows by: a round that outgrew the store's limit would
-/// be refused for ever.
+/// Guards against a group that outgrows the store's size limit because an upper bound is too low: the store would
+/// refuse the transaction of the commit round again and again.
 #[test]
-fn estimates_are_upper_bounds_and_records_are_read_as_written() {
+fn size_upper_bounds_hold_and_groups_round_trip() {
     for compact in [false, true] {
-        let mut group = measured_group(compact);
+        let mut group = size_checked_group(compact);
         let text = serde_json::to_string(&group).unwrap();
         let mut read = serde_json::from_str::<GroupRecord>(&text).unwrap();
         read.machines
@@ -101,18 +107,18 @@
 }
 
 #[test]
-fn machine_of_a_missing_kind_is_refused() {
+fn machine_that_refers_to_no_kind_is_rejected() {
     let text = r#"{"k":[],"i":[],"a":[],"m":[[1,0,0,0,0]]}"#;
     assert!(serde_json::from_str::<GroupRecord>(text).is_err());
 }
 
 #[test]
-fn group_of_the_first_format_is_refused() {
+fn group_in_the_first_format_is_rejected() {
     assert!(serde_json::from_str::<GroupRecord>(r#"{"m":{}}"#).is_err());
 }
 
 #[test]
-fn many_machines_fit_a_small_value() {
+fn group_of_100_machines_takes_less_than_3000_bytes() {
     let mut group = GroupRecord::default();
     for i in 1..=100 {
         let mut record = machine(&format!("10.1.0.{i}:9000"));
--- a/src/storage/records/format.rs
+++ b/src/storage/records/format.rs
@@ -1,26 +1,27 @@
 //! Versions of the format of the live records.
 //!
-//! A deployment starts with the initial format. A later one is used once all of its controllers can read it, so that
-//! they can be upgraded one at a time. The format in use is stored in [`MetaRecord::record_format`](super::MetaRecord::layout)
-//! as its number, and each controller stores the newest one that it can read in its own record. Both may be of a
-//! version that this one does not know, so they are kept as numbers.
-
-/// A version of the format of the live records. A new one is added whenever they change in a way that an earlier
-/// version would misread.
+//! A deployment starts with the initial format. It changes to a later one once all of its controllers can read that
+//! one, so that controllers can be upgraded one at a time. The number of the format in use is stored in
+//! [`MetaRecord::record_format`](super::MetaRecord::record_format), and each controller stores the number of the newest
+//! format that it can read in its own record. Either may be a format that this version of the software does not know,
+//! so the records hold numbers.
+
+/// A version of the format of the live records. A new format is added whenever the records change in a way that earlier
+/// versions of the software would misread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u32)]
 pub enum RecordFormat {
-    /// The oldest format that this version reads.
+    /// The oldest format that this version of the software reads.
     Initial = 2,
     /// Jobs may depend on others; machine groups and completion bitmaps have compact encodings.
     Compact = 3,
-    /// Adds rules: sets of them have records, and jobs bring their own. Only used where the operators turned rules on
-    /// at every controller.
+    /// Adds placement rules: rule sets have records, and jobs may have rules of their own. Only used where the
+    /// operators turned rules on at every controller.
     CompactRules = 4,
-    /// A shard's usage record is written by the shard's leader alone: the machine groups say what is assigned, and ends
-    /// of tasks are recorded by the shard of their machines. Without rules.
+    /// A shard's usage record is written by the shard's leader alone: the machine groups say what is assigned, and the
+    /// end of a task is recorded by the shard of its machine. Without rules.
     Fenced = 5,
-    /// The same with rules.
+    /// The same as [`RecordFormat::Fenced`], with rules.
     FencedRules = 6,
 }
 
@@ -34,20 +35,20 @@
         RecordFormat::FencedRules,
     ];
 
-    /// The number that stands for it in the stored records.
+    /// The number that stands for this format in the stored records.
     pub const fn number(self) -> u32 {
         self as u32
     }
 
-    /// The format of this number; `None` if this version does not know it.
+    /// The format with this number; `None` if this version of the software does not know it.
     pub fn from_number(number: u32) -> Option<RecordFormat> {
         RecordFormat::ALL
             .into_iter()
             .find(|format| format.number() == number)
     }
 
-    /// The newest known format whose number is at most this one, or else the initial one: what is known of a format
-    /// that may be newer than this version.
+    /// The newest known format whose number is at most `number`, or else the initial one. For a format that is newer
+    /// than this version of the software, this says which features it has at least.
     pub fn newest_up_to(number: u32) -> RecordFormat {
         RecordFormat::ALL
             .into_iter()
@@ -66,7 +67,7 @@
         self >= RecordFormat::Compact
     }
 
-    /// Whether there may be rules.
+    /// Whether records may have rules.
     pub fn has_rules(self) -> bool {
         matches!(self, RecordFormat::CompactRules | RecordFormat::FencedRules)
     }
@@ -77,13 +78,13 @@
     }
 }
 
-/// Number of the newest format that this version reads.
+/// Number of the newest format that this version of the software reads.
 pub const LATEST_FORMAT: u32 = RecordFormat::FencedRules.number();
 
 /// Number of the first format in which jobs may depend on others.
 pub const DEPENDENCIES_FORMAT: u32 = RecordFormat::Compact.number();
 
-/// Number of the first fenced format, which is without rules.
+/// Number of the first fenced format; it has no rules.
 pub const FENCED_FORMAT: u32 = RecordFormat::Fenced.number();
 
 /// Number of the first fenced format with rules.
@@ -95,7 +96,7 @@
 /// Number of the format that a deployment starts with.
 pub const INITIAL_FORMAT: u32 = RecordFormat::Initial.number();
 
-/// Whether records of the format of this number may have rules; false for a format that is not known.
+/// Whether records of the format with this number may have rules; false for a format that is not known.
 pub fn format_has_rules(record_format: u32) -> bool {
     RecordFormat::from_number(record_format).is_some_and(RecordFormat::has_rules)
 }
--- a/src/storage/records/format/tests.rs
+++ b/src/storage/records/format/tests.rs
@@ -4,7 +4,7 @@
 
 /// The numbers are in stored records: they must never change.
 #[test]
-fn stored_numbers_are_those_of_earlier_versions() {
+fn format_numbers_equal_those_of_earlier_versions() {
     let numbers = RecordFormat::ALL.map(RecordFormat::number);
     assert_eq!(numbers, [2, 3, 4, 5, 6]);
     assert_eq!(
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn number_without_known_format_yields_none_and_the_newest_format_before_it() {
+fn unknown_format_number_maps_to_none_and_to_the_newest_format_below_it() {
     assert_eq!(RecordFormat::from_number(1), None);
     assert_eq!(RecordFormat::from_number(7), None);
     assert_eq!(RecordFormat::newest_up_to(0), RecordFormat::Initial);
@@ -27,13 +27,13 @@
 }
 
 #[test]
-fn formats_with_rules_are_the_fourth_and_the_sixth() {
-    let ruled: Vec<u32> = (0..9).filter(|number| format_has_rules(*number)).collect();
-    assert_eq!(ruled, [4, 6]);
+fn only_formats_four_and_six_have_rules() {
+    let with_rules: Vec<u32> = (0..9).filter(|number| format_has_rules(*number)).collect();
+    assert_eq!(with_rules, [4, 6]);
 }
 
 #[test]
-fn features_begin_with_the_format_that_added_them() {
+fn each_feature_is_available_from_the_format_that_added_it() {
     let compact = RecordFormat::ALL.map(RecordFormat::has_compact_encoding);
     assert_eq!(compact, [false, true, true, true, true]);
     let dependencies = RecordFormat::ALL.map(RecordFormat::has_dependencies);
--- a/src/storage/records/key.rs
+++ b/src/storage/records/key.rs
@@ -2,19 +2,19 @@
 
 use crate::storage::ids::{GroupIndex, JobId, ShardId};
 
-/// Prefix of the keys that the watch follows.
+/// Prefix of the keys that are watched: those of all records but the ended jobs'.
 pub const LIVE: &str = "c/";
 
-/// Prefix of the keys of ended jobs, which the watch does not follow.
-const FINAL: &str = "final/";
+/// Prefix of the keys of ended jobs, which are not watched.
+const FINAL_PREFIX: &str = "final/";
 
-/// Digits of a digest of rules in its key.
-const DIGEST_DIGITS: usize = 16;
+/// Number of hexadecimal digits of a rule set's digest in its key.
+const RULES_DIGEST_HEX_DIGITS: usize = 16;
 
 /// A key of the state store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Key {
-    /// Number of shards and the teams' shards.
+    /// Number of shards, and the shards of the teams that have one of their own.
     Meta,
     /// Machine types.
     Types,
@@ -24,17 +24,17 @@
     Node(String),
     /// Leader of a shard.
     ShardLeader(ShardId),
-    /// Some machines of a shard, and their assignments. A shard has as many of these records as its machines need; the
-    /// first of them is written with every addition.
+    /// A machine group: some of a shard's machines, and their assignments. A shard has as many groups as its machines
+    /// need; the first group is written whenever a machine is added to the shard.
     Group(ShardId, GroupIndex),
-    /// What the shard's teams have assigned. From [`RecordFormat::Fenced`](super::RecordFormat::Fenced) on only the
-    /// shard's leader writes it.
+    /// Resources assigned to the shard's teams. From [`RecordFormat::Fenced`](super::RecordFormat::Fenced) on, only the
+    /// shard's leader writes this record.
     Usage(ShardId),
     /// A live job.
     Job(JobId),
     /// A further chunk of a job's completion bitmap.
     Chunk(JobId, u32),
-    /// A set of the operators' rules, by its digest.
+    /// A rule set of the operators, by its digest.
     Rules(u64),
     /// An ended job.
     Final(JobId),
@@ -52,8 +52,8 @@
             Key::Usage(shard) => write!(f, "{LIVE}usage/{shard}"),
             Key::Job(id) => write!(f, "{LIVE}job/{}", id.0),
             Key::Chunk(id, chunk) => write!(f, "{LIVE}job/{}/{chunk}", id.0),
-            Key::Rules(digest) => write!(f, "{LIVE}rules/{digest:0DIGEST_DIGITS$x}"),
-            Key::Final(id) => write!(f, "{FINAL}{}", id.0),
+            Key::Rules(digest) => write!(f, "{LIVE}rules/{digest:0RULES_DIGEST_HEX_DIGITS$x}"),
+            Key::Final(id) => write!(f, "{FINAL_PREFIX}{}", id.0),
         }
     }
 }
@@ -61,18 +61,18 @@
 impl Key {
     /// Parses a key; `None` for keys that are not this project's.
     pub fn parse(text: &str) -> Option<Key> {
-        if let Some(id) = text.strip_prefix(FINAL) {
-            return parse_job(id).map(Key::Final);
+        if let Some(id) = text.strip_prefix(FINAL_PREFIX) {
+            return parse_job_id(id).map(Key::Final);
         }
         let key = text.strip_prefix(LIVE)?;
         match key.split_once('/') {
-            Some((kind, id)) => Key::parse_numbered(kind, id),
-            None => Key::parse_single(key),
+            Some((kind, id)) => Key::parse_with_id(kind, id),
+            None => Key::parse_singleton(key),
         }
     }
 
-    /// Parses the key of a kind of record that there is one of.
-    fn parse_single(kind: &str) -> Option<Key> {
+    /// Parses the key of a kind of which there is only one record.
+    fn parse_singleton(kind: &str) -> Option<Key> {
         match kind {
             "meta" => Some(Key::Meta),
             "types" => Some(Key::Types),
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Parses the key of a kind of record that there are several of.
-    fn parse_numbered(kind: &str, id: &str) -> Option<Key> {
+    /// Parses the key of a kind of which there are several records; `id` identifies the record.
+    fn parse_with_id(kind: &str, id: &str) -> Option<Key> {
         match kind {
             "node" => Some(Key::Node(id.to_owned())),
             "own" => id.parse().ok().map(Key::ShardLeader),
@@ -91,18 +91,18 @@
                 Some(Key::Group(shard.parse().ok()?, group.parse().ok()?))
             }
             "usage" => id.parse().ok().map(Key::Usage),
-            "rules" if id.len() == DIGEST_DIGITS => {
+            "rules" if id.len() == RULES_DIGEST_HEX_DIGITS => {
                 u64::from_str_radix(id, 16).ok().map(Key::Rules)
             }
             "job" => match id.split_once('/') {
-                Some((job, chunk)) => Some(Key::Chunk(parse_job(job)?, chunk.parse().ok()?)),
-                None => parse_job(id).map(Key::Job),
+                Some((job, chunk)) => Some(Key::Chunk(parse_job_id(job)?, chunk.parse().ok()?)),
+                None => parse_job_id(id).map(Key::Job),
             },
             _ => None,
         }
     }
 }
 
-fn parse_job(number: &str) -> Option<JobId> {
+fn parse_job_id(number: &str) -> Option<JobId> {
     number.parse().ok().map(JobId)
 }
--- a/src/storage/records/mod.rs
+++ b/src/storage/records/mod.rs
@@ -21,18 +21,18 @@
 /// What all controllers of a deployment agree on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MetaRecord {
-    /// Number of the format of the live records; see [`RecordFormat`]. The very first format did not store it.
+    /// Number of the format of the live records; see [`RecordFormat`]. The first format of all did not store it.
     #[serde(rename = "layout", default)]
     pub record_format: u32,
     /// Number of shards; never changed.
     #[serde(rename = "slices")]
     pub shards: usize,
-    /// Shards of the teams with a guarantee or a quota.
+    /// Shards of the teams that have a guarantee or a quota.
     #[serde(rename = "teams")]
     pub teams: BTreeMap<String, ShardId>,
 }
 
-/// One run of a controller process; drawn at random when it starts.
+/// Identifies one run of a controller process; drawn at random when the process starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
@@ -40,16 +40,18 @@
 /// A live controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// The run of its process.
+    /// The controller's current incarnation.
     #[serde(rename = "run")]
     pub run: Incarnation,
-    /// Number of the newest record format that it can read. Versions before [`RecordFormat::Compact`] did not store it.
+    /// Number of the newest record format that the controller can read. Versions of the software before
+    /// [`RecordFormat::Compact`] did not store it.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
     pub record_format: Option<u32>,
-    /// The digest of the rules that it was started with; `None` without any.
+    /// Digest of the rules that the controller was started with; `None` if it has no rules.
     #[serde(rename = "u", default, skip_serializing_if = "Option::is_none")]
     pub rules: Option<u64>,
-    /// Its recent starts, including this run's. Earlier versions did not store them.
+    /// The controller's recent starts, including that of this incarnation. Earlier versions of the software did not
+    /// store them.
     #[serde(
         rename = "s",
         default,
@@ -58,23 +60,24 @@
     pub restart_history: RestartHistory,
 }
 
-/// The leader of a shard. The revision of the record is the leader's term.
+/// The leader of a shard. The revision of the record is the leader term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardLeaderRecord {
     /// The controller's name.
     #[serde(rename = "node")]
     pub node: String,
-    /// The run of its process: after a restart it leads nothing until it acquires the shard again.
+    /// The controller's incarnation. After a restart the controller does not lead the shard until it has acquired it
+    /// again.
     #[serde(rename = "run")]
     pub run: Incarnation,
 }
 
-/// What a shard's teams have assigned, and the recent ends of tasks. Every commit that assigns a shard's tasks writes
-/// this record, so that one whose outcome is unknown cannot succeed after a later one.
+/// Resources assigned to a shard's teams, and recently finished tasks. Every commit that assigns a shard's tasks writes
+/// this record, so that a commit whose outcome is unknown cannot succeed after a later one.
 ///
-/// The ends of many jobs are written with it at once, instead of one write for each job. Before
-/// [`RecordFormat::Fenced`] they are those of the shard's jobs, and every release of their tasks writes the record. From
-/// then on they are those of the tasks that ended on the shard's machines, and `teams` is empty.
+/// The finished tasks of many jobs are written with it at once, instead of one write for each job. Before
+/// [`RecordFormat::Fenced`] they are tasks of the shard's jobs, and every release of such a task writes the record.
+/// From that format on they are the tasks that ended on the shard's machines, and `teams` is empty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageRecord {
     /// Cores and accelerators assigned, in thousandths, by team.
@@ -86,37 +89,37 @@
 }
 
 impl UsageRecord {
-    /// Cores and accelerators that a team has assigned, in thousandths.
+    /// Cores and accelerators assigned to a team, in thousandths.
     pub fn of(&self, team: &str) -> (u64, u64) {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
-    /// Adds to what a team has assigned; amounts in thousandths.
+    /// Adds to the resources assigned to a team; amounts in thousandths.
     pub fn add(&mut self, team: &str, cores: u64, accelerators: u64) {
         let (used_cores, used_accelerators) = self.of(team);
         let sum = (used_cores + cores, used_accelerators + accelerators);
         self.teams.insert(team.to_owned(), sum);
     }
 
-    /// Subtracts from what a team has assigned, down to zero; amounts in thousandths.
+    /// Subtracts from the resources assigned to a team, down to zero; amounts in thousandths.
     pub fn take(&mut self, team: &str, cores: u64, accelerators: u64) {
         let (used_cores, used_accelerators) = self.of(team);
-        let rest = (
+        let remaining = (
             used_cores.saturating_sub(cores),
             used_accelerators.saturating_sub(accelerators),
         );
-        if rest == (0, 0) {
+        if remaining == (0, 0) {
             self.teams.remove(team);
         } else {
-            self.teams.insert(team.to_owned(), rest);
+            self.teams.insert(team.to_owned(), remaining);
         }
     }
 }
 
-/// Machines that were requested from the cloud and may not be listed by it yet.
+/// A request to the cloud for machines that it may not list yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProvisionRecord {
-    /// Identifier of the request, which makes it idempotent; never used again.
+    /// Identifier that makes the request idempotent; never reused for another request.
     #[serde(rename = "n")]
     pub name: String,
     /// Machine type.
@@ -125,13 +128,13 @@
     /// Zone.
     #[serde(rename = "y")]
     pub zone: String,
-    /// Whether they are spot machines.
+    /// Whether spot machines are requested.
     #[serde(rename = "s", default, skip_serializing_if = "is_false")]
     pub spot: bool,
     /// Number of machines requested.
     #[serde(rename = "c")]
     pub count: u32,
-    /// When they were requested, by the time of day.
+    /// When the request was made, by the time of day.
     #[serde(rename = "t")]
     pub at: Micros,
 }
@@ -139,10 +142,10 @@
 /// Machines being provisioned and decommissioned.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetRecord {
-    /// Requests of which not all machines are listed by the cloud yet.
+    /// Provision requests for which the cloud does not list all machines yet.
     #[serde(rename = "h", default)]
     pub provision_requests: Vec<ProvisionRecord>,
-    /// Machines outside any group whose release may have been requested.
+    /// Machines in no machine group that the cloud may have been asked to release.
     #[serde(rename = "r", default)]
     pub releasing: Vec<MachineId>,
 }
--- a/src/storage/resources.rs
+++ b/src/storage/resources.rs
@@ -1,13 +1,13 @@
-//! Amounts of the resources of machines, in whole thousandths.
+//! Amounts of machine resources, in whole thousandths of a unit.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{AddAssign, Sub, SubAssign};
 
-/// Thousandths in a unit.
-const THOUSANDTHS: f64 = 1_000.0;
+/// Number of thousandths in one unit.
+const THOUSANDTHS_PER_UNIT: f64 = 1_000.0;
 
-/// Rounding error that conversions from wire amounts tolerate, in thousandths.
-const TOLERANCE: f64 = 1e-6;
+/// Rounding error of wire amounts that conversions ignore, in thousandths.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// Cores, accelerators and memory, in thousandths of a core, an accelerator and a GB.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,26 +23,26 @@
     pub memory: u64,
 }
 
-/// Whether a field is left out of the stored form, for `skip_serializing_if`.
+/// Whether a field is omitted from the stored form, for `skip_serializing_if`.
 pub(crate) fn is_zero(amount: &u64) -> bool {
     *amount == 0
 }
 
 impl Amount {
-    /// Whether `room` is enough for `self`.
+    /// Whether `self` fits into `room`.
     pub fn fits(&self, room: &Amount) -> bool {
         self.cores <= room.cores
             && self.accelerators <= room.accelerators
             && self.memory <= room.memory
     }
 
-    /// How many times `room` is enough for `self`, at most `most`.
-    pub fn times_in(&self, room: &Amount, most: u64) -> u64 {
-        let times = |need: u64, available: u64| available.checked_div(need).unwrap_or(most);
+    /// How many times `self` fits into `room`, at most `limit`.
+    pub fn times_in(&self, room: &Amount, limit: u64) -> u64 {
+        let times = |need: u64, available: u64| available.checked_div(need).unwrap_or(limit);
         times(self.cores, room.cores)
             .min(times(self.accelerators, room.accelerators))
             .min(times(self.memory, room.memory))
-            .min(most)
+            .min(limit)
     }
 
     /// `self` multiplied by `count`.
@@ -79,12 +79,16 @@
     }
 }
 
-/// Thousandths of a wire amount, rounded up: what a task needs.
+/// Converts a wire amount to thousandths, rounded up: for what a task needs.
 pub fn taken(amount: f64) -> u64 {
-    (amount * THOUSANDTHS - TOLERANCE).ceil().max(0.0) as u64
+    (amount * THOUSANDTHS_PER_UNIT - ROUNDING_TOLERANCE)
+        .ceil()
+        .max(0.0) as u64
 }
 
-/// Thousandths of a wire amount, rounded down: what a machine or a quota provides.
+/// Converts a wire amount to thousandths, rounded down: for what a machine or a quota provides.
 pub fn offered(amount: f64) -> u64 {
-    (amount * THOUSANDTHS + TOLERANCE).floor().max(0.0) as u64
+    (amount * THOUSANDTHS_PER_UNIT + ROUNDING_TOLERANCE)
+        .floor()
+        .max(0.0) as u64
 }
