--- a/src/storage/cell_state/jobs.rs
+++ b/src/storage/cell_state/jobs.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 impl CellState {
-    /// Stores how a job ended on which live jobs depend, and of which this was unknown.
+    /// Stores how a job ended, if that was unknown and live jobs depend on the job.
     pub fn on_end_learned(&mut self, id: JobId, end: FinalRecord, changes_seen: &mut CellChanges) {
         self.dependencies
             .on_end_learned(id, end, &mut self.jobs, &mut changes_seen.jobs);
--- a/src/storage/cell_state/mod.rs
+++ b/src/storage/cell_state/mod.rs
@@ -69,7 +69,7 @@
     locations: MachineLocations,
     assignments: AssignmentIndex,
     assigned_by_team: AssignedByTeam,
-    /// Keys removed_keys at revisions after `revision`, with the revision of the removal: an older change must not
+    /// Keys removed at revisions after `revision`, with the revision of the removal: an older change must not
     /// restore their records.
     removed_keys: HashMap<Key, u64>,
 }
--- a/src/storage/dependency_graph/mod.rs
+++ b/src/storage/dependency_graph/mod.rs
@@ -45,7 +45,7 @@
 }
 
 /// How long the tasks of a job are expected to run: the user's estimate plus a quarter of it, since estimates are often
-/// wrong, and some of many tasks run longer.
+/// wrong, and of many tasks some run longer.
 pub fn expected_runtime(spec: &JobSpec) -> Micros {
     spec.estimated_runtime + Micros(spec.estimated_runtime.0 / 4)
 }
@@ -53,7 +53,7 @@
 /// The dependencies between live jobs.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
-    /// Live jobs that depend on a job, by that job.
+    /// For each job on which live jobs depend, those live jobs.
     dependents: HashMap<JobId, BTreeSet<JobId>>,
     /// Ended jobs on which live jobs depend, with how they ended.
     ends: HashMap<JobId, FinalRecord>,
@@ -62,7 +62,7 @@
 }
 
 impl DependencyGraph {
-    /// Jobs of which the state store has to be queried for how they ended.
+    /// Jobs for which the state store has to be queried to learn how they ended.
     pub fn unknown(&self) -> &BTreeSet<JobId> {
         &self.unknown
     }
@@ -132,7 +132,8 @@
         end
     }
 
-    /// Stores how a job ended of which that was unknown. Appends the jobs whose states changed to `changed`.
+    /// Stores how a job ended, if that was unknown and live jobs depend on the job. Appends the jobs whose states
+    /// changed to `changed`.
     pub fn on_end_learned(
         &mut self,
         id: JobId,
--- a/src/storage/dependency_graph/propagation.rs
+++ b/src/storage/dependency_graph/propagation.rs
@@ -91,7 +91,7 @@
                 }
             }
         }
-        // A cancelled job stays cancelled, however the jobs of unknown end ended.
+        // A cancelled job stays cancelled, even if it is unknown how some of its dependencies ended.
         state.cancellation_unknown &= !state.cancelled && !job.record.cancelled;
         state
     }
