--- a/src/storage/dependency_graph/mod.rs
+++ b/src/storage/dependency_graph/mod.rs
@@ -57,7 +57,7 @@
     dependents: HashMap<JobId, BTreeSet<JobId>>,
     /// Ended jobs on which live jobs depend, with how they ended.
     ends: HashMap<JobId, FinalRecord>,
-    /// Jobs on which live jobs depend, and that are neither live nor known to have ended.
+    /// Jobs on which live jobs depend, that are not live, and of which it is not known how they ended.
     unknown: BTreeSet<JobId>,
 }
 
--- a/src/storage/machine_group/tests.rs
+++ b/src/storage/machine_group/tests.rs
@@ -59,7 +59,7 @@
     }
 
     fn preempt_last(&mut self, id: MachineId) {
-        // Key of the list of preempted assignments, which the callers' spare bytes cover.
+        // Key of the list of preempted assignments, which the spare bytes of a group's record cover.
         const LIST_KEY_BYTES: usize = 8;
         let before = stored_bytes(&self.0);
         let record = self.0.machines.get_mut(&id).unwrap();
--- a/src/storage/records/key.rs
+++ b/src/storage/records/key.rs
@@ -59,7 +59,7 @@
 }
 
 impl Key {
-    /// Parses a key; `None` for keys that are not this project's.
+    /// Parses a key; `None` for keys that cometlead does not use.
     pub fn parse(text: &str) -> Option<Key> {
         if let Some(id) = text.strip_prefix(FINAL_PREFIX) {
             return parse_job_id(id).map(Key::Final);
