--- a/src/coordination/api/cancellations.rs
+++ b/src/coordination/api/cancellations.rs
@@ -13,8 +13,8 @@
 use crate::time::Micros;
 
 impl Controller {
-    /// Transactions with an unknown outcome or a conflict after which the user has to retry.
-    const CANCELLATION_ATTEMPTS: u32 = 6;
+    /// Maximum number of transactions with an unknown outcome or a conflict; after one more, the user has to retry.
+    const MAX_CANCELLATION_ATTEMPTS: u32 = 6;
 
     /// Admits the cancellation of a live job.
     pub(super) fn admit_cancellation(&mut self, request: PendingRequest) {
@@ -28,9 +28,9 @@
 
     /// Sends queued cancellations. Fails with the time at which the rates allow the next one.
     pub(super) fn drive_cancellations(&mut self) -> Result<(), Micros> {
-        let round = self.limits.max_changes();
+        let max_changes = self.limits.max_changes();
         while let Some(request) = self.users.pop_cancellation() {
-            if let Err(at) = self.budget.spend_for_users(self.now.steady, 1, round) {
+            if let Err(at) = self.budget.spend_for_users(self.now.steady, 1, max_changes) {
                 self.users.push_cancellation(request);
                 return Err(at);
             }
@@ -59,7 +59,7 @@
                 lease_id: None,
             }],
         };
-        self.ask_state(Purpose::Abort(request), StateRequest::Transaction(txn));
+        self.ask_state(Purpose::Cancel(request), StateRequest::Transaction(txn));
     }
 
     pub(in crate::coordination) fn on_cancellation_result(
@@ -72,9 +72,9 @@
                 self.on_cancellation_applied(&request, revision);
             }
             Ok(_) | Err(CallError::OutcomeUnknown) => {
-                self.verify_by_read(request, Self::CANCELLATION_ATTEMPTS);
+                self.verify_by_read(request, Self::MAX_CANCELLATION_ATTEMPTS);
             }
-            Err(CallError::RateLimited) => self.retry_after_pause(request),
+            Err(CallError::RateLimited) => self.retry_after_backoff(request),
             Err(_) => self.respond(&request, Self::RETRY_AFTER),
         }
     }
--- a/src/coordination/api/connections/mod.rs
+++ b/src/coordination/api/connections/mod.rs
@@ -1,10 +1,10 @@
-//! Admission of connections: which are kept, which are closed, and which requests are rejected.
+//! Admission of connections and requests: which connections are kept or closed, and which requests are rejected.
 //!
 //! There may be more agents than sockets, and an agent needs no connection between two heartbeats. Connections have
 //! classes, known from their first request. Each class keeps its connections while there is room for them; beyond that,
 //! a connection is closed with its next response, and its client reconnects for its next request. A part of the sockets
-//! is reserved for connections whose class is not known yet. These turn over within one request, so health checks and
-//! users get in however many agents there are.
+//! is reserved for connections whose class is not known yet. A connection uses such a socket only until its first
+//! request, so health checks and users can connect however many agents there are.
 //!
 //! No input or output happens here: events and the time go in, decisions come out. No safety property relies on them.
 
@@ -31,7 +31,7 @@
     Agent,
 }
 
-/// The kind of a request, which decides on its precedence.
+/// The kind of a request, which decides its precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Request {
     /// A health check.
@@ -86,11 +86,11 @@
 /// Numbers of open connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpenConnections {
-    /// All, those of unknown class included.
+    /// All connections, including those of unknown class.
     pub total: usize,
-    /// Those of agents.
+    /// Connections of agents.
     pub agents: usize,
-    /// Those of users and health checks.
+    /// Connections of users and health checks.
     pub users: usize,
 }
 
@@ -118,9 +118,9 @@
         }
     }
 
-    /// A request has arrived. Returns the class before it.
+    /// A request of this class has arrived. Returns the connection's class before it.
     fn on_request(&mut self, now: Micros, class: Class) -> Option<Class> {
-        // The client of a new connection had none until now: that counts as idle for ever.
+        // A new connection has sent no response yet: it counts as having been idle forever.
         self.idle = self
             .answered
             .map_or(Micros::FOREVER, |answered| now.since(answered));
@@ -137,7 +137,7 @@
 /// The connections of a controller's server.
 #[derive(Debug)]
 pub struct Connections {
-    /// Most connections that may be open.
+    /// Maximum number of open connections.
     limit: usize,
     open: BTreeMap<ConnectionId, Connection>,
     agents: ClassUsage,
@@ -162,16 +162,16 @@
 }
 
 impl Connections {
-    /// Longest time until the first request must be complete; users and agents wait for a response hardly longer.
+    /// Time within which the first request must be complete; users and agents hardly wait longer for a response.
     const FIRST_REQUEST_TIMEOUT: Micros = Micros::secs(3);
-    /// The same while sockets for new connections are short.
+    /// The same timeout while few sockets are left for new connections.
     const FIRST_REQUEST_TIMEOUT_IF_FULL: Micros = Micros::millis(500);
-    /// Connections that were idle for less than this before a request are kept longest.
-    const ACTIVE_IDLE_LIMIT: Micros = Micros::millis(1_500);
-    /// Rejected clients retry after 1 s to this many, so that they do not return together.
-    const RETRY_SPREAD: u64 = 3;
+    /// Connections that were idle for less than this before a request are active: they are closed last.
+    const MAX_ACTIVE_IDLE: Micros = Micros::millis(1_500);
+    /// Rejected clients retry after 1 s to this many seconds, so that they do not all return at once.
+    const MAX_RETRY_AFTER_S: u64 = 3;
 
-    /// A server without connections, of which at most `limit` may be open.
+    /// A server that has no connections yet; at most `limit` may be open.
     pub fn new(limit: usize) -> Connections {
         Connections {
             limit,
@@ -185,7 +185,7 @@
     }
 
     /// Sockets for connections whose class is not known yet.
-    fn reserve(&self) -> usize {
+    fn reserved_sockets(&self) -> usize {
         (self.limit / 8).max(4)
     }
 
@@ -194,29 +194,29 @@
         self.limit / 4
     }
 
-    /// Most connections that a class may keep.
+    /// Maximum number of connections that a class may keep.
     fn class_limit(&self) -> usize {
         self.limit
-            .saturating_sub(self.guaranteed_per_class() + self.reserve())
+            .saturating_sub(self.guaranteed_per_class() + self.reserved_sockets())
             .max(1)
     }
 
-    /// Most users' requests that are served at a time.
+    /// Maximum number of users' requests that are served at a time.
     fn user_request_limit(&self) -> usize {
         (self.limit / 2).max(1)
     }
 
     fn is_full(&self) -> bool {
-        self.open.len() + self.reserve() > self.limit
+        self.open.len() + self.reserved_sockets() > self.limit
     }
 
-    /// Starts and stops closing the connections of a class.
-    fn update_shortage(&mut self) {
+    /// Updates for each class whether its connections are being closed.
+    fn update_shedding(&mut self) {
         let class_limit = self.class_limit();
         let guaranteed = self.guaranteed_per_class();
         let full = self.is_full();
         for usage in [&mut self.agents, &mut self.users] {
-            usage.update_shortage(class_limit, guaranteed, full);
+            usage.update_shedding(class_limit, guaranteed, full);
         }
     }
 
@@ -231,7 +231,7 @@
     /// A connection was accepted.
     pub fn opened(&mut self, now: Micros, id: ConnectionId) {
         self.open.insert(id, Connection::new(now));
-        self.update_shortage();
+        self.update_shedding();
     }
 
     /// A connection is closed.
@@ -245,7 +245,7 @@
         if connection.busy && connection.class == Some(Class::User) {
             self.user_requests -= 1;
         }
-        self.update_shortage();
+        self.update_shedding();
     }
 
     /// The head of a request has arrived.
@@ -254,13 +254,13 @@
         let Some(connection) = self.open.get_mut(&id) else {
             return Verdict::Serve;
         };
-        let before = connection.on_request(now, class);
-        if before != Some(class) {
-            if let Some(before) = before {
-                self.usage_of(before).remove();
+        let previous_class = connection.on_request(now, class);
+        if previous_class != Some(class) {
+            if let Some(previous_class) = previous_class {
+                self.usage_of(previous_class).remove();
             }
             self.usage_of(class).add();
-            self.update_shortage();
+            self.update_shedding();
         }
         if class == Class::User {
             self.user_requests += 1;
@@ -268,21 +268,22 @@
         self.decide(request)
     }
 
-    /// Heartbeats and health checks are answered at once, so none is rejected. Users' requests may have to wait for the
-    /// state store: the more a request protects, the more room it has.
+    /// Decides whether a request is served. Heartbeats and health checks are answered at once, so none is rejected.
+    /// Users' requests may have to wait for the state store, so their number is limited: the limit is highest for
+    /// cancellations and lowest for queries.
     fn decide(&mut self, request: Request) -> Verdict {
-        let most = self.user_request_limit();
+        let max_requests = self.user_request_limit();
         let (limit, rejected) = match request {
             Request::Health | Request::Heartbeat => return Verdict::Serve,
-            Request::Abort => (most, &mut self.rejected.aborts),
-            Request::Submit => (most * 7 / 8, &mut self.rejected.submits),
-            Request::Query => (most / 2, &mut self.rejected.queries),
+            Request::Abort => (max_requests, &mut self.rejected.aborts),
+            Request::Submit => (max_requests * 7 / 8, &mut self.rejected.submits),
+            Request::Query => (max_requests / 2, &mut self.rejected.queries),
         };
         if self.user_requests <= limit.max(1) {
             return Verdict::Serve;
         }
         *rejected += 1;
-        Verdict::Reject(1 + (self.rejected.total() % Self::RETRY_SPREAD) as u32)
+        Verdict::Reject(1 + (self.rejected.total() % Self::MAX_RETRY_AFTER_S) as u32)
     }
 
     /// The response to a request is about to be sent. Returns whether the connection is to be closed with it.
@@ -292,7 +293,7 @@
             return false;
         };
         connection.on_response(now);
-        let active = connection.idle < Self::ACTIVE_IDLE_LIMIT;
+        let active = connection.idle < Self::MAX_ACTIVE_IDLE;
         match connection.class {
             None => false,
             Some(Class::Health) => full,
@@ -338,8 +339,8 @@
     pub fn open(&self) -> OpenConnections {
         OpenConnections {
             total: self.open.len(),
-            agents: self.agents.kept(),
-            users: self.users.kept(),
+            agents: self.agents.open(),
+            users: self.users.open(),
         }
     }
 }
--- a/src/coordination/api/connections/sockets.rs
+++ b/src/coordination/api/connections/sockets.rs
@@ -3,25 +3,25 @@
 /// How many sockets there are for each purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SocketPlan {
-    /// Outgoing calls at a time.
+    /// Maximum number of concurrent outgoing calls.
     pub calls: usize,
     /// Idle connections to agents that are kept for further commands.
     pub kept_calls: usize,
-    /// Connections of the server.
+    /// Incoming connections of the server.
     pub served: usize,
 }
 
 impl SocketPlan {
-    /// Sockets of the listeners, and of the runtime itself.
-    const OWN: usize = 4;
-    /// Sockets for each peer: one outgoing connection, and old incoming ones beside the current one.
-    const PER_PEER: usize = 5;
+    /// Sockets of the listeners and of the runtime itself.
+    const OWN_SOCKETS: usize = 4;
+    /// Sockets for each peer: one outgoing connection, the current incoming one, and old incoming ones.
+    const SOCKETS_PER_PEER: usize = 5;
 
     /// Divides the sockets that a controller may open.
     pub fn new(sockets: usize, peers: usize) -> SocketPlan {
         let calls = sockets / 4;
         let kept_calls = sockets / 8;
-        let others = calls + kept_calls + Self::OWN + peers * Self::PER_PEER;
+        let others = calls + kept_calls + Self::OWN_SOCKETS + peers * Self::SOCKETS_PER_PEER;
         SocketPlan {
             calls,
             kept_calls,
--- a/src/coordination/api/connections/usage.rs
+++ b/src/coordination/api/connections/usage.rs
@@ -3,16 +3,16 @@
 /// Number of a class's connections, and whether they are being reduced.
 #[derive(Debug, Default)]
 pub(super) struct ClassUsage {
-    kept: usize,
+    open: usize,
     /// The class has too many connections: they are closed with their next responses.
-    short: bool,
+    shedding: bool,
     closed: u64,
 }
 
 impl ClassUsage {
     /// Number of open connections.
-    pub(super) fn kept(&self) -> usize {
-        self.kept
+    pub(super) fn open(&self) -> usize {
+        self.open
     }
 
     /// Number of connections closed with a response since the start.
@@ -22,25 +22,26 @@
 
     /// A connection now belongs to the class.
     pub(super) fn add(&mut self) {
-        self.kept += 1;
+        self.open += 1;
     }
 
     /// A connection no longer belongs to the class.
     pub(super) fn remove(&mut self) {
-        self.kept -= 1;
+        self.open -= 1;
     }
 
-    /// Starts closing connections above `limit`, and goes on down to three quarters of it: otherwise it would start
-    /// again at once. While the sockets are full, it closes them down to the guaranteed number.
-    pub(super) fn update_shortage(&mut self, limit: usize, guaranteed: usize, full: bool) {
-        let limit = if self.short { limit * 3 / 4 } else { limit };
-        self.short = self.kept > limit || full && self.kept > guaranteed;
+    /// Updates whether connections of the class are closed: from `limit` connections on, until three quarters of it are
+    /// left, because otherwise closing would start again at once. While the sockets are full, connections are closed
+    /// until only the guaranteed number is left.
+    pub(super) fn update_shedding(&mut self, limit: usize, guaranteed: usize, full: bool) {
+        let limit = if self.shedding { limit * 3 / 4 } else { limit };
+        self.shedding = self.open > limit || full && self.open > guaranteed;
     }
 
     /// Decides and counts whether a connection is closed with its response: idle ones first, and any while the sockets
     /// are full.
     pub(super) fn close_with_response(&mut self, active: bool, full: bool) -> bool {
-        let close = self.short && (full || !active);
+        let close = self.shedding && (full || !active);
         self.closed += u64::from(close);
         close
     }
--- a/src/coordination/api/dependencies.rs
+++ b/src/coordination/api/dependencies.rs
@@ -1,4 +1,4 @@
-//! Lookups of how jobs ended that live jobs depend on.
+//! Lookups of how the jobs ended that live jobs depend on.
 
 use crate::coordination::{Controller, Purpose};
 use crate::protocol::state::{CallError, StateRequest, StateResponse};
@@ -17,10 +17,10 @@
 }
 
 impl DependencyLookups {
-    /// Time after which a lookup without an outcome is repeated.
+    /// Time after which a lookup without a response is repeated.
     const TIMEOUT: Micros = Micros::secs(2);
     /// Time after which a final record that did not exist yet is read again.
-    const RETRY: Micros = Micros::millis(400);
+    const RETRY_DELAY: Micros = Micros::millis(400);
 
     fn clear(&mut self) {
         self.retry_at.clear();
@@ -40,12 +40,12 @@
     }
 
     fn on_missing(&mut self, job: JobId, now: Micros) {
-        self.retry_at.insert(job, now + Self::RETRY);
+        self.retry_at.insert(job, now + Self::RETRY_DELAY);
     }
 }
 
 impl Controller {
-    /// Whether jobs may depend on others: every controller observes dependencies.
+    /// Whether jobs may depend on others: every controller respects dependencies.
     pub(in crate::coordination) fn supports_dependencies(&self) -> bool {
         self.cell
             .meta
@@ -54,7 +54,7 @@
             .is_some_and(|meta| meta.record_format >= DEPENDENCIES_FORMAT)
     }
 
-    /// Looks up how jobs ended that live jobs depend on; until that is known, these wait.
+    /// Looks up how the jobs ended that live jobs depend on; the live jobs wait until that is known.
     pub(in crate::coordination) fn drive_dependencies(&mut self) {
         if !self.replica.is_ready() {
             return;
@@ -74,7 +74,7 @@
         self.send_dependency_lookups(due);
     }
 
-    /// Applies ends of dependencies that the history of jobs holds already.
+    /// Applies the ends of dependencies that the history of jobs already contains.
     fn apply_known_ends(&mut self) {
         let known: Vec<(JobId, FinalRecord)> = self
             .cell
@@ -114,7 +114,7 @@
         result: Result<StateResponse, CallError>,
     ) {
         let Ok(StateResponse::Value(Some(value))) = result else {
-            // The record of an accepted job is live or final: this replica is behind.
+            // An accepted job has a live record or a final one. The replica shows neither, so it is behind.
             return self.dependency_lookups.on_missing(job, self.now.steady);
         };
         let Ok(end) = serde_json::from_str::<FinalRecord>(value.get()) else {
--- a/src/coordination/api/history.rs
+++ b/src/coordination/api/history.rs
@@ -1,17 +1,17 @@
-//! What is remembered of jobs that are not live: how they ended, and which were never submitted.
+//! The history of jobs that are not live: how jobs ended, and which jobs were never submitted.
 
 use crate::storage::ids::JobId;
 use crate::storage::job::FinalRecord;
 use std::collections::{HashMap, VecDeque};
 
-/// Jobs that each part of the history keeps.
-const CAPACITY: usize = 4_096;
+/// Maximum number of jobs in each part of the history.
+const MAX_REMEMBERED_JOBS: usize = 4_096;
 
 /// The history of jobs, bounded: the oldest entries are dropped first.
 #[derive(Debug, Default)]
 pub(super) struct JobHistory {
     ended: RecentMap<FinalRecord>,
-    /// Jobs that were neither live nor ended when this was last checked.
+    /// Jobs that were neither live nor ended when they were last checked.
     absent: RecentMap<()>,
 }
 
@@ -26,8 +26,8 @@
         self.ended.entries.get(&job).copied()
     }
 
-    /// Remembers that a job is neither live nor ended. That holds until the replica shows the job: a job ends only
-    /// after it was live, and the replica misses no change.
+    /// Remembers that a job is neither live nor ended. This stays true until the replica shows the job as live, because a
+    /// job ends only after it was live, and the replica misses no change.
     pub(super) fn record_absent(&mut self, job: JobId) {
         self.absent.insert(job, ());
     }
@@ -48,7 +48,7 @@
     }
 }
 
-/// A map of at most [`CAPACITY`] insertions.
+/// A map of at most [`MAX_REMEMBERED_JOBS`] insertions.
 #[derive(Debug)]
 struct RecentMap<V> {
     entries: HashMap<JobId, V>,
@@ -71,7 +71,7 @@
             return;
         }
         self.order.push_back(job);
-        if self.order.len() > CAPACITY
+        if self.order.len() > MAX_REMEMBERED_JOBS
             && let Some(oldest) = self.order.pop_front()
         {
             self.entries.remove(&oldest);
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -1,8 +1,8 @@
 //! The users' interface: submissions, queries and cancellations.
 //!
-//! Requests are idempotent: the name of a job makes a repeated submission get the job's status. A status that may still
-//! change is given only after a read of the state store that began after the request arrived: another controller may
-//! have given this user a newer status than this replica shows.
+//! Requests are idempotent: jobs are identified by name, so a repeated submission returns the job's status. A status that
+//! may still change is returned only after a read of the state store that began after the request arrived, because
+//! another controller may already have returned a newer status to this user than this replica shows.
 
 mod cancellations;
 pub mod connections;
@@ -44,14 +44,14 @@
 impl Controller {
     /// The response to requests that cannot be decided now.
     const RETRY_AFTER: UserResponse = UserResponse::RetryAfter(1);
-    /// Share of the request budget that queries leave for everything else.
-    pub(super) const QUERY_RESERVE: f64 = 0.4;
-    /// Without contact to the state store for longer than this no request could be decided in time.
+    /// Fraction of the request budget that queries leave to other requests.
+    pub(super) const QUERY_RESERVE_FRACTION: f64 = 0.4;
+    /// If the last contact with the state store is older than this, no request can be decided in time.
     const CONTACT_TIMEOUT: Micros = Micros::millis(4_500);
-    /// Lookups of final records that may wait in addition to those of one second.
+    /// Number of lookups of final records that may be queued in addition to those that can be sent in one second.
     const FINAL_LOOKUP_MARGIN: usize = 4;
 
-    /// Lookups of final records that may wait: about as many as can be made before their users give up.
+    /// Maximum number of queued lookups of final records: about as many as can be sent before their users give up.
     fn final_lookup_limit(&self) -> usize {
         let per_second = self.settings.state_rps / self.settings.controllers() as f64;
         per_second as usize + Self::FINAL_LOOKUP_MARGIN
@@ -69,7 +69,8 @@
         self.effects.push(Effect::User(request.call, response));
     }
 
-    /// The status of a live job; `None` while it may be cancelled because of a dependency whose end is unknown.
+    /// The status of a live job; `None` if the job is not live, or while it may be cancelled because of a dependency whose
+    /// end is unknown.
     fn live_status(&self, id: JobId) -> Option<JobStatusResponse> {
         let job = self.cell.jobs.get(&id)?;
         if job.dependency_state.cancellation_unknown {
@@ -109,7 +110,7 @@
         self.admit(call, id, kind);
     }
 
-    /// Answers a request at once if that is possible, or queues it.
+    /// Responds to a request at once if that is possible, or queues it.
     fn admit(&mut self, call: CallId, job: JobId, kind: RequestKind) {
         let request = PendingRequest {
             call,
@@ -127,10 +128,10 @@
         if !reachable || self.users.is_full() {
             return self.respond(&request, Self::RETRY_AFTER);
         }
-        let live = self.cell.jobs.contains_key(&job);
+        let is_live = self.cell.jobs.contains_key(&job);
         match request.kind {
-            RequestKind::Submit(_) if !live => self.admit_submission(request),
-            RequestKind::Cancel if live => self.admit_cancellation(request),
+            RequestKind::Submit(_) if !is_live => self.admit_submission(request),
+            RequestKind::Cancel if is_live => self.admit_cancellation(request),
             _ => self.await_read(request),
         }
     }
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Whether a job can run by the settings, the catalog and the placement rules.
+    /// Checks whether the settings, the catalog and the placement rules allow a job to run.
     fn validate(&self, spec: &JobSpec) -> Result<(), Rejection> {
         if self.settings.team(&spec.team).is_none() {
             return Err(Rejection::Never("unknown team".to_owned()));
@@ -169,7 +170,7 @@
         self.rejection(spec).map_or(Ok(()), Err)
     }
 
-    /// Why a job could never run; `None` also while that is not known.
+    /// Why a job could never run; `None` if it could, and also while that is not known.
     fn unsatisfiable_reason(&self, spec: &JobSpec) -> Option<&'static str> {
         let catalog = self.cell.types.value.as_ref()?;
         if !catalog.types.iter().any(|t| spec.fits_type(t)) {
@@ -185,7 +186,7 @@
         (!team.allows(need.cores, need.accelerators)).then_some("more than the team's limit")
     }
 
-    /// Sends what the rates of the state store allow.
+    /// Sends the queued requests that the rates of the state store allow.
     pub(super) fn drive_users(&mut self) {
         let sent = match self.users.pause_end(self.now.steady) {
             Some(until) => Err(until),
@@ -196,8 +197,8 @@
         }
     }
 
-    /// Cancellations first, since they free machines; lookups of final records last. Fails with the time at which the
-    /// rates allow the next request.
+    /// Sends cancellations first, since they free machines, and lookups of final records last. Fails with the time at
+    /// which the rates allow the next request.
     fn send_due_requests(&mut self) -> Result<(), Micros> {
         self.drive_cancellations()?;
         self.drive_submissions()?;
@@ -208,16 +209,16 @@
         let now = self.now.steady;
         while let Some(lookup) = self.users.pop_final_lookup() {
             let reserve = if lookup.request.is_query() {
-                Self::QUERY_RESERVE
+                Self::QUERY_RESERVE_FRACTION
             } else {
                 0.0
             };
             if let Err(at) = self.budget.spend(now, 0, reserve) {
-                self.users.unpop_final_lookup(lookup);
+                self.users.requeue_final_lookup(lookup);
                 return Err(at);
             }
             let key = Key::Final(lookup.job);
-            let purpose = Purpose::Final(lookup.request, lookup.job);
+            let purpose = Purpose::FinalLookup(lookup.request, lookup.job);
             self.ask_state(purpose, StateRequest::Get(key));
         }
         Ok(())
--- a/src/coordination/api/reads.rs
+++ b/src/coordination/api/reads.rs
@@ -12,24 +12,24 @@
 enum DependencyCheck {
     /// All of them were accepted.
     Accepted,
-    /// It is unknown whether this one ever was.
+    /// It is unknown whether this job was ever accepted.
     Missing(JobId),
     /// The job can never run.
     Never(&'static str),
 }
 
 impl Controller {
-    /// Decides on the submission of a job that depends on others: all of them must have been accepted, and end by
-    /// themselves. A job that was accepted is live or has ended, and a job goes from live to ended and never back: to
-    /// look for it in this order after a read misses none.
+    /// Decides on the submission of a job that depends on others: all of them must have been accepted, and must be jobs
+    /// that end by themselves. An accepted job is live or has ended, and an ended job never becomes live again. So a check
+    /// after a read that looks first for a live job and then for an ended one finds every accepted job.
     ///
-    /// `after_read` says whether a read has completed since the request arrived.
+    /// `after_read`: whether a read has completed since the request arrived.
     pub(super) fn check_dependencies(&mut self, mut request: PendingRequest, after_read: bool) {
         let RequestKind::Submit(spec) = &request.kind else {
             return;
         };
         if !self.replica.is_ready() {
-            // While the replica is read anew, jobs that it does not show may be live.
+            // While the replica is listed again, jobs that it does not show may be live.
             return self.respond(&request, Self::RETRY_AFTER);
         }
         match self.find_dependencies(request.job, spec, after_read) {
@@ -48,7 +48,8 @@
         for dependency in &spec.dependencies {
             let found = self.find_dependency(id, *dependency, after_read);
             check = match (check, found) {
-                // What makes the job impossible counts more than what is unknown; of either the last one is named.
+                // A dependency that makes the job impossible takes precedence over an unknown one; among several of the
+                // same kind, the last one is reported.
                 (check, DependencyCheck::Accepted) => check,
                 (DependencyCheck::Never(why), DependencyCheck::Missing(_)) => {
                     DependencyCheck::Never(why)
@@ -118,7 +119,7 @@
             Some(status) if !is_cancellation || status.status == JobStatus::Cancelled => {
                 self.respond(&request, UserResponse::Status(status));
             }
-            // A job can be cancelled whatever became of the jobs that it depends on.
+            // A job can be cancelled whatever the state of the jobs that it depends on.
             _ if is_cancellation => self.users.push_cancellation(request),
             _ => self.await_read(request),
         }
@@ -135,7 +136,7 @@
             self.resolve_absent(request);
         } else if request.is_query() && self.users.final_lookup_count() >= self.final_lookup_limit()
         {
-            // Queries for jobs that never existed must not use up the requests of others.
+            // Queries for jobs that never existed must not use up the requests that others need.
             self.respond(&request, Self::RETRY_AFTER);
         } else {
             let job = request.job;
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Continues a request that has waited for the final record of `job`: its own job, or one that this depends on.
+    /// Continues a request that has waited for the final record of `job`: its own job, or a job that this one depends on.
     pub(in crate::coordination) fn on_final_lookup(
         &mut self,
         request: PendingRequest,
@@ -196,7 +197,7 @@
         }
     }
 
-    /// A read has failed: the users of all requests that wait for one have to retry.
+    /// A read has failed: the users of all requests that wait for a read have to retry.
     pub(in crate::coordination) fn on_users_read_failed(&mut self) {
         for request in self.users.take_reads(|_| true) {
             self.respond(&request, Self::RETRY_AFTER);
--- a/src/coordination/api/requests.rs
+++ b/src/coordination/api/requests.rs
@@ -27,20 +27,20 @@
     pub(super) call: CallId,
     pub(super) job: JobId,
     pub(super) kind: RequestKind,
-    /// When the request arrived, by the steady clock.
+    /// When the request arrived, in monotonic time.
     pub(super) arrived: Micros,
     /// Time of day when the request arrived.
     pub(super) arrived_day: Micros,
     /// A read of the state store that began after this call must have completed.
     pub(super) read_after: u64,
-    /// Transactions for this request that had another outcome than to be applied.
+    /// Number of transactions for this request that conflicted or had an unknown outcome.
     pub(super) attempts: u32,
 }
 
 impl PendingRequest {
-    /// Longest time that a query waits.
+    /// Maximum time that a query waits.
     const QUERY_TIMEOUT: Micros = Micros::millis(1_500);
-    /// Longest time that a submission or a cancellation waits.
+    /// Maximum time that a submission or a cancellation waits.
     const CHANGE_TIMEOUT: Micros = Micros::millis(3_000);
 
     /// Whether the request changes nothing.
@@ -63,7 +63,7 @@
     }
 }
 
-/// A request that waits until it is known how a job ended: its own job, or one that this depends on.
+/// A request that waits until it is known how a job ended: its own job, or a job that this one depends on.
 #[derive(Debug)]
 pub(super) struct FinalLookup {
     pub(super) request: PendingRequest,
@@ -73,15 +73,15 @@
 /// Numbers of responses to queries.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QueryCounts {
-    /// Responses with a status, or that there is no such job.
+    /// Responses with a status, or with the result that there is no such job.
     pub answered: u64,
-    /// Requests to retry, after a wait.
+    /// Responses that ask the user to retry, after the query had waited.
     pub delayed: u64,
-    /// Requests to retry, without a wait.
+    /// Responses that ask the user to retry, sent at once.
     pub refused: u64,
 }
 
-/// The pending requests of users, and the history of jobs that answers them.
+/// The pending requests of users, and the history of jobs.
 #[derive(Debug, Default)]
 pub struct UserRequests {
     submissions: Vec<PendingRequest>,
@@ -91,13 +91,13 @@
     final_lookups: VecDeque<FinalLookup>,
     history: JobHistory,
     query_counts: QueryCounts,
-    /// Nothing is sent before this time, since the state store has rejected a request for its rate.
+    /// Nothing is sent before this time, since the state store has rejected a request because of its rate.
     paused_until: Micros,
 }
 
 impl UserRequests {
-    /// Most pending requests.
-    const CAPACITY: usize = 512;
+    /// Maximum number of pending requests.
+    const MAX_PENDING: usize = 512;
 
     /// Remembers how a job ended.
     pub fn remember(&mut self, job: JobId, end: FinalRecord) {
@@ -110,11 +110,11 @@
     }
 
     /// A job has become live in the replica.
-    pub fn appeared(&mut self, job: JobId) {
+    pub fn on_job_live(&mut self, job: JobId) {
         self.history.on_live(job);
     }
 
-    /// The replica is read anew, and may miss jobs that were live meanwhile.
+    /// Forgets which jobs are absent: the replica is listed again, and does not show jobs that were live only meanwhile.
     pub fn forget_absent(&mut self) {
         self.history.clear_absent();
     }
@@ -152,13 +152,13 @@
             .max()
     }
 
-    /// Whether no further request may wait.
+    /// Whether no further request can be queued.
     pub(super) fn is_full(&self) -> bool {
         let pending = self.submissions.len()
             + self.cancellations.len()
             + self.reads.len()
             + self.final_lookups.len();
-        pending >= Self::CAPACITY
+        pending >= Self::MAX_PENDING
     }
 
     /// When requests may be sent again after a pause; `None` without one.
@@ -211,7 +211,7 @@
         self.reads.iter().any(|request| !request.is_query())
     }
 
-    /// Takes the requests that wait for a read and fulfil a condition.
+    /// Takes those requests that wait for a read and satisfy a condition.
     pub(super) fn take_reads(
         &mut self,
         is_ready: impl Fn(&PendingRequest) -> bool,
@@ -232,7 +232,7 @@
     }
 
     /// Puts a lookup back to the front of the queue.
-    pub(super) fn unpop_final_lookup(&mut self, lookup: FinalLookup) {
+    pub(super) fn requeue_final_lookup(&mut self, lookup: FinalLookup) {
         self.final_lookups.push_front(lookup);
     }
 
@@ -251,7 +251,7 @@
         ] {
             expired.extend(queue.extract_if(.., |request| request.is_expired(now)));
         }
-        // Lookups are queued by age only roughly, so those behind an unexpired one wait for it.
+        // Lookups are queued only roughly by age. An expired lookup behind an unexpired one is taken later.
         while let Some(lookup) = self.final_lookups.front()
             && lookup.request.is_expired(now)
         {
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -13,31 +13,32 @@
 use crate::time::Micros;
 
 impl Controller {
-    /// Most submissions of one transaction.
-    const SUBMISSIONS_PER_TRANSACTION: usize = 12;
-    /// Most bytes of records in one transaction; the state store takes 64 KiB with the conditions.
-    const SUBMITTED_BYTES: usize = 48 * 1024;
-    /// Transactions with an unknown outcome or a conflict after which the user has to retry.
-    const SUBMISSION_ATTEMPTS: u32 = 2;
-    /// Pause after the state store has rejected a transaction for its rate.
-    const RATE_PAUSE: Micros = Micros::millis(120);
-    /// Age of a request from which on it is not sent again after a rejection for the rate.
-    const RATE_RETRY_TIMEOUT: Micros = Micros::millis(2_000);
+    /// Maximum number of submissions in one transaction.
+    const MAX_SUBMISSIONS_PER_TRANSACTION: usize = 12;
+    /// Maximum size of the records in one transaction. The state store accepts 64 KiB, including the conditions.
+    const MAX_SUBMITTED_BYTES: usize = 48 * 1024;
+    /// Maximum number of transactions with an unknown outcome or a conflict; after one more, the user has to retry.
+    const MAX_SUBMISSION_ATTEMPTS: u32 = 2;
+    /// Delay after the state store has rejected a transaction because of the rate.
+    const RATE_LIMIT_BACKOFF: Micros = Micros::millis(120);
+    /// A request that is older than this is not sent again after a rejection because of the rate.
+    const RATE_LIMIT_RETRY_TIMEOUT: Micros = Micros::millis(2_000);
 
     /// Sends queued submissions. Fails with the time at which the rates allow the next transaction.
     pub(super) fn drive_submissions(&mut self) -> Result<(), Micros> {
-        let round = self.limits.max_changes();
-        let limit = round.min(Self::SUBMISSIONS_PER_TRANSACTION);
+        let max_changes = self.limits.max_changes();
+        let limit = max_changes.min(Self::MAX_SUBMISSIONS_PER_TRANSACTION);
         while self.users.submission_count() > 0 {
             let count = self.users.submission_count().min(limit);
-            self.budget.spend_for_users(self.now.steady, count, round)?;
+            self.budget
+                .spend_for_users(self.now.steady, count, max_changes)?;
             let batch = self.users.take_submissions(count);
             self.send_distinct(batch);
         }
         Ok(())
     }
 
-    /// Sends one submission of each job. Further ones wait for a read, which shows the job.
+    /// Sends one submission of each job. Further submissions of the same job wait for a read, which shows the job.
     fn send_distinct(&mut self, mut batch: Vec<PendingRequest>) {
         batch.sort_by_key(|request| request.job);
         let mut duplicates = Vec::new();
@@ -54,7 +55,7 @@
         self.send_submissions(batch);
     }
 
-    /// Sends a transaction with as many submissions as fit into it; the others are queued again.
+    /// Sends a transaction with as many submissions as fit into it, and queues the others again.
     fn send_submissions(&mut self, batch: Vec<PendingRequest>) {
         let mut txn = Transaction::default();
         let mut sent = Vec::new();
@@ -70,7 +71,7 @@
                 self.respond(&request, UserResponse::Invalid("too large".into()));
                 continue;
             }
-            if bytes + size > Self::SUBMITTED_BYTES && !sent.is_empty() {
+            if bytes + size > Self::MAX_SUBMITTED_BYTES && !sent.is_empty() {
                 self.users.push_submission(request);
                 continue;
             }
@@ -92,7 +93,8 @@
     fn new_record(&self, spec: &JobSpec, submitted: Micros) -> JobRecord {
         let mut spec = spec.clone();
         if let (Some(allowed), Some(catalog)) = (&mut spec.machine_types, &self.cell.types.value) {
-            // Types outside the catalog cannot be provisioned. An empty list stays one: no list would allow all types.
+            // Types outside the catalog cannot be provisioned. A list that becomes empty is kept, because without a list
+            // all types would be allowed.
             allowed.retain(|name| catalog.get(name).is_some());
         }
         JobRecord {
@@ -117,11 +119,12 @@
         }
         for request in batch {
             match &result {
-                // A conflict means that a job is known already; that, and an unknown outcome, is resolved by a read.
+                // A conflict means that a job of the transaction already exists. A read shows for each request whether its
+                // job does; it also resolves an unknown outcome.
                 Ok(_) | Err(CallError::OutcomeUnknown) => {
-                    self.verify_by_read(request, Self::SUBMISSION_ATTEMPTS);
+                    self.verify_by_read(request, Self::MAX_SUBMISSION_ATTEMPTS);
                 }
-                Err(CallError::RateLimited) => self.retry_after_pause(request),
+                Err(CallError::RateLimited) => self.retry_after_backoff(request),
                 Err(_) => self.respond(&request, Self::RETRY_AFTER),
             }
         }
@@ -136,7 +139,7 @@
         self.cell.apply(changes, &mut changes_seen);
         for request in batch {
             if let RequestKind::Submit(spec) = &request.kind {
-                // Named as in the submission: log analysis joins the two by these fields.
+                // The fields are named as in the submission: log analysis joins the two by these names.
                 tracing::info!(job = %request.job, lane = spec.job_class, crew = spec.team, pieces = spec.task_count, cores = spec.need.cores as f64 / 1e3, "accepted");
             }
             self.respond_accepted(request);
@@ -156,8 +159,8 @@
         })
     }
 
-    /// Responds to an applied submission, unless the replica already shows the job's cancellation or end, or it is
-    /// unknown whether a job that it depends on is cancelled: then a read decides.
+    /// Responds to an applied submission. If the replica already shows the job's cancellation or end, or if it is unknown
+    /// whether a job that it depends on is cancelled, the request waits for a read instead.
     fn respond_accepted(&mut self, request: PendingRequest) {
         let job = self.cell.jobs.get(&request.job);
         let Some(job) =
@@ -180,7 +183,8 @@
         self.respond(&request, UserResponse::Accepted(response));
     }
 
-    /// Lets a read show whether a transaction took effect, unless the request has had all its attempts.
+    /// Queues a request for a read that shows whether its transaction took effect, or asks the user to retry if the request
+    /// has used all its attempts.
     pub(super) fn verify_by_read(&mut self, mut request: PendingRequest, max_attempts: u32) {
         request.attempts += 1;
         if request.attempts > max_attempts {
@@ -190,13 +194,13 @@
         }
     }
 
-    /// Queues a request again whose transaction was rejected for the rate, so took no effect.
-    pub(super) fn retry_after_pause(&mut self, request: PendingRequest) {
+    /// Queues a request again after its transaction was rejected because of the rate, and so took no effect.
+    pub(super) fn retry_after_backoff(&mut self, request: PendingRequest) {
         let now = self.now.steady;
-        if now.since(request.arrived) > Self::RATE_RETRY_TIMEOUT {
+        if now.since(request.arrived) > Self::RATE_LIMIT_RETRY_TIMEOUT {
             return self.respond(&request, Self::RETRY_AFTER);
         }
-        self.users.pause_until(now + Self::RATE_PAUSE);
+        self.users.pause_until(now + Self::RATE_LIMIT_BACKOFF);
         match request.kind {
             RequestKind::Cancel => self.users.push_cancellation(request),
             _ => self.users.push_submission(request),
@@ -204,10 +208,10 @@
     }
 }
 
-/// Bytes by which a job's record may grow: the completion bitmap and the machines to avoid.
+/// Number of bytes by which a job's record may grow: the completion bitmap and the machines to avoid.
 fn growth_reserve(spec: &JobSpec) -> usize {
-    const BITMAP_BYTES_MAX: usize = 1_600;
+    const MAX_BITMAP_BYTES: usize = 1_600;
     const TASKS_PER_BYTE: usize = 4;
     const AVOIDED_MACHINES_BYTES: usize = 200;
-    BITMAP_BYTES_MAX.min(spec.task_count as usize / TASKS_PER_BYTE + AVOIDED_MACHINES_BYTES)
+    MAX_BITMAP_BYTES.min(spec.task_count as usize / TASKS_PER_BYTE + AVOIDED_MACHINES_BYTES)
 }
--- a/src/coordination/calls.rs
+++ b/src/coordination/calls.rs
@@ -1,4 +1,5 @@
-//! Calls that wait for an answer, and the routing of the state store's answers to the component that asked.
+//! Calls that wait for a response, and the routing of the state store's responses to the components that sent the
+//! requests.
 
 use super::events::{CallId, Effect};
 use super::{Controller, api, autoscaler, commit};
@@ -8,15 +9,15 @@
 use crate::storage::records::{FleetRecord, ProvisionRecord};
 use crate::time::Micros;
 
-/// How long the state store may take to answer, beyond the time that a watch asks it to wait.
+/// How long the state store may take to respond, in addition to the wait time that a watch specifies.
 const STATE_TIMEOUT: Micros = Micros::millis(1_500);
 
-/// Why a request was sent: decides which component handles its answer.
+/// Why a request was sent: decides which component handles its response.
 #[derive(Debug)]
 pub(super) enum Purpose {
     /// A long poll for changes of the cell's records.
     Watch,
-    /// A read that must be newer than some request.
+    /// A read that must begin after some request arrived.
     Barrier,
     /// A page of a full read; `first` is the revision of the first page.
     Page {
@@ -26,34 +27,35 @@
     LeaseKeepAlive,
     /// A write of this controller's own record.
     Node,
-    /// A write of what all controllers agree on: shards, teams and the record format.
+    /// A write of the cell's metadata record: shards, teams and the record format.
     Meta,
     /// A claim of the leadership of these shards.
-    Claim(Vec<ShardId>),
+    ShardClaim(Vec<ShardId>),
     /// A transaction of submissions.
     Submit(Vec<api::PendingRequest>),
     /// A cancellation.
-    Abort(api::PendingRequest),
+    Cancel(api::PendingRequest),
     /// A read of how a job ended, for a user.
-    Final(api::PendingRequest, JobId),
+    FinalLookup(api::PendingRequest, JobId),
     /// A read of how a dependency ended.
     DependencyLookup(JobId),
     /// A commit round.
     Round(Box<commit::InFlight>),
     /// A write of the machine types.
     Types(Catalog),
-    /// A write of a set of rules.
+    /// A write of a rule set.
     Rules,
     /// A write of the fleet record, with the provision requests that it adds.
     Fleet(Box<(FleetRecord, Vec<ProvisionRecord>)>),
     Cloud(autoscaler::CloudPurpose),
     /// A command pushed to the agent of this machine.
     PushCommand(MachineId),
-    /// A question whether an agent can be reached at all.
+    /// A check whether an agent can be reached at all.
     Probe,
 }
 
-/// Size of a transaction that was sent, to learn from its refusal.
+/// Size of a transaction that was sent. If it is refused, the size can show that the state store's announced lower limits
+/// are in force.
 #[derive(Clone, Copy, Debug, Default)]
 struct TransactionSize {
     changes: usize,
@@ -61,7 +63,7 @@
     largest_value: usize,
 }
 
-/// A call that waits for its answer.
+/// A call that waits for its response.
 pub(super) struct Call {
     pub(super) purpose: Purpose,
     sent: Micros,
@@ -83,7 +85,7 @@
         id
     }
 
-    /// Sends a request to the state store. The caller has taken it from the rate budget.
+    /// Sends a request to the state store. The caller has charged it to the rate budget.
     pub(super) fn ask_state(&mut self, purpose: Purpose, request: StateRequest) -> CallId {
         let timeout = match &request {
             StateRequest::Changes { wait, .. } => *wait + STATE_TIMEOUT,
@@ -100,7 +102,7 @@
         id
     }
 
-    /// Handles the state store's answer to a call.
+    /// Handles the state store's response to a call.
     pub(super) fn on_state(&mut self, id: CallId, result: Result<StateResponse, CallError>) {
         let Some(call) = self.calls.remove(&id) else {
             return;
@@ -113,7 +115,7 @@
         self.route_state_reply(id, call, result);
     }
 
-    /// Passes an answer on to the component that asked.
+    /// Passes a response on to the component that sent the request.
     fn route_state_reply(
         &mut self,
         id: CallId,
@@ -128,10 +130,10 @@
             Purpose::LeaseKeepAlive => self.on_lease_keep_alive_answered(call.sent, result),
             Purpose::Node => self.on_node_record_written(result),
             Purpose::Meta => self.replica.request_barrier(),
-            Purpose::Claim(shards) => self.on_claim_answered(&shards, result),
+            Purpose::ShardClaim(shards) => self.on_shard_claim_answered(&shards, result),
             Purpose::Submit(batch) => self.on_submissions_result(batch, result),
-            Purpose::Abort(request) => self.on_cancellation_result(request, result),
-            Purpose::Final(request, job) => self.on_final_lookup(request, job, result),
+            Purpose::Cancel(request) => self.on_cancellation_result(request, result),
+            Purpose::FinalLookup(request, job) => self.on_final_lookup(request, job, result),
             Purpose::DependencyLookup(job) => self.on_dependency_lookup(job, result),
             Purpose::Round(round) => self.on_round_result(*round, result),
             Purpose::Rules => self.on_rules_written(),
@@ -141,7 +143,7 @@
         }
     }
 
-    /// The state store refused a request for its rate.
+    /// The state store refused a request because of its rate.
     fn on_state_throttled(&mut self) {
         self.counters.refused += 1;
         self.budget.on_refused(self.now.steady);
@@ -150,7 +152,8 @@
         }
     }
 
-    /// The state store refused a request as invalid: of a transaction, its limits may be lower than expected.
+    /// The state store refused a request as invalid. If it was a transaction, the store's limits may be lower than
+    /// expected.
     fn on_state_refused(&mut self, call: &Call) {
         let TransactionSize {
             changes,
@@ -163,7 +166,7 @@
         }
     }
 
-    /// The state store's announced lower limits are in force from now on.
+    /// The state store's announced lower limits are in force: adapts the write rate and plans again.
     fn on_limits_lowered(&mut self, reason: &'static str) {
         let rate = self.limits.writes_per_second();
         tracing::info!(
--- a/src/coordination/constraints/admission.rs
+++ b/src/coordination/constraints/admission.rs
@@ -4,23 +4,23 @@
 use crate::scheduler::constraints::{JobConstraints, clash, has_hard};
 use crate::storage::job::JobSpec;
 
-/// Why rules keep a submission from being accepted.
+/// Why rules prevent a submission from being accepted.
 pub(in crate::coordination) enum Rejection {
     /// The job can never run; the message for the user.
     Never(String),
-    /// Some controller would not enforce its rules yet.
+    /// Some controller would not enforce the job's rules yet.
     RetryAfter,
 }
 
 impl Controller {
-    /// Whether rules reject a submission. Clashes are found once the machine types are known.
+    /// Why rules reject a submission, if they do. Conflicts between rules are found once the machine types are known.
     pub(in crate::coordination) fn rejection(&self, spec: &JobSpec) -> Option<Rejection> {
         let has_own_rules = !spec.rules.is_empty();
         let needs_rules = has_own_rules || has_hard(spec, self.rules.in_force.sets());
         if needs_rules && !self.enforces_rules() {
             return self.rejection_without_rules(has_own_rules);
         }
-        self.invalid_rule(spec).or_else(|| self.clash(spec))
+        self.invalid_rule(spec).or_else(|| self.rule_conflict(spec))
     }
 
     /// The rejection of a job with rules while not every controller enforces rules.
@@ -47,15 +47,15 @@
         })
     }
 
-    /// The rejection of a job whose rules leave it no machine.
-    fn clash(&self, spec: &JobSpec) -> Option<Rejection> {
+    /// The rejection of a job whose rules exclude every machine.
+    fn rule_conflict(&self, spec: &JobSpec) -> Option<Rejection> {
         let sets = self.rules.in_force.sets();
         let catalog = self.cell.types.value.as_ref()?;
         let constraints = JobConstraints::of(spec, sets, self.rules.jobs.traits())?;
-        let clash = clash(spec, &constraints, sets, &self.cell.classes, catalog)?;
+        let conflicting = clash(spec, &constraints, sets, &self.cell.classes, catalog)?;
         Some(Rejection::Never(format!(
             "rules: no machine that could be had meets all of: {}",
-            clash.join(", ")
+            conflicting.join(", ")
         )))
     }
 }
--- a/src/coordination/constraints/declaration.rs
+++ b/src/coordination/constraints/declaration.rs
@@ -8,33 +8,33 @@
 use cometlead_constraints::RuleSet;
 use std::collections::BTreeMap;
 
-/// Time between two writes of rule sets.
+/// Minimum time between two writes of rule sets.
 const WRITE_INTERVAL: Micros = Micros::millis(500);
 
-/// A withdrawal may check so many times the records that a transaction may write.
-const CHECKS_PER_OPERATION: usize = 4;
+/// Maximum number of conditions in a withdrawal, as a multiple of the changes that a transaction may have.
+const CONDITIONS_PER_CHANGE: usize = 4;
 
-/// Which controllers use which rule set, and the write under way.
+/// Which controllers use which rule set, and the state of writes of rule sets.
 #[derive(Debug, Default)]
 pub(super) struct Declaration {
-    /// Digest of the rule set that each controller was last seen with, whether it is alive or not.
+    /// Digest of the rule set that each controller was last seen with, whether the controller is alive or not.
     by_controller: BTreeMap<String, Option<u64>>,
-    writing: bool,
+    write_in_flight: bool,
     next_write: Micros,
 }
 
 impl Declaration {
     fn may_write(&self, now: Micros) -> bool {
-        !self.writing && now >= self.next_write
+        !self.write_in_flight && now >= self.next_write
     }
 
     fn begin_write(&mut self, now: Micros) {
-        self.writing = true;
+        self.write_in_flight = true;
         self.next_write = now + WRITE_INTERVAL;
     }
 
-    /// Whether a controller was seen, and last without this rule set.
-    fn lacks(&self, controller: &str, digest: u64) -> bool {
+    /// Whether a controller has been seen, and did not use this rule set when it was last seen.
+    fn was_last_seen_without(&self, controller: &str, digest: u64) -> bool {
         self.by_controller
             .get(controller)
             .is_some_and(|used| *used != Some(digest))
@@ -78,7 +78,7 @@
 
     /// A write of rule sets was answered, whatever its outcome.
     pub(in crate::coordination) fn on_rules_written(&mut self) {
-        self.rules.declaration.writing = false;
+        self.rules.declaration.write_in_flight = false;
         self.replica.request_barrier();
     }
 
@@ -99,7 +99,7 @@
         })
     }
 
-    /// The transaction that withdraws a rule set which no configured controller was last seen with.
+    /// The transaction that withdraws a rule set that none of the configured controllers used when it was last seen.
     fn withdrawal(&self) -> Option<Transaction> {
         if !self.leads(0) {
             return None;
@@ -111,7 +111,7 @@
             .find(|(digest, _)| self.is_unused(**digest))?;
         tracing::info!(rules = format!("{digest:016x}"), "rule set withdrawn");
         let key = Key::Rules(*digest);
-        // The transaction fails if a controller comes back with the rule set at this moment.
+        // The transaction fails if a controller returns with the rule set at this moment.
         let nodes = self
             .cell
             .nodes
@@ -120,7 +120,7 @@
         let when = [(key.clone(), set.mod_revision)]
             .into_iter()
             .chain(nodes)
-            .take(self.limits.max_changes() * CHECKS_PER_OPERATION)
+            .take(self.limits.max_changes() * CONDITIONS_PER_CHANGE)
             .collect();
         Some(Transaction {
             when,
@@ -134,8 +134,10 @@
 
     fn is_unused(&self, digest: u64) -> bool {
         let others = self.settings.others.iter().map(|other| &other.node);
-        others
-            .chain([&self.settings.node])
-            .all(|controller| self.rules.declaration.lacks(controller, digest))
+        others.chain([&self.settings.node]).all(|controller| {
+            self.rules
+                .declaration
+                .was_last_seen_without(controller, digest)
+        })
     }
 }
--- a/src/coordination/constraints/job_constraints.rs
+++ b/src/coordination/constraints/job_constraints.rs
@@ -39,8 +39,8 @@
     unschedulable: HashSet<JobId>,
     /// Why jobs wait, where rules are the cause.
     reasons: HashMap<JobId, Arc<str>>,
-    /// Whether any rule asks about colocated jobs.
-    test_colocation: bool,
+    /// Whether any rule depends on the jobs that share a machine.
+    tests_colocation: bool,
     /// Jobs that were submitted, changed or ended since the last refresh.
     changed: BTreeSet<JobId>,
 }
@@ -63,9 +63,9 @@
         &self.traits
     }
 
-    /// Whether any rule asks about colocated jobs.
-    pub(super) fn test_colocation(&self) -> bool {
-        self.test_colocation
+    /// Whether any rule depends on the jobs that share a machine.
+    pub(super) fn tests_colocation(&self) -> bool {
+        self.tests_colocation
     }
 
     pub(super) fn is_unschedulable(&self, id: JobId) -> bool {
@@ -106,7 +106,7 @@
         for id in std::mem::take(&mut self.changed) {
             self.refresh_job(id, sets, cell);
         }
-        self.test_colocation = self
+        self.tests_colocation = self
             .constraints
             .values()
             .any(JobConstraints::tests_colocation);
@@ -124,7 +124,7 @@
         self.changed.extend(self.constraints.keys().copied());
     }
 
-    /// Evaluates the rules of a job again. The reason why it waits is kept until it is next updated.
+    /// Evaluates the rules of a job again. The reason why the job waits is kept until the next update of the reasons.
     fn refresh_job(&mut self, id: JobId, sets: &[Arc<RuleSet>], cell: &CellState) {
         self.unschedulable.remove(&id);
         let constraints = cell
@@ -154,7 +154,7 @@
     }
 
     /// Marks a job as changed, if rules may concern it.
-    fn note_job(&mut self, cell: &CellState, id: JobId) {
+    fn mark_job_changed(&mut self, cell: &CellState, id: JobId) {
         let has_own_rules = || {
             cell.jobs
                 .get(&id)
@@ -199,7 +199,7 @@
         if admitting.peek().is_none() {
             return true;
         }
-        // Only if it depends on the state of the machines in every class, each machine is examined.
+        // The machines are examined one by one only if, in every class, it depends on their state whether the job may run.
         admitting.all(|class| constraints.depends_on_state(class))
             && !self.any_machine_admits(cell, job, constraints)
     }
@@ -227,7 +227,7 @@
 impl Controller {
     /// A job was submitted, changed or ended.
     pub(in crate::coordination) fn on_rules_of_job_changed(&mut self, id: JobId) {
-        self.rules.note_job(&self.cell, id);
+        self.rules.mark_job_changed(&self.cell, id);
     }
 
     /// Brings the rules up to date with the cell state.
@@ -235,8 +235,8 @@
         self.rules.refresh(&mut self.cell);
     }
 
-    /// Brings the rules up to date, and with them the jobs that no machine that is up may run: they are left out of
-    /// the plan.
+    /// Brings the rules up to date, and then the jobs that no machine that is up may run: such jobs are left out of the
+    /// plan.
     pub(in crate::coordination) fn refresh_unschedulable_jobs(&mut self) {
         self.refresh_rules();
         if self.rules.active() {
--- a/src/coordination/constraints/mod.rs
+++ b/src/coordination/constraints/mod.rs
@@ -1,9 +1,9 @@
 //! Placement rules at a controller: which rule sets are in force, the constraints of each job, why jobs wait for
 //! them, and the declaration and withdrawal of rule sets.
 //!
-//! The rule sets that controllers were started with are stored by digest. Every controller enforces all of them
-//! until no controller has one any more. So there is no moment during a rolling restart in which the old rules are
-//! in force at one controller and the new ones at another.
+//! The rule sets that controllers were started with are stored by digest. Every controller enforces each of them until
+//! no controller uses it any more. So at no time during a rolling restart does one controller enforce only the old rules
+//! and another only the new ones.
 
 mod admission;
 mod declaration;
@@ -63,8 +63,8 @@
         self.own.as_ref().map(|set| set.digest)
     }
 
-    /// Has the rule sets read again from the cell state: some were declared, changed or withdrawn, or the cell state
-    /// was read anew.
+    /// Schedules reading the rule sets again from the cell state, because some were declared, changed or withdrawn, or
+    /// the cell state was listed again.
     pub fn schedule_check(&mut self) {
         self.in_force.schedule_check();
     }
@@ -79,8 +79,8 @@
         self.in_force.unreadable() || self.jobs.is_unschedulable(id)
     }
 
-    /// Whether the launch of an assigned task is forbidden: since the assignment, its rules or the jobs on its
-    /// machine have changed.
+    /// Whether rules forbid the launch of an assigned task, because the rules or the jobs on its machine have changed since
+    /// the assignment.
     pub fn forbids_launch(
         &self,
         cell: &CellState,
@@ -92,7 +92,7 @@
             return true;
         }
         let constraints = self.jobs.get(id);
-        if constraints.is_none() && !self.jobs.test_colocation() {
+        if constraints.is_none() && !self.jobs.tests_colocation() {
             return false;
         }
         let (Some(class), Some(job)) = (cell.classes.of(machine), cell.jobs.get(&id)) else {
@@ -109,7 +109,8 @@
         )
     }
 
-    /// Whether a task that has not started must be stopped: its job may not run on machines of this class any more.
+    /// Whether a task that has not started must be stopped, because rules no longer allow its job on machines of this
+    /// class.
     pub fn forbids_start(&self, cell: &CellState, machine: MachineId, id: JobId) -> bool {
         let Some(constraints) = self.jobs.get(id) else {
             return false;
@@ -123,21 +124,21 @@
         PlacementContext {
             jobs: &cell.jobs,
             job_constraints: self.jobs.constraints(),
-            colocated: self.jobs.test_colocation(),
+            colocated: self.jobs.tests_colocation(),
         }
     }
 }
 
 impl Controller {
-    /// The same controller, started with a rule set.
+    /// Sets the rule set that the controller is started with.
     pub fn with_rules(mut self, own: Option<Arc<RuleSet>>) -> Controller {
         self.rules = Rules::of(own);
         self
     }
 
-    /// The record layout that this controller requires. Rules need a layout of their own; it is raised only where
-    /// rules are used.
-    pub(super) fn wanted_layout(&self) -> u32 {
+    /// The record format that this controller aims for. Rules need a format of their own; the record format is raised to
+    /// it only if rules are used.
+    pub(super) fn target_format(&self) -> u32 {
         let uses_rules = self.rules.own.is_some() || self.enforces_rules();
         let required = if uses_rules {
             FENCED_RULES_FORMAT
@@ -153,7 +154,7 @@
         format_has_rules(self.cell.record_format())
     }
 
-    /// The current state that rules ask about.
+    /// The current state that rules are evaluated against.
     pub(super) fn context(&self) -> PlacementContext<'_> {
         self.rules.context(&self.cell)
     }
@@ -167,7 +168,7 @@
     }
 }
 
-/// The jobs of some assignments, each once.
+/// The distinct jobs of some assignments.
 pub(super) fn distinct_jobs(tasks: &[Assignment]) -> Vec<JobId> {
     let mut jobs: Vec<JobId> = tasks.iter().map(|assignment| assignment.job).collect();
     jobs.sort_unstable();
@@ -175,7 +176,7 @@
     jobs
 }
 
-/// What rules may ask about a machine with this record, where `resident_jobs` have tasks.
+/// The state of a machine that rules may depend on. `resident_jobs`: the jobs that have tasks on the machine.
 fn machine_context<'a>(
     context: &PlacementContext<'_>,
     class: ClassId,
--- a/src/coordination/constraints/placement_filter.rs
+++ b/src/coordination/constraints/placement_filter.rs
@@ -1,4 +1,4 @@
-//! The constraints of a job, as placement and provisioning ask for them.
+//! The constraints of a job, in the form that placement and provisioning use.
 
 use super::{distinct_jobs, machine_context};
 use crate::coordination::Controller;
@@ -11,7 +11,7 @@
 use crate::storage::ids::{JobId, MachineId};
 use crate::storage::machine_classes::ClassId;
 
-/// Provisioning is of no use to a job: no machine that could be provisioned may run it, or none may yet.
+/// Provisioning does not help a job: no machine that could be provisioned may run it, at least for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no machine that could be provisioned may run job {job}")]
 pub(in crate::coordination) struct NoUsefulMachine {
@@ -70,14 +70,14 @@
     /// The machines that may be provisioned for a job; `None` if no rule restricts them.
     ///
     /// # Errors
-    /// [`NoUsefulMachine`] if no machine that could be provisioned may run the job, or none may yet.
+    /// [`NoUsefulMachine`] if no machine that could be provisioned may run the job, at least for now.
     pub(in crate::coordination) fn placement_filter_for<'a>(
         &'a self,
         id: JobId,
         job: &'a Job,
     ) -> Result<Option<Box<dyn PlacementFilter + 'a>>, NoUsefulMachine> {
         let constraints = self.rules.jobs.get(id);
-        if constraints.is_none() && !self.rules.jobs.test_colocation() {
+        if constraints.is_none() && !self.rules.jobs.tests_colocation() {
             return Ok(None);
         }
         let required_preferences = match constraints {
@@ -86,7 +86,7 @@
                 .ok_or(NoUsefulMachine { job: id })?,
             None => 0,
         };
-        Ok(Some(Box::new(JobPlaces {
+        Ok(Some(Box::new(JobPlacementFilter {
             controller: self,
             job: JobRef {
                 id,
@@ -97,8 +97,8 @@
         })))
     }
 
-    /// The preferences that a machine must meet to be provisioned for a job; `None` if none that could be
-    /// provisioned is of use.
+    /// The preferences that a machine must meet to be provisioned for a job; `None` if no machine that could be
+    /// provisioned would help the job.
     fn preferences_to_provision(
         &self,
         id: JobId,
@@ -120,7 +120,7 @@
             };
             let met_in_time = boot_times(required).any(|boot_time| boot_time <= wait);
             if !met_in_time {
-                // A machine that does not meet them is of no use while the job still waits.
+                // A machine that does not meet them would not help while the job still waits for them.
                 if boot_times(0).min() < Some(wait) {
                     return None;
                 }
@@ -134,22 +134,22 @@
     }
 }
 
-/// The machines that rules allow one job.
-struct JobPlaces<'a> {
+/// The machines that rules allow for a job.
+struct JobPlacementFilter<'a> {
     controller: &'a Controller,
     job: JobRef<'a>,
     constraints: Option<&'a JobConstraints>,
     required_preferences: RequiredPreferences,
 }
 
-impl JobPlaces<'_> {
+impl JobPlacementFilter<'_> {
     fn may_run_on_new(&self, class: ClassId) -> bool {
         self.constraints
             .is_none_or(|constraints| constraints.may_run_on_new(class, self.required_preferences))
     }
 }
 
-impl PlacementFilter for JobPlaces<'_> {
+impl PlacementFilter for JobPlacementFilter<'_> {
     fn class(&self, class: ClassId) -> bool {
         self.constraints
             .is_none_or(|constraints| constraints.may_run_on(class, self.required_preferences))
--- a/src/coordination/constraints/preferences.rs
+++ b/src/coordination/constraints/preferences.rs
@@ -11,13 +11,13 @@
 
 impl Rules {
     /// Whether any job waits for a preference.
-    pub(super) fn any_preference_waits(&self) -> bool {
+    pub(super) fn any_job_waits_for_preference(&self) -> bool {
         self.jobs.constraints().values().any(JobConstraints::waits)
     }
 }
 
 impl Controller {
-    /// The preferences that a job still waits for: none past its latest start.
+    /// The preferences that a job still waits for; none once its latest start has passed.
     pub(in crate::coordination) fn required_preferences(
         &self,
         id: JobId,
@@ -56,7 +56,7 @@
     /// Classes of machines that are up or could be provisioned, and that the specification of a job allows.
     pub(super) fn possible_classes(&self, spec: &JobSpec) -> Vec<ClassId> {
         let classes = &self.cell.classes;
-        let has_room = |class: &Class| {
+        let task_fits = |class: &Class| {
             self.cell
                 .machine_type(&class.machine_type)
                 .is_some_and(|entry| spec.need.fits(&entry.room))
@@ -65,7 +65,7 @@
             let class = &classes.all()[*id];
             classes.is_possible(*id)
                 && spec.allows(&class.machine_type, &class.zone, class.spot)
-                && has_room(class)
+                && task_fits(class)
         };
         (0..classes.all().len()).filter(is_possible).collect()
     }
@@ -77,8 +77,8 @@
         id: JobId,
         machine: MachineId,
     ) -> Option<bool> {
-        let first = self.rules.jobs.get(id)?.preferences().first()?;
+        let weightiest = self.rules.jobs.get(id)?.preferences().first()?;
         let class = self.cell.classes.of(machine);
-        Some(class.is_some_and(|class| first.may_meet(class)))
+        Some(class.is_some_and(|class| weightiest.may_meet(class)))
     }
 }
--- a/src/coordination/constraints/rule_sets.rs
+++ b/src/coordination/constraints/rule_sets.rs
@@ -5,12 +5,12 @@
 use cometlead_constraints::RuleSet;
 use std::sync::Arc;
 
-/// The rule sets in force, as the cell state shows them.
+/// The rule sets in force according to the cell state.
 #[derive(Debug, Default)]
 pub(super) struct RuleSetsInForce {
-    /// The latest declared last; the controller's own set follows them until it is declared.
+    /// In the order of their declaration; the controller's own set comes last until it is declared.
     sets: Vec<Arc<RuleSet>>,
-    /// Some set is stored in a form that this version does not understand. Nothing may be placed then.
+    /// Some set is stored in a form that this version does not understand. Then nothing may be placed.
     unreadable: bool,
     /// The sets have to be read again from the cell state.
     stale: bool,
@@ -30,7 +30,7 @@
     }
 
     /// Reads the sets from the cell state if a check is due, and labels its machine classes by them; returns whether
-    /// it was due. `own`: the set that this controller was started with.
+    /// the check was due. `own`: the set that this controller was started with.
     pub(super) fn refresh(&mut self, own: Option<&Arc<RuleSet>>, cell: &mut CellState) -> bool {
         if !std::mem::take(&mut self.stale) {
             return false;
--- a/src/coordination/constraints/waiting_reasons.rs
+++ b/src/coordination/constraints/waiting_reasons.rs
@@ -20,7 +20,7 @@
 }
 
 impl Controller {
-    /// Updates the reasons why jobs wait, and plans again while jobs wait for preferences, which end with time.
+    /// Updates the reasons why jobs wait, and plans again while jobs wait for preferences, because such waits end with time.
     pub(in crate::coordination) fn tick_rules(&mut self) {
         let now = self.now.steady;
         if now < self.rules.next_reasons || !self.replica.is_ready() {
@@ -32,7 +32,7 @@
             return;
         }
         self.refresh_reasons();
-        if self.rules.any_preference_waits() {
+        if self.rules.any_job_waits_for_preference() {
             self.rounds.request();
             self.autoscaler.schedule_check();
         }
@@ -65,11 +65,11 @@
         }
         let catalog = self.cell.types.value.as_ref()?;
         let sets = self.rules.in_force.sets();
-        let clash = clash(job.spec(), constraints, sets, &self.cell.classes, catalog);
-        if let Some(clash) = clash {
+        let conflicting = clash(job.spec(), constraints, sets, &self.cell.classes, catalog);
+        if let Some(conflicting) = conflicting {
             return Some(format!(
                 "no machine that could be had meets all of: {}",
-                clash.join(", ")
+                conflicting.join(", ")
             ));
         }
         if self.rules.jobs.is_unschedulable(id) {
--- a/src/coordination/counters.rs
+++ b/src/coordination/counters.rs
@@ -6,19 +6,19 @@
 /// Counts since the start of the process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
-    /// Rounds committed.
+    /// Committed rounds.
     pub commits: u64,
-    /// Rounds that failed because a record had another revision.
+    /// Rounds that failed because a record had changed since it was read.
     pub clashes: u64,
-    /// Rounds whose outcome is unknown, since they had no answer.
+    /// Rounds whose outcome is unknown because no response arrived.
     pub unknown: u64,
-    /// Claims dropped for a conflict and planned again.
+    /// Claims that were dropped because of a conflict and planned again.
     pub dropped: u64,
     /// Claims committed as assignments.
     pub assigned: u64,
     /// Assignments released.
     pub released: u64,
-    /// Requests that the state store refused for their rate.
+    /// Requests that the state store refused because of their rate.
     pub refused: u64,
     /// Shards whose leadership was acquired.
     pub failovers: u64,
@@ -30,22 +30,23 @@
     pub unneeded: u64,
     /// Machines marked unreachable together with their zones.
     pub lost_with_zones: u64,
-    /// Assignments of jobs with preferences, and those of them whose machine meets the weightiest.
+    /// Assignments of jobs with preferences, and the number of those whose machine meets the preference with the largest
+    /// weight.
     pub preferences: (u64, u64),
-    /// Changes of records that its rounds committed.
+    /// Changes of records in committed rounds.
     pub changes: ChangeCounters,
 }
 
 /// Committed changes by kind of record.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ChangeCounters {
-    /// Groups of machines.
+    /// Machine groups.
     pub groups: u64,
-    /// Usage of teams.
+    /// Usage records of teams.
     pub usage: u64,
-    /// Jobs, and further chunks of their completion bitmaps.
+    /// Job records, and further chunks of their completion bitmaps.
     pub jobs: u64,
-    /// Ends of jobs.
+    /// Final records of ended jobs.
     pub ends: u64,
 }
 
@@ -55,17 +56,17 @@
 
     /// Logs the counters when they are due.
     pub(super) fn tick_counters(&mut self) {
-        if self.now.steady < self.next_count {
+        if self.now.steady < self.next_counter_log {
             return;
         }
-        self.next_count = self.now.steady + Self::COUNTER_INTERVAL;
+        self.next_counter_log = self.now.steady + Self::COUNTER_INTERVAL;
         self.log_counters();
         self.log_throughput();
     }
 
     fn log_counters(&self) {
         let counters = self.counters;
-        let polls = self.users.query_counts();
+        let queries = self.users.query_counts();
         tracing::info!(
             commits = counters.commits,
             clashes = counters.clashes,
@@ -85,9 +86,9 @@
             preferences = counters.preferences.0,
             preferences_met = counters.preferences.1,
             waiting = self.rounds.pending_releases(),
-            polls = polls.answered,
-            polls_delayed = polls.delayed,
-            polls_refused = polls.refused,
+            polls = queries.answered,
+            polls_delayed = queries.delayed,
+            polls_refused = queries.refused,
             "counters"
         );
     }
--- a/src/coordination/events.rs
+++ b/src/coordination/events.rs
@@ -18,7 +18,7 @@
     pub day: Micros,
 }
 
-/// Identifies a request that waits for its answer.
+/// Identifies a request that waits for its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
@@ -27,18 +27,18 @@
 pub enum Event {
     /// The process started, or time passed.
     Tick,
-    /// A user's request; the answer goes to this call.
+    /// A user's request; the response goes to this call.
     User(CallId, UserRequest),
     /// A malformed submission that names its job, with the reason for its refusal.
     InvalidSubmission(CallId, JobId, Cow<'static, str>),
-    /// An agent's heartbeat; the answer goes to this call.
+    /// An agent's heartbeat; the response goes to this call.
     Heartbeat(CallId, Heartbeat),
-    /// The answer of the state store, or why there is none.
+    /// The response of the state store, or why there is none.
     State(CallId, Result<StateResponse, CallError>),
-    /// The answer of the cloud, or why there is none.
+    /// The response of the cloud, or why there is none.
     Cloud(CallId, Result<CloudReply, CallError>),
-    /// The answer of an agent to a pushed command: whether it was carried out, and the agent's
-    /// heartbeat. `None` if there was no answer.
+    /// The response of an agent to a pushed command: whether it was carried out, and the agent's
+    /// heartbeat. `None` if there was no response.
     PushCommand(CallId, Option<(bool, Heartbeat)>),
     /// A hint from another controller.
     Peer(PeerHint),
@@ -47,24 +47,24 @@
 /// An action that the controller asks its driver to carry out.
 #[derive(Debug)]
 pub enum Effect {
-    /// Send a request to the state store and wait this long for the answer.
+    /// Send a request to the state store and wait this long for the response.
     State(CallId, StateRequest, Micros),
-    /// Send a request to the cloud and wait this long for the answer.
+    /// Send a request to the cloud and wait this long for the response.
     Cloud(CallId, CloudRequest, Micros),
     /// Push a command to an agent.
     PushCommand {
-        /// The call that the answer belongs to.
+        /// The call that the response belongs to.
         call: CallId,
         /// Address of the agent.
         endpoint: String,
         /// Body of the request.
         body: Vec<u8>,
-        /// How long to wait for the answer.
+        /// How long to wait for the response.
         limit: Micros,
     },
-    /// Answer a user's request.
+    /// Respond to a user's request.
     User(CallId, UserResponse),
-    /// Answer an agent's heartbeat.
+    /// Respond to an agent's heartbeat.
     Heartbeat(CallId, HeartbeatResponse),
     /// Send a hint to all other controllers.
     Peers(PeerHint),
--- a/src/coordination/leadership/format_upgrade.rs
+++ b/src/coordination/leadership/format_upgrade.rs
@@ -1,22 +1,22 @@
-//! Upgrades of the record layout: it is raised once every controller of the deploy file understands the new one.
+//! Upgrades of the record format: it is raised once every controller of the deploy file understands the new one.
 
 use crate::coordination::Controller;
 use crate::protocol::state::encode;
 use crate::storage::records::{INITIAL_FORMAT, Key, MetaRecord, format_has_rules};
 use std::collections::BTreeMap;
 
-/// Conditions on node records in an upgrade, as a multiple of the changes that a transaction may have.
+/// Maximum number of conditions in an upgrade, as a multiple of the changes that a transaction may have.
 const CONDITIONS_PER_CHANGE: usize = 4;
 
-/// Which layouts the controllers understand, and which one is in force.
+/// Which record formats the controllers understand, and which one is in force.
 #[derive(Debug, Default)]
 pub(super) struct FormatUpgrade {
-    /// The layout that each controller was last known to understand, whether or not it is alive now: a controller that
-    /// is upgraded returns with its new version.
+    /// The latest format that each controller was last known to understand, whether or not the controller is alive now:
+    /// a controller that is being upgraded returns with its new version.
     understood: BTreeMap<String, u32>,
     /// Controllers that the upgrade was last reported to wait for.
     reported_waiting: Vec<String>,
-    /// The layout in force when the replica was last checked.
+    /// The format in force when the replica was last checked.
     in_force: u32,
 }
 
@@ -32,25 +32,25 @@
         }
         tracing::info!(
             ?controllers,
-            "record layout upgrade waiting for controllers"
+            "record format upgrade waiting for controllers"
         );
         self.reported_waiting = controllers;
     }
 }
 
 impl Controller {
-    /// Checks whether the layout of the records has changed.
+    /// Checks whether the record format has changed.
     pub(in crate::coordination) fn on_format_observed(&mut self) {
         let record_format = self.cell.record_format();
         let earlier =
             std::mem::replace(&mut self.leadership.format_upgrade.in_force, record_format);
         if earlier != record_format {
-            tracing::info!(record_format, "record layout changed");
+            tracing::info!(record_format, "record format changed");
             self.find_oversized_records();
         }
     }
 
-    /// Notes which layouts the live controllers understand.
+    /// Records which formats the live controllers understand.
     pub(in crate::coordination) fn update_known_formats(&mut self) {
         let understood = &mut self.leadership.format_upgrade.understood;
         for (name, node) in &self.cell.nodes {
@@ -59,19 +59,19 @@
         }
     }
 
-    /// Raises the layout of the records as far as all controllers understand it. Any controller may do it, and it is
-    /// never lowered again.
+    /// Raises the record format to the latest one that all controllers understand. Any controller may do so, and the
+    /// format is never lowered again.
     pub(super) fn drive_format_upgrade(&mut self) {
         let now = self.now.steady;
         let Some(metadata) = &self.cell.meta.value else {
             return;
         };
-        let wanted = self.wanted_layout();
-        if metadata.record_format >= wanted || self.leadership.metadata.not_before(now).is_some() {
+        let target = self.target_format();
+        if metadata.record_format >= target || self.leadership.metadata.not_before(now).is_some() {
             return;
         }
-        let waiting = self.controllers_without(wanted);
-        let common = self.common_layout().min(wanted);
+        let waiting = self.controllers_without(target);
+        let common = self.common_format().min(target);
         self.leadership.format_upgrade.report_waiting(waiting);
         // An upgrade that would turn rules off waits for the controllers that have not registered since rules were turned on.
         let drops_rules = format_has_rules(metadata.record_format) && !format_has_rules(common);
@@ -83,7 +83,7 @@
             ..metadata.clone()
         };
         self.leadership.metadata.on_attempt(now);
-        tracing::info!(record_format = common, "raising record layout");
+        tracing::info!(record_format = common, "raising record format");
         let conditions = self.format_upgrade_conditions();
         self.write_metadata(conditions, encode(&record));
     }
@@ -97,7 +97,7 @@
             .chain([&self.settings.node])
     }
 
-    /// Controllers that are not known to understand a layout.
+    /// Controllers that are not known to understand a format.
     fn controllers_without(&self, record_format: u32) -> Vec<String> {
         let formats = &self.leadership.format_upgrade;
         self.all_controllers()
@@ -110,8 +110,8 @@
             .collect()
     }
 
-    /// The latest layout that all controllers are known to understand; 0 while one has never registered.
-    fn common_layout(&self) -> u32 {
+    /// The latest format that all controllers are known to understand; 0 while any of them has never registered.
+    fn common_format(&self) -> u32 {
         let formats = &self.leadership.format_upgrade;
         self.all_controllers()
             .map(|name| formats.understood_by(name).unwrap_or(0))
@@ -119,8 +119,9 @@
             .unwrap_or(0)
     }
 
-    /// The upgrade holds only if no node record changes meanwhile: a controller that returns with an old version at this
-    /// moment would be missed. The upgrade then fails and is tried again.
+    /// Conditions under which an upgrade takes effect: no node record has changed meanwhile. Otherwise a controller that
+    /// returns with an old version at this moment would be missed. If a record has changed, the upgrade fails and is
+    /// tried again.
     fn format_upgrade_conditions(&self) -> Vec<(Key, u64)> {
         let nodes = self
             .cell
--- a/src/coordination/leadership/metadata.rs
+++ b/src/coordination/leadership/metadata.rs
@@ -1,4 +1,4 @@
-//! The cell's metadata record: its creation, and the spacing of all writes of it.
+//! The cell's metadata record: its creation, and the minimum interval between all writes of it.
 
 use crate::coordination::{Controller, Purpose};
 use crate::protocol::state::{KeyChange, StateRequest, Transaction, encode};
@@ -8,11 +8,11 @@
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 
-/// Shortest time between two writes.
-const WRITE_SPACING: Micros = Micros::millis(500);
+/// Minimum interval between two writes.
+const MIN_WRITE_INTERVAL: Micros = Micros::millis(500);
 
-/// Most shards that a cell gets unless the operator sets another number. Each shard is one more record in many commit
-/// rounds, so there are no more than spread the work.
+/// Maximum number of shards of a cell unless the operator sets another number. Each shard adds one more record to many
+/// commit rounds, so there are only as many as are needed to spread the work.
 const MAX_DEFAULT_SHARDS: usize = 64;
 
 /// When the metadata record may be written again.
@@ -27,9 +27,9 @@
         (now < self.next_write).then_some(self.next_write)
     }
 
-    /// Notes an attempt to write now.
+    /// Records an attempt to write now.
     pub(super) fn on_attempt(&mut self, now: Micros) {
-        self.next_write = now + WRITE_SPACING;
+        self.next_write = now + MIN_WRITE_INTERVAL;
     }
 }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Writes the metadata record under these conditions: keys and the revisions that they must have.
+    /// Writes the metadata record if each key of `conditions` has the given revision.
     pub(super) fn write_metadata(
         &mut self,
         conditions: Vec<(Key, u64)>,
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -4,25 +4,25 @@
 //! leader is not alive are claimed by compare-and-swap transactions; the revision of a shard's leader record is the
 //! fencing token of its leader.
 
-mod claims;
 mod format_upgrade;
 mod metadata;
 mod node_lease;
 mod node_record;
+mod shard_claims;
 mod shard_distribution;
 mod team_shards;
 mod terms;
-mod unsteady_controllers;
+mod unstable_controllers;
 
 use crate::coordination::Controller;
 use crate::storage::ids::ShardId;
 use crate::storage::records::ShardLeaderRecord;
 use crate::time::Micros;
-use claims::ClaimSchedule;
 use format_upgrade::FormatUpgrade;
 use metadata::MetadataWriter;
 use node_lease::NodeLease;
 use node_record::NodeRecordWriter;
+use shard_claims::ShardClaimSchedule;
 use std::collections::BTreeSet;
 pub use terms::LeaderTerm;
 use terms::LeaderTerms;
@@ -35,24 +35,24 @@
     node_record: NodeRecordWriter,
     metadata: MetadataWriter,
     format_upgrade: FormatUpgrade,
-    claims: ClaimSchedule,
+    claims: ShardClaimSchedule,
     /// Live controllers that restart too often to claim shards, as last logged.
-    unsteady_controllers: BTreeSet<String>,
+    unstable_controllers: BTreeSet<String>,
 }
 
 impl Leadership {
-    /// The unbroken leadership of a shard, if this process leads it.
+    /// The current leader term of a shard, if this process leads it.
     pub fn leader_term(&self, shard: ShardId) -> Option<LeaderTerm> {
-        self.terms.held(shard)
+        self.terms.current(shard)
     }
 
-    /// Makes the check for shards to claim due at once, after a change that may call for a claim.
+    /// Makes the check for shards to claim due at once, after a change that may require a claim.
     pub fn schedule_check(&mut self) {
         self.claims.schedule(Micros::ZERO);
     }
 
-    /// Requests a new term of a shard that this process leads, once an assignment has been unsettled for a while: until
-    /// then the answer may still arrive, or the agent's next incarnation may report.
+    /// Requests a new term of a shard that this process leads if an assignment has been unsettled for a while. Before
+    /// that, the agent's response may still arrive, or the agent's next incarnation may report.
     pub fn request_new_term(&mut self, shard: ShardId, unsettled_since: Micros, now: Micros) {
         self.claims.request_new_term(shard, unsettled_since, now);
     }
@@ -79,6 +79,6 @@
         self.drive_format_upgrade();
         self.drive_team_shards();
         self.drive_node_record();
-        self.drive_claims();
+        self.drive_shard_claims();
     }
 }
--- a/src/coordination/leadership/node_lease.rs
+++ b/src/coordination/leadership/node_lease.rs
@@ -4,13 +4,13 @@
 use crate::protocol::state::{CallError, StateRequest, StateResponse};
 use crate::time::Micros;
 
-/// Pause after a lease request that failed.
+/// Delay after a failed lease request.
 const RETRY_DELAY: Micros = Micros::millis(300);
 
-/// A lease is renewed after this part of its time to live.
+/// How often a lease is renewed within its time to live.
 const RENEWALS_PER_LIFETIME: u64 = 3;
 
-/// The node's lease: its id once granted, and when it is due for a request.
+/// The node's lease: its id once granted, and when the next request for it is due.
 #[derive(Debug, Default)]
 pub(super) struct NodeLease {
     id: Option<u64>,
@@ -19,12 +19,12 @@
 }
 
 impl NodeLease {
-    /// The lease's id, unless none is granted or it is known to have expired.
+    /// The lease's id; `None` if no lease is granted or the lease is known to have expired.
     pub(super) fn id(&self) -> Option<u64> {
         self.id
     }
 
-    /// The state store does not know the lease any more: a new one is requested at once.
+    /// The lease has expired in the state store: a new one is requested at once.
     pub(super) fn on_expired(&mut self, now: Micros) {
         self.id = None;
         self.next_request = now;
@@ -45,7 +45,7 @@
         Micros(self.lease_time_to_live().0 / RENEWALS_PER_LIFETIME)
     }
 
-    /// Requests a lease, or renews the one there is, when that is due.
+    /// Requests or renews the lease if that is due.
     pub(super) fn drive_node_lease(&mut self) {
         let now = self.now.steady;
         let lease = &mut self.leadership.lease;
--- a/src/coordination/leadership/node_record.rs
+++ b/src/coordination/leadership/node_record.rs
@@ -8,15 +8,15 @@
 use crate::storage::restart_history::RestartHistory;
 use crate::time::Micros;
 
-/// Shortest time between an answer to a write and the next write.
-const WRITE_SPACING: Micros = Micros::millis(400);
+/// Minimum time between the response to a write and the next write.
+const MIN_WRITE_INTERVAL: Micros = Micros::millis(400);
 
 /// When and with what restart history the node record is written.
 #[derive(Debug, Default)]
 pub(super) struct NodeRecordWriter {
     write_in_flight: bool,
     next_write: Micros,
-    /// Recent starts of this controller with this one, once the record of an earlier run has been read.
+    /// Recent starts of this controller, including this one; set once the record of an earlier run has been read.
     restart_history: Option<RestartHistory>,
 }
 
@@ -38,7 +38,7 @@
         own.is_some_and(|node| node.value.run == self.incarnation)
     }
 
-    /// Writes the node's record if it is missing or of an earlier run, and removes it while the node is withdrawn.
+    /// Writes the node's record if it is missing or belongs to an earlier run, and removes it while the node is withdrawn.
     pub(super) fn drive_node_record(&mut self) {
         let now = self.now.steady;
         let Some(lease) = self.leadership.lease.id() else {
@@ -59,18 +59,18 @@
             self.wake_at(self.leadership.node_record.next_write);
             return;
         }
-        let put = self.node_record_put(withdrawn, lease);
+        let change = self.node_record_change(withdrawn, lease);
         let transaction = Transaction {
             when: vec![(key, mod_revision)],
-            changes: vec![put],
+            changes: vec![change],
         };
         self.leadership.node_record.write_in_flight = true;
         self.budget.charge(now, 1);
         self.ask_state(Purpose::Node, StateRequest::Transaction(transaction));
     }
 
-    /// Removes the record of a withdrawn node, or writes the one of this process under the lease.
-    fn node_record_put(&mut self, withdrawn: bool, lease: u64) -> KeyChange {
+    /// The change that removes the record of a withdrawn node, or writes the record of this process under the lease.
+    fn node_record_change(&mut self, withdrawn: bool, lease: u64) -> KeyChange {
         let value = if withdrawn {
             None
         } else {
@@ -84,7 +84,7 @@
     }
 
     fn new_node_record(&mut self) -> NodeRecord {
-        let record_format = self.wanted_layout();
+        let record_format = self.target_format();
         NodeRecord {
             run: self.incarnation,
             record_format: (record_format > INITIAL_FORMAT).then_some(record_format),
@@ -93,8 +93,8 @@
         }
     }
 
-    /// The restart history of the earlier run's record with this start. It is built once: later on the record read is
-    /// the one of this process.
+    /// The restart history from the earlier run's record, with this start added. It is built only once, because later the
+    /// record in the replica is that of this process.
     fn restart_history(&mut self) -> RestartHistory {
         let earlier = self
             .cell
@@ -117,7 +117,7 @@
         let now = self.now.steady;
         let writer = &mut self.leadership.node_record;
         writer.write_in_flight = false;
-        writer.next_write = now + WRITE_SPACING;
+        writer.next_write = now + MIN_WRITE_INTERVAL;
         self.replica.request_barrier();
         if matches!(result, Ok(StateResponse::LeaseExpired)) {
             self.leadership.lease.on_expired(now);
--- a/src/coordination/leadership/claims.rs
+++ b/src/coordination/leadership/shard_claims.rs
@@ -1,4 +1,4 @@
-//! Claims of shards: when they are considered, which shards are claimed and why, and the transactions.
+//! Claims of shard leadership: when they are considered, which shards are claimed and why, and the transactions.
 
 use super::shard_distribution::ShardDistribution;
 use crate::coordination::{Controller, Purpose};
@@ -9,36 +9,36 @@
 use crate::storage::records::Key;
 use crate::time::Micros;
 
-/// Time between two checks where nothing calls for an earlier one.
+/// Time until the next check unless something requires an earlier one.
 const CHECK_INTERVAL: Micros = Micros::millis(1_000);
 
 /// Time until the next check while other controllers are starting.
 const STARTUP_CHECK_INTERVAL: Micros = Micros::millis(100);
 
-/// Time until the check after the answer to a claim.
-const CHECK_AFTER_CLAIM: Micros = Micros::millis(200);
+/// Time from the response to a claim until the next check.
+const CHECK_DELAY_AFTER_CLAIM: Micros = Micros::millis(200);
 
-/// Longest wait for the other controllers when no shard has ever had a leader.
+/// Maximum wait for the other controllers if no shard has ever had a leader.
 const FIRST_START_WAIT: Micros = Micros::secs(2);
 
-/// Time after the start in which a controller claims no more than its even share while others are missing.
+/// Time after its start in which a controller claims no more than its even share while other controllers are missing.
 const EVEN_SHARE_PERIOD: Micros = Micros::millis(400);
 
-/// Time after the start before shards are taken from live leaders.
+/// Time after its start in which a controller takes no shards from live leaders.
 const REBALANCE_DELAY: Micros = Micros::secs(2);
 
-/// Shortest time between two shards taken from live leaders.
+/// Minimum time between two claims of shards that have live leaders.
 const REBALANCE_INTERVAL: Micros = Micros::millis(2_500);
 
-/// Difference in shards from which a live leader hands one over.
-const REBALANCE_DIFFERENCE: usize = 2;
+/// A live leader's shard is claimed only if the leader has at least this many shards more than the claiming controller.
+const MIN_REBALANCE_DIFFERENCE: usize = 2;
 
-/// Time that an assignment may be unsettled before a new term is claimed for it.
-const UNSETTLED_BEFORE_NEW_TERM: Micros = Micros::secs(3);
+/// An assignment must be unsettled for longer than this before a new term is claimed to settle it.
+const NEW_TERM_DELAY: Micros = Micros::secs(3);
 
-/// When claims are considered, and what is known for them.
+/// When claims are considered, and the state that the decision depends on.
 #[derive(Debug, Default)]
-pub(super) struct ClaimSchedule {
+pub(super) struct ShardClaimSchedule {
     claim_in_flight: bool,
     next_check: Micros,
     next_rebalance: Micros,
@@ -48,7 +48,7 @@
     new_terms: Vec<ShardId>,
 }
 
-impl ClaimSchedule {
+impl ShardClaimSchedule {
     pub(super) fn schedule(&mut self, at: Micros) {
         self.next_check = at;
     }
@@ -63,7 +63,7 @@
         unsettled_since: Micros,
         now: Micros,
     ) {
-        let overdue = now.since(unsettled_since) > UNSETTLED_BEFORE_NEW_TERM;
+        let overdue = now.since(unsettled_since) > NEW_TERM_DELAY;
         if overdue && !self.new_terms.contains(&shard) {
             self.new_terms.push(shard);
         }
@@ -74,26 +74,26 @@
     }
 
     /// Time since the replica was first ready.
-    fn running_for(&self, now: Micros) -> Micros {
+    fn time_since_replica_ready(&self, now: Micros) -> Micros {
         now.since(self.replica_ready_since.unwrap_or(now))
     }
 }
 
 /// Shards to claim in one transaction.
 #[derive(Debug)]
-struct Claim {
+struct ShardClaim {
     shards: Vec<ShardId>,
-    reason: ClaimReason,
+    reason: ShardClaimReason,
 }
 
 /// Why shards are claimed.
 #[derive(Clone, Copy, Debug)]
-enum ClaimReason {
-    /// Assignments without an answer from the agent can be settled under a new term only.
+enum ShardClaimReason {
+    /// Some assignments have no response from the agent and can be settled only under a new term.
     UnsettledAssignments,
-    /// The record names this process, but its leadership was interrupted.
+    /// The leader record names this process, but its leadership was interrupted.
     InterruptedTerm,
-    /// No live leader; all controllers are starting, and each claims its even share.
+    /// No live leader. All controllers are starting, and each claims its even share.
     EvenShare,
     /// No live leader.
     NoLiveLeader,
@@ -101,31 +101,31 @@
     Rebalance,
 }
 
-impl ClaimReason {
+impl ShardClaimReason {
     fn as_str(self) -> &'static str {
         match self {
-            ClaimReason::UnsettledAssignments => "unsettled assignments",
-            ClaimReason::InterruptedTerm => "interrupted term",
-            ClaimReason::EvenShare => "no live leader, even share",
-            ClaimReason::NoLiveLeader => "no live leader",
-            ClaimReason::Rebalance => "rebalance",
+            ShardClaimReason::UnsettledAssignments => "unsettled assignments",
+            ShardClaimReason::InterruptedTerm => "interrupted term",
+            ShardClaimReason::EvenShare => "no live leader, even share",
+            ShardClaimReason::NoLiveLeader => "no live leader",
+            ShardClaimReason::Rebalance => "rebalance",
         }
     }
 }
 
 impl Controller {
     /// Claims shards if a check is due.
-    pub(super) fn drive_claims(&mut self) {
+    pub(super) fn drive_shard_claims(&mut self) {
         let now = self.now.steady;
         if self.leadership.claims.is_due(now) {
-            self.check_claims();
+            self.check_shard_claims();
         }
-        // While a claim is in flight the check may be overdue: its answer wakes the controller.
+        // While a claim is in flight, the check may be overdue: the response to the claim wakes the controller.
         let next_check = self.leadership.claims.next_check;
         self.wake_at(next_check.max(now + Micros::millis(1)));
     }
 
-    fn check_claims(&mut self) {
+    fn check_shard_claims(&mut self) {
         let now = self.now.steady;
         self.leadership.claims.schedule(now + CHECK_INTERVAL);
         if self.stall.is_recovering() || !self.is_registered() || self.connectivity.is_withdrawn() {
@@ -142,11 +142,11 @@
         self.schedule_after(claim.reason);
         claim.shards.truncate(self.limits.max_changes());
         if !claim.shards.is_empty() {
-            self.send_claim(claim);
+            self.send_shard_claim(claim);
         }
     }
 
-    /// Whether no shard has ever had a leader and the other controllers are about to appear.
+    /// Whether no shard has ever had a leader and the other controllers are expected to register soon.
     fn is_first_start(&self) -> bool {
         let none_led = self
             .cell
@@ -155,21 +155,26 @@
             .all(|leader| leader.value.is_none());
         none_led
             && self.cell.nodes.len() < self.settings.controllers()
-            && self.leadership.claims.running_for(self.now.steady) < FIRST_START_WAIT
+            && self
+                .leadership
+                .claims
+                .time_since_replica_ready(self.now.steady)
+                < FIRST_START_WAIT
     }
 
-    fn schedule_after(&mut self, reason: ClaimReason) {
+    fn schedule_after(&mut self, reason: ShardClaimReason) {
         let now = self.now.steady;
         let claims = &mut self.leadership.claims;
         match reason {
-            ClaimReason::EvenShare => claims.next_check = now + STARTUP_CHECK_INTERVAL,
-            ClaimReason::Rebalance => claims.next_rebalance = now + REBALANCE_INTERVAL,
+            ShardClaimReason::EvenShare => claims.next_check = now + STARTUP_CHECK_INTERVAL,
+            ShardClaimReason::Rebalance => claims.next_rebalance = now + REBALANCE_INTERVAL,
             _ => {}
         }
     }
 
-    /// Sends the claim. It is conditional on the node's own record, so a node that is taken for dead claims nothing.
-    fn send_claim(&mut self, claim: Claim) {
+    /// Sends the claim. It is conditional on the node's own record, so the claim fails if that record was removed because
+    /// the node's lease expired.
+    fn send_shard_claim(&mut self, claim: ShardClaim) {
         let node = self.node_key();
         let leader_record = self.leader_record();
         let mut transaction = Transaction {
@@ -191,20 +196,20 @@
         self.leadership.claims.claim_in_flight = true;
         self.budget.charge(self.now.steady, shards.len());
         self.ask_state(
-            Purpose::Claim(shards),
+            Purpose::ShardClaim(shards),
             StateRequest::Transaction(transaction),
         );
     }
 
-    pub(in crate::coordination) fn on_claim_answered(
+    pub(in crate::coordination) fn on_shard_claim_answered(
         &mut self,
         shards: &[ShardId],
         result: Result<StateResponse, CallError>,
     ) {
         let claims = &mut self.leadership.claims;
         claims.claim_in_flight = false;
-        claims.schedule(self.now.steady + CHECK_AFTER_CLAIM);
-        // The replica learns of the claim by a read, so that it holds all changes up to the claim too.
+        claims.schedule(self.now.steady + CHECK_DELAY_AFTER_CLAIM);
+        // The replica learns of the claim by a read, so that it also contains all changes before the claim.
         self.replica.request_barrier();
         if !matches!(result, Ok(StateResponse::Applied(_))) {
             tracing::info!(?shards, ?result, "shard claim failed");
@@ -212,13 +217,13 @@
     }
 
     /// Shards that this process should claim now, for the first reason that applies.
-    fn shards_to_claim(&mut self) -> Option<Claim> {
+    fn shards_to_claim(&mut self) -> Option<ShardClaim> {
         if let Some(claim) = self.claim_for_new_terms() {
             return Some(claim);
         }
-        self.update_unsteady_controllers();
+        self.update_unstable_controllers();
         let mut distribution = ShardDistribution::of(&self.cell, |controller| {
-            !self.leadership.unsteady_controllers.contains(controller)
+            !self.leadership.unstable_controllers.contains(controller)
         });
         if let Some(claim) = self.claim_for_interrupted_terms(&distribution) {
             return Some(claim);
@@ -230,39 +235,45 @@
             .or_else(|| self.claim_for_rebalance(&distribution))
     }
 
-    fn claim_for_new_terms(&mut self) -> Option<Claim> {
+    fn claim_for_new_terms(&mut self) -> Option<ShardClaim> {
         let mut shards = std::mem::take(&mut self.leadership.claims.new_terms);
         shards.retain(|shard| self.leads(*shard));
-        (!shards.is_empty()).then_some(Claim {
+        (!shards.is_empty()).then_some(ShardClaim {
             shards,
-            reason: ClaimReason::UnsettledAssignments,
+            reason: ShardClaimReason::UnsettledAssignments,
         })
     }
 
-    /// Shards whose record names this process though it does not lead them, and a claim would begin a term now.
-    fn claim_for_interrupted_terms(&self, distribution: &ShardDistribution) -> Option<Claim> {
+    /// Claims the shards whose leader record names this process although it does not lead them, if a claim would begin a
+    /// term now.
+    fn claim_for_interrupted_terms(&self, distribution: &ShardDistribution) -> Option<ShardClaim> {
         let terms = &self.leadership.terms;
-        let interrupted =
-            |shard: &ShardId| !self.leads(*shard) && self.cell.revision >= terms.lost_at(*shard);
+        let interrupted = |shard: &ShardId| {
+            !self.leads(*shard) && self.cell.revision >= terms.ignored_up_to(*shard)
+        };
         let shards: Vec<ShardId> = distribution
             .led_by(&self.settings.node)
             .filter(interrupted)
             .collect();
-        (!shards.is_empty()).then_some(Claim {
+        (!shards.is_empty()).then_some(ShardClaim {
             shards,
-            reason: ClaimReason::InterruptedTerm,
+            reason: ShardClaimReason::InterruptedTerm,
         })
     }
 
     /// Whether this process has just started and other controllers are missing.
     fn are_others_starting(&self) -> bool {
-        self.leadership.claims.running_for(self.now.steady) < EVEN_SHARE_PERIOD
+        self.leadership
+            .claims
+            .time_since_replica_ready(self.now.steady)
+            < EVEN_SHARE_PERIOD
             && self.cell.nodes.len() < self.settings.controllers()
     }
 
-    /// This controller's even share of the shards without a live leader. When all controllers start at once the others
-    /// are about to claim as well: otherwise one would answer every agent at first and hand the shards over again.
-    fn claim_even_share(&self, distribution: ShardDistribution) -> Option<Claim> {
+    /// Claims this controller's even share of the shards without a live leader. When all controllers start at once, the
+    /// others are about to claim their shares too. If the first one claimed all shards, it would have to respond to every
+    /// agent at first and would then hand shards over again.
+    fn claim_even_share(&self, distribution: ShardDistribution) -> Option<ShardClaim> {
         let node = &self.settings.node;
         if !distribution.may_claim(node) {
             return None;
@@ -271,14 +282,14 @@
         let position = others.filter(|other| other.node < *node).count();
         let mut shards = distribution.without_leader;
         shards.retain(|shard| shard % self.settings.controllers() == position);
-        Some(Claim {
+        Some(ShardClaim {
             shards,
-            reason: ClaimReason::EvenShare,
+            reason: ShardClaimReason::EvenShare,
         })
     }
 
-    /// The part of the shards without a live leader that falls to this controller.
-    fn claim_without_leader(&self, distribution: &mut ShardDistribution) -> Option<Claim> {
+    /// Claims the shards without a live leader that an even distribution assigns to this controller.
+    fn claim_without_leader(&self, distribution: &mut ShardDistribution) -> Option<ShardClaim> {
         let mut shards = Vec::new();
         for shard in std::mem::take(&mut distribution.without_leader) {
             let Some(controller) = distribution.add_to_least_loaded() else {
@@ -288,34 +299,35 @@
                 shards.push(shard);
             }
         }
-        (!shards.is_empty()).then_some(Claim {
+        (!shards.is_empty()).then_some(ShardClaim {
             shards,
-            reason: ClaimReason::NoLiveLeader,
+            reason: ShardClaimReason::NoLiveLeader,
         })
     }
 
-    /// A shard of the controller with the most, if this one has the fewest. Only one shard is taken at a time, and by
-    /// one controller: several would claim the same shard, and one that has some would get more before another has any.
-    fn claim_for_rebalance(&self, distribution: &ShardDistribution) -> Option<Claim> {
+    /// Claims a shard of the controller with the most shards if this controller has the fewest. Only one controller claims
+    /// at a time, and only one shard: otherwise several controllers would claim the same shard, and a controller that
+    /// leads some shards would get more before another one has any.
+    fn claim_for_rebalance(&self, distribution: &ShardDistribution) -> Option<ShardClaim> {
         let now = self.now.steady;
         let claims = &self.leadership.claims;
         let most = distribution.most_loaded()?;
         let fewest = distribution.least_loaded()?;
         if fewest.controller != self.settings.node
-            || most.shards < fewest.shards + REBALANCE_DIFFERENCE
+            || most.shards < fewest.shards + MIN_REBALANCE_DIFFERENCE
             || now < claims.next_rebalance
-            || claims.running_for(now) <= REBALANCE_DELAY
+            || claims.time_since_replica_ready(now) <= REBALANCE_DELAY
         {
             return None;
         }
-        // The last shard first: the leader of shard 0 runs the autoscaler, whose state would be lost.
+        // The last shard is claimed first: the leader of shard 0 runs the autoscaler, whose state would be lost.
         let shard = (0..self.cell.shards()).rev().find(|shard| {
             let leader = self.cell.leaders[*shard].value.as_ref();
             leader.is_some_and(|leader| leader.node == most.controller)
         })?;
-        Some(Claim {
+        Some(ShardClaim {
             shards: vec![shard],
-            reason: ClaimReason::Rebalance,
+            reason: ShardClaimReason::Rebalance,
         })
     }
 }
--- a/src/coordination/leadership/shard_distribution.rs
+++ b/src/coordination/leadership/shard_distribution.rs
@@ -7,7 +7,7 @@
 /// The shards led by each live controller, and those without a live leader.
 #[derive(Debug)]
 pub(super) struct ShardDistribution<'a> {
-    /// Number of shards of each controller that may claim some.
+    /// Number of shards of each controller that may claim shards.
     loads: BTreeMap<&'a str, usize>,
     /// Live leaders by shard.
     leaders: Vec<Option<&'a str>>,
@@ -20,13 +20,13 @@
 pub(super) struct Load<'a> {
     /// Number of shards. It is compared first.
     pub(super) shards: usize,
-    /// Name of the controller; orders controllers with as many shards.
+    /// Name of the controller; orders controllers with equal numbers of shards.
     pub(super) controller: &'a str,
 }
 
 impl<'a> ShardDistribution<'a> {
-    /// The distribution in the cell. Controllers that may not claim shards keep those they lead but count for nothing
-    /// else.
+    /// The distribution in the cell. Controllers that may not claim shards keep those that they lead, but are left out of
+    /// the loads.
     pub(super) fn of(cell: &'a CellState, may_claim: impl Fn(&str) -> bool) -> Self {
         let controllers = cell.nodes.keys().map(String::as_str);
         let mut distribution = ShardDistribution {
@@ -66,17 +66,17 @@
             .map(|(shard, _)| shard)
     }
 
-    /// The controller with the fewest shards, of several the first by name.
+    /// The controller with the fewest shards; among several, the first by name.
     pub(super) fn least_loaded(&self) -> Option<Load<'a>> {
         self.loads().min()
     }
 
-    /// The controller with the most shards, of several the last by name.
+    /// The controller with the most shards; among several, the last by name.
     pub(super) fn most_loaded(&self) -> Option<Load<'a>> {
         self.loads().max()
     }
 
-    /// Counts one more shard for the controller with the fewest, and returns its name.
+    /// Counts one more shard for the controller with the fewest shards, and returns its name.
     pub(super) fn add_to_least_loaded(&mut self) -> Option<&'a str> {
         let controller = self.least_loaded()?.controller;
         *self.loads.get_mut(controller)? += 1;
--- a/src/coordination/leadership/shard_distribution/tests.rs
+++ b/src/coordination/leadership/shard_distribution/tests.rs
@@ -59,21 +59,21 @@
 }
 
 #[test]
-fn equal_loads_are_ordered_by_name_and_shards_go_to_the_fewest() {
+fn least_loaded_controller_gets_next_shard_and_names_break_ties() {
     let cell = cell(&["a", "b", "c"], &[Some(("b", CURRENT)), None, None, None]);
     let mut distribution = ShardDistribution::of(&cell, |_| true);
     let most = distribution.most_loaded().unwrap();
     assert_eq!((most.controller, most.shards), ("b", 1));
-    let given: Vec<&str> = (0..4)
+    let assigned: Vec<&str> = (0..4)
         .filter_map(|_| distribution.add_to_least_loaded())
         .collect();
-    assert_eq!(given, ["a", "c", "a", "b"]);
+    assert_eq!(assigned, ["a", "c", "a", "b"]);
     assert_eq!(distribution.least_loaded().unwrap().controller, "c");
     assert_eq!(distribution.most_loaded().unwrap().controller, "b");
 }
 
 #[test]
-fn a_controller_that_may_not_claim_keeps_its_shards_but_gets_none() {
+fn controller_that_may_not_claim_keeps_its_shards_and_gets_no_others() {
     let cell = cell(&["a", "b"], &[Some(("a", CURRENT)), None]);
     let mut distribution = ShardDistribution::of(&cell, |controller| controller != "a");
     assert!(!distribution.may_claim("a") && distribution.may_claim("b"));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn without_controllers_that_may_claim_no_shard_is_given() {
+fn no_shard_is_distributed_if_no_controller_may_claim() {
     let cell = cell(&["a"], &[None]);
     let mut distribution = ShardDistribution::of(&cell, |_| false);
     assert_eq!(distribution.add_to_least_loaded(), None);
--- a/src/coordination/leadership/team_shards.rs
+++ b/src/coordination/leadership/team_shards.rs
@@ -1,4 +1,4 @@
-//! Shards for teams with a share that a later deploy file added.
+//! Assignment of shards to teams with a guarantee or a limit that a later deploy file added.
 
 use crate::coordination::Controller;
 use crate::protocol::settings::Team;
@@ -19,8 +19,9 @@
                 .is_some_and(|metadata| !metadata.teams.contains_key(&team.name))
     }
 
-    /// Gives such teams a shard once nothing of theirs is assigned or unfinished in any. Nothing is assigned for them
-    /// meanwhile, and rounds planned before fail because assignments are conditional on the teams' shards.
+    /// Assigns a shard to each such team once the team has no assignment in any shard and the ends of its tasks are all
+    /// recorded. Until then nothing is assigned for the team, and rounds that were planned earlier fail because
+    /// assignments are conditional on the teams' shards.
     pub(super) fn drive_team_shards(&mut self) {
         let now = self.now.steady;
         let Some(metadata) = &self.cell.meta.value else {
@@ -64,7 +65,7 @@
         record
     }
 
-    /// Whether no shard has usage of a team and all ends of its jobs' tasks are in the jobs' own records.
+    /// Whether a team has no usage in any shard, and the job records contain the ends of all its ended tasks.
     fn is_team_idle(&self, team: &str) -> bool {
         let unused = (0..self.cell.usage.len()).all(|shard| self.cell.used(shard, team) == (0, 0));
         let has_pending_ends =
--- a/src/coordination/leadership/terms.rs
+++ b/src/coordination/leadership/terms.rs
@@ -5,13 +5,13 @@
 use crate::storage::records::Key;
 use crate::time::Micros;
 
-/// An unbroken leadership of a shard by this process.
+/// An uninterrupted leadership of a shard by this process.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderTerm {
-    /// The first of its fencing tokens: an agent that reports this token or a later one takes no commands of any
+    /// The first fencing token of the term: an agent that reports this token or a later one accepts no commands from any
     /// earlier leader.
     pub first: u64,
-    /// When it began, on the steady clock.
+    /// When it began, in monotonic time.
     pub since: Micros,
 }
 
@@ -23,23 +23,23 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ShardTerm {
-    held: Option<LeaderTerm>,
+    current: Option<LeaderTerm>,
     /// A leader record of this revision or an older one begins no term.
-    lost_at: u64,
+    ignored_up_to: u64,
 }
 
 impl LeaderTerms {
-    /// The term of a shard, if this process leads it.
-    pub(super) fn held(&self, shard: ShardId) -> Option<LeaderTerm> {
-        self.shards.get(shard).and_then(|term| term.held)
+    /// The current term of a shard, if this process leads it.
+    pub(super) fn current(&self, shard: ShardId) -> Option<LeaderTerm> {
+        self.shards.get(shard).and_then(|term| term.current)
     }
 
     /// The revision up to which leader records of a shard begin no term; 0 if there is none.
-    pub(super) fn lost_at(&self, shard: ShardId) -> u64 {
-        self.shards.get(shard).map_or(0, |term| term.lost_at)
+    pub(super) fn ignored_up_to(&self, shard: ShardId) -> u64 {
+        self.shards.get(shard).map_or(0, |term| term.ignored_up_to)
     }
 
-    /// Counts a shard among those that [`Controller::step_down_everywhere`] steps down from.
+    /// Includes a shard in those that [`Controller::step_down_everywhere`] steps down from.
     fn track(&mut self, shard: ShardId) {
         self.entry(shard);
     }
@@ -52,16 +52,16 @@
     }
 
     fn begin(&mut self, shard: ShardId, term: LeaderTerm) {
-        self.entry(shard).held = Some(term);
+        self.entry(shard).current = Some(term);
     }
 
     fn end(&mut self, shard: ShardId) {
-        self.entry(shard).held = None;
+        self.entry(shard).current = None;
     }
 
-    fn raise_lost_at(&mut self, shard: ShardId, revision: u64) {
+    fn raise_ignored_up_to(&mut self, shard: ShardId, revision: u64) {
         let term = self.entry(shard);
-        term.lost_at = term.lost_at.max(revision);
+        term.ignored_up_to = term.ignored_up_to.max(revision);
     }
 }
 
@@ -73,7 +73,7 @@
         let term = record.mod_revision;
         let names_this_process = record.value.as_ref() == Some(&self.leader_record());
         let leads = self.leads(shard);
-        if names_this_process && !leads && term > self.leadership.terms.lost_at(shard) {
+        if names_this_process && !leads && term > self.leadership.terms.ignored_up_to(shard) {
             tracing::info!(shard, term, "shard leadership acquired");
             self.begin_term(shard, term);
         } else if names_this_process && leads {
@@ -99,11 +99,11 @@
         self.find_oversized_records();
     }
 
-    /// A peer has a newer term of a shard that this process took for its own.
+    /// A peer has a newer term of a shard that this process believed to lead.
     pub(in crate::coordination) fn on_newer_term(&mut self, shard: ShardId, term: u64) {
         self.step_down(shard);
         let terms = &mut self.leadership.terms;
-        terms.raise_lost_at(shard, term.saturating_sub(1));
+        terms.raise_ignored_up_to(shard, term.saturating_sub(1));
         self.leadership.schedule_check();
     }
 
@@ -115,11 +115,11 @@
         }
     }
 
-    /// Ends all terms: what this process knows of unsettled assignments is no longer reliable.
+    /// Ends all terms, because what this process knows of unsettled assignments is no longer reliable.
     pub(in crate::coordination) fn step_down_everywhere(&mut self) {
         for shard in 0..self.leadership.terms.shards.len() {
             let revision = self.cell.mod_revision(&Key::ShardLeader(shard));
-            self.leadership.terms.raise_lost_at(shard, revision);
+            self.leadership.terms.raise_ignored_up_to(shard, revision);
             self.step_down(shard);
         }
     }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -38,7 +38,7 @@
 /// It places the jobs of the shards that it leads on its own replica of the whole cell's state and commits
 /// its claims to the state store by compare-and-swap.
 pub struct Controller {
-    /// The deploy file.
+    /// The settings of the deploy file.
     settings: Arc<Settings>,
     operator_settings: OperatorSettings,
     /// This run of the process.
@@ -50,7 +50,7 @@
     /// When the next tick is needed.
     next_wake: Micros,
     next_call: u64,
-    /// Calls that wait for an answer.
+    /// Calls that wait for a response.
     calls: HashMap<CallId, Call>,
     /// The latest record format that this process understands.
     record_format: u32,
@@ -61,13 +61,14 @@
     replica: replication::Replica,
     leadership: leadership::Leadership,
     agents: BTreeMap<MachineId, agents::Agent>,
-    /// Since when jobs may have been reported as cancelled to their users.
+    /// Since when users may have been told that their jobs are cancelled.
     cancelled: agents::cancellations::Cancellations,
     /// Machines to whose agents a command may have to be pushed.
     agents_to_command: BTreeSet<MachineId>,
     /// Recently removed machines, those with the highest numbers: late heartbeats must not bring them back.
     removed_machines: BTreeSet<MachineId>,
-    /// Most machines that this controller has answered at a time; bounds what `removed_machines` keeps.
+    /// Largest number of machines whose agents this controller has answered at a time; bounds the size of
+    /// `removed_machines`.
     largest_fleet: usize,
     connectivity: health::connectivity::Connectivity,
     rounds: commit::Rounds,
@@ -75,25 +76,25 @@
     dependency_lookups: api::dependencies::DependencyLookups,
     autoscaler: autoscaler::Autoscaler,
     rules: constraints::Rules,
-    served: throughput::Throughput,
+    throughput: throughput::Throughput,
     zones: health::zones::Zones,
     /// The last hint of each peer, and when it was received.
     peers: HashMap<String, (Micros, PeerHint)>,
     next_tick: Micros,
     next_hint: Micros,
-    next_count: Micros,
+    next_counter_log: Micros,
     counters: Counters,
 }
 
 impl Controller {
     /// Time between two ticks of the periodic checks.
     const TICK_INTERVAL: Micros = Micros::millis(500);
-    /// Age of the last contact to the state store from which a node may be unhealthy.
-    const CONTACT_LOST: Micros = Micros::secs(4);
-    /// Age from which a peer's hint says nothing about its contact to the state store.
-    const PEER_HINT_LIFETIME: Micros = Micros::secs(5);
-    /// How much newer a peer's contact must be to show that the state store can be reached.
-    const CONTACT_LEAD: Micros = Micros::secs(2);
+    /// A node may be unhealthy once its last contact with the state store is this old.
+    const CONTACT_LOSS_AGE: Micros = Micros::secs(4);
+    /// A peer's hint that is this old or older says nothing about the peer's contact with the state store.
+    const PEER_HINT_MAX_AGE: Micros = Micros::secs(5);
+    /// How much more recent a peer's contact must be to show that the state store can be reached.
+    const MIN_CONTACT_AGE_DIFFERENCE: Micros = Micros::secs(2);
 
     /// A controller that has just started. The seed also identifies this run of the process.
     pub fn new(
@@ -101,7 +102,7 @@
         operator_settings: OperatorSettings,
         seed: u64,
     ) -> Controller {
-        let share = settings.controllers() as f64;
+        let controllers = settings.controllers() as f64;
         Controller {
             incarnation: Incarnation(seed),
             now: Now::default(),
@@ -112,8 +113,8 @@
             record_format: LATEST_FORMAT,
             limits: commit::limits::EffectiveLimits::new(&settings),
             budget: Budget::new(
-                settings.state_rps / share,
-                settings.limits.write_rps / share,
+                settings.state_rps / controllers,
+                settings.limits.write_rps / controllers,
             ),
             cell: CellState::default(),
             stall: health::stall::StallDetector::default(),
@@ -130,20 +131,20 @@
             dependency_lookups: api::dependencies::DependencyLookups::default(),
             autoscaler: autoscaler::Autoscaler::default(),
             rules: constraints::Rules::default(),
-            served: throughput::Throughput::default(),
+            throughput: throughput::Throughput::default(),
             zones: health::zones::Zones::default(),
             peers: HashMap::new(),
             next_tick: Micros::ZERO,
             next_hint: Micros::ZERO,
-            next_count: Micros::ZERO,
+            next_counter_log: Micros::ZERO,
             counters: Counters::default(),
             settings,
             operator_settings,
         }
     }
 
-    /// The same controller with support for record formats up to this one only, as in an earlier version.
-    /// A version without the compact encoding does not know of announced limits either.
+    /// Limits the controller to record formats up to this one, as in an earlier version. A version without the compact
+    /// encoding does not support announced limits either.
     pub fn understanding(mut self, record_format: u32) -> Controller {
         self.record_format = record_format;
         if record_format < COMPACT_FORMAT {
@@ -180,13 +181,13 @@
             }
             Event::State(call, result) => self.on_state(call, result),
             Event::Cloud(call, result) => self.on_cloud(call, result),
-            Event::PushCommand(call, answer) => self.on_agent_answer(call, answer),
+            Event::PushCommand(call, answer) => self.on_agent_response(call, answer),
             Event::Peer(hint) => self.on_hint(hint),
         }
     }
 
-    /// An agent answered a pushed command or a probe, or did not.
-    fn on_agent_answer(&mut self, call: CallId, answer: Option<(bool, Heartbeat)>) {
+    /// An agent responded to a pushed command or a probe, or no response arrived in time.
+    fn on_agent_response(&mut self, call: CallId, answer: Option<(bool, Heartbeat)>) {
         if answer.is_some() {
             self.connectivity.on_agent_contact(self.now.steady);
         }
@@ -204,22 +205,24 @@
 
     /// Whether the node can take requests.
     ///
-    /// Only trouble of its own makes a node unhealthy: while the peers have no contact either, the state store
-    /// is away, and nodes that became unhealthy then would return later than it does.
+    /// A node is unhealthy only if it alone has lost contact with the state store. While the peers have no contact
+    /// either, the state store is unavailable, and nodes that became unhealthy then would return to service later than
+    /// the state store.
     pub fn healthy(&self, now: Now) -> bool {
         if !self.replica.is_ready() {
             return false;
         }
         let contact_age = now.steady.since(self.replica.last_contact());
-        contact_age < Self::CONTACT_LOST || !self.peer_has_newer_contact(now, contact_age)
+        contact_age < Self::CONTACT_LOSS_AGE || !self.peer_has_newer_contact(now, contact_age)
     }
 
     fn peer_has_newer_contact(&self, now: Now, contact_age: Micros) -> bool {
         self.peers.values().any(|(received, hint)| {
             let hint_age = now.steady.since(*received);
             let peer_contact_age = hint.contact_ms.map(|ms| Micros::millis(ms) + hint_age);
-            hint_age < Self::PEER_HINT_LIFETIME
-                && peer_contact_age.is_some_and(|age| age + Self::CONTACT_LEAD < contact_age)
+            hint_age < Self::PEER_HINT_MAX_AGE
+                && peer_contact_age
+                    .is_some_and(|age| age + Self::MIN_CONTACT_AGE_DIFFERENCE < contact_age)
         })
     }
 
@@ -238,7 +241,8 @@
         &self.cell
     }
 
-    /// Does what is due, in a fixed order: leadership before what rests on it, reads last.
+    /// Runs what is due in all components, in a fixed order: leadership before the components that depend on it, reads
+    /// last.
     fn drive(&mut self) {
         self.next_wake = Micros::FOREVER;
         if self.now.steady >= self.next_tick {
@@ -259,8 +263,8 @@
         self.drive_hints();
     }
 
-    /// Runs the periodic checks. Those that conclude something from silence or idleness wait until the replica
-    /// is up to date after a stall.
+    /// Runs the periodic checks. Checks that draw conclusions from missing messages or from idleness wait until the
+    /// replica is up to date after a stall.
     fn tick(&mut self) {
         if !self.stall.is_recovering() {
             self.tick_connectivity();
@@ -275,17 +279,17 @@
         self.tick_counters();
     }
 
-    /// Asks for a tick at this time at the latest.
+    /// Requests a tick at this time at the latest.
     fn wake_at(&mut self, at: Micros) {
         self.next_wake = self.next_wake.min(at);
     }
 
-    /// Time since the last contact to the state store.
+    /// Time since the last contact with the state store.
     fn contact_age(&self) -> Micros {
         self.now.steady.since(self.replica.last_contact())
     }
 
-    /// Tells the components what changes of the replica concern them.
+    /// Notifies the components of changes of the replica.
     fn on_cell_changed(&mut self, changes: &CellChanges) {
         for shard in &changes.leaders {
             self.on_leader_changed(*shard);
@@ -303,14 +307,14 @@
             self.on_machine_changed(*machine);
         }
         for ended in &changes.ended {
-            self.served.note(ended);
+            self.throughput.record_ended(ended);
             self.on_job_removed(ended.job);
             if let Some(end) = ended.how {
                 self.users.remember(ended.job, end);
             }
         }
         for job in &changes.jobs {
-            self.users.appeared(*job);
+            self.users.on_job_live(*job);
             self.on_rules_of_job_changed(*job);
             self.on_job_changed(*job);
         }
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -1,4 +1,4 @@
-//! Hints that controllers send each other. No rule rests on them: they only make things happen sooner.
+//! Hints that controllers send each other. Correctness does not depend on them: they only make controllers react sooner.
 
 use super::Controller;
 use super::events::Effect;
@@ -8,15 +8,15 @@
 impl Controller {
     /// Time between two hints to the other controllers.
     const HINT_INTERVAL: Micros = Micros::secs(1);
-    /// Age from which a peer's hint says nothing about its present rate of writes.
-    const HINT_LIFETIME: Micros = Micros::secs(3);
+    /// A peer's hint that is this old or older says nothing about the peer's present write rate.
+    const HINTED_RATE_MAX_AGE: Micros = Micros::secs(3);
 
-    /// Sends a hint when it is due, and lends the peers what this controller does not spend of its rate.
+    /// Sends a hint when it is due, and updates what this controller borrows of the peers' unused write rates.
     pub(super) fn drive_hints(&mut self) {
         if self.now.steady >= self.next_hint {
             self.next_hint = self.now.steady + Self::HINT_INTERVAL;
             self.send_hint();
-            self.lend_rate();
+            self.borrow_unused_rate();
         }
         self.wake_at(self.next_hint);
     }
@@ -42,10 +42,10 @@
         self.effects.push(Effect::Peers(hint));
     }
 
-    fn lend_rate(&mut self) {
+    fn borrow_unused_rate(&mut self) {
         let now = self.now.steady;
         let recent_rate = |(received, hint): &(Micros, PeerHint)| {
-            (now.since(*received) < Self::HINT_LIFETIME).then_some(hint.spends as f64 / 1e3)
+            (now.since(*received) < Self::HINTED_RATE_MAX_AGE).then_some(hint.spends as f64 / 1e3)
         };
         let rates = self
             .settings
@@ -55,7 +55,7 @@
         self.budget.borrow_unused(now, rates);
     }
 
-    /// Takes a peer's hint. A newer term of a shard ends this controller's leadership of it at once.
+    /// Handles a peer's hint. If it shows a newer term of a shard, this controller's leadership of the shard ends at once.
     pub(super) fn on_hint(&mut self, hint: PeerHint) {
         if self.is_from_earlier_run(&hint) {
             return;
@@ -71,8 +71,8 @@
             .insert(hint.node.clone(), (self.now.steady, hint));
     }
 
-    /// Whether a hint is a late one of an earlier run of its sender: its replica had not come as far as the
-    /// record of a later run.
+    /// Whether a hint arrived late from an earlier run of its sender: when it was sent, the sender's replica had not
+    /// reached the revision of the node record of a later run.
     fn is_from_earlier_run(&self, hint: &PeerHint) -> bool {
         let node = self.cell.nodes.get(&hint.node);
         node.is_some_and(|n| n.value.run != hint.run && n.mod_revision > hint.revision)
--- a/src/coordination/replication/barrier.rs
+++ b/src/coordination/replication/barrier.rs
@@ -1,27 +1,28 @@
-//! Read barriers: reads that are answered at once, for those who need what is committed by now.
+//! Read barriers: reads that are answered at once, for components that need everything that is committed by now.
 
 use crate::coordination::{CallId, Controller, Purpose};
 use crate::protocol::state::StateRequest;
 use crate::time::Micros;
 
-/// Shortest time between two barriers.
-const SPACING: Micros = Micros::millis(60);
+/// Minimum time between two barriers.
+const MIN_BARRIER_INTERVAL: Micros = Micros::millis(60);
 
-/// Shortest time between two barriers for queries alone, which may wait for up to two seconds.
-const QUERY_SPACING: Micros = Micros::millis(180);
+/// Minimum time between two barriers that only queries need; queries may wait for up to two seconds.
+const MIN_QUERY_BARRIER_INTERVAL: Micros = Micros::millis(180);
 
-/// Pause after a barrier that failed.
+/// Delay after a failed barrier.
 const RETRY_DELAY: Micros = Micros::millis(250);
 
-/// A query that has waited for so long is read for even if that leaves no budget to other requests.
-const PATIENT_QUERY_WAIT: Micros = Micros::millis(700);
+/// Once a query has waited for this long, a barrier is sent for it even if that leaves no request budget for other
+/// requests.
+const FULL_BUDGET_QUERY_WAIT: Micros = Micros::millis(700);
 
-/// Who a barrier is requested for.
+/// What kind of requests a barrier is requested for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Urgency {
-    /// Queries alone.
+    /// Only queries.
     Queries,
-    /// At least one that changes something or holds work up.
+    /// At least one request that changes something or that delays work.
     Urgent,
 }
 
@@ -63,8 +64,8 @@
         self.in_flight = Some(id);
         self.requested = false;
         self.requested_for_queries = false;
-        self.next = now + SPACING;
-        self.next_for_queries = now + QUERY_SPACING;
+        self.next = now + MIN_BARRIER_INTERVAL;
+        self.next_for_queries = now + MIN_QUERY_BARRIER_INTERVAL;
     }
 
     fn urgency(&self) -> Option<Urgency> {
@@ -116,7 +117,7 @@
         self.replica.barrier.on_sent(id, now);
     }
 
-    /// Whether the replica is far behind and a watch that was sent then will bring all changes since.
+    /// Whether the replica is far behind and a watch in flight, sent when it already was, will return all changes since.
     fn is_catch_up_in_flight(&self) -> bool {
         let replica = &self.replica;
         let sent = replica.watch.sent();
@@ -124,18 +125,18 @@
             && sent.is_some_and(|sent| replica.is_far_behind(sent))
     }
 
-    /// Part of the request budget that a barrier leaves to other requests.
+    /// Fraction of the request budget that a barrier leaves to other requests.
     fn barrier_reserve(&self, urgency: Urgency) -> f64 {
         match urgency {
-            Urgency::Queries if self.are_queries_patient() => Self::QUERY_RESERVE,
+            Urgency::Queries if self.can_queries_wait() => Self::QUERY_RESERVE_FRACTION,
             _ => 0.0,
         }
     }
 
-    /// Whether no query has waited for long.
-    fn are_queries_patient(&self) -> bool {
+    /// Whether all queries can wait longer: none has waited for [`FULL_BUDGET_QUERY_WAIT`].
+    fn can_queries_wait(&self) -> bool {
         let oldest = self.users.oldest_pending_read(self.now.steady);
-        oldest.is_none_or(|waited| waited < PATIENT_QUERY_WAIT)
+        oldest.is_none_or(|waited| waited < FULL_BUDGET_QUERY_WAIT)
     }
 }
 
--- a/src/coordination/replication/barrier/tests.rs
+++ b/src/coordination/replication/barrier/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_barrier_for_queries_waits_longer_than_an_urgent_one() {
+fn barrier_for_queries_is_due_later_than_urgent_barrier() {
     let sent = Micros::secs(1);
     let mut barrier = ReadBarrier::default();
     assert_eq!(barrier.urgency(), None);
@@ -13,12 +13,15 @@
     assert_eq!(barrier.urgency(), Some(Urgency::Urgent));
     barrier.on_sent(CallId(7), sent);
     assert_eq!(barrier.urgency(), None);
-    assert_eq!(barrier.due(Urgency::Urgent), sent + SPACING);
-    assert_eq!(barrier.due(Urgency::Queries), sent + QUERY_SPACING);
+    assert_eq!(barrier.due(Urgency::Urgent), sent + MIN_BARRIER_INTERVAL);
+    assert_eq!(
+        barrier.due(Urgency::Queries),
+        sent + MIN_QUERY_BARRIER_INTERVAL
+    );
 }
 
 #[test]
-fn only_the_answer_to_the_barrier_in_flight_ends_it_and_a_failure_requests_another() {
+fn barrier_ends_only_with_its_own_response_and_is_retried_after_failure() {
     let mut barrier = ReadBarrier::default();
     barrier.on_sent(CallId(7), Micros::secs(1));
     barrier.on_answered(CallId(6));
--- a/src/coordination/replication/changes.rs
+++ b/src/coordination/replication/changes.rs
@@ -1,4 +1,4 @@
-//! Answers to watches and barriers: changes are applied, or the replica is listed again.
+//! Responses to watches and barriers: their changes are applied, or the replica is listed again.
 
 use super::Phase;
 use crate::coordination::{CallId, Controller};
@@ -8,9 +8,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadOutcome {
-    /// The answer brought changes, or showed that the replica is too old for any.
+    /// The response contained changes, or showed that the replica is too old to apply any.
     Handled,
-    /// There was no answer, or none to a read.
+    /// There was no response, or it was not one to a read.
     Failed,
 }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Applies an answer, or begins a new listing if the answer shows that the replica is too old.
+    /// Applies a response, or begins a new listing if the response shows that the replica is too old.
     fn on_changes(
         &mut self,
         id: CallId,
@@ -56,9 +56,9 @@
             Ok(StateResponse::Compacted) => {
                 self.list_again("changes are no longer in the state store");
             }
-            // A retry would only be larger: all changes come at once, however many there are.
+            // The response to a retry would be even larger: it contains all changes at once, however many there are.
             Err(CallError::ResponseTooLarge) => {
-                self.list_again("changes exceed the size of one answer");
+                self.list_again("changes exceed the size of one response");
             }
             other => {
                 tracing::debug!(?other, "read failed");
@@ -68,9 +68,9 @@
         ReadOutcome::Handled
     }
 
-    /// The replica can't be brought forward: it is listed again, with no leader term meanwhile.
+    /// The replica can't be brought up to date by changes: it is listed again, and this process leads no shard meanwhile.
     fn list_again(&mut self, reason: &'static str) {
-        // Several reads may have been in flight: the first answer has begun the listing.
+        // Several reads may have been in flight: the first response has already begun the listing.
         if !self.replica.is_listed() {
             return;
         }
@@ -92,9 +92,9 @@
         self.cell.apply(changes, &mut changes_seen);
         self.cell.advance(revision);
         if self.cell.is_format_unsupported(self.record_format) {
-            // Other controllers may raise the layout beyond this version while it runs.
+            // Other controllers may raise the record format beyond what this process supports while it runs.
             self.step_down_everywhere();
-            self.refuse_layout();
+            self.refuse_unknown_format();
             return;
         }
         let now = self.now.steady;
--- a/src/coordination/replication/listing.rs
+++ b/src/coordination/replication/listing.rs
@@ -1,4 +1,4 @@
-//! The listing of all records, in pages, that a replica begins with.
+//! The listing: reading all records in pages, which a replica begins with.
 
 use super::Phase;
 use crate::coordination::{Controller, Purpose};
@@ -6,22 +6,22 @@
 use crate::storage::cell_state::CellChanges;
 use crate::time::Micros;
 
-/// Pause after a page that failed.
+/// Delay after a page request that failed.
 const RETRY_DELAY: Micros = Micros::millis(300);
 
-/// Pause after records of an unknown layout.
-const UNKNOWN_LAYOUT_DELAY: Micros = Micros::secs(5);
+/// Delay after records of an unknown format were read.
+const UNKNOWN_FORMAT_DELAY: Micros = Micros::secs(5);
 
-/// Shortest time between two log lines on records of an unknown layout.
-const UNKNOWN_LAYOUT_LOG_SPACING: Micros = Micros::secs(60);
+/// Minimum time between two log lines about records of an unknown format.
+const UNKNOWN_FORMAT_LOG_INTERVAL: Micros = Micros::secs(60);
 
-/// When the next listing begins, and what the last one needs to be consistent.
+/// When the next listing begins, and which revision makes the last one consistent.
 #[derive(Debug, Default)]
 pub(super) struct Listing {
     next_attempt: Micros,
-    /// Revision of the newest page: until a read has reached it, the replica is inconsistent.
+    /// Revision of the newest page: the replica is inconsistent until a read has reached it.
     newest_page: u64,
-    unknown_layout_logged: Option<Micros>,
+    unknown_format_logged: Option<Micros>,
 }
 
 impl Listing {
@@ -30,13 +30,13 @@
         revision >= self.newest_page
     }
 
-    /// Whether it is time to log an unknown layout (again); notes that it is done now.
-    fn logs_unknown_layout(&mut self, now: Micros) -> bool {
+    /// Whether an unknown format should be logged now; if so, records that it was.
+    fn should_log_unknown_format(&mut self, now: Micros) -> bool {
         let logged_lately = self
-            .unknown_layout_logged
-            .is_some_and(|logged| now.since(logged) <= UNKNOWN_LAYOUT_LOG_SPACING);
+            .unknown_format_logged
+            .is_some_and(|logged| now.since(logged) <= UNKNOWN_FORMAT_LOG_INTERVAL);
         if !logged_lately {
-            self.unknown_layout_logged = Some(now);
+            self.unknown_format_logged = Some(now);
         }
         !logged_lately
     }
@@ -80,7 +80,7 @@
         let mut changes_seen = CellChanges::default();
         self.cell.apply(items, &mut changes_seen);
         if self.cell.is_format_unsupported(self.record_format) {
-            self.refuse_layout();
+            self.refuse_unknown_format();
             return;
         }
         let first = first.unwrap_or(revision);
@@ -88,7 +88,7 @@
             self.request_page(Some(first), next);
             return;
         }
-        // Later pages may be newer than the first: only the changes since the first make them consistent.
+        // Later pages may be newer than the first one: the changes since the first page are needed to make them consistent.
         self.cell.advance(first);
         self.replica.listing.newest_page = revision;
         self.replica.phase = Phase::Listed;
@@ -100,9 +100,13 @@
         self.replica.listing.next_attempt = self.now.steady + delay;
     }
 
-    /// Records of an unknown layout would be misread: they are left alone, and the node stays out of service.
-    pub(super) fn refuse_layout(&mut self) {
-        if self.replica.listing.logs_unknown_layout(self.now.steady) {
+    /// Records of an unknown format would be misread: they are left unchanged, and the node stays out of service.
+    pub(super) fn refuse_unknown_format(&mut self) {
+        if self
+            .replica
+            .listing
+            .should_log_unknown_format(self.now.steady)
+        {
             let found = self
                 .cell
                 .meta
@@ -110,8 +114,12 @@
                 .as_ref()
                 .map_or(0, |meta| meta.record_format);
             let understood = self.record_format;
-            tracing::error!(found, understood, "record layout unknown, not in service");
+            tracing::error!(
+                found,
+                understood,
+                "record format unknown, node not in service"
+            );
         }
-        self.restart_listing(UNKNOWN_LAYOUT_DELAY);
+        self.restart_listing(UNKNOWN_FORMAT_DELAY);
     }
 }
--- a/src/coordination/replication/mod.rs
+++ b/src/coordination/replication/mod.rs
@@ -1,4 +1,4 @@
-//! The replica of the cell state: listed in pages once, then kept current by a watch and by read barriers.
+//! The replica of the cell state: read once in pages (a listing), then kept current by a watch and by read barriers.
 
 mod barrier;
 mod changes;
@@ -11,14 +11,14 @@
 use listing::Listing;
 use watch::Watch;
 
-/// From this age of the last contact on, an answer with all changes since may be large. Longer than a watch that is
-/// answered in its time can make contact look.
-const FAR_BEHIND: Micros = Micros::secs(4);
+/// If the last contact is older than this, a response with all changes since then may be large. The age stays below this
+/// while watches are answered in time.
+const FAR_BEHIND_CONTACT_AGE: Micros = Micros::secs(4);
 
-/// A read that was answered within this time makes the replica fresh.
+/// The replica is fresh if a read was answered within this time.
 const FRESH_PERIOD: Micros = Micros::millis(8);
 
-/// How far the replica has come, and the reads that bring it forward.
+/// How current the replica is, and the reads that keep it current.
 #[derive(Debug, Default)]
 pub struct Replica {
     phase: Phase,
@@ -30,7 +30,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Phase {
-    /// A listing is to begin.
+    /// A listing has to begin.
     #[default]
     Empty,
     /// Pages are being read.
@@ -41,16 +41,16 @@
     Ready,
 }
 
-/// What the reads that were applied prove.
+/// What is known from the reads that were applied.
 #[derive(Debug, Default)]
 struct ReadProgress {
     /// When the last completed read was sent.
     contact: Micros,
-    /// The contact before the last applied read: what that read brought happened after it.
+    /// The contact before the last applied read: the changes in that read happened after it.
     previous_contact: Micros,
     /// When a read was last answered.
     answered: Micros,
-    /// Every read up to this call has been answered, or a later one has.
+    /// The latest call whose read was applied.
     newest_call: u64,
 }
 
@@ -69,12 +69,12 @@
         self.phase == Phase::Ready
     }
 
-    /// When the last completed read was sent, on the steady clock.
+    /// When the last completed read was sent, in monotonic time.
     pub fn last_contact(&self) -> Micros {
         self.progress.contact
     }
 
-    /// What the last applied read brought happened after this time.
+    /// The changes in the last applied read happened after this time.
     pub fn previous_contact(&self) -> Micros {
         self.progress.previous_contact
     }
@@ -84,14 +84,14 @@
         self.barrier.request();
     }
 
-    /// Requests a read that begins now or later, for queries alone: it may wait a little for others to share it, or for
-    /// the watch.
+    /// Requests a read that begins now or later and is needed by queries alone: it may wait a little so that more queries
+    /// share it, or until the watch is answered.
     pub fn request_read(&mut self) {
         self.barrier.request_for_queries();
     }
 
-    /// Whether the replica is as new as can be: a watch is in flight, which would have brought anything that changed
-    /// since it was sent, or a read was answered just now.
+    /// Whether the replica is as current as possible: a watch has been in flight for a while and would have returned any
+    /// change since it was sent, or a read has just been answered.
     pub fn is_fresh(&self, now: Micros) -> bool {
         let watched = |sent| now.since(sent) >= FRESH_PERIOD;
         self.watch.sent().is_some_and(watched) || now.since(self.progress.answered) < FRESH_PERIOD
@@ -107,10 +107,10 @@
         matches!(self.phase, Phase::Listed | Phase::Ready)
     }
 
-    /// Whether the replica was so far behind at a time that an answer with all changes since may be large. Then there is
-    /// one read at a time, for each would bring the same.
+    /// Whether the replica was so far behind at a time that a response with all changes since then may be large. Then only
+    /// one read is in flight at a time, because each would return the same changes.
     fn is_far_behind(&self, at: Micros) -> bool {
-        self.is_ready() && at.since(self.progress.contact) > FAR_BEHIND
+        self.is_ready() && at.since(self.progress.contact) > FAR_BEHIND_CONTACT_AGE
     }
 }
 
--- a/src/coordination/replication/watch.rs
+++ b/src/coordination/replication/watch.rs
@@ -1,20 +1,21 @@
-//! The watch: a read that the state store answers once something changes, or when its wait is over.
+//! The watch: a read that the state store answers once something changes or the read's wait time is over.
 
 use crate::coordination::{Controller, Purpose};
 use crate::protocol::state::StateRequest;
 use crate::time::Micros;
 
-/// Shortest time between an answer and the next watch. Otherwise each single change would cost a request.
-const SPACING: Micros = Micros::millis(90);
+/// Time between a response and the next watch. Without it, every single change would cost a request.
+const WATCH_DELAY: Micros = Micros::millis(90);
 
-/// Pause after a watch that failed.
+/// Delay after a failed watch.
 const RETRY_DELAY: Micros = Micros::millis(250);
 
-/// How long the state store holds a watch. Short enough that contact never looks old while nothing changes.
-const WAIT: Micros = Micros::millis(2_000);
+/// Maximum time that the state store waits for a change. It is short enough that the last contact does not look old while
+/// nothing changes.
+const MAX_WAIT: Micros = Micros::millis(2_000);
 
-/// Part of the request budget that a watch leaves to other requests.
-const RESERVE: f64 = 0.1;
+/// Fraction of the request budget that a watch leaves to other requests.
+const RESERVE_FRACTION: f64 = 0.1;
 
 /// The watch in flight, or when the next one is due.
 #[derive(Debug, Default)]
@@ -35,7 +36,7 @@
 
     pub(super) fn on_answered(&mut self, now: Micros) {
         self.sent = None;
-        self.next = now + SPACING;
+        self.next = now + WATCH_DELAY;
     }
 
     pub(super) fn on_failed(&mut self, now: Micros) {
@@ -56,12 +57,12 @@
             self.wake_at(watch.next);
             return;
         }
-        if let Err(affordable_at) = self.budget.spend(now, 0, RESERVE) {
+        if let Err(affordable_at) = self.budget.spend(now, 0, RESERVE_FRACTION) {
             self.wake_at(affordable_at);
             return;
         }
         let wait = if self.replica.is_ready() && !far_behind {
-            WAIT
+            MAX_WAIT
         } else {
             Micros::ZERO
         };
--- a/src/coordination/throughput.rs
+++ b/src/coordination/throughput.rs
@@ -36,7 +36,7 @@
 
 impl Throughput {
     /// Counts a job that has ended, unless it was cancelled or its outcome is unknown.
-    pub fn note(&mut self, ended: &EndedJob) {
+    pub fn record_ended(&mut self, ended: &EndedJob) {
         if ended.how.is_some_and(|outcome| !outcome.cancelled) {
             for owner in Owner::of_job(&ended.job_class, &ended.team) {
                 self.0.entry(owner).or_default().jobs_done += 1;
@@ -46,12 +46,13 @@
 }
 
 impl Controller {
-    /// Logs the throughput of each class and team, and which of them are due room ahead of the order.
+    /// Logs the throughput of each class and team, and which of them get resources ahead of the usual order because of a
+    /// fair share deficit.
     pub(super) fn log_throughput(&mut self) {
         if !self.leads(0) {
             return;
         }
-        for (Owner { kind, name }, counts) in self.throughput() {
+        for (Owner { kind, name }, counts) in self.current_throughput() {
             tracing::info!(
                 kind,
                 name,
@@ -66,9 +67,9 @@
         }
     }
 
-    /// EndedJob jobs, and the tasks that are assigned and pending now.
-    fn throughput(&self) -> BTreeMap<Owner, Counts> {
-        let mut throughput = self.served.0.clone();
+    /// The jobs that have ended, and the tasks that are assigned and pending now.
+    fn current_throughput(&self) -> BTreeMap<Owner, Counts> {
+        let mut throughput = self.throughput.0.clone();
         for (id, job) in &self.cell.jobs {
             let spec = job.spec();
             let assigned = u64::from(self.cell.assigned_count(*id));
