--- a/src/coordination/api/connections/mod.rs
+++ b/src/coordination/api/connections/mod.rs
@@ -100,7 +100,7 @@
     class: Option<Class>,
     opened: Micros,
     /// When the last response was sent.
-    answered: Option<Micros>,
+    last_response: Option<Micros>,
     /// How long the connection was idle before its latest request.
     idle: Micros,
     /// A request is being served.
@@ -112,7 +112,7 @@
         Connection {
             class: None,
             opened,
-            answered: None,
+            last_response: None,
             idle: Micros::ZERO,
             busy: false,
         }
@@ -122,14 +122,14 @@
     fn on_request(&mut self, now: Micros, class: Class) -> Option<Class> {
         // A new connection has sent no response yet: it counts as having been idle forever.
         self.idle = self
-            .answered
+            .last_response
             .map_or(Micros::FOREVER, |answered| now.since(answered));
         self.busy = true;
         self.class.replace(class)
     }
 
     fn on_response(&mut self, now: Micros) {
-        self.answered = Some(now);
+        self.last_response = Some(now);
         self.busy = false;
     }
 }
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -95,9 +95,9 @@
         &mut self,
         call: CallId,
         id: JobId,
-        why: Cow<'static, str>,
+        reason: Cow<'static, str>,
     ) {
-        self.admit(call, id, RequestKind::Refuse(UserResponse::Invalid(why)));
+        self.admit(call, id, RequestKind::Refuse(UserResponse::Invalid(reason)));
     }
 
     pub(super) fn on_user(&mut self, call: CallId, request: UserRequest) {
@@ -143,8 +143,8 @@
         };
         match self.validate(spec) {
             Err(Rejection::RetryAfter) => self.respond(&request, Self::RETRY_AFTER),
-            Err(Rejection::Never(why)) => {
-                request.kind = RequestKind::Refuse(UserResponse::Unsatisfiable(why.into()));
+            Err(Rejection::Unsatisfiable(reason)) => {
+                request.kind = RequestKind::Refuse(UserResponse::Unsatisfiable(reason.into()));
                 self.await_read(request);
             }
             Ok(()) if spec.dependencies.is_empty() => self.users.push_submission(request),
@@ -159,13 +159,13 @@
     /// Checks whether the settings, the catalog and the placement rules allow a job to run.
     fn validate(&self, spec: &JobSpec) -> Result<(), Rejection> {
         if self.settings.team(&spec.team).is_none() {
-            return Err(Rejection::Never("unknown team".to_owned()));
+            return Err(Rejection::Unsatisfiable("unknown team".to_owned()));
         }
         if self.cell.types.value.is_none() || self.cell.shards() == 0 {
             return Err(Rejection::RetryAfter);
         }
-        if let Some(why) = self.unsatisfiable_reason(spec) {
-            return Err(Rejection::Never(why.to_owned()));
+        if let Some(reason) = self.unsatisfiable_reason(spec) {
+            return Err(Rejection::Unsatisfiable(reason.to_owned()));
         }
         self.rejection(spec).map_or(Ok(()), Err)
     }
--- a/src/coordination/api/reads.rs
+++ b/src/coordination/api/reads.rs
@@ -15,7 +15,7 @@
     /// It is unknown whether this job was ever accepted.
     Missing(JobId),
     /// The job can never run.
-    Never(&'static str),
+    Unsatisfiable(&'static str),
 }
 
 impl Controller {
@@ -33,8 +33,8 @@
             return self.respond(&request, Self::RETRY_AFTER);
         }
         match self.find_dependencies(request.job, spec, after_read) {
-            DependencyCheck::Never(why) => {
-                request.kind = RequestKind::Refuse(UserResponse::Unsatisfiable(why.into()));
+            DependencyCheck::Unsatisfiable(reason) => {
+                request.kind = RequestKind::Refuse(UserResponse::Unsatisfiable(reason.into()));
                 self.await_read(request);
             }
             DependencyCheck::Accepted => self.users.push_submission(request),
@@ -51,8 +51,8 @@
                 // A dependency that makes the job impossible takes precedence over an unknown one; among several of the
                 // same kind, the last one is reported.
                 (check, DependencyCheck::Accepted) => check,
-                (DependencyCheck::Never(why), DependencyCheck::Missing(_)) => {
-                    DependencyCheck::Never(why)
+                (DependencyCheck::Unsatisfiable(reason), DependencyCheck::Missing(_)) => {
+                    DependencyCheck::Unsatisfiable(reason)
                 }
                 (_, found) => found,
             };
@@ -62,16 +62,16 @@
 
     fn find_dependency(&self, id: JobId, dependency: JobId, after_read: bool) -> DependencyCheck {
         if dependency == id {
-            return DependencyCheck::Never("it awaits itself");
+            return DependencyCheck::Unsatisfiable("it awaits itself");
         }
         match self.cell.jobs.get(&dependency) {
             Some(job) if job.spec().service => {
-                DependencyCheck::Never("it awaits a job that does not end by itself")
+                DependencyCheck::Unsatisfiable("it awaits a job that does not end by itself")
             }
             Some(_) => DependencyCheck::Accepted,
             None if self.users.end_of(dependency).is_some() => DependencyCheck::Accepted,
             None if after_read && self.users.is_absent(dependency) => {
-                DependencyCheck::Never("it awaits an unknown job")
+                DependencyCheck::Unsatisfiable("it awaits an unknown job")
             }
             None => DependencyCheck::Missing(dependency),
         }
@@ -82,7 +82,7 @@
         request.read_after = self.next_call - 1;
         // Queries wait for a read that serves many of them.
         if request.is_query() {
-            self.replica.request_read();
+            self.replica.request_barrier_for_queries();
         } else {
             self.replica.request_barrier();
         }
@@ -90,7 +90,7 @@
     }
 
     /// Continues the requests whose read has completed.
-    pub(in crate::coordination) fn on_users_read_completed(&mut self) {
+    pub(in crate::coordination) fn resume_pending_reads(&mut self) {
         if !self.users.has_reads() {
             return;
         }
@@ -101,7 +101,7 @@
         if self.users.has_urgent_reads() {
             self.replica.request_barrier();
         } else if self.users.has_reads() {
-            self.replica.request_read();
+            self.replica.request_barrier_for_queries();
         }
         for request in ready {
             if self.cell.jobs.contains_key(&request.job) {
@@ -198,7 +198,7 @@
     }
 
     /// A read has failed: the users of all requests that wait for a read have to retry.
-    pub(in crate::coordination) fn on_users_read_failed(&mut self) {
+    pub(in crate::coordination) fn fail_pending_reads(&mut self) {
         for request in self.users.take_reads(|_| true) {
             self.respond(&request, Self::RETRY_AFTER);
         }
--- a/src/coordination/calls.rs
+++ b/src/coordination/calls.rs
@@ -108,8 +108,8 @@
             return;
         };
         match &result {
-            Err(CallError::RateLimited) => self.on_state_throttled(),
-            Err(CallError::Rejected) => self.on_state_refused(&call),
+            Err(CallError::RateLimited) => self.on_state_rate_limited(),
+            Err(CallError::Rejected) => self.on_state_rejected(&call),
             _ => {}
         }
         self.route_state_reply(id, call, result);
@@ -144,7 +144,7 @@
     }
 
     /// The state store refused a request because of its rate.
-    fn on_state_throttled(&mut self) {
+    fn on_state_rate_limited(&mut self) {
         self.counters.refused += 1;
         self.budget.on_refused(self.now.steady);
         if self.limits.on_throttled(self.now.steady) {
@@ -154,7 +154,7 @@
 
     /// The state store refused a request as invalid. If it was a transaction, the store's limits may be lower than
     /// expected.
-    fn on_state_refused(&mut self, call: &Call) {
+    fn on_state_rejected(&mut self, call: &Call) {
         let TransactionSize {
             changes,
             largest_value,
--- a/src/coordination/constraints/admission.rs
+++ b/src/coordination/constraints/admission.rs
@@ -7,7 +7,7 @@
 /// Why rules prevent a submission from being accepted.
 pub(in crate::coordination) enum Rejection {
     /// The job can never run; the message for the user.
-    Never(String),
+    Unsatisfiable(String),
     /// Some controller would not enforce the job's rules yet.
     RetryAfter,
 }
@@ -29,7 +29,7 @@
             return Some(Rejection::RetryAfter);
         }
         has_own_rules.then(|| {
-            Rejection::Never(
+            Rejection::Unsatisfiable(
                 "rules: none are taken here, operators have not turned them on".to_owned(),
             )
         })
@@ -43,7 +43,7 @@
             let checks: Vec<_> = sets.iter().map(|set| rule.check(&set.vocabulary)).collect();
             let all_fail = checks.iter().all(Result::is_err);
             let first_error = checks.into_iter().next()?.err()?;
-            all_fail.then(|| Rejection::Never(format!("rules: {first_error}")))
+            all_fail.then(|| Rejection::Unsatisfiable(format!("rules: {first_error}")))
         })
     }
 
@@ -53,7 +53,7 @@
         let catalog = self.cell.types.value.as_ref()?;
         let constraints = JobConstraints::of(spec, sets, self.rules.jobs.traits())?;
         let conflicting = clash(spec, &constraints, sets, &self.cell.classes, catalog)?;
-        Some(Rejection::Never(format!(
+        Some(Rejection::Unsatisfiable(format!(
             "rules: no machine that could be had meets all of: {}",
             conflicting.join(", ")
         )))
--- a/src/coordination/leadership/shard_claims.rs
+++ b/src/coordination/leadership/shard_claims.rs
@@ -21,10 +21,11 @@
 /// Maximum wait for the other controllers if no shard has ever had a leader.
 const FIRST_START_WAIT: Micros = Micros::secs(2);
 
-/// Time after its start in which a controller claims no more than its even share while other controllers are missing.
+/// For this time after its replica is first ready, a controller claims no more than its even share while other
+/// controllers are missing.
 const EVEN_SHARE_PERIOD: Micros = Micros::millis(400);
 
-/// Time after its start in which a controller takes no shards from live leaders.
+/// For this time after its replica is first ready, a controller claims no shards from live leaders.
 const REBALANCE_DELAY: Micros = Micros::secs(2);
 
 /// Minimum time between two claims of shards that have live leaders.
@@ -231,7 +232,7 @@
         if self.are_others_starting() {
             return self.claim_even_share(distribution);
         }
-        self.claim_without_leader(&mut distribution)
+        self.claim_shards_without_leader(&mut distribution)
             .or_else(|| self.claim_for_rebalance(&distribution))
     }
 
@@ -289,7 +290,10 @@
     }
 
     /// Claims the shards without a live leader that an even distribution assigns to this controller.
-    fn claim_without_leader(&self, distribution: &mut ShardDistribution) -> Option<ShardClaim> {
+    fn claim_shards_without_leader(
+        &self,
+        distribution: &mut ShardDistribution,
+    ) -> Option<ShardClaim> {
         let mut shards = Vec::new();
         for shard in std::mem::take(&mut distribution.without_leader) {
             let Some(controller) = distribution.add_to_least_loaded() else {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -176,24 +176,24 @@
             }
             Event::Heartbeat(call, heartbeat) => {
                 self.connectivity.on_agent_contact(self.now.steady);
-                let answer = self.on_heartbeat(&heartbeat);
-                self.effects.push(Effect::Heartbeat(call, answer));
+                let response = self.on_heartbeat(&heartbeat);
+                self.effects.push(Effect::Heartbeat(call, response));
             }
             Event::State(call, result) => self.on_state(call, result),
             Event::Cloud(call, result) => self.on_cloud(call, result),
-            Event::PushCommand(call, answer) => self.on_agent_response(call, answer),
+            Event::PushCommand(call, response) => self.on_agent_response(call, response),
             Event::Peer(hint) => self.on_hint(hint),
         }
     }
 
     /// An agent responded to a pushed command or a probe, or no response arrived in time.
-    fn on_agent_response(&mut self, call: CallId, answer: Option<(bool, Heartbeat)>) {
-        if answer.is_some() {
+    fn on_agent_response(&mut self, call: CallId, response: Option<(bool, Heartbeat)>) {
+        if response.is_some() {
             self.connectivity.on_agent_contact(self.now.steady);
         }
         match self.calls.remove(&call).map(|call| call.purpose) {
-            Some(Purpose::PushCommand(machine)) => self.on_pushed_command(call, machine, answer),
-            Some(Purpose::Probe) => self.on_probe_answer(answer.is_some()),
+            Some(Purpose::PushCommand(machine)) => self.on_pushed_command(call, machine, response),
+            Some(Purpose::Probe) => self.on_probe_answer(response.is_some()),
             _ => {}
         }
     }
--- a/src/coordination/replication/changes.rs
+++ b/src/coordination/replication/changes.rs
@@ -38,7 +38,7 @@
         self.replica.barrier.on_answered(id);
         if self.on_changes(id, sent, result) == ReadOutcome::Failed {
             self.replica.barrier.on_failed(now);
-            self.on_users_read_failed();
+            self.fail_pending_reads();
         }
     }
 
@@ -109,7 +109,7 @@
         self.on_cell_changed(&changes_seen);
         let newest_call = self.replica.progress.newest_call;
         self.rounds.on_read(revision, newest_call);
-        self.on_users_read_completed();
+        self.resume_pending_reads();
     }
 
     /// The replica is complete and consistent: everything in it counts as changed.
--- a/src/coordination/replication/listing.rs
+++ b/src/coordination/replication/listing.rs
@@ -20,14 +20,14 @@
 pub(super) struct Listing {
     next_attempt: Micros,
     /// Revision of the newest page: the replica is inconsistent until a read has reached it.
-    newest_page: u64,
+    newest_page_revision: u64,
     unknown_format_logged: Option<Micros>,
 }
 
 impl Listing {
     /// Whether changes up to this revision make the pages consistent.
     pub(super) fn is_consistent_at(&self, revision: u64) -> bool {
-        revision >= self.newest_page
+        revision >= self.newest_page_revision
     }
 
     /// Whether an unknown format should be logged now; if so, records that it was.
@@ -90,7 +90,7 @@
         }
         // Later pages may be newer than the first one: the changes since the first page are needed to make them consistent.
         self.cell.advance(first);
-        self.replica.listing.newest_page = revision;
+        self.replica.listing.newest_page_revision = revision;
         self.replica.phase = Phase::Listed;
         self.replica.watch.schedule(self.now.steady);
     }
--- a/src/coordination/replication/mod.rs
+++ b/src/coordination/replication/mod.rs
@@ -45,7 +45,7 @@
 #[derive(Debug, Default)]
 struct ReadProgress {
     /// When the last completed read was sent.
-    contact: Micros,
+    last_contact: Micros,
     /// The contact before the last applied read: the changes in that read happened after it.
     previous_contact: Micros,
     /// When a read was last answered.
@@ -56,8 +56,8 @@
 
 impl ReadProgress {
     fn on_read(&mut self, id: CallId, sent: Micros, now: Micros) {
-        self.previous_contact = self.contact;
-        self.contact = self.contact.max(sent);
+        self.previous_contact = self.last_contact;
+        self.last_contact = self.last_contact.max(sent);
         self.answered = now;
         self.newest_call = self.newest_call.max(id.0);
     }
@@ -71,7 +71,7 @@
 
     /// When the last completed read was sent, in monotonic time.
     pub fn last_contact(&self) -> Micros {
-        self.progress.contact
+        self.progress.last_contact
     }
 
     /// The changes in the last applied read happened after this time.
@@ -86,7 +86,7 @@
 
     /// Requests a read that begins now or later and is needed by queries alone: it may wait a little so that more queries
     /// share it, or until the watch is answered.
-    pub fn request_read(&mut self) {
+    pub fn request_barrier_for_queries(&mut self) {
         self.barrier.request_for_queries();
     }
 
@@ -110,7 +110,7 @@
     /// Whether the replica was so far behind at a time that a response with all changes since then may be large. Then only
     /// one read is in flight at a time, because each would return the same changes.
     fn is_far_behind(&self, at: Micros) -> bool {
-        self.is_ready() && at.since(self.progress.contact) > FAR_BEHIND_CONTACT_AGE
+        self.is_ready() && at.since(self.progress.last_contact) > FAR_BEHIND_CONTACT_AGE
     }
 }
 
