--- a/src/coordination/api/connections/mod.rs
+++ b/src/coordination/api/connections/mod.rs
@@ -269,8 +269,8 @@
     }
 
     /// Decides whether a request is served. Heartbeats and health checks are answered at once, so none is rejected.
-    /// Users' requests may have to wait for the state store, so their number is limited: the limit is highest for
-    /// cancellations and lowest for queries.
+    /// Users' requests may have to wait for the state store, so their number is limited. The limit is higher for requests
+    /// that protect more: it is highest for cancellations and lowest for queries.
     fn decide(&mut self, request: Request) -> Verdict {
         let max_requests = self.user_request_limit();
         let (limit, rejected) = match request {
--- a/src/coordination/api/connections/usage.rs
+++ b/src/coordination/api/connections/usage.rs
@@ -30,9 +30,9 @@
         self.open -= 1;
     }
 
-    /// Updates whether connections of the class are closed: from `limit` connections on, until three quarters of it are
-    /// left, because otherwise closing would start again at once. While the sockets are full, connections are closed
-    /// until only the guaranteed number is left.
+    /// Updates whether connections of the class are closed. Closing starts above `limit` connections and goes on until
+    /// three quarters of it are left, because otherwise it would start again at once. While the sockets are full,
+    /// connections are closed until only the guaranteed number is left.
     pub(super) fn update_shedding(&mut self, limit: usize, guaranteed: usize, full: bool) {
         let limit = if self.shedding { limit * 3 / 4 } else { limit };
         self.shedding = self.open > limit || full && self.open > guaranteed;
--- a/src/coordination/api/dependencies.rs
+++ b/src/coordination/api/dependencies.rs
@@ -17,7 +17,7 @@
 }
 
 impl DependencyLookups {
-    /// Time after which a lookup without a response is repeated.
+    /// Time after which a lookup without an outcome is repeated.
     const TIMEOUT: Micros = Micros::secs(2);
     /// Time after which a final record that did not exist yet is read again.
     const RETRY_DELAY: Micros = Micros::millis(400);
