--- a/src/coordination/constraints/declaration.rs
+++ b/src/coordination/constraints/declaration.rs
@@ -34,7 +34,7 @@
     }
 
     /// Whether a controller has been seen, and did not use this rule set when it was last seen.
-    fn was_last_seen_without(&self, controller: &str, digest: u64) -> bool {
+    fn last_seen_without(&self, controller: &str, digest: u64) -> bool {
         self.by_controller
             .get(controller)
             .is_some_and(|used| *used != Some(digest))
@@ -134,10 +134,8 @@
 
     fn is_unused(&self, digest: u64) -> bool {
         let others = self.settings.others.iter().map(|other| &other.node);
-        others.chain([&self.settings.node]).all(|controller| {
-            self.rules
-                .declaration
-                .was_last_seen_without(controller, digest)
-        })
+        others
+            .chain([&self.settings.node])
+            .all(|controller| self.rules.declaration.last_seen_without(controller, digest))
     }
 }
