--- a/src/coordination/api/reads.rs
+++ b/src/coordination/api/reads.rs
@@ -12,29 +12,29 @@
 enum DependencyCheck {
     /// All of them were accepted.
     Accepted,
-    /// It is unknown whether this one ever was.
+    /// It is unknown whether this job was ever accepted.
     Missing(JobId),
     /// The job can never run.
-    Never(&'static str),
+    Unsatisfiable(&'static str),
 }
 
 impl Controller {
-    /// Decides on the submission of a job that depends on others: all of them must have been accepted, and end by
-    /// themselves. A job that was accepted is live or has ended, and a job goes from live to ended and never back: to
-    /// look for it in this order after a read misses none.
+    /// Decides on the submission of a job that depends on others: all of them must have been accepted, and must be jobs
+    /// that end by themselves. An accepted job is live or has ended, and an ended job never becomes live again. So a check
+    /// after a read that looks first for a live job and then for an ended one finds every accepted job.
     ///
-    /// `after_read` says whether a read has completed since the request arrived.
+    /// `after_read`: whether a read has completed since the request arrived.
     pub(super) fn check_dependencies(&mut self, mut request: PendingRequest, after_read: bool) {
         let RequestKind::Submit(spec) = &request.kind else {
             return;
         };
         if !self.replica.is_ready() {
-            // While the replica is read anew, jobs that it does not show may be live.
+            // While the replica is listed again, jobs that it does not show may be live.
             return self.respond(&request, Self::RETRY_AFTER);
         }
         match self.find_dependencies(request.job, spec, after_read) {
-            DependencyCheck::Never(why) => {
-                request.kind = RequestKind::Refuse(UserResponse::Unsatisfiable(why.into()));
+            DependencyCheck::Unsatisfiable(reason) => {
+                request.kind = RequestKind::Refuse(UserResponse::Unsatisfiable(reason.into()));
                 self.await_read(request);
             }
             DependencyCheck::Accepted => self.users.push_submission(request),
@@ -48,10 +48,11 @@
         for dependency in &spec.dependencies {
             let found = self.find_dependency(id, *dependency, after_read);
             check = match (check, found) {
-                // What makes the job impossible counts more than what is unknown; of either the last one is named.
+                // A dependency that makes the job impossible takes precedence over an unknown one; among several of the
+                // same kind, the last one is reported.
                 (check, DependencyCheck::Accepted) => check,
-                (DependencyCheck::Never(why), DependencyCheck::Missing(_)) => {
-                    DependencyCheck::Never(why)
+                (DependencyCheck::Unsatisfiable(reason), DependencyCheck::Missing(_)) => {
+                    DependencyCheck::Unsatisfiable(reason)
                 }
                 (_, found) => found,
             };
@@ -61,16 +62,16 @@
 
     fn find_dependency(&self, id: JobId, dependency: JobId, after_read: bool) -> DependencyCheck {
         if dependency == id {
-            return DependencyCheck::Never("it awaits itself");
+            return DependencyCheck::Unsatisfiable("it awaits itself");
         }
         match self.cell.jobs.get(&dependency) {
             Some(job) if job.spec().service => {
-                DependencyCheck::Never("it awaits a job that does not end by itself")
+                DependencyCheck::Unsatisfiable("it awaits a job that does not end by itself")
             }
             Some(_) => DependencyCheck::Accepted,
             None if self.users.end_of(dependency).is_some() => DependencyCheck::Accepted,
             None if after_read && self.users.is_absent(dependency) => {
-                DependencyCheck::Never("it awaits an unknown job")
+                DependencyCheck::Unsatisfiable("it awaits an unknown job")
             }
             None => DependencyCheck::Missing(dependency),
         }
@@ -81,7 +82,7 @@
         request.read_after = self.next_call - 1;
         // Queries wait for a read that serves many of them.
         if request.is_query() {
-            self.replica.request_read();
+            self.replica.request_barrier_for_queries();
         } else {
             self.replica.request_barrier();
         }
@@ -89,7 +90,7 @@
     }
 
     /// Continues the requests whose read has completed.
-    pub(in crate::coordination) fn on_users_read_completed(&mut self) {
+    pub(in crate::coordination) fn resume_pending_reads(&mut self) {
         if !self.users.has_reads() {
             return;
         }
@@ -100,7 +101,7 @@
         if self.users.has_urgent_reads() {
             self.replica.request_barrier();
         } else if self.users.has_reads() {
-            self.replica.request_read();
+            self.replica.request_barrier_for_queries();
         }
         for request in ready {
             if self.cell.jobs.contains_key(&request.job) {
@@ -118,7 +119,7 @@
             Some(status) if !is_cancellation || status.status == JobStatus::Cancelled => {
                 self.respond(&request, UserResponse::Status(status));
             }
-            // A job can be cancelled whatever became of the jobs that it depends on.
+            // A job can be cancelled whatever the state of the jobs that it depends on.
             _ if is_cancellation => self.users.push_cancellation(request),
             _ => self.await_read(request),
         }
@@ -135,7 +136,7 @@
             self.resolve_absent(request);
         } else if request.is_query() && self.users.final_lookup_count() >= self.final_lookup_limit()
         {
-            // Queries for jobs that never existed must not use up the requests of others.
+            // Queries for jobs that never existed must not use up the requests that others need.
             self.respond(&request, Self::RETRY_AFTER);
         } else {
             let job = request.job;
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Continues a request that has waited for the final record of `job`: its own job, or one that this depends on.
+    /// Continues a request that has waited for the final record of `job`: its own job, or a job that this one depends on.
     pub(in crate::coordination) fn on_final_lookup(
         &mut self,
         request: PendingRequest,
@@ -196,8 +197,8 @@
         }
     }
 
-    /// A read has failed: the users of all requests that wait for one have to retry.
-    pub(in crate::coordination) fn on_users_read_failed(&mut self) {
+    /// A read has failed: the users of all requests that wait for a read have to retry.
+    pub(in crate::coordination) fn fail_pending_reads(&mut self) {
         for request in self.users.take_reads(|_| true) {
             self.respond(&request, Self::RETRY_AFTER);
         }
