--- a/crates/emulator/src/addresses.rs
+++ b/crates/emulator/src/addresses.rs
@@ -1,14 +1,14 @@
-//! Who listens where: every party has an address of its own in the loopback range.
+//! Addresses of the parties: each has its own address in the loopback range.
 
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 use thiserror::Error;
 
-/// Machines that a region can address.
+/// Number of machines that can be addressed in a region.
 const MAX_MACHINES_PER_REGION: u64 = 190 * 250;
-/// Ports that are tried, below those that the system gives out by itself.
+/// Ports that are tried. They lie below the ephemeral ports that the system assigns.
 const PORT_RANGE: std::ops::Range<u16> = 21_000..29_000;
 
-/// No port was free for a run.
+/// No port is free for a run.
 #[derive(Debug, Error)]
 #[error("no free port between {} and {}", PORT_RANGE.start, PORT_RANGE.end)]
 pub struct NoFreePort;
@@ -20,11 +20,11 @@
 }
 
 impl Addresses {
-    /// Finds a port that is free at the address where the first region's state service will listen; `seed` says where to begin.
+    /// Finds a port that is free at the address of the first region's state service. `seed` determines which port is tried first.
     ///
     /// # Errors
     ///
-    /// [`NoFreePort`] if none is.
+    /// [`NoFreePort`] if no port is free.
     pub fn find(seed: u64) -> Result<Addresses, NoFreePort> {
         let span = u64::from(PORT_RANGE.end - PORT_RANGE.start) / 2;
         let candidates =
@@ -39,27 +39,27 @@
         SocketAddrV4::new(Ipv4Addr::new(127, 10 + region as u8, third, fourth), port)
     }
 
-    /// Where a controller takes users, workers and health checks.
+    /// Address at which a controller serves users, workers and health checks.
     pub fn controller(&self, region: usize, node: usize) -> SocketAddrV4 {
         Self::at(region, 0, node as u8 + 1, self.port)
     }
 
-    /// Where a controller takes its peers.
+    /// Address at which a controller serves its peers.
     pub fn peer(&self, region: usize, node: usize) -> SocketAddrV4 {
         Self::at(region, 0, node as u8 + 1, self.port + 1)
     }
 
-    /// A region's state service.
+    /// Address of a region's state service.
     pub fn state(&self, region: usize) -> SocketAddrV4 {
         Self::at(region, 1, 1, self.port)
     }
 
-    /// A region's cloud interface.
+    /// Address of a region's cloud interface.
     pub fn cloud(&self, region: usize) -> SocketAddrV4 {
         Self::at(region, 1, 2, self.port)
     }
 
-    /// A machine's worker; `None` beyond what a region can address.
+    /// Address of a machine's worker; `None` if the machine's number is beyond the address range of the region.
     pub fn worker(&self, region: usize, machine: u64) -> Option<SocketAddrV4> {
         let (third, fourth) = (64 + machine / 250, machine % 250 + 1);
         (machine < MAX_MACHINES_PER_REGION)
--- a/crates/emulator/src/capacity.rs
+++ b/crates/emulator/src/capacity.rs
@@ -1,4 +1,4 @@
-//! The machine-readable part of `docs/CAPACITY.md`: sizes, slopes and budgets, and the tables that are made from them.
+//! The data of `docs/CAPACITY.md`: sizes, slopes and budgets, and the tables that are made from them.
 
 use crate::scenario::Malformed;
 use serde::{Deserialize, Serialize};
@@ -6,10 +6,10 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// What the slopes' file is called beside the capacity file.
+/// Name of the slopes file, which is in the folder of the capacity file.
 const SLOPES_FILE: &str = "slopes.toml";
 
-/// Why the page's data cannot be used: one line.
+/// Why the capacity page cannot be made. The message is one line.
 #[derive(Debug, Error)]
 pub enum CapacityError {
     /// A file cannot be read or written.
@@ -17,46 +17,46 @@
     File {
         /// The file.
         path: String,
-        /// What the system said.
+        /// The error of the system.
         error: std::io::Error,
     },
     /// Not TOML, or a field is unknown, missing or of the wrong type.
     #[error(transparent)]
     Malformed(#[from] Malformed),
-    /// The page lacks one of its markers.
+    /// A marker is missing in the page.
     #[error("the page has no marker <!-- {0} -->")]
     NoMarker(&'static str),
 }
 
-/// What a slope is a slope of.
+/// The unit of size that a slope refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Per {
-    /// It is there whatever the size.
+    /// Independent of the size.
     Constant,
-    /// A worker of the region.
+    /// Per worker of the region.
     Worker,
-    /// A running task of the region.
+    /// Per running task of the region.
     Running,
-    /// A task start a second in the region.
+    /// Per task start per second in the region.
     Start,
-    /// A running task on one worker.
+    /// Per running task on a worker.
     TaskOfWorker,
-    /// A task start a second on one worker.
+    /// Per task start per second on a worker.
     StartOfWorker,
 }
 
-/// How a slope is known.
+/// How a slope was determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SlopeSource {
     /// Measured by the command that its file names.
     Measured,
-    /// Worked out from what the protocol or the design says.
+    /// Calculated from the protocol or the design.
     Derived,
 }
 
-/// How much of a resource a role spends for each of something.
+/// How much of a resource a role uses per unit of size.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
@@ -64,26 +64,27 @@
     pub role: String,
     /// Resource, with its unit.
     pub resource: String,
-    /// Of what.
+    /// Unit of size.
     pub per: Per,
-    /// How much.
+    /// Usage per unit of size.
     pub value: f64,
     /// Whether the region's total is divided among its controllers.
     #[serde(default)]
     pub divided: bool,
-    /// How it is known.
-    pub known: SlopeSource,
-    /// Root of the mean squared error of the fit, or why the value is what it is.
+    /// How it was determined.
+    #[serde(rename = "known")]
+    pub source: SlopeSource,
+    /// Root mean square error of the fit, or the reason for the value.
     pub basis: String,
 }
 
-/// Slopes as a scale run wrote them.
+/// Slopes file, as a scale run writes it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slopes {
     /// The command that measured them.
     pub command: String,
-    /// Where they were measured; beyond that they are extrapolated.
+    /// Sizes at which they were measured; beyond these, they are extrapolated.
     pub range: Option<Range>,
     /// The slopes.
     #[serde(default)]
@@ -104,39 +105,39 @@
     pub controllers: usize,
 }
 
-/// A region's size.
+/// Size of a region.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RegionSize {
-    /// What it is called in the tables.
+    /// Name in the tables.
     pub name: String,
     /// Workers.
     pub workers: f64,
     /// Running tasks.
     pub running: f64,
-    /// Its share of the fleet's starts.
+    /// Its fraction of the fleet's task starts.
     pub share: f64,
     /// Controllers.
     pub controllers: f64,
 }
 
-/// A time for which the tables have columns.
+/// A load situation, for which the tables have columns.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Phase {
-    /// What it is called.
+    /// Name in the tables.
     pub name: String,
-    /// Starts a second over the fleet.
+    /// Task starts per second over the fleet.
     pub starts_per_s: f64,
-    /// Share of the region's tasks that are lost and started again within a minute.
+    /// Fraction of the region's tasks that are lost and started again within a minute.
     #[serde(default)]
     pub lost: f64,
-    /// Controllers of the region that are away.
+    /// Controllers of the region that are unavailable.
     #[serde(default)]
     pub controllers_away: f64,
 }
 
-/// What a role may spend.
+/// Limit on the usage of a resource by a role.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
@@ -144,42 +145,42 @@
     pub role: String,
     /// Resource.
     pub resource: String,
-    /// At most.
+    /// Largest allowed usage.
     pub limit: f64,
     /// Where the limit comes from.
     pub from: String,
-    /// It is not kept yet, for this reason.
+    /// Why the budget is not kept yet, if it is not.
     #[serde(default)]
     pub missing: Option<String>,
 }
 
-/// A figure of the users' letter, and what carries it.
+/// A figure that the users require, and the mechanism that meets it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Requirement {
     /// The figure.
     pub figure: String,
-    /// The mechanism that carries it, with its module.
+    /// The mechanism that meets it, with its module.
     pub mechanism: String,
     /// Measured, derived or missing.
     pub status: Status,
-    /// The margin, or the order in which it comes.
+    /// The margin; for a missing figure, its place in the order of work.
     pub margin: String,
 }
 
-/// How far a figure of the letter is carried.
+/// How it is known that a required figure is met.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
-    /// Seen in a run.
+    /// Measured in a run.
     Measured,
-    /// Worked out from slopes.
+    /// Calculated from slopes.
     Derived,
-    /// Not carried yet.
+    /// Not met yet.
     Missing,
 }
 
-/// The page's data.
+/// Capacity file: the data of the page.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Capacity {
@@ -187,21 +188,21 @@
     pub region: Vec<RegionSize>,
     /// Columns of the tables.
     pub phase: Vec<Phase>,
-    /// Slopes that were worked out.
+    /// Derived slopes.
     #[serde(default)]
     pub slope: Vec<Slope>,
     /// Budgets.
     #[serde(default)]
     pub budget: Vec<Budget>,
-    /// Lines of the letter.
+    /// Required figures.
     #[serde(default)]
     pub line: Vec<Requirement>,
-    /// Slopes that were measured, from the file beside it.
+    /// Measured slopes, from the slopes file.
     #[serde(skip)]
     pub measured: Slopes,
 }
 
-fn read<T: for<'a> Deserialize<'a>>(path: &Path) -> Result<T, CapacityError> {
+fn read_toml<T: for<'a> Deserialize<'a>>(path: &Path) -> Result<T, CapacityError> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| CapacityError::File {
         path: name.clone(),
@@ -211,14 +212,14 @@
 }
 
 impl Capacity {
-    /// Reads a capacity file, and the slopes beside it.
+    /// Reads a capacity file, and the slopes file in the same folder.
     ///
     /// # Errors
     ///
     /// One line that names the file or the field.
     pub fn load(path: &Path) -> Result<Capacity, CapacityError> {
-        let mut capacity: Capacity = read(path)?;
-        capacity.measured = read(&path.with_file_name(SLOPES_FILE))?;
+        let mut capacity: Capacity = read_toml(path)?;
+        capacity.measured = read_toml(&path.with_file_name(SLOPES_FILE))?;
         Ok(capacity)
     }
 
@@ -226,7 +227,7 @@
         self.measured.slope.iter().chain(&self.slope)
     }
 
-    /// What a role spends of a resource in a region at a time; `None` if no slope says so.
+    /// Usage of a resource by a role in a region during a phase; `None` if there is no slope for it.
     pub fn total(
         &self,
         role: &str,
@@ -234,35 +235,35 @@
         region: &RegionSize,
         phase: &Phase,
     ) -> Option<f64> {
-        let mut of = self
+        let mut matching = self
             .slopes()
             .filter(|s| s.role == role && s.resource == resource)
             .peekable();
-        of.peek()?;
-        Some(of.map(|slope| slope.at(region, phase)).sum())
+        matching.peek()?;
+        Some(matching.map(|slope| slope.usage(region, phase)).sum())
     }
 
-    /// Roles in the order in which they come up, each with its resources.
+    /// Roles in the order in which the slopes name them, each with its resources.
     fn roles(&self) -> Vec<(&str, Vec<&str>)> {
         let mut roles: Vec<(&str, Vec<&str>)> = Vec::new();
         for slope in self.slopes() {
-            let at = roles
+            let index = roles
                 .iter()
                 .position(|(role, _)| *role == slope.role)
                 .unwrap_or_else(|| {
                     roles.push((&slope.role, Vec::new()));
                     roles.len() - 1
                 });
-            if !roles[at].1.contains(&slope.resource.as_str()) {
-                roles[at].1.push(&slope.resource);
+            if !roles[index].1.contains(&slope.resource.as_str()) {
+                roles[index].1.push(&slope.resource);
             }
         }
         roles
     }
 
-    /// Budgets that some total is beyond, unless they are marked as missing.
+    /// Describes the totals that exceed their budget or are unknown. Budgets that are marked as missing are skipped.
     pub fn over_budget(&self) -> Vec<String> {
-        let mut beyond = Vec::new();
+        let mut over_budget = Vec::new();
         for budget in self.budget.iter().filter(|b| b.missing.is_none()) {
             for region in &self.region {
                 for phase in &self.phase {
@@ -270,7 +271,7 @@
                     if total.is_none_or(|t| t > budget.limit) {
                         let total = total.map_or_else(|| "unknown".to_owned(), format_amount);
                         let place = format!("{}, {}", region.name, phase.name);
-                        beyond.push(format!(
+                        over_budget.push(format!(
                             "{} {}: {total} of {} ({place})",
                             budget.role, budget.resource, budget.limit
                         ));
@@ -278,11 +279,11 @@
                 }
             }
         }
-        beyond
+        over_budget
     }
 
-    /// The tables of all roles, as they stand in the page.
-    pub fn tables(&self) -> String {
+    /// Formats the tables of all roles for the page.
+    pub fn resource_tables(&self) -> String {
         let mut text = String::new();
         for (role, resources) in self.roles() {
             let _ = writeln!(text, "\n### {role}\n");
@@ -320,11 +321,11 @@
     }
 
     fn budget_text(&self, role: &str, resource: &str) -> String {
-        let of = self
+        let matching = self
             .budget
             .iter()
             .find(|b| b.role == role && b.resource == resource);
-        of.map_or_else(String::new, |b| match &b.missing {
+        matching.map_or_else(String::new, |b| match &b.missing {
             None => format!("{} ({})", format_amount(b.limit), b.from),
             Some(why) => format!(
                 "{} ({}); **missing**: {why}",
@@ -335,12 +336,12 @@
     }
 
     fn slopes_text(&self, role: &str) -> String {
-        let of = self.slopes().filter(|s| s.role == role);
-        of.map(Slope::text).collect::<Vec<_>>().join("; ")
+        let matching = self.slopes().filter(|s| s.role == role);
+        matching.map(Slope::describe).collect::<Vec<_>>().join("; ")
     }
 
-    /// The table of the letter's lines, as it stands in the page.
-    pub fn lines(&self) -> String {
+    /// Formats the table of the required figures for the page.
+    pub fn requirements_table(&self) -> String {
         let mut text = String::from(
             "\n| figure | mechanism | status | margin, or order |\n| --- | --- | --- | --- |\n",
         );
@@ -359,19 +360,19 @@
         text
     }
 
-    /// The page with its tables made anew.
+    /// Returns the page with updated tables.
     ///
     /// # Errors
     ///
-    /// [`CapacityError::NoMarker`] if the page lacks a marker.
-    pub fn page(&self, page: &str) -> Result<String, CapacityError> {
-        let page = replace(page, "tables", "end of tables", &self.tables())?;
-        replace(&page, "lines", "end of lines", &self.lines())
+    /// [`CapacityError::NoMarker`] if a marker is missing in the page.
+    pub fn update_page(&self, page: &str) -> Result<String, CapacityError> {
+        let page = replace_between(page, "tables", "end of tables", &self.resource_tables())?;
+        replace_between(&page, "lines", "end of lines", &self.requirements_table())
     }
 }
 
-/// Puts a text between two markers.
-fn replace(
+/// Replaces the text between two markers.
+fn replace_between(
     page: &str,
     begin: &'static str,
     end: &'static str,
@@ -388,9 +389,9 @@
     ))
 }
 
-/// A number with three digits that count.
+/// Formats a number with three significant digits.
 pub(crate) fn format_amount(value: f64) -> String {
-    const GROUPED: f64 = 1e4;
+    const GROUPING_THRESHOLD: f64 = 1e4;
     if value == 0.0 {
         return "0".to_owned();
     }
@@ -399,7 +400,7 @@
         let unit = 10_f64.powi(-digits);
         let rounded = (value / unit).round() * unit;
         let text = format!("{rounded:.0}");
-        return if rounded.abs() < GROUPED {
+        return if rounded.abs() < GROUPING_THRESHOLD {
             text
         } else {
             group_thousands(&text)
@@ -409,7 +410,7 @@
     text.trim_end_matches('0').trim_end_matches('.').to_owned()
 }
 
-/// A whole number with its thousands set off.
+/// Inserts commas between the thousands of a whole number.
 fn group_thousands(digits: &str) -> String {
     let mut text = String::new();
     for (i, digit) in digits.chars().enumerate() {
@@ -422,8 +423,8 @@
 }
 
 impl Slope {
-    /// What it comes to in a region at a time.
-    fn at(&self, region: &RegionSize, phase: &Phase) -> f64 {
+    /// Usage that the slope gives for a region during a phase.
+    fn usage(&self, region: &RegionSize, phase: &Phase) -> f64 {
         const MINUTE_S: f64 = 60.0;
         let starts = phase.starts_per_s * region.share + region.running * phase.lost / MINUTE_S;
         let size = match self.per {
@@ -434,16 +435,16 @@
             Per::TaskOfWorker => region.running / region.workers,
             Per::StartOfWorker => starts / region.workers,
         };
-        let among = if self.divided {
+        let controllers = if self.divided {
             region.controllers - phase.controllers_away
         } else {
             1.0
         };
-        self.value * size / among
+        self.value * size / controllers
     }
 
-    /// The slope in words.
-    pub fn text(&self) -> String {
+    /// Describes the slope.
+    pub fn describe(&self) -> String {
         let per = match self.per {
             Per::Constant => "at any size",
             Per::Worker => "a worker",
@@ -457,12 +458,12 @@
         } else {
             ""
         };
-        let known = match self.known {
+        let source = match self.source {
             SlopeSource::Measured => "measured, ",
             SlopeSource::Derived => "derived: ",
         };
         format!(
-            "{} {} {per}{divided} ({known}{})",
+            "{} {} {per}{divided} ({source}{})",
             self.resource,
             format_amount(self.value),
             self.basis
--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -101,7 +101,7 @@
 
     /// Resources that the process has used; `None` while it does not run.
     pub fn usage(&self) -> Option<Usage> {
-        measure::process(self.process.as_ref()?.id())
+        measure::process_usage(self.process.as_ref()?.id())
     }
 
     /// Whether the process has exited without being killed by [`Controller::kill`].
--- a/crates/emulator/src/fakes/cloud.rs
+++ b/crates/emulator/src/fakes/cloud.rs
@@ -1,13 +1,13 @@
-//! A stand-in of the cloud, by its protocol.
+//! A fake cloud that follows the cloud's protocol.
 
-use super::query;
+use super::query_parameter;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// The most machines that one list names.
-const LIST_LIMIT: usize = 500;
+/// Most machines in one response to a list request.
+const MAX_LIST_LENGTH: usize = 500;
 
-/// A type of machine, and how many of it there are in each of its zones.
+/// A machine type, and how many machines of it there are in each of its zones.
 #[derive(Clone, Debug)]
 pub struct TypeSpec {
     /// Its name.
@@ -16,81 +16,83 @@
     pub cores: f64,
     /// Memory in GB.
     pub mem: f64,
-    /// Boot time in seconds, nominal.
+    /// Nominal boot time in seconds.
     pub boot: f64,
-    /// Price an hour.
+    /// Price per hour.
     pub price: f64,
-    /// Price an hour as a spot machine.
+    /// Price per hour of a spot machine.
     pub spot_price: f64,
-    /// Ordinary machines in each zone.
+    /// On-demand machines in each zone.
     pub count: u32,
     /// Spot machines in each zone.
     pub spot: u32,
-    /// Share of the boots that never end.
+    /// Fraction of the machines whose boot never completes.
     pub stuck: f64,
-    /// Zones.
+    /// Zones that have this type.
     pub zones: Vec<String>,
 }
 
-/// A machine that was rented.
+/// A machine that was provisioned.
 pub struct Host {
-    /// Its type, by its place among the cloud's types.
-    pub build: usize,
+    /// Index of its type among the cloud's types.
+    pub type_index: usize,
     /// Zone.
     pub yard: String,
-    /// Spot.
+    /// Whether it is a spot machine.
     pub spot: bool,
-    /// When it was rented, in microseconds.
-    pub rented: u64,
-    /// When it is up, in microseconds; never if absent.
+    /// When it was provisioned, in microseconds.
+    pub provisioned_at: u64,
+    /// When its boot completes, in microseconds; `None` if never.
     pub up_at: Option<u64>,
-    /// When it went, in microseconds.
+    /// When it was released or taken away, in microseconds.
     pub gone_at: Option<u64>,
-    /// It was returned while its zone was cut off.
+    /// Whether it was released while its zone was partitioned from the controllers.
     pub in_vain: bool,
-    /// It was hired while its zone was cut off.
+    /// Whether it was provisioned while its zone was partitioned from the controllers.
     pub hired_in_vain: bool,
 }
 
-/// The cloud's interface.
+/// The fake cloud.
 pub struct Cloud {
     types: Vec<TypeSpec>,
-    /// All machines that were ever rented, by number.
+    /// All machines that were ever provisioned, by number.
     pub hosts: BTreeMap<u64, Host>,
-    hires: BTreeMap<String, Value>,
-    lag: u64,
-    /// The interface is down until then, in microseconds.
+    /// Responses to provision requests, by the id of the request, for repeated requests.
+    provision_answers: BTreeMap<String, Value>,
+    /// Mean delay until a change shows in a list, in microseconds.
+    list_lag: u64,
+    /// End of the outage of the cloud interface, in microseconds.
     pub out_until: u64,
-    /// Zones without power, where nothing is to be had.
+    /// Zones without power, where no machine can be provisioned, each with the end of the outage in microseconds.
     pub dark: Vec<(String, u64)>,
-    /// Zones that are cut off, and work inside.
+    /// Zones that are partitioned from the controllers but keep working, each with the end of the partition in microseconds.
     pub cut: Vec<(String, u64)>,
-    /// Boots take so many times as long, until then.
+    /// Factor by which boots are slower, and until when, in microseconds.
     pub slow: (f64, u64),
 }
 
-/// A machine's name.
+/// Returns the name of a machine.
 pub fn name(id: u64) -> String {
     format!("i-{id:06}")
 }
 
-fn id(name: &str) -> Option<u64> {
+fn parse_name(name: &str) -> Option<u64> {
     name.strip_prefix("i-")?.parse().ok()
 }
 
-/// Whether a zone is among those that something holds for until some time.
-fn holds(zones: &[(String, u64)], yard: &str, now: u64) -> bool {
+/// Whether a zone is in a list of zones with end times, before its end time.
+fn is_affected(zones: &[(String, u64)], yard: &str, now: u64) -> bool {
     zones.iter().any(|(z, until)| z == yard && now < *until)
 }
 
 impl Cloud {
-    /// A cloud with these types, whose lists lag by `lag` microseconds and up to twice that.
-    pub fn new(types: Vec<TypeSpec>, lag: u64) -> Cloud {
+    /// Creates a cloud with these machine types. Lists lag by `list_lag` microseconds on average, and by at most twice that.
+    pub fn new(types: Vec<TypeSpec>, list_lag: u64) -> Cloud {
         Cloud {
             types,
             hosts: BTreeMap::new(),
-            hires: BTreeMap::new(),
-            lag,
+            provision_answers: BTreeMap::new(),
+            list_lag,
             out_until: 0,
             dark: Vec::new(),
             cut: Vec::new(),
@@ -100,10 +102,10 @@
 
     /// A machine's type.
     pub fn type_of(&self, host: u64) -> &TypeSpec {
-        &self.types[self.hosts[&host].build]
+        &self.types[self.hosts[&host].type_index]
     }
 
-    /// Answers a request; `random_fraction` is a fresh random number below 1.
+    /// Answers a request. `random_fraction` draws a random number from 0 (inclusive) to 1 (exclusive).
     pub fn request(
         &mut self,
         now: u64,
@@ -129,48 +131,55 @@
                     .collect();
                 (200, json!({"builds": builds}))
             }
-            ("POST", "/hosts") => self.hire(now, &body, random_fraction),
+            ("POST", "/hosts") => self.provision(now, &body, random_fraction),
             ("POST", "/hosts/release") => {
                 for h in body["hosts"].as_array().into_iter().flatten() {
-                    if let Some(host) = h.as_str().and_then(id).and_then(|i| self.hosts.get_mut(&i))
+                    if let Some(host) = h
+                        .as_str()
+                        .and_then(parse_name)
+                        .and_then(|i| self.hosts.get_mut(&i))
                     {
-                        host.in_vain |= holds(&self.cut, &host.yard, now) && host.gone_at.is_none();
+                        host.in_vain |=
+                            is_affected(&self.cut, &host.yard, now) && host.gone_at.is_none();
                         host.gone_at.get_or_insert(now);
                     }
                 }
                 (200, json!({}))
             }
             ("GET", "/hosts") => {
-                let as_of = now.saturating_sub((self.lag as f64 * 2.0 * random_fraction()) as u64);
-                let after = query(path, "after").and_then(id).unwrap_or(0);
-                let most = query(path, "most")
+                let as_of =
+                    now.saturating_sub((self.list_lag as f64 * 2.0 * random_fraction()) as u64);
+                let after = query_parameter(path, "after")
+                    .and_then(parse_name)
+                    .unwrap_or(0);
+                let limit = query_parameter(path, "most")
                     .and_then(|m| m.parse().ok())
-                    .unwrap_or(LIST_LIMIT);
-                self.list(as_of, after, most.min(LIST_LIMIT))
+                    .unwrap_or(MAX_LIST_LENGTH);
+                self.list(as_of, after, limit.min(MAX_LIST_LENGTH))
             }
             _ => (400, json!({})),
         }
     }
 
-    /// The machines after one, as they were at a time.
-    fn list(&self, as_of: u64, after: u64, most: usize) -> (u16, Value) {
-        let there = |h: &Host| h.rented <= as_of && h.gone_at.is_none_or(|g| g > as_of);
-        let mut listed = self.hosts.range(after + 1..).filter(|(_, h)| there(h));
+    /// Lists the machines with numbers above `after`, as they were at the time `as_of`.
+    fn list(&self, as_of: u64, after: u64, limit: usize) -> (u16, Value) {
+        let existed = |h: &Host| h.provisioned_at <= as_of && h.gone_at.is_none_or(|g| g > as_of);
+        let mut listed = self.hosts.range(after + 1..).filter(|(_, h)| existed(h));
         let hosts: Vec<Value> = listed
             .by_ref()
-            .take(most)
+            .take(limit)
             .map(|(i, h)| {
                 let up = h.up_at.is_some_and(|u| u <= as_of);
-                json!({"nameId": name(*i), "endpoint": "", "build": self.types[h.build].name, "yard": h.yard,
+                json!({"nameId": name(*i), "endpoint": "", "build": self.types[h.type_index].name, "yard": h.yard,
                     "loaners": h.spot, "status": if up { "running" } else { "starting" },
-                    "ageS": (as_of - h.rented) as f64 / 1e6})
+                    "ageS": (as_of - h.provisioned_at) as f64 / 1e6})
             })
             .collect();
         let more = listed.next().is_some();
         (200, json!({"hosts": hosts, "more": more}))
     }
 
-    fn hire(
+    fn provision(
         &mut self,
         now: u64,
         body: &Value,
@@ -179,10 +188,10 @@
         let Some(request) = body["hire"].as_str() else {
             return (400, json!({}));
         };
-        if let Some(answer) = self.hires.get(request) {
+        if let Some(answer) = self.provision_answers.get(request) {
             return (200, answer.clone());
         }
-        let Some(build) = self
+        let Some(type_index) = self
             .types
             .iter()
             .position(|t| body["build"] == t.name.as_str())
@@ -191,39 +200,44 @@
         };
         let spot = body["loaners"].as_bool().unwrap_or(false);
         let yard = body["yard"].as_str().unwrap_or_default().to_owned();
-        let most = if holds(&self.dark, &yard, now) {
+        let capacity = if is_affected(&self.dark, &yard, now) {
             0
         } else if spot {
-            self.types[build].spot
+            self.types[type_index].spot
         } else {
-            self.types[build].count
+            self.types[type_index].count
         };
         let occupied = self
             .hosts
             .values()
-            .filter(|h| h.gone_at.is_none() && h.build == build && h.spot == spot && h.yard == yard)
+            .filter(|h| {
+                h.gone_at.is_none()
+                    && h.type_index == type_index
+                    && h.spot == spot
+                    && h.yard == yard
+            })
             .count() as u64;
-        let n = body["howMany"]
+        let granted = body["howMany"]
             .as_u64()
             .unwrap_or(0)
-            .min(u64::from(most).saturating_sub(occupied));
-        if n == 0 {
+            .min(u64::from(capacity).saturating_sub(occupied));
+        if granted == 0 {
             return (503, json!({"error": "no capacity"}));
         }
         let mut names = Vec::new();
-        for _ in 0..n {
+        for _ in 0..granted {
             let i = self.hosts.keys().last().map_or(1, |l| l + 1);
-            let stuck = random_fraction() < self.types[build].stuck;
+            let stuck = random_fraction() < self.types[type_index].stuck;
             let factor = if now < self.slow.1 { self.slow.0 } else { 1.0 };
-            let boot = self.types[build].boot * (0.6 + 0.9 * random_fraction()) * factor;
+            let boot = self.types[type_index].boot * (0.6 + 0.9 * random_fraction()) * factor;
             let up_at = (!stuck).then_some(now + (boot * 1e6) as u64);
-            let hired_in_vain = holds(&self.cut, &yard, now);
+            let hired_in_vain = is_affected(&self.cut, &yard, now);
             let yard = yard.clone();
             let host = Host {
-                build,
+                type_index,
                 yard,
                 spot,
-                rented: now,
+                provisioned_at: now,
                 up_at,
                 gone_at: None,
                 in_vain: false,
@@ -233,7 +247,8 @@
             names.push(name(i));
         }
         let answer = json!({"hosts": names});
-        self.hires.insert(request.to_owned(), answer.clone());
+        self.provision_answers
+            .insert(request.to_owned(), answer.clone());
         (200, answer)
     }
 }
--- a/crates/emulator/src/fakes/mod.rs
+++ b/crates/emulator/src/fakes/mod.rs
@@ -1,14 +1,15 @@
-//! Stand-ins of what is around the controllers, by the published protocol: pure, events and time in, answers out.
+//! Fakes of the parties that controllers communicate with, which follow the published protocol.
 //!
-//! The scenario tests drive them in simulated time, the emulator over real connections.
+//! They perform no I/O and read no clock: the caller passes requests and times and gets responses. The scenario tests drive them
+//! in simulated time, the emulator over real connections.
 
 pub mod cloud;
 pub mod state;
 pub mod submission;
 pub mod worker;
 
-/// The value of a query parameter, as it stands in the path.
-fn query<'a>(path: &'a str, key: &str) -> Option<&'a str> {
+/// Returns the value of a query parameter as written in the path, without decoding.
+fn query_parameter<'a>(path: &'a str, key: &str) -> Option<&'a str> {
     let (_, parameters) = path.split_once('?')?;
     parameters
         .split('&')
--- a/crates/emulator/src/fakes/state.rs
+++ b/crates/emulator/src/fakes/state.rs
@@ -1,118 +1,120 @@
-//! A stand-in of the state service, by its protocol.
+//! A fake state service that follows the state service's protocol.
 
-use super::query;
+use super::query_parameter;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How many changes the service keeps for watches.
-const LOG_LIMIT: usize = 10_000;
-/// Bytes of a transaction.
-const TXN_BYTES: usize = 64 * 1024;
-/// Conditions for each change that a transaction may have.
-const CONDITIONS_FOR_A_CHANGE: usize = 4;
-const OVERSIZED: &str = "too large a transaction";
+/// Most changes that are kept for watches.
+const MAX_LOG_ENTRIES: usize = 10_000;
+/// Most bytes of a transaction.
+const MAX_TXN_BYTES: usize = 64 * 1024;
+/// Most conditions of a transaction for each change that the limit of changes allows.
+const MAX_CONDITIONS_PER_CHANGE: usize = 4;
+const TXN_TOO_LARGE: &str = "too large a transaction";
 
 struct Item {
     value: Value,
-    stamp: u64,
-    permit: Option<u64>,
+    revision: u64,
+    lease: Option<u64>,
 }
 
 struct Watch {
     id: u64,
     prefix: String,
-    after: u64,
-    until: u64,
+    after_revision: u64,
+    deadline: u64,
 }
 
-/// A change, as watches see it.
+/// A change, as reported to watches.
 struct LogEntry {
-    stamp: u64,
+    revision: u64,
     key: String,
-    /// None: it was removed.
+    /// `None` if the key was removed.
     value: Option<Value>,
 }
 
-/// What a state service takes.
+/// Limits of a state service.
 #[derive(Clone, Copy, Debug)]
 pub struct StateConfig {
-    /// Changes of a transaction.
+    /// Most changes of a transaction.
     pub txn_ops: usize,
-    /// Bytes of a value.
+    /// Most bytes of a value.
     pub value_bytes: usize,
-    /// Requests a second.
+    /// Most requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Most changes per second.
     pub write_rps: f64,
-    /// Items of a page.
+    /// Most items on a page.
     pub page: usize,
 }
 
-/// The state service.
+/// The fake state service.
 pub struct State {
     items: BTreeMap<String, Item>,
     log: VecDeque<LogEntry>,
-    /// Revision of the newest change that the log has dropped.
-    dropped: u64,
-    epoch: u64,
+    /// Revision of the newest change that was dropped from the log.
+    dropped_revision: u64,
+    revision: u64,
+    /// Duration and expiry time of each lease, in microseconds.
     leases: BTreeMap<u64, (u64, u64)>,
     next_lease: u64,
     watches: Vec<Watch>,
-    /// It is out until then, in microseconds.
+    /// End of the current outage, in microseconds.
     pub out_until: u64,
-    /// Transactions carried out.
+    /// Committed transactions.
     pub commits: u64,
     txn_ops: usize,
     value_bytes: usize,
-    page: usize,
-    /// Requests that no client may send: beyond limits that have always held.
+    page_size: usize,
+    /// Requests that no client may send, because they exceed limits that have not been lowered.
     pub violations: Vec<String>,
-    requests: Bucket,
-    changes: Bucket,
-    /// Requests refused for their rate.
+    request_bucket: TokenBucket,
+    change_bucket: TokenBucket,
+    /// Requests that the rate limits refused.
     pub throttled: u64,
-    /// Transactions that were refused for the limits that fell.
+    /// Transactions that were refused because of lowered limits.
     pub refused: u64,
-    fell: bool,
-    /// Requests and changes that came.
+    limits_lowered: bool,
+    /// Received requests, and the changes in them.
     pub came: (u64, u64),
 }
 
-/// Refuses beyond a rate; bursts of one second's worth are allowed.
-struct Bucket {
+/// A token bucket that limits a rate and allows bursts of the amount of one second.
+struct TokenBucket {
     rate: f64,
     level: f64,
-    at: u64,
+    updated_at: u64,
 }
 
-impl Bucket {
-    fn new(rate: f64) -> Bucket {
-        Bucket {
+impl TokenBucket {
+    fn new(rate: f64) -> TokenBucket {
+        TokenBucket {
             rate,
             level: rate,
-            at: 0,
+            updated_at: 0,
         }
     }
 
-    fn take(&mut self, now: u64, n: f64) -> bool {
-        self.level = (self.level + self.rate * (now - self.at) as f64 / 1e6).min(self.rate.max(n));
-        self.at = now;
-        let enough = self.level >= n;
+    fn try_take(&mut self, now: u64, amount: f64) -> bool {
+        self.level = (self.level + self.rate * (now - self.updated_at) as f64 / 1e6)
+            .min(self.rate.max(amount));
+        self.updated_at = now;
+        let enough = self.level >= amount;
         if enough {
-            self.level -= n;
+            self.level -= amount;
         }
         enough
     }
 }
 
 impl State {
-    /// An empty service.
+    /// Creates a service without any data.
     pub fn new(config: StateConfig) -> State {
         State {
             items: BTreeMap::new(),
             log: VecDeque::new(),
-            dropped: 0,
-            epoch: 0,
+            dropped_revision: 0,
+            revision: 0,
             leases: BTreeMap::new(),
             next_lease: 1,
             watches: Vec::new(),
@@ -120,31 +122,31 @@
             commits: 0,
             txn_ops: config.txn_ops,
             value_bytes: config.value_bytes,
-            page: config.page,
+            page_size: config.page,
             violations: Vec::new(),
-            requests: Bucket::new(config.rps),
-            changes: Bucket::new(config.write_rps),
+            request_bucket: TokenBucket::new(config.rps),
+            change_bucket: TokenBucket::new(config.write_rps),
             throttled: 0,
             refused: 0,
-            fell: false,
+            limits_lowered: false,
             came: (0, 0),
         }
     }
 
-    /// Puts a record there before anything runs.
+    /// Stores a record, for use before the controllers start.
     pub fn put(&mut self, key: &str, value: Value) {
-        self.epoch += 1;
+        self.revision += 1;
         self.items.insert(
             key.to_owned(),
             Item {
                 value,
-                stamp: self.epoch,
-                permit: None,
+                revision: self.revision,
+                lease: None,
             },
         );
     }
 
-    /// The values of all keys with a prefix.
+    /// Returns all keys that have a prefix, with their values.
     pub fn values<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Value)> {
         let found = self
             .items
@@ -153,13 +155,13 @@
         found.map(|(k, i)| (k.as_str(), &i.value))
     }
 
-    /// From now on other limits hold: changes a second, bytes of a value, changes of a transaction.
+    /// Changes the limits of changes per second, bytes of a value, and changes of a transaction.
     pub fn lower(&mut self, rate: f64, value_bytes: usize, txn_ops: usize) {
-        self.changes.rate = rate;
-        (self.value_bytes, self.txn_ops, self.fell) = (value_bytes, txn_ops, true);
+        self.change_bucket.rate = rate;
+        (self.value_bytes, self.txn_ops, self.limits_lowered) = (value_bytes, txn_ops, true);
     }
 
-    /// The largest value that is kept, with its size.
+    /// Returns the key of the largest stored value, and the size of the value.
     pub fn largest(&self) -> (&str, usize) {
         let sizes = self
             .items
@@ -168,102 +170,107 @@
         sizes.max_by_key(|(_, n)| *n).unwrap_or_default()
     }
 
-    /// Starts an outage; every lease has its full time again after it.
+    /// Starts an outage. After it, every lease lasts for its full duration again.
     pub fn outage(&mut self, now: u64, span: u64) {
         self.out_until = now + span;
-        for (life, ends) in self.leases.values_mut() {
-            *ends = now + span + *life;
+        for (duration, expires_at) in self.leases.values_mut() {
+            *expires_at = now + span + *duration;
         }
         for w in &mut self.watches {
-            w.until = w.until.max(now + span);
+            w.deadline = w.deadline.max(now + span);
         }
     }
 
-    /// Ends leases that were not renewed, and answers the watches that are due.
+    /// Expires the leases that were not renewed, and returns the responses of the watches that are due, each with the id of its
+    /// request.
     pub fn tick(&mut self, now: u64) -> Vec<(u64, u16, Value)> {
         if now < self.out_until {
             return Vec::new();
         }
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, (_, e))| *e <= now)
             .map(|(l, _)| *l)
             .collect();
-        for lease in over {
+        for lease in expired {
             self.leases.remove(&lease);
             let keys: Vec<String> = self
                 .items
                 .iter()
-                .filter(|(_, i)| i.permit == Some(lease))
+                .filter(|(_, i)| i.lease == Some(lease))
                 .map(|(k, _)| k.clone())
                 .collect();
             if !keys.is_empty() {
-                self.epoch += 1;
+                self.revision += 1;
             }
             for k in keys {
                 self.items.remove(&k);
-                self.note(k, None);
+                self.log_change(k, None);
             }
         }
-        let due: Vec<usize> = (0..self.watches.len())
+        let due_watches: Vec<usize> = (0..self.watches.len())
             .filter(|i| {
                 let w = &self.watches[*i];
-                w.until <= now
+                w.deadline <= now
                     || self
                         .log
                         .iter()
                         .rev()
-                        .take_while(|l| l.stamp > w.after)
+                        .take_while(|l| l.revision > w.after_revision)
                         .any(|l| l.key.starts_with(&w.prefix))
             })
             .collect();
-        due.into_iter()
+        due_watches
+            .into_iter()
             .rev()
             .map(|i| {
                 let w = self.watches.swap_remove(i);
-                let (status, body) = self.changes(&w.prefix, w.after);
+                let (status, body) = self.changes_since(&w.prefix, w.after_revision);
                 (w.id, status, body)
             })
             .collect()
     }
 
-    /// When a lease or a watch ends next, in microseconds.
+    /// Time at which the next lease expires or the next watch times out, in microseconds.
     pub fn next_deadline(&self) -> Option<u64> {
         let leases = self.leases.values().map(|(_, e)| *e);
-        leases.chain(self.watches.iter().map(|w| w.until)).min()
+        leases.chain(self.watches.iter().map(|w| w.deadline)).min()
     }
 
-    /// Puts a change at the end of the log, and drops what it no longer keeps.
-    fn note(&mut self, key: String, value: Option<Value>) {
+    /// Appends a change to the log, and drops the oldest changes beyond the log's limit.
+    fn log_change(&mut self, key: String, value: Option<Value>) {
         self.log.push_back(LogEntry {
-            stamp: self.epoch,
+            revision: self.revision,
             key,
             value,
         });
-        while self.log.len() > LOG_LIMIT {
-            self.dropped = self.log.pop_front().map_or(self.dropped, |l| l.stamp);
+        while self.log.len() > MAX_LOG_ENTRIES {
+            self.dropped_revision = self
+                .log
+                .pop_front()
+                .map_or(self.dropped_revision, |l| l.revision);
         }
     }
 
-    fn changes(&self, prefix: &str, after: u64) -> (u16, Value) {
-        if after < self.dropped {
+    fn changes_since(&self, prefix: &str, after: u64) -> (u16, Value) {
+        if after < self.dropped_revision {
             return (410, json!({"error": "too old"}));
         }
-        let first = self.log.partition_point(|l| l.stamp <= after);
+        let first = self.log.partition_point(|l| l.revision <= after);
         let log: Vec<Value> = self
             .log
             .range(first..)
             .filter(|l| l.key.starts_with(prefix))
             .map(|l| match &l.value {
-                Some(v) => json!({"write": l.key, "value": v, "stamp": l.stamp}),
-                None => json!({"remove": l.key, "stamp": l.stamp}),
+                Some(v) => json!({"write": l.key, "value": v, "stamp": l.revision}),
+                None => json!({"remove": l.key, "stamp": l.revision}),
             })
             .collect();
-        (200, json!({"epoch": self.epoch, "log": log}))
+        (200, json!({"epoch": self.revision, "log": log}))
     }
 
-    /// Answers a request; a watch may be answered later.
+    /// Answers a request. `None` if it is a watch, which [`State::tick`] answers later, or if it is malformed.
     pub fn request(
         &mut self,
         now: u64,
@@ -280,63 +287,70 @@
         let changes = body["then"].as_array().map_or(0, Vec::len);
         self.came.0 += 1;
         self.came.1 += changes as u64;
-        if !self.requests.take(now, 1.0) || changes > 0 && !self.changes.take(now, changes as f64) {
+        if !self.request_bucket.try_take(now, 1.0)
+            || changes > 0 && !self.change_bucket.try_take(now, changes as f64)
+        {
             self.throttled += 1;
             return Some((429, json!({"error": "too many"})));
         }
         Some(match (method, route) {
             ("GET", "/kv") => {
-                let prefix = query(path, "prefix").unwrap_or_default();
-                let after = query(path, "after").unwrap_or_default();
-                let most: usize = query(path, "most")
+                let prefix = query_parameter(path, "prefix").unwrap_or_default();
+                let after = query_parameter(path, "after").unwrap_or_default();
+                let limit: usize = query_parameter(path, "most")
                     .and_then(|m| m.parse().ok())
                     .unwrap_or(1000);
                 let found: Vec<_> = self
                     .items
                     .iter()
                     .filter(|(k, _)| k.starts_with(prefix) && k.as_str() > after)
-                    .take(most.min(self.page) + 1)
+                    .take(limit.min(self.page_size) + 1)
                     .collect();
-                let more = found.len() > most.min(self.page);
-                let shown = found.iter().take(most.min(self.page));
+                let more = found.len() > limit.min(self.page_size);
+                let shown = found.iter().take(limit.min(self.page_size));
                 let items: Vec<Value> = shown
-                    .map(|(k, i)| json!({"key": k, "value": i.value, "stamp": i.stamp}))
+                    .map(|(k, i)| json!({"key": k, "value": i.value, "stamp": i.revision}))
                     .collect();
                 (
                     200,
-                    json!({"items": items, "more": more, "epoch": self.epoch}),
+                    json!({"items": items, "more": more, "epoch": self.revision}),
                 )
             }
             ("GET", "/changes") => {
-                let prefix = query(path, "prefix").unwrap_or_default().to_owned();
-                let after: u64 = query(path, "after").and_then(|a| a.parse().ok())?;
-                let wait: u64 = query(path, "waitMs")
+                let prefix = query_parameter(path, "prefix")
+                    .unwrap_or_default()
+                    .to_owned();
+                let after: u64 = query_parameter(path, "after").and_then(|a| a.parse().ok())?;
+                let wait_ms: u64 = query_parameter(path, "waitMs")
                     .and_then(|a| a.parse().ok())
                     .unwrap_or(0);
-                if wait > 0 {
+                if wait_ms > 0 {
                     self.watches.push(Watch {
                         id,
                         prefix,
-                        after,
-                        until: now + wait * 1000,
+                        after_revision: after,
+                        deadline: now + wait_ms * 1000,
                     });
                     return None;
                 }
-                self.changes(&prefix, after)
+                self.changes_since(&prefix, after)
             }
             ("GET", _) => {
                 let key = route.strip_prefix("/kv/")?;
                 match self.items.get(key) {
-                    Some(i) => (200, json!({"key": key, "value": i.value, "stamp": i.stamp})),
-                    None => (404, json!({"epoch": self.epoch})),
+                    Some(i) => (
+                        200,
+                        json!({"key": key, "value": i.value, "stamp": i.revision}),
+                    ),
+                    None => (404, json!({"epoch": self.revision})),
                 }
             }
             ("POST", "/txn") => self.txn(&body),
             ("POST", "/leases") => {
-                let life = body["lifeMs"].as_u64()? * 1000;
+                let duration = body["lifeMs"].as_u64()? * 1000;
                 let id = self.next_lease;
                 self.next_lease += 1;
-                self.leases.insert(id, (life, now + life));
+                self.leases.insert(id, (duration, now + duration));
                 (200, json!({"permit": id}))
             }
             ("POST", _) => {
@@ -346,8 +360,8 @@
                     .parse()
                     .ok()?;
                 match self.leases.get_mut(&id) {
-                    Some((life, ends)) => {
-                        *ends = now + *life;
+                    Some((duration, expires_at)) => {
+                        *expires_at = now + *duration;
                         (200, json!({}))
                     }
                     None => (404, json!({})),
@@ -357,12 +371,12 @@
         })
     }
 
-    /// Which limit a transaction is beyond.
-    fn limit_exceeded(&self, body: &Value, when: &[Value], then: &[Value]) -> Option<&'static str> {
+    /// Returns the limit that a transaction exceeds, if any.
+    fn exceeded_limit(&self, body: &Value, when: &[Value], then: &[Value]) -> Option<&'static str> {
         if then.len() > self.txn_ops {
             return Some("too many changes");
         }
-        if when.len() > self.txn_ops * CONDITIONS_FOR_A_CHANGE {
+        if when.len() > self.txn_ops * MAX_CONDITIONS_PER_CHANGE {
             return Some("too many conditions");
         }
         if then
@@ -371,17 +385,17 @@
         {
             return Some("too large a value");
         }
-        (body.to_string().len() > TXN_BYTES).then_some(OVERSIZED)
+        (body.to_string().len() > MAX_TXN_BYTES).then_some(TXN_TOO_LARGE)
     }
 
     fn txn(&mut self, body: &Value) -> (u16, Value) {
         let none = Vec::new();
         let when = body["when"].as_array().unwrap_or(&none);
         let then = body["then"].as_array().unwrap_or(&none);
-        if let Some(problem) = self.limit_exceeded(body, when, then) {
+        if let Some(problem) = self.exceeded_limit(body, when, then) {
             self.refused += 1;
-            if !self.fell || problem == OVERSIZED {
-                // What the real service would refuse must never be sent, unless its limits fell.
+            if !self.limits_lowered || problem == TXN_TOO_LARGE {
+                // Controllers must never send what the real service would refuse, unless its limits were lowered.
                 self.violations.push(format!("{problem}: {body}"));
             }
             return (400, json!({"error": problem}));
@@ -396,30 +410,30 @@
         let failed: Vec<&str> = when
             .iter()
             .filter_map(|w| Some((w["key"].as_str()?, w["stamp"].as_u64()?)))
-            .filter(|(k, s)| self.items.get(*k).map_or(0, |i| i.stamp) != *s)
+            .filter(|(k, s)| self.items.get(*k).map_or(0, |i| i.revision) != *s)
             .map(|(k, _)| k)
             .collect();
         if !failed.is_empty() {
-            return (409, json!({"failed": failed, "epoch": self.epoch}));
+            return (409, json!({"failed": failed, "epoch": self.revision}));
         }
-        self.epoch += 1;
+        self.revision += 1;
         self.commits += 1;
         for t in then {
             if let Some(k) = t["write"].as_str() {
                 let value = t["value"].clone();
-                self.note(k.to_owned(), Some(value.clone()));
+                self.log_change(k.to_owned(), Some(value.clone()));
                 let item = Item {
                     value,
-                    stamp: self.epoch,
-                    permit: t["permit"].as_u64(),
+                    revision: self.revision,
+                    lease: t["permit"].as_u64(),
                 };
                 self.items.insert(k.to_owned(), item);
             } else if let Some(k) = t["remove"].as_str()
                 && self.items.remove(k).is_some()
             {
-                self.note(k.to_owned(), None);
+                self.log_change(k.to_owned(), None);
             }
         }
-        (200, json!({"epoch": self.epoch}))
+        (200, json!({"epoch": self.revision}))
     }
 }
--- a/crates/emulator/src/fakes/submission.rs
+++ b/crates/emulator/src/fakes/submission.rs
@@ -1,4 +1,4 @@
-//! A submission, as users send it.
+//! The request by which users submit a job.
 
 use serde_json::{Value, json};
 
@@ -7,7 +7,7 @@
 pub struct Submission {
     /// The job's number.
     pub job: u64,
-    /// Class.
+    /// Job class.
     pub lane: String,
     /// Team.
     pub crew: String,
@@ -23,32 +23,32 @@
     pub mem: f64,
     /// Allowed machine types.
     pub builds: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// The only allowed zone, if any.
     pub yard: Option<String>,
-    /// All tasks in one zone.
+    /// All tasks have to run in one zone.
     pub one_zone: bool,
-    /// At most half of the tasks in one zone.
+    /// At most half of the tasks may run in one zone.
     pub apart: bool,
-    /// Spot machines are allowed.
+    /// Whether spot machines are allowed.
     pub spot: bool,
     /// Image.
     pub image: String,
-    /// Its size in GB.
+    /// Size of the image in GB.
     pub size: f64,
     /// Estimated run time in seconds.
     pub guess: f64,
-    /// Interval of checkpoints in seconds; 0: none.
+    /// Checkpoint interval in seconds; 0 means no checkpoints.
     pub bookmark: f64,
-    /// What saving takes, in seconds.
+    /// Time to save a checkpoint, in seconds.
     pub stash: f64,
     /// Deadline in seconds from the submission.
     pub due: Option<f64>,
-    /// Jobs that it awaits.
+    /// Names of the jobs that must be done before it starts.
     pub awaits: Option<Vec<String>>,
 }
 
 impl Submission {
-    /// A job's name.
+    /// Returns the name of a job.
     pub fn name(job: u64) -> String {
         format!("req-{job:06}")
     }
--- a/crates/emulator/src/fakes/worker.rs
+++ b/crates/emulator/src/fakes/worker.rs
@@ -1,35 +1,35 @@
-//! A stand-in of a worker, by its protocol.
+//! A fake worker that follows the workers' protocol.
 
 use super::cloud::TypeSpec;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// How long a worker waits for the answer to a report, in microseconds.
+/// Timeout of a report, in microseconds.
 pub const ANSWER_LIMIT: u64 = 4_000_000;
-/// How long a worker waits before it tries the next node, in microseconds.
+/// Delay before a worker reports to the next node, in microseconds.
 pub const NEXT_NODE_PAUSE: u64 = 1_000_000;
-/// How long after a redirection a worker reports to the node that it was sent to, in microseconds.
-const REDIRECT_PAUSE: u64 = 100_000;
-/// Shortest time between two reports, in microseconds.
-const REPORT_SPACING: u64 = 500_000;
+/// Delay before a worker reports to the node that it was redirected to, in microseconds.
+const REDIRECT_DELAY_US: u64 = 100_000;
+/// Shortest interval between two reports, in microseconds.
+const MIN_REPORT_INTERVAL_US: u64 = 500_000;
 
-/// A task: its job's number, and its own.
+/// A task: the number of its job, and its index in the job.
 pub type Task = (u64, u32);
 
-/// A task's state on its machine.
+/// The state of a task's attempt on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Waits for its image.
+    /// The image is being fetched.
     Fetching,
-    /// Runs.
+    /// The task is running.
     Running,
-    /// Saves.
+    /// The task is saving a checkpoint.
     Flushing,
-    /// Ended, with its cause.
+    /// The task has ended, with the cause.
     Exited(&'static str),
 }
 
-/// An attempt on a machine.
+/// An attempt to run a task, on its machine.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The attempt's number.
@@ -37,10 +37,10 @@
     /// Its state.
     pub phase: Phase,
     /// When the state ends by itself, in microseconds.
-    pub until: u64,
+    pub phase_ends_at: u64,
 }
 
-/// What a job's tasks are like; users upload it.
+/// Properties of a job's tasks, which the fake users hand to the fake workers.
 #[derive(Clone, Debug)]
 pub struct JobInfo {
     /// Cores of a task.
@@ -51,93 +51,93 @@
     pub run: u64,
     /// Image.
     pub image: String,
-    /// What fetching it takes, in seconds.
+    /// Time to fetch the image, in seconds.
     pub size: f64,
     /// Number of tasks.
     pub pieces: u32,
-    /// Its tasks run until the job is cancelled.
+    /// Whether its tasks run until the job is cancelled.
     pub standing: bool,
-    /// All of its tasks run at once.
+    /// Whether all of its tasks are placed together (a gang).
     pub together: bool,
-    /// Its tasks fail.
+    /// Whether its tasks fail.
     pub fails: bool,
-    /// Its tasks save when they are stopped.
+    /// Whether its tasks save a checkpoint when they are stopped.
     pub saves: bool,
-    /// What saving takes, in seconds.
+    /// Time to save a checkpoint, in seconds.
     pub stash: f64,
 }
 
-/// What a worker did, for the checker.
+/// A task event on a worker, for the invariant checker.
 #[derive(Clone, Debug)]
 pub enum Deed {
-    /// A task runs.
+    /// A task started running.
     Started(Task),
-    /// It ended, with its cause.
+    /// A task stopped running, with the cause.
     Ended(Task, &'static str),
 }
 
-/// Where a worker reports next.
+/// Node that a worker reports to next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Redirect {
-    /// To the same node.
+    /// The same node.
     Stay,
-    /// To this node.
+    /// This node, as the response says.
     To(usize),
-    /// To the next node, after a pause.
+    /// The next node, after a delay.
     Next,
 }
 
-/// A worker.
+/// The fake worker.
 pub struct Worker {
-    /// Its machine's number.
+    /// Number of its machine.
     pub id: u64,
-    /// Its address, as it tells it.
+    /// Address that it reports.
     pub endpoint: String,
-    /// Type.
+    /// Machine type.
     pub build: String,
     /// Zone.
     pub yard: String,
-    /// Spot.
+    /// Whether it is a spot machine.
     pub spot: bool,
     /// Cores.
     pub cores: f64,
     /// Memory in GB.
     pub mem: f64,
-    /// Session.
+    /// Session number; a new session begins when the lease expires.
     pub shift: u64,
     /// Number of the last report.
     pub tally: u64,
-    /// Highest token seen.
+    /// Highest fencing token received.
     pub baton: u64,
-    /// When the cloud takes the machine, in microseconds.
+    /// When the cloud takes the machine away, in microseconds, once it has announced that.
     pub recall_at: Option<u64>,
     /// Attempts on the machine.
     pub pieces: BTreeMap<(Task, u64), Attempt>,
-    /// Images that it has.
+    /// Fetched images.
     pub images: Vec<String>,
-    /// When the report was sent that renewed the lease, in microseconds.
-    pub renewed: u64,
-    /// The lease's length in microseconds.
+    /// When the report that renewed the lease was sent, in microseconds.
+    pub lease_renewed_at: u64,
+    /// Duration of the lease in microseconds.
     pub lease: u64,
-    /// It hangs until then, in microseconds.
+    /// End of a stall of the worker, in microseconds.
     pub hung_until: u64,
-    /// All of its tasks fail.
+    /// Whether all of its tasks fail.
     pub faulty: bool,
     /// The node that it reports to.
     pub node: usize,
-    /// The report under way: its number, when it was sent, its session.
+    /// The report that awaits a response: its number, when it was sent, its session.
     pub waiting: Option<(u64, u64, u64)>,
     /// When the next periodic report is due, in microseconds.
-    pub next_report: u64,
+    pub next_report_at: u64,
     /// When the last report was sent, in microseconds.
-    pub last_report: u64,
-    /// Something changed since the last report.
+    pub last_report_at: u64,
+    /// Whether something changed since the last report.
     pub changed: bool,
-    /// Leases that ended with tasks on the machine.
+    /// Leases that expired while tasks were on the machine.
     pub lost_leases: u64,
 }
 
-/// A task's name.
+/// Returns the name of a task.
 pub fn task_name(t: Task) -> String {
     format!("req-{:06}/{}", t.0, t.1)
 }
@@ -148,8 +148,9 @@
 }
 
 impl Worker {
-    /// A worker that has just begun: the machine's number, its address, type, zone and kind, its lease in microseconds, the
-    /// node that it tries first, and the time in microseconds.
+    /// Creates a worker that has just started on the machine number `id`. `(yard, spot)` are its zone and whether it is a spot
+    /// machine, `lease` is the duration of its lease in microseconds, `node` is the node that it reports to first, and `now` is
+    /// the time in microseconds.
     pub fn new(
         id: u64,
         endpoint: String,
@@ -173,33 +174,33 @@
             recall_at: None,
             pieces: BTreeMap::new(),
             images: Vec::new(),
-            renewed: now,
+            lease_renewed_at: now,
             lease,
             hung_until: 0,
             faulty: false,
             node,
             waiting: None,
-            next_report: now,
-            last_report: 0,
+            next_report_at: now,
+            last_report_at: 0,
             changed: false,
             lost_leases: 0,
         }
     }
 
-    /// Sends a report if one is due: its body. `interval` until the next one, in microseconds.
+    /// Returns the body of a report if one is due. The next periodic report is due `interval` microseconds later.
     pub fn due_report(&mut self, now: u64, interval: u64) -> Option<Vec<u8>> {
-        if self.waiting.is_some() || now < self.report_at() {
+        if self.waiting.is_some() || now < self.report_due_at() {
             return None;
         }
         self.changed = false;
-        self.last_report = now;
-        self.next_report = now + interval;
+        self.last_report_at = now;
+        self.next_report_at = now + interval;
         let body = self.report(now).to_string().into_bytes();
         self.waiting = Some((self.tally, now, self.shift));
         Some(body)
     }
 
-    /// Takes the answer to the report that was sent at `sent` in session `shift`. Nodes are called `n0`, `n1` and so on.
+    /// Handles the response to the report that was sent at `sent` in session `shift`. Nodes are named `n0`, `n1` and so on.
     pub fn take_answer(
         &mut self,
         now: u64,
@@ -217,8 +218,8 @@
                 if baton >= self.baton && shift == self.shift {
                     self.changed |= baton > self.baton;
                     self.baton = baton;
-                    self.renewed = self.renewed.max(sent);
-                    self.execute(now, &body["orders"], jobs, events);
+                    self.lease_renewed_at = self.lease_renewed_at.max(sent);
+                    self.execute_orders(now, &body["orders"], jobs, events);
                 }
                 Redirect::Stay
             }
@@ -229,7 +230,7 @@
                 match to.filter(|n| *n != self.node) {
                     Some(n) => {
                         self.node = n;
-                        self.next_report = now + REDIRECT_PAUSE;
+                        self.next_report_at = now + REDIRECT_DELAY_US;
                         Redirect::To(n)
                     }
                     None => Redirect::Next,
@@ -239,15 +240,15 @@
         }
     }
 
-    /// Goes on to the next node, after `wait` microseconds.
+    /// Makes the worker report to the next node, after `wait` microseconds.
     pub fn try_next_node(&mut self, now: u64, nodes: usize, wait: u64) {
         self.waiting = None;
         self.node = (self.node + 1) % nodes;
-        self.next_report = now + wait;
+        self.next_report_at = now + wait;
         self.changed = false;
     }
 
-    /// Takes a direct command; `None` if it lacks its token or its session.
+    /// Handles a direct command. `None` if it is malformed or has no fencing token or session.
     pub fn take_command(
         &mut self,
         now: u64,
@@ -258,16 +259,16 @@
         self.check_lease(now, events);
         let body: Value = serde_json::from_slice(body).ok()?;
         let (baton, shift) = (body["baton"].as_u64()?, body["shift"].as_u64()?);
-        let good = baton >= self.baton && shift == self.shift;
-        if good {
+        let is_accepted = baton >= self.baton && shift == self.shift;
+        if is_accepted {
             self.changed |= baton > self.baton;
             self.baton = self.baton.max(baton);
-            self.execute(now, &body["orders"], jobs, events);
+            self.execute_orders(now, &body["orders"], jobs, events);
         }
-        Some((if good { 200 } else { 409 }, self.report(now)))
+        Some((if is_accepted { 200 } else { 409 }, self.report(now)))
     }
 
-    /// Cores and memory that are free beside all that has not ended.
+    /// Cores and memory that the attempts that have not ended leave free.
     pub fn free(&self, jobs: &BTreeMap<u64, JobInfo>) -> (f64, f64) {
         let live = self
             .pieces
@@ -278,11 +279,11 @@
         })
     }
 
-    fn on_machine(p: &Attempt) -> bool {
+    fn is_executing(p: &Attempt) -> bool {
         matches!(p.phase, Phase::Running | Phase::Flushing)
     }
 
-    /// The report as it is now; every one has a larger number.
+    /// Creates a report of the current state. Each report has a larger number than the previous one.
     pub fn report(&mut self, now: u64) -> Value {
         self.tally += 1;
         let pieces: Vec<Value> = self
@@ -295,8 +296,8 @@
                     Phase::Flushing => "flushing",
                     Phase::Exited(_) => "exited",
                 }});
-                if let Phase::Exited(why) = p.phase {
-                    v["cause"] = json!(why);
+                if let Phase::Exited(cause) = p.phase {
+                    v["cause"] = json!(cause);
                 }
                 v
             })
@@ -307,9 +308,9 @@
             "recallS": self.recall_at.map(|r| r.saturating_sub(now) as f64 / 1e6)})
     }
 
-    /// Kills everything if the lease is over.
+    /// Kills all tasks and starts a new session if the lease has expired.
     pub fn check_lease(&mut self, now: u64, events: &mut Vec<Deed>) {
-        if now.saturating_sub(self.renewed) <= self.lease {
+        if now.saturating_sub(self.lease_renewed_at) <= self.lease {
             return;
         }
         if !self.pieces.is_empty() {
@@ -317,21 +318,21 @@
         }
         self.kill_all(events);
         self.shift += 1;
-        self.renewed = now;
+        self.lease_renewed_at = now;
         self.changed = true;
     }
 
-    /// Ends all tasks.
+    /// Kills all tasks.
     pub fn kill_all(&mut self, events: &mut Vec<Deed>) {
         for ((t, _), p) in std::mem::take(&mut self.pieces) {
-            if Self::on_machine(&p) {
+            if Self::is_executing(&p) {
                 events.push(Deed::Ended(t, "killed"));
             }
         }
     }
 
-    /// Carries out a response or a direct command whose token is good.
-    pub fn execute(
+    /// Executes the orders of a response or a direct command whose fencing token is not outdated.
+    pub fn execute_orders(
         &mut self,
         now: u64,
         orders: &Value,
@@ -351,12 +352,12 @@
                         let leeway = o["leewayS"].as_f64().unwrap_or(0.0);
                         if p.phase == Phase::Running && job.saves && leeway >= job.stash {
                             p.phase = Phase::Flushing;
-                            p.until = now + (job.stash * 1e6) as u64;
+                            p.phase_ends_at = now + (job.stash * 1e6) as u64;
                             self.changed = true;
                         } else if !matches!(p.phase, Phase::Exited(_))
                             && (p.phase != Phase::Flushing || leeway == 0.0)
                         {
-                            if Self::on_machine(p) {
+                            if Self::is_executing(p) {
                                 events.push(Deed::Ended(task, "halted"));
                             }
                             p.phase = Phase::Exited("halted");
@@ -385,75 +386,80 @@
         }
         self.changed = true;
         let live = |p: &&Attempt| !matches!(p.phase, Phase::Exited(_));
-        let mut piece = Attempt {
+        let mut attempt = Attempt {
             number,
             phase: Phase::Exited("no_such"),
-            until: now,
+            phase_ends_at: now,
         };
         if let Some(job) = jobs.get(&task.0).filter(|j| task.1 < j.pieces) {
             let (cores, mem) = self.free(jobs);
             let busy = self.pieces.iter().any(|((t, _), p)| *t == task && live(&p));
             if busy {
-                piece.phase = Phase::Exited("in_use");
+                attempt.phase = Phase::Exited("in_use");
             } else if job.cores > cores || job.mem > mem {
-                piece.phase = Phase::Exited("full");
+                attempt.phase = Phase::Exited("full");
             } else {
-                piece.phase = Phase::Fetching;
-                let has = self.images.contains(&job.image);
-                piece.until = now + if has { 1_000 } else { (job.size * 1e6) as u64 };
+                attempt.phase = Phase::Fetching;
+                let has_image = self.images.contains(&job.image);
+                attempt.phase_ends_at = now
+                    + if has_image {
+                        1_000
+                    } else {
+                        (job.size * 1e6) as u64
+                    };
             }
         }
-        self.pieces.insert((task, number), piece);
+        self.pieces.insert((task, number), attempt);
     }
 
-    /// Brings the tasks forward.
+    /// Advances the tasks to the time `now`.
     pub fn advance(&mut self, now: u64, jobs: &BTreeMap<u64, JobInfo>, events: &mut Vec<Deed>) {
         for ((t, _), p) in &mut self.pieces {
             let job = &jobs[&t.0];
-            if p.phase == Phase::Fetching && p.until <= now {
+            if p.phase == Phase::Fetching && p.phase_ends_at <= now {
                 if !self.images.contains(&job.image) {
                     self.images.push(job.image.clone());
                 }
                 p.phase = Phase::Running;
-                p.until = if job.standing {
+                p.phase_ends_at = if job.standing {
                     u64::MAX
                 } else {
                     now + job.run
                 };
                 if self.faulty || job.fails {
-                    p.until = now + 500_000;
+                    p.phase_ends_at = now + 500_000;
                 }
                 self.changed = true;
                 events.push(Deed::Started(*t));
-            } else if p.phase == Phase::Flushing && p.until <= now {
+            } else if p.phase == Phase::Flushing && p.phase_ends_at <= now {
                 p.phase = Phase::Exited("halted");
                 self.changed = true;
                 events.push(Deed::Ended(*t, "halted"));
-            } else if p.phase == Phase::Running && p.until <= now {
-                let why = if self.faulty || job.fails {
+            } else if p.phase == Phase::Running && p.phase_ends_at <= now {
+                let cause = if self.faulty || job.fails {
                     "error"
                 } else {
                     "done"
                 };
-                p.phase = Phase::Exited(why);
+                p.phase = Phase::Exited(cause);
                 self.changed = true;
-                events.push(Deed::Ended(*t, why));
+                events.push(Deed::Ended(*t, cause));
             }
         }
     }
 
-    /// The next time at which something happens by itself.
+    /// Time at which the state changes by itself next, in microseconds.
     pub fn next_deadline(&self) -> u64 {
         let tasks = self
             .pieces
             .values()
             .filter(|p| !matches!(p.phase, Phase::Exited(_)))
-            .map(|p| p.until);
-        let lease = self.renewed + self.lease + 1;
+            .map(|p| p.phase_ends_at);
+        let lease = self.lease_renewed_at + self.lease + 1;
         let report = if self.waiting.is_some() {
             u64::MAX
         } else {
-            self.report_at()
+            self.report_due_at()
         };
         tasks
             .chain([report])
@@ -463,12 +469,14 @@
             .min(lease)
     }
 
-    /// When the next report is due: sooner if something changed, but not within half a second.
-    pub fn report_at(&self) -> u64 {
+    /// When the next report is due, in microseconds: earlier than the periodic one if something changed, but not within half a
+    /// second after the last report.
+    pub fn report_due_at(&self) -> u64 {
         if self.changed {
-            self.next_report.min(self.last_report + REPORT_SPACING)
+            self.next_report_at
+                .min(self.last_report_at + MIN_REPORT_INTERVAL_US)
         } else {
-            self.next_report
+            self.next_report_at
         }
     }
 }
--- a/crates/emulator/src/fit.rs
+++ b/crates/emulator/src/fit.rs
@@ -1,25 +1,25 @@
-//! Least squares: slopes of what was measured against workers, running tasks and starts.
+//! Least squares fits, for example of resource usage against the numbers of workers, running tasks and starts.
 
 use serde::{Deserialize, Serialize};
 
-/// A column whose pivot is smaller than this part of the largest can't be told from the others.
+/// A column whose pivot is smaller than this fraction of the largest value is treated as linearly dependent on the others.
 const MIN_PIVOT_FRACTION: f64 = 1e-9;
 
-/// The values cannot be fitted: there are too few runs, or they do not differ enough.
+/// The factors are not determined: there are too few rows, or they do not differ enough.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("too few runs, or they do not differ enough")]
 pub struct Undetermined;
 
-/// A fitted plane.
+/// A fitted linear function.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// One factor for each input, in their order.
+    /// One factor for each column of the inputs, in their order.
     pub factors: Vec<f64>,
-    /// Root of the mean squared error.
+    /// Root mean square error.
     pub error: f64,
 }
 
-/// Finds the factors with the smallest squared error for `outputs` from rows of `inputs`.
+/// Fits factors to rows of `inputs` and their `outputs`, so that the sum of the squared errors is smallest.
 ///
 /// # Errors
 ///
@@ -29,7 +29,7 @@
     if width == 0 || inputs.len() < width || inputs.len() != outputs.len() {
         return Err(Undetermined);
     }
-    // Inputs of very different sizes are brought to one.
+    // Columns of very different magnitude are scaled to a largest value of 1.
     let scale: Vec<f64> = (0..width)
         .map(|c| inputs.iter().map(|r| r[c].abs()).fold(0.0, f64::max))
         .collect();
@@ -60,7 +60,7 @@
     Ok(Fit { factors, error })
 }
 
-/// The value that factors give for a row of inputs.
+/// Computes the output for a row of inputs.
 pub fn predict(factors: &[f64], row: &[f64]) -> f64 {
     factors
         .iter()
@@ -69,7 +69,7 @@
         .sum()
 }
 
-/// One row for each factor: its sums of products with the others, then with the outputs.
+/// The normal equations. The row of a factor has the sums of its products with all factors, then that with the outputs.
 fn normal_equations(rows: &[Vec<f64>], outputs: &[f64]) -> Vec<Vec<f64>> {
     let width = rows[0].len();
     let product = |i: usize, j: usize| rows.iter().map(|r| r[i] * r[j]).sum::<f64>();
@@ -84,7 +84,7 @@
         .collect()
 }
 
-/// Gaussian elimination with the largest pivot first.
+/// Solves the equations by Gaussian elimination with partial pivoting.
 fn solve(equations: &mut [Vec<f64>]) -> Result<Vec<f64>, Undetermined> {
     let width = equations.len();
     let largest = equations
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the scale runs.
+//! Command line of the emulator.
 
 use clap::{Parser, Subcommand};
 use cometlead_emulator::capacity::{Capacity, Slopes};
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Scale runs: real cometlead controllers beside hollow workers, users, clouds and state services.
+/// Scale runs: real cometlead controllers with fake workers, users, clouds and state services.
 #[derive(Parser)]
 #[command(version, about)]
 struct Cli {
@@ -19,66 +19,66 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a scenario. Exits with 1 if a rule was broken or a controller ended by itself.
+    /// Runs a scenario. Exits with 1 if an invariant was violated or a controller exited by itself.
     Run {
-        /// The scenario (TOML).
+        /// Scenario file (TOML).
         scenario: PathBuf,
-        /// The controllers' binary.
+        /// Controller binary.
         #[arg(long, default_value = "target/release/cometlead")]
         binary: PathBuf,
-        /// Where results, deploy files and logs go.
+        /// Folder for results, deploy files and logs.
         #[arg(long, default_value = "target/emulator")]
         out: PathBuf,
-        /// Also writes the slopes here that were fitted to the scenario's steps.
+        /// File to which the slopes fitted to the steps of the scenario are written.
         #[arg(long)]
         slopes: Option<PathBuf>,
     },
-    /// Prints the tables of the capacity page, or writes them into it.
+    /// Prints the tables of the capacity page, or updates them in the page.
     Capacity {
-        /// The page's data (TOML), with `slopes.toml` beside it.
+        /// Capacity file (TOML), with `slopes.toml` in the same folder.
         data: PathBuf,
-        /// The page to be written.
+        /// Page to update.
         #[arg(long)]
         page: Option<PathBuf>,
     },
 }
 
-fn play(
+fn run_scenario(
     scenario: &Path,
     binary: &Path,
     out: &Path,
     slopes: Option<&Path>,
 ) -> Result<ExitCode, Box<dyn Error>> {
     let loaded = Scenario::load(scenario)?;
-    let bar = ProgressBar::new_spinner();
-    bar.set_style(ProgressStyle::with_template("{elapsed_precise} {msg}")?);
+    let spinner = ProgressBar::new_spinner();
+    spinner.set_style(ProgressStyle::with_template("{elapsed_precise} {msg}")?);
     let mut results = Vec::new();
-    let mut good = true;
-    for one in loaded.runs() {
-        let name = one.name.clone();
-        let progress = bar.clone();
-        let result = run(&one, binary, out, &move |text| {
+    let mut success = true;
+    for step in loaded.runs() {
+        let name = step.name.clone();
+        let progress = spinner.clone();
+        let result = run(&step, binary, out, &move |text| {
             progress.set_message(format!("{name}: {text}"));
         })?;
         result.write(out)?;
-        bar.suspend(|| println!("{}\n{}\n", result.name, result.table()));
-        good &= result.broken.is_empty() && result.ended_by_themselves == 0;
+        spinner.suspend(|| println!("{}\n{}\n", result.name, result.table()));
+        success &= result.broken.is_empty() && result.ended_by_themselves == 0;
         results.push(result);
     }
-    bar.finish_and_clear();
+    spinner.finish_and_clear();
     if !loaded.steps.is_empty() {
-        let fitted = Slopes::of(
+        let fitted = Slopes::from_runs(
             &format!("cometlead-emulator run {}", scenario.display()),
             &results,
         );
-        for ((role, resource), slopes) in fitted.rows() {
+        for ((role, resource), slopes) in fitted.descriptions() {
             println!("{role}, {resource}: {}", slopes.join("; "));
         }
         if let Some(path) = slopes {
-            std::fs::write(path, fitted.text()?)?;
+            std::fs::write(path, fitted.to_toml()?)?;
         }
     }
-    Ok(if good {
+    Ok(if success {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -88,14 +88,18 @@
 fn capacity(data: &Path, page: Option<&Path>) -> Result<ExitCode, Box<dyn Error>> {
     let capacity = Capacity::load(data)?;
     match page {
-        Some(path) => std::fs::write(path, capacity.page(&std::fs::read_to_string(path)?)?)?,
-        None => println!("{}{}", capacity.tables(), capacity.lines()),
+        Some(path) => std::fs::write(path, capacity.update_page(&std::fs::read_to_string(path)?)?)?,
+        None => println!(
+            "{}{}",
+            capacity.resource_tables(),
+            capacity.requirements_table()
+        ),
     }
-    let beyond = capacity.over_budget();
-    beyond
+    let over_budget = capacity.over_budget();
+    over_budget
         .iter()
         .for_each(|line| eprintln!("beyond its budget: {line}"));
-    Ok(if beyond.is_empty() {
+    Ok(if over_budget.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -103,17 +107,17 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Cli::parse().command {
+    let outcome = match Cli::parse().command {
         Command::Run {
             scenario,
             binary,
             out,
             slopes,
-        } => play(&scenario, &binary, &out, slopes.as_deref()),
+        } => run_scenario(&scenario, &binary, &out, slopes.as_deref()),
         Command::Capacity { data, page } => capacity(&data, page.as_deref()),
     };
-    done.unwrap_or_else(|problem| {
-        eprintln!("cometlead-emulator: {problem}");
+    outcome.unwrap_or_else(|error| {
+        eprintln!("cometlead-emulator: {error}");
         ExitCode::FAILURE
     })
 }
--- a/crates/emulator/src/region.rs
+++ b/crates/emulator/src/region.rs
@@ -1,4 +1,4 @@
-//! A region's outside world over real connections: its state service, its cloud interface and its machines.
+//! The fake services of a region over real connections: its state service, its cloud interface and its machines.
 
 use crate::addresses::Addresses;
 use crate::fakes::cloud::{Cloud, TypeSpec};
@@ -25,44 +25,44 @@
 const MACHINE_MEMORY_GB: f64 = 64.0;
 /// The only type of machine.
 pub const MACHINE_TYPE: &str = "standard";
-/// How much more machines there are than are wanted.
+/// Machines that the cloud has for each wanted worker.
 const MACHINES_PER_WANTED_WORKER: f64 = 1.05;
-/// Time until the cloud answers.
+/// Response time of the cloud.
 const CLOUD_LATENCY: Duration = Duration::from_millis(100);
-/// How often leases and watches are looked after.
+/// Interval at which expired leases and due watches are handled.
 const STATE_TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a lost answer keeps its connection.
+/// Time for which the connection stays open if the response is lost.
 const LOST_ANSWER_DELAY: Duration = Duration::from_secs(5);
-/// Items of a page of the state service.
+/// Most items on a page of the state service.
 const STATE_PAGE_SIZE: usize = 200;
 /// Bytes in a KiB.
 const KIB: f64 = 1024.0;
 
-/// What all regions share.
+/// State that all regions share.
 pub struct RunContext {
-    /// What is run.
+    /// The scenario.
     pub scenario: Scenario,
-    /// Who listens where.
+    /// Addresses of all parties.
     pub addresses: Addresses,
-    /// When it began.
-    pub started: Instant,
-    /// What the jobs' tasks are like.
+    /// When the run started.
+    pub started_at: Instant,
+    /// Properties of the jobs' tasks, by job.
     pub jobs: RwLock<BTreeMap<u64, JobInfo>>,
-    /// The judge.
+    /// The invariant checker.
     pub checker: Mutex<InvariantChecker>,
-    /// Threads of the hollow workers.
+    /// Runtime of the fake workers.
     pub worker_threads: Handle,
-    /// Threads of users, clouds and state services.
+    /// Runtime of the fake users, clouds and state services.
     pub service_threads: Handle,
 }
 
 impl RunContext {
-    /// Microseconds since the begin of the run.
+    /// Time since the start of the run, in microseconds.
     pub fn now(&self) -> u64 {
-        self.started.elapsed().as_micros() as u64
+        self.started_at.elapsed().as_micros() as u64
     }
 
-    /// The name of a zone.
+    /// Returns the name of a zone.
     pub fn zone(region: usize, zone: usize) -> String {
         format!("r{region}-z{zone}")
     }
@@ -70,7 +70,7 @@
 
 /// A region.
 pub struct Region {
-    /// What all regions share.
+    /// State that all regions share.
     pub context: Arc<RunContext>,
     /// Its number.
     pub index: usize,
@@ -79,25 +79,25 @@
     watches: Mutex<HashMap<u64, oneshot::Sender<Answer>>>,
     next_request: AtomicU64,
     cloud: Mutex<Cloud>,
-    /// Its workers by machine.
+    /// Its fake workers, by machine.
     pub fleet: Mutex<BTreeMap<u64, Arc<FakeWorker>>>,
-    /// Zones that are cut off from the controllers, and until when in microseconds.
+    /// Zones that are partitioned from the controllers, each with the end of the partition in microseconds.
     pub partitioned_zones: Mutex<Vec<(String, u64)>>,
     random: Mutex<StdRng>,
-    /// What went to and from the state service.
+    /// Traffic of the state service.
     pub state_traffic: Arc<Traffic>,
-    /// What went to and from the cloud interface.
+    /// Traffic of the cloud interface.
     pub cloud_traffic: Arc<Traffic>,
 }
 
 impl Region {
-    /// A region in which nothing runs yet.
+    /// Creates a region in which nothing runs yet.
     pub fn new(context: &Arc<RunContext>, index: usize) -> Arc<Region> {
         let scenario = &context.scenario;
         let spec = &scenario.regions[index];
-        let in_a_zone =
+        let machines_per_zone =
             (spec.workers as f64 * MACHINES_PER_WANTED_WORKER / spec.zones as f64).ceil() as u32;
-        let ordinary = in_a_zone / 2;
+        let on_demand = machines_per_zone / 2;
         let machine = TypeSpec {
             name: MACHINE_TYPE.to_owned(),
             cores: MACHINE_CORES,
@@ -105,8 +105,8 @@
             boot: scenario.cloud.boot_s,
             price: 1.0,
             spot_price: 0.9,
-            count: ordinary,
-            spot: in_a_zone - ordinary,
+            count: on_demand,
+            spot: machines_per_zone - on_demand,
             stuck: 0.0,
             zones: (0..spec.zones)
                 .map(|z| RunContext::zone(index, z))
@@ -137,12 +137,12 @@
         })
     }
 
-    /// A random number below 1.
+    /// Draws a random number from 0 (inclusive) to 1 (exclusive).
     pub fn random(&self) -> f64 {
         self.random.lock().random::<f64>()
     }
 
-    /// Whether a zone is cut off from the controllers.
+    /// Whether a zone is partitioned from the controllers.
     pub fn is_partitioned(&self, zone: &str, now: u64) -> bool {
         self.partitioned_zones
             .lock()
@@ -150,11 +150,11 @@
             .any(|(z, until)| z == zone && now < *until)
     }
 
-    /// Starts its servers.
+    /// Starts the servers of the state service and the cloud.
     ///
     /// # Errors
     ///
-    /// What the system says if an address cannot be had.
+    /// The error of the system if an address cannot be bound.
     pub async fn start(self: &Arc<Self>) -> std::io::Result<()> {
         let state = TcpListener::bind(self.context.addresses.state(self.index)).await?;
         let cloud = TcpListener::bind(self.context.addresses.cloud(self.index)).await?;
@@ -177,16 +177,16 @@
 
     /// Answers the watches that are due.
     fn answer_watches(&self) {
-        let (due, violations) = {
+        let (due_watches, violations) = {
             let mut state = self.state.lock();
             (
                 state.tick(self.context.now()),
                 std::mem::take(&mut state.violations),
             )
         };
-        for (id, status, body) in due {
+        for (id, status, body) in due_watches {
             if let Some(sender) = self.watches.lock().remove(&id) {
-                // The controller may have gone.
+                // The controller may have closed the connection.
                 let _ = sender.send(Answer::new(status, &body));
             }
         }
@@ -198,29 +198,29 @@
         }
     }
 
-    /// Half of the time that the state service takes for an answer: drawn, with a long tail.
+    /// Waits for half of a response time of the state service, which is drawn from an exponential distribution.
     async fn state_latency(&self) {
         let mean = self.context.scenario.state.latency_ms / 2e3;
-        let drawn = -(1.0 - self.random()).max(1e-4).ln() * mean;
-        if drawn > 0.0 {
-            tokio::time::sleep(Duration::from_secs_f64(drawn)).await;
+        let latency_s = -(1.0 - self.random()).max(1e-4).ln() * mean;
+        if latency_s > 0.0 {
+            tokio::time::sleep(Duration::from_secs_f64(latency_s)).await;
         }
     }
 
     async fn state_request(self: Arc<Self>, request: IncomingRequest) -> Option<Answer> {
         self.state_latency().await;
         let is_txn = request.path == "/txn";
-        let lost = is_txn && self.random() < self.context.scenario.state.lost_answers;
+        let is_lost = is_txn && self.random() < self.context.scenario.state.lost_answers;
         let id = self.next_request.fetch_add(1, Ordering::Relaxed);
-        let (answer, waiting) = self.ask_state(id, &request);
+        let (answer, watch_receiver) = self.forward_to_state(id, &request);
         if is_txn {
             self.answer_watches();
         }
-        if lost {
+        if is_lost {
             tokio::time::sleep(LOST_ANSWER_DELAY).await;
             return None;
         }
-        let answer = match waiting {
+        let answer = match watch_receiver {
             Some(receiver) => receiver.await.ok()?,
             None => answer,
         };
@@ -228,8 +228,8 @@
         Some(answer)
     }
 
-    /// Hands a request to the stand-in; a watch is answered later.
-    fn ask_state(
+    /// Passes a request to the fake state service. The response to a watch arrives later, on the returned receiver.
+    fn forward_to_state(
         &self,
         id: u64,
         request: &IncomingRequest,
@@ -246,7 +246,7 @@
         match answer {
             Some((status, body)) => (Answer::new(status, &body), None),
             None if request.path.starts_with("/changes") => {
-                // Registered before the lock is given back, so no change is missed.
+                // Registered before the lock on the state is released, so that no change is missed.
                 let (sender, receiver) = oneshot::channel();
                 self.watches.lock().insert(id, sender);
                 (malformed, Some(receiver))
@@ -258,7 +258,7 @@
     async fn cloud_request(self: Arc<Self>, request: IncomingRequest) -> Option<Answer> {
         tokio::time::sleep(CLOUD_LATENCY).await;
         let now = self.context.now();
-        let (answer, new) = {
+        let (answer, provisioned) = {
             let mut cloud = self.cloud.lock();
             let last = cloud.hosts.keys().next_back().copied().unwrap_or(0);
             let mut random_fraction = || self.random();
@@ -269,11 +269,11 @@
                 &request.body,
                 &mut random_fraction,
             );
-            let new: Vec<u64> = cloud.hosts.range(last + 1..).map(|(i, _)| *i).collect();
-            (Answer::new(status, &body), new)
+            let provisioned: Vec<u64> = cloud.hosts.range(last + 1..).map(|(i, _)| *i).collect();
+            (Answer::new(status, &body), provisioned)
         };
-        for machine in new {
-            self.boot(machine);
+        for machine in provisioned {
+            self.boot_machine(machine);
         }
         if request.path == "/hosts/release" {
             self.stop_released(now);
@@ -281,27 +281,30 @@
         Some(answer)
     }
 
-    /// By the time of the answer, machines that were released are gone with all that is on them.
+    /// Stops the workers of released machines before the response to the release is sent.
     fn stop_released(&self, now: u64) {
         let released: Vec<Arc<FakeWorker>> = {
             let cloud = self.cloud.lock();
             let mut fleet = self.fleet.lock();
-            let is_gone = |i: &u64| {
+            let is_released = |i: &u64| {
                 cloud
                     .hosts
                     .get(i)
                     .is_some_and(|h| h.gone_at.is_some_and(|g| g <= now))
             };
-            let gone: Vec<u64> = fleet.keys().copied().filter(is_gone).collect();
-            gone.iter().filter_map(|i| fleet.remove(i)).collect()
+            let stopped_machines: Vec<u64> = fleet.keys().copied().filter(is_released).collect();
+            stopped_machines
+                .iter()
+                .filter_map(|i| fleet.remove(i))
+                .collect()
         };
         for worker in released {
             worker.stop();
         }
     }
 
-    /// Starts a machine's worker once it has booted.
-    fn boot(self: &Arc<Self>, machine: u64) {
+    /// Starts a machine's worker once the machine has booted.
+    fn boot_machine(self: &Arc<Self>, machine: u64) {
         let Some(up_at) = self.cloud.lock().hosts.get(&machine).and_then(|h| h.up_at) else {
             return;
         };
@@ -309,11 +312,11 @@
         self.context.worker_threads.spawn(async move {
             let wait = up_at.saturating_sub(region.context.now());
             tokio::time::sleep(Duration::from_micros(wait)).await;
-            region.begin_worker(machine).await;
+            region.start_worker(machine).await;
         });
     }
 
-    async fn begin_worker(self: Arc<Self>, machine: u64) {
+    async fn start_worker(self: Arc<Self>, machine: u64) {
         let Some(endpoint) = self.context.addresses.worker(self.index, machine) else {
             return;
         };
@@ -326,16 +329,17 @@
                 return;
             };
             let lease = (self.context.scenario.workers.lease_s * 1e6) as u64;
-            let first = machine as usize % self.context.scenario.regions[self.index].controllers;
-            let place = (host.yard.clone(), host.spot);
+            let first_node =
+                machine as usize % self.context.scenario.regions[self.index].controllers;
+            let zone_and_kind = (host.yard.clone(), host.spot);
             let kind = cloud.type_of(machine);
             Worker::new(
                 machine,
                 endpoint.to_string(),
                 kind,
-                place,
+                zone_and_kind,
                 lease,
-                first,
+                first_node,
                 self.context.now(),
             )
         };
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -148,7 +148,7 @@
     let context = Arc::new(RunContext {
         scenario: scenario.clone(),
         addresses: Addresses::find(scenario.seed ^ u64::from(std::process::id()))?,
-        started: Instant::now(),
+        started_at: Instant::now(),
         jobs: Default::default(),
         checker: Mutex::new(InvariantChecker::new(
             cancel_limit_us,
@@ -212,7 +212,7 @@
         tokio::spawn(Arc::clone(self).measure_timer_delay());
         tokio::spawn(Arc::clone(self).sample_every_second());
         let ramped = self.ramp_up(progress).await?;
-        let ramp_s = self.context.started.elapsed().as_secs_f64();
+        let ramp_s = self.context.started_at.elapsed().as_secs_f64();
         self.start_streams();
         self.wait_phase("settling", self.context.scenario.settle_s, progress)
             .await?;
@@ -229,9 +229,9 @@
         for (region, spec) in self.context.scenario.regions.iter().enumerate() {
             let quota_shares = quota_shares(&self.context.scenario, region);
             for node in 0..spec.controllers {
-                let started =
+                let controller =
                     Controller::start(&self.context, (region, node), &quota_shares, binary, folder);
-                controllers.push(started.map_err(system_error("cannot start a controller"))?);
+                controllers.push(controller.map_err(system_error("cannot start a controller"))?);
             }
         }
         for balancer in &self.balancers {
@@ -409,7 +409,7 @@
     }
 
     fn check_memory(&self) -> Result<(), RunError> {
-        let own_mb = measure::process(std::process::id()).map_or(0.0, |u| u.memory_mb);
+        let own_mb = measure::process_usage(std::process::id()).map_or(0.0, |u| u.memory_mb);
         let controllers_mb: f64 = self
             .controllers
             .lock()
--- a/crates/emulator/src/run/snapshot.rs
+++ b/crates/emulator/src/run/snapshot.rs
@@ -195,7 +195,8 @@
             worker_connections_per_s: per_worker(sum_over_workers(|w| w.connections)),
             worker_cores: thread_cores(WORKER_THREAD_NAME) / workers.max(1) as f64,
             service_cores: thread_cores(SERVICE_THREAD_NAME),
-            emulator_memory_mb: measure::process(std::process::id()).map_or(0.0, |u| u.memory_mb),
+            emulator_memory_mb: measure::process_usage(std::process::id())
+                .map_or(0.0, |u| u.memory_mb),
             machine_busy: after.machine.busy_since(&before.machine),
             reports_failed: sum_over_workers(|w| w.reports_failed),
             lost_leases: self.lost_leases(),
--- a/crates/emulator/src/slopes.rs
+++ b/crates/emulator/src/slopes.rs
@@ -1,11 +1,12 @@
-//! Slopes of what was measured in several runs: which quantities are fitted, and to what.
+//! Slopes: how resource usage depends on the size of a region, fitted to the results of several runs.
 
 use crate::capacity::{Per, Range, Slope, SlopeSource, Slopes, format_amount};
 use crate::fit::fit;
 use crate::report::{ControllerResult, RunResult};
 use std::collections::BTreeMap;
 
-/// A quantity to be fitted: role, resource, whether it is divided among controllers, what it depends on, and how it is told from a run.
+/// A quantity to fit: its role and resource, whether it is divided among the controllers, the inputs that it depends on, and how
+/// it is read from the result of a run.
 struct Quantity {
     role: &'static str,
     resource: &'static str,
@@ -122,8 +123,8 @@
     },
 ];
 
-/// The size of what a slope is a slope of, in a run.
-fn size(per: Per, run: &RunResult) -> f64 {
+/// Value of an input in a run.
+fn input_value(per: Per, run: &RunResult) -> f64 {
     let workers = run.workers.max(1) as f64;
     match per {
         Per::Constant => 1.0,
@@ -135,14 +136,15 @@
     }
 }
 
-/// Fits a slope to each quantity. A slope below zero is no cost: the input is left out and the rest fitted again.
+/// Fits the slopes of a quantity. A negative slope is not plausible for a cost, so the most negative one is removed and the others
+/// are fitted again.
 fn fit_quantity(quantity: &Quantity, runs: &[RunResult]) -> Vec<Slope> {
     let outputs: Vec<f64> = runs.iter().map(quantity.value).collect();
     let mut per: Vec<Per> = quantity.per.to_vec();
     loop {
         let inputs: Vec<Vec<f64>> = runs
             .iter()
-            .map(|r| per.iter().map(|p| size(*p, r)).collect())
+            .map(|r| per.iter().map(|p| input_value(*p, r)).collect())
             .collect();
         let Ok(fitted) = fit(&inputs, &outputs) else {
             return Vec::new();
@@ -159,7 +161,7 @@
             per: *per,
             value: *value,
             divided: quantity.divided,
-            known: SlopeSource::Measured,
+            source: SlopeSource::Measured,
             basis: format!("fit error {}", format_amount(fitted.error)),
         };
         return per.iter().zip(&fitted.factors).map(slope).collect();
@@ -167,13 +169,13 @@
 }
 
 impl Slopes {
-    /// Fits slopes to runs of one region at several sizes.
-    pub fn of(command: &str, runs: &[RunResult]) -> Slopes {
+    /// Fits slopes to the results of runs with one region at several sizes.
+    pub fn from_runs(command: &str, runs: &[RunResult]) -> Slopes {
         let range = |value: fn(&RunResult) -> f64| {
             let values: Vec<f64> = runs.iter().map(value).collect();
-            let least = values.iter().copied().fold(f64::INFINITY, f64::min);
+            let smallest = values.iter().copied().fold(f64::INFINITY, f64::min);
             (
-                least.round(),
+                smallest.round(),
                 values.iter().copied().fold(0.0, f64::max).round(),
             )
         };
@@ -192,23 +194,24 @@
         }
     }
 
-    /// The file's text.
+    /// Formats the slopes as the text of a slopes file.
     ///
     /// # Errors
     ///
-    /// What the serializer says.
-    pub fn text(&self) -> Result<String, toml::ser::Error> {
+    /// The error of the serializer.
+    pub fn to_toml(&self) -> Result<String, toml::ser::Error> {
         toml::to_string_pretty(self)
     }
 
-    /// Values by role and resource, for a table on the screen.
-    pub fn rows(&self) -> BTreeMap<(String, String), Vec<String>> {
-        let mut rows: BTreeMap<(String, String), Vec<String>> = BTreeMap::new();
+    /// Descriptions of the slopes by role and resource, for printing.
+    pub fn descriptions(&self) -> BTreeMap<(String, String), Vec<String>> {
+        let mut descriptions: BTreeMap<(String, String), Vec<String>> = BTreeMap::new();
         for slope in &self.slope {
-            rows.entry((slope.role.clone(), slope.resource.clone()))
+            descriptions
+                .entry((slope.role.clone(), slope.resource.clone()))
                 .or_default()
-                .push(slope.text());
+                .push(slope.describe());
         }
-        rows
+        descriptions
     }
 }
--- a/crates/emulator/src/workers.rs
+++ b/crates/emulator/src/workers.rs
@@ -1,4 +1,4 @@
-//! Hollow workers: each with its own connection, tokens, sessions, lease, task list and report rhythm.
+//! Fake workers over real connections: each has its own connection, fencing token, session, lease, tasks and report interval.
 
 use crate::fakes::worker::{ANSWER_LIMIT, Deed, NEXT_NODE_PAUSE, Redirect, Worker};
 use crate::http::{Answer, Connection, IncomingRequest, NoAnswer, Traffic, serve};
@@ -13,12 +13,12 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// How long a worker in a cut waits before it looks again.
+/// Interval at which a worker in a partitioned zone checks whether the partition is over.
 const PARTITION_RECHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Shortest pause of a worker's loop.
+/// Shortest pause of a worker's loop, in microseconds.
 const MIN_PAUSE_US: u64 = 1_000;
 
-/// A report on its way: by which connection, and what came back.
+/// A report that is being sent. Resolves to its connection, if that can be used again, and the response.
 type ReportExchange =
     Pin<Box<dyn Future<Output = (Option<Connection>, Result<Answer, NoAnswer>)> + Send>>;
 
@@ -28,11 +28,11 @@
     machine: u64,
     zone: String,
     worker: Mutex<Worker>,
-    gone: AtomicBool,
+    stopped: AtomicBool,
     wake: Notify,
-    /// What went to and from it.
+    /// Its traffic in both directions.
     pub traffic: Arc<Traffic>,
-    /// Reports that had no answer, or another than 200.
+    /// Reports without a response, or with a status other than 200.
     pub reports_failed: AtomicU64,
 }
 
@@ -40,31 +40,31 @@
 struct DueReport {
     body: Vec<u8>,
     node: usize,
-    sent: u64,
+    sent_at: u64,
     session: u64,
 }
 
 impl FakeWorker {
-    /// Wraps a worker.
+    /// Creates the fake for a worker.
     pub fn new(region: &Arc<Region>, worker: Worker) -> Arc<FakeWorker> {
         Arc::new(FakeWorker {
             region: Arc::downgrade(region),
             machine: worker.id,
             zone: worker.yard.clone(),
             worker: Mutex::new(worker),
-            gone: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
             wake: Notify::new(),
             traffic: Arc::default(),
             reports_failed: AtomicU64::new(0),
         })
     }
 
-    /// Its machine is gone with all that is on it.
+    /// Stops the worker and kills its tasks, because its machine was released.
     pub fn stop(&self) {
         let mut events = Vec::new();
         {
             let mut worker = self.worker.lock();
-            self.gone.store(true, Ordering::Relaxed);
+            self.stopped.store(true, Ordering::Relaxed);
             worker.kill_all(&mut events);
         }
         if let Some(region) = self.region.upgrade() {
@@ -73,7 +73,7 @@
         self.wake.notify_one();
     }
 
-    /// Leases that ended with tasks on the machine.
+    /// Leases that expired while tasks were on the machine.
     pub fn lost_leases(&self) -> u64 {
         self.worker.lock().lost_leases
     }
@@ -89,26 +89,31 @@
         }
     }
 
-    /// Lives until its machine is gone.
+    /// Serves commands and sends reports until the worker is stopped.
     pub async fn run(self: Arc<Self>, listener: TcpListener) {
         let Some(region) = self.region.upgrade() else {
             return;
         };
-        let keep = region.context.scenario.workers.keep_command_connections;
-        let commanded = Arc::clone(&self);
-        let handler = move |request| Arc::clone(&commanded).command(request);
-        let server = tokio::spawn(serve(listener, Arc::clone(&self.traffic), keep, handler));
-        self.report_until_gone(&region).await;
+        let keep_alive = region.context.scenario.workers.keep_command_connections;
+        let command_target = Arc::clone(&self);
+        let handler = move |request| Arc::clone(&command_target).handle_command(request);
+        let server = tokio::spawn(serve(
+            listener,
+            Arc::clone(&self.traffic),
+            keep_alive,
+            handler,
+        ));
+        self.report_until_stopped(&region).await;
         server.abort();
     }
 
-    async fn report_until_gone(&self, region: &Arc<Region>) {
+    async fn report_until_stopped(&self, region: &Arc<Region>) {
         let mut connection: Option<(usize, Connection)> = None;
         let mut exchange: Option<(DueReport, ReportExchange)> = None;
-        while !self.gone.load(Ordering::Relaxed) {
+        while !self.stopped.load(Ordering::Relaxed) {
             let now = region.context.now();
-            let cut = region.is_partitioned(&self.zone, now);
-            if let Some(due) = self.bring_forward(region, now, cut) {
+            let partitioned = region.is_partitioned(&self.zone, now);
+            if let Some(due) = self.advance_to(region, now, partitioned) {
                 let open = connection
                     .take()
                     .filter(|(node, c)| *node == due.node && c.is_open());
@@ -117,14 +122,14 @@
             }
             let next = self.worker.lock().next_deadline();
             let mut pause = Duration::from_micros(next.saturating_sub(now).max(MIN_PAUSE_US));
-            if cut {
+            if partitioned {
                 pause = PARTITION_RECHECK_INTERVAL;
             }
             tokio::select! {
-                (kept, result) = wait_for(&mut exchange) => {
+                (open_connection, result) = next_answer(&mut exchange) => {
                     if let Some((due, _)) = exchange.take() {
-                        connection = kept.map(|c| (due.node, c));
-                        self.answered(region, &due, result);
+                        connection = open_connection.map(|c| (due.node, c));
+                        self.handle_answer(region, &due, result);
                     }
                 }
                 () = tokio::time::sleep(pause) => {}
@@ -133,20 +138,20 @@
         }
     }
 
-    /// Brings tasks and lease forward; a report if one is due and can leave.
-    fn bring_forward(&self, region: &Region, now: u64, cut: bool) -> Option<DueReport> {
+    /// Applies the passing of time to the lease and the tasks. Returns a report if one is due and the zone is not partitioned.
+    fn advance_to(&self, region: &Region, now: u64, partitioned: bool) -> Option<DueReport> {
         let jitter = 0.75 + 0.5 * region.random();
         let interval = (region.context.scenario.workers.report_s * 1e6 * jitter) as u64;
         let mut events = Vec::new();
         let due = {
             let jobs = region.context.jobs.read();
             let mut worker = self.worker.lock();
-            if self.gone.load(Ordering::Relaxed) {
+            if self.stopped.load(Ordering::Relaxed) {
                 return None;
             }
             worker.check_lease(now, &mut events);
             worker.advance(now, &jobs, &mut events);
-            let body = if cut {
+            let body = if partitioned {
                 None
             } else {
                 worker.due_report(now, interval)
@@ -154,7 +159,7 @@
             body.map(|body| DueReport {
                 body,
                 node: worker.node,
-                sent: now,
+                sent_at: now,
                 session: worker.shift,
             })
         };
@@ -168,14 +173,14 @@
         due: &DueReport,
         open: Option<Connection>,
     ) -> impl Future<Output = (Option<Connection>, Result<Answer, NoAnswer>)> + Send + use<> {
-        let to = region.context.addresses.controller(region.index, due.node);
+        let address = region.context.addresses.controller(region.index, due.node);
         let traffic = Arc::clone(&self.traffic);
         let body = Bytes::from(due.body.clone());
         async move {
             let exchange = async {
                 let mut connection = match open {
                     Some(connection) => connection,
-                    None => Connection::open(to, &traffic).await?,
+                    None => Connection::open(address, &traffic).await?,
                 };
                 let answer = connection.call("POST", "/v1/report", body).await?;
                 Ok::<_, NoAnswer>((connection, answer))
@@ -187,10 +192,10 @@
         }
     }
 
-    fn answered(&self, region: &Region, due: &DueReport, result: Result<Answer, NoAnswer>) {
+    fn handle_answer(&self, region: &Region, due: &DueReport, result: Result<Answer, NoAnswer>) {
         let now = region.context.now();
         let nodes = region.context.scenario.regions[region.index].controllers;
-        // What a zone in a cut was sent does not reach it.
+        // A response does not reach a worker in a partitioned zone.
         let result = if region.is_partitioned(&self.zone, now) {
             Err(NoAnswer)
         } else {
@@ -203,13 +208,13 @@
         {
             let jobs = region.context.jobs.read();
             let mut worker = self.worker.lock();
-            if self.gone.load(Ordering::Relaxed) {
+            if self.stopped.load(Ordering::Relaxed) {
                 return;
             }
             let redirect = match result {
                 Ok(answer) => {
                     let message = (answer.status, &answer.body[..]);
-                    worker.take_answer(now, (due.sent, due.session), message, &jobs, &mut events)
+                    worker.take_answer(now, (due.sent_at, due.session), message, &jobs, &mut events)
                 }
                 Err(NoAnswer) => Redirect::Next,
             };
@@ -220,7 +225,7 @@
         self.record_events(region, &events);
     }
 
-    async fn command(self: Arc<Self>, request: IncomingRequest) -> Option<Answer> {
+    async fn handle_command(self: Arc<Self>, request: IncomingRequest) -> Option<Answer> {
         let region = self.region.upgrade()?;
         let now = region.context.now();
         if region.is_partitioned(&self.zone, now) {
@@ -230,7 +235,7 @@
         let answer = {
             let jobs = region.context.jobs.read();
             let mut worker = self.worker.lock();
-            if self.gone.load(Ordering::Relaxed) {
+            if self.stopped.load(Ordering::Relaxed) {
                 return None;
             }
             match (request.method.as_str(), request.path.as_str()) {
@@ -248,8 +253,8 @@
     }
 }
 
-/// Waits for a report's answer, for ever if none is under way.
-async fn wait_for(
+/// Waits for the response to a report; does not return if no report is being sent.
+async fn next_answer(
     exchange: &mut Option<(DueReport, ReportExchange)>,
 ) -> (Option<Connection>, Result<Answer, NoAnswer>) {
     match exchange {
--- a/crates/emulator/tests/capacity.rs
+++ b/crates/emulator/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! The capacity page and its data agree: tables are the slopes times the sizes, nothing is above its budget unless it is
-//! marked as missing, and every figure of the users' letter has a line.
+//! The capacity page matches its data: tables are slopes times sizes, no total exceeds its budget unless the budget is marked as
+//! missing, and every figure that the users require has a line.
 
 use cometlead_emulator::capacity::{Capacity, Status};
 use std::path::{Path, PathBuf};
@@ -15,9 +15,9 @@
 }
 
 #[test]
-fn the_page_has_the_tables_that_its_data_make() {
+fn page_matches_the_tables_made_from_its_data() {
     let page = std::fs::read_to_string(docs("CAPACITY.md")).unwrap();
-    let made = capacity().page(&page).unwrap();
+    let made = capacity().update_page(&page).unwrap();
     assert!(
         page == made,
         "run: cometlead-emulator capacity docs/capacity.toml --page docs/CAPACITY.md"
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_controller_less_and_a_lost_zone_cost_more() {
+fn lost_controller_and_lost_zone_increase_usage() {
     let capacity = capacity();
     let phase = |name: &str| capacity.phase.iter().find(|p| p.name == name).unwrap();
     for region in &capacity.region {
@@ -60,13 +60,12 @@
 }
 
 #[test]
-fn nothing_is_above_its_budget_unless_it_is_marked_as_missing() {
+fn totals_stay_within_budgets_not_marked_as_missing() {
     assert_eq!(capacity().over_budget(), Vec::<String>::new());
 }
 
-/// A budget that is too small is seen.
 #[test]
-fn a_total_above_its_budget_is_seen() {
+fn total_above_its_budget_or_without_slopes_is_reported() {
     let mut capacity = capacity();
     capacity.budget.retain(|b| b.missing.is_none());
     capacity.budget[0].limit = 0.0;
@@ -76,7 +75,7 @@
 }
 
 #[test]
-fn every_figure_of_the_letter_has_a_line() {
+fn every_required_figure_has_a_line() {
     let capacity = capacity();
     for figure in [
         "5,400 workers",
@@ -113,7 +112,7 @@
     for line in missing {
         assert!(
             line.margin.contains("order"),
-            "{}: says when it comes",
+            "{}: its margin says in which order it comes",
             line.figure
         );
     }
--- a/crates/emulator/tests/fit.rs
+++ b/crates/emulator/tests/fit.rs
@@ -1,9 +1,9 @@
-//! Least squares.
+//! Least squares fits.
 
 use cometlead_emulator::fit::{Undetermined, fit};
 
 #[test]
-fn a_plane_is_found_again() {
+fn exact_linear_data_yields_its_factors() {
     let rows = [
         [1.0, 300.0, 20.0],
         [1.0, 900.0, 20.0],
@@ -23,14 +23,14 @@
 }
 
 #[test]
-fn the_error_tells_how_far_off_it_is() {
+fn error_is_the_root_mean_square_of_the_residuals() {
     let inputs: Vec<Vec<f64>> = (0..4).map(|i| vec![1.0, f64::from(i)]).collect();
     let found = fit(&inputs, &[0.0, 2.0, 0.0, 2.0]).unwrap();
     assert!((found.error - 0.8_f64.sqrt()).abs() < 1e-6, "{found:?}");
 }
 
 #[test]
-fn what_does_not_determine_the_factors_is_refused() {
+fn rows_that_do_not_determine_the_factors_are_refused() {
     let alike = vec![vec![1.0, 2.0], vec![1.0, 2.0], vec![1.0, 2.0]];
     assert_eq!(fit(&alike, &[1.0, 2.0, 3.0]), Err(Undetermined));
     assert_eq!(fit(&alike[..1], &[1.0]), Err(Undetermined));
--- a/crates/emulator/tests/scenario.rs
+++ b/crates/emulator/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files are read strictly: whatever is wrong is named in one line.
+//! Scenario files are checked strictly: an error names the faulty field in one line.
 
 use cometlead_emulator::scenario::Scenario;
 use std::path::Path;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn all_files_are_valid() {
+fn all_scenario_files_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     let mut count = 0;
     for file in std::fs::read_dir(folder).unwrap() {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn error_names_the_faulty_field_in_one_line() {
     for (from, to, named) in [
         ("seed = 1", "seeds = 1", "seeds"),
         (
@@ -61,8 +61,8 @@
 }
 
 #[test]
-fn troubles_name_what_there_is() {
-    for (trouble, named) in [
+fn faults_must_refer_to_existing_parties() {
+    for (fault, named) in [
         (
             "what = { kind = \"kill_controller\", node = 3 }",
             "troubles.node",
@@ -77,12 +77,9 @@
         ),
         ("what = { kind = \"meteor\" }", "meteor"),
     ] {
-        let text = format!(
-            "{}\n[[troubles]]\nat_s = 1\nregion = 0\n{trouble}\n",
-            smoke()
-        );
+        let text = format!("{}\n[[troubles]]\nat_s = 1\nregion = 0\n{fault}\n", smoke());
         let error = Scenario::parse("file.toml", &text).unwrap_err().to_string();
-        assert!(error.contains(named), "{trouble}: {error}");
+        assert!(error.contains(named), "{fault}: {error}");
     }
     let text = format!(
         "{}\n[[troubles]]\nat_s = 1\nregion = 1\nwhat = {{ kind = \"kill_region\" }}\n",
@@ -97,7 +94,7 @@
 }
 
 #[test]
-fn steps_are_runs_of_their_own() {
+fn each_step_is_a_run() {
     let step = "\n[[steps]]\nworkers = 300\ntasks_per_worker = 4\nstarts_per_s = 20\n";
     let scenario = Scenario::parse("file.toml", &format!("{}{step}{step}", smoke())).unwrap();
     let runs = scenario.runs();
