--- a/crates/emulator/src/capacity.rs
+++ b/crates/emulator/src/capacity.rs
@@ -99,7 +99,7 @@
     pub workers: (f64, f64),
     /// Running tasks.
     pub running: (f64, f64),
-    /// Starts a second.
+    /// Task starts per second.
     pub starts: (f64, f64),
     /// Controllers of the region.
     pub controllers: usize,
--- a/crates/emulator/src/fakes/submission.rs
+++ b/crates/emulator/src/fakes/submission.rs
@@ -11,7 +11,7 @@
     pub lane: String,
     /// Team.
     pub crew: String,
-    /// `check_timeouts`, `standing` or `group`.
+    /// `sweep`, `standing` or `group`.
     pub shape: String,
     /// `critical`, `high`, `standard` or `low`.
     pub urgency: String,
--- a/crates/emulator/src/fakes/worker.rs
+++ b/crates/emulator/src/fakes/worker.rs
@@ -104,11 +104,11 @@
     /// Memory in GB.
     pub mem: f64,
     /// Session number; a new session begins when the lease expires.
-    pub shift: u64,
+    pub session: u64,
     /// Number of the last report.
     pub tally: u64,
     /// Highest fencing token received.
-    pub baton: u64,
+    pub fencing_token: u64,
     /// When the cloud takes the machine away, in microseconds, once it has announced that.
     pub recall_at: Option<u64>,
     /// Attempts on the machine.
@@ -168,9 +168,9 @@
             spot,
             cores: machine.cores,
             mem: machine.mem,
-            shift: 1,
+            session: 1,
             tally: 0,
-            baton: 0,
+            fencing_token: 0,
             recall_at: None,
             pieces: BTreeMap::new(),
             images: Vec::new(),
@@ -196,15 +196,15 @@
         self.last_report_at = now;
         self.next_report_at = now + interval;
         let body = self.report(now).to_string().into_bytes();
-        self.waiting = Some((self.tally, now, self.shift));
+        self.waiting = Some((self.tally, now, self.session));
         Some(body)
     }
 
-    /// Handles the response to the report that was sent at `sent` in session `shift`. Nodes are named `n0`, `n1` and so on.
+    /// Handles the response to the report that was sent at `sent` in session `session`. Nodes are named `n0`, `n1` and so on.
     pub fn take_answer(
         &mut self,
         now: u64,
-        (sent, shift): (u64, u64),
+        (sent, session): (u64, u64),
         (status, body): (u16, &[u8]),
         jobs: &BTreeMap<u64, JobInfo>,
         events: &mut Vec<Deed>,
@@ -214,10 +214,10 @@
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         match status {
             200 => {
-                let baton = body["baton"].as_u64().unwrap_or(0);
-                if baton >= self.baton && shift == self.shift {
-                    self.changed |= baton > self.baton;
-                    self.baton = baton;
+                let fencing_token = body["baton"].as_u64().unwrap_or(0);
+                if fencing_token >= self.fencing_token && session == self.session {
+                    self.changed |= fencing_token > self.fencing_token;
+                    self.fencing_token = fencing_token;
                     self.lease_renewed_at = self.lease_renewed_at.max(sent);
                     self.execute_orders(now, &body["orders"], jobs, events);
                 }
@@ -258,11 +258,11 @@
     ) -> Option<(u16, Value)> {
         self.check_lease(now, events);
         let body: Value = serde_json::from_slice(body).ok()?;
-        let (baton, shift) = (body["baton"].as_u64()?, body["shift"].as_u64()?);
-        let is_accepted = baton >= self.baton && shift == self.shift;
+        let (fencing_token, session) = (body["baton"].as_u64()?, body["shift"].as_u64()?);
+        let is_accepted = fencing_token >= self.fencing_token && session == self.session;
         if is_accepted {
-            self.changed |= baton > self.baton;
-            self.baton = self.baton.max(baton);
+            self.changed |= fencing_token > self.fencing_token;
+            self.fencing_token = self.fencing_token.max(fencing_token);
             self.execute_orders(now, &body["orders"], jobs, events);
         }
         Some((if is_accepted { 200 } else { 409 }, self.report(now)))
@@ -303,8 +303,8 @@
             })
             .collect();
         json!({"host": super::cloud::name(self.id), "endpoint": self.endpoint,
-            "build": self.build, "yard": self.yard, "loaners": self.spot, "shift": self.shift, "tally": self.tally,
-            "baton": self.baton, "pieces": pieces,
+            "build": self.build, "yard": self.yard, "loaners": self.spot, "shift": self.session, "tally": self.tally,
+            "baton": self.fencing_token, "pieces": pieces,
             "recallS": self.recall_at.map(|r| r.saturating_sub(now) as f64 / 1e6)})
     }
 
@@ -317,7 +317,7 @@
             self.lost_leases += 1;
         }
         self.kill_all(events);
-        self.shift += 1;
+        self.session += 1;
         self.lease_renewed_at = now;
         self.changed = true;
     }
--- a/crates/emulator/src/region.rs
+++ b/crates/emulator/src/region.rs
@@ -292,8 +292,8 @@
                     .get(i)
                     .is_some_and(|h| h.gone_at.is_some_and(|g| g <= now))
             };
-            let stopped_machines: Vec<u64> = fleet.keys().copied().filter(is_released).collect();
-            stopped_machines
+            let released_machines: Vec<u64> = fleet.keys().copied().filter(is_released).collect();
+            released_machines
                 .iter()
                 .filter_map(|i| fleet.remove(i))
                 .collect()
--- a/crates/emulator/src/run/snapshot.rs
+++ b/crates/emulator/src/run/snapshot.rs
@@ -69,8 +69,8 @@
 
 /// All counters at one time; a measurement is the difference of two.
 pub(super) struct Snapshot {
-    at: Instant,
-    samples: usize,
+    taken_at: Instant,
+    sample_count: usize,
     starts: u64,
     completions: u64,
     controllers: Vec<Option<Usage>>,
@@ -83,7 +83,7 @@
     accepted_promptly: u64,
     given_up: u64,
     statuses: BTreeMap<u16, u64>,
-    now: u64,
+    taken_at_us: u64,
 }
 
 impl Snapshot {
@@ -101,8 +101,8 @@
                 .collect::<Vec<_>>()
         };
         Snapshot {
-            at: Instant::now(),
-            samples: run.samples.lock().len(),
+            taken_at: Instant::now(),
+            sample_count: run.samples.lock().len(),
             starts,
             completions,
             controllers: run
@@ -125,7 +125,7 @@
             accepted_promptly: load(&user_stats.accepted_promptly),
             given_up: load(&user_stats.given_up),
             statuses: user_stats.statuses.lock().clone(),
-            now: run.context.now(),
+            taken_at_us: run.context.now(),
         }
     }
 }
@@ -139,12 +139,13 @@
         ramp_s: f64,
     ) -> RunResult {
         let scenario = &self.context.scenario;
-        let duration_s = (after.at - before.at).as_secs_f64();
+        let duration_s = (after.taken_at - before.taken_at).as_secs_f64();
         let samples = self.samples.lock().clone();
         let measured =
-            &samples[before.samples.min(samples.len())..after.samples.min(samples.len())];
+            &samples[before.sample_count.min(samples.len())..after.sample_count.min(samples.len())];
         let count = measured.len().max(1) as f64;
-        let (urgent_s, urgent_not_started) = self.urgent_start_times(before.now, after.now);
+        let (urgent_s, urgent_not_started) =
+            self.urgent_start_times(before.taken_at_us, after.taken_at_us);
         let accepted = after.accepted - before.accepted;
         let worker_bytes = self.worker_bytes_per_second(before, after, duration_s);
         let sum_over_workers = |value: fn(&WorkerCounters) -> u64| -> u64 {
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -166,7 +166,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CloudSpec {
-    /// Requests a second, as the deploy file says.
+    /// Limit of requests per second, as written to the deploy file.
     pub rps: f64,
     /// Delay until a change shows in a list of machines, in seconds.
     pub list_lag_s: f64,
--- a/crates/emulator/src/workers.rs
+++ b/crates/emulator/src/workers.rs
@@ -160,7 +160,7 @@
                 body,
                 node: worker.node,
                 sent_at: now,
-                session: worker.shift,
+                session: worker.session,
             })
         };
         self.record_events(region, &events);
