--- a/crates/emulator/src/fit.rs
+++ b/crates/emulator/src/fit.rs
@@ -1,40 +1,40 @@
-//! Least squares: slopes of what was measured against workers, running tasks and starts.
+//! Least squares fits, for example of resource usage against the numbers of workers, running tasks and starts.
 
 use serde::{Deserialize, Serialize};
 
-/// A column whose pivot is smaller than this part of the largest can't be told from the others.
-const SINGULAR: f64 = 1e-9;
+/// A column whose pivot is smaller than this fraction of the largest value is treated as linearly dependent on the others.
+const MIN_PIVOT_FRACTION: f64 = 1e-9;
 
-/// The values cannot be fitted: there are too few runs, or they do not differ enough.
+/// The factors are not determined: there are too few rows, or they do not differ enough.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("too few runs, or they do not differ enough")]
-pub struct Unfit;
+pub struct Undetermined;
 
-/// A fitted plane.
+/// A fitted linear function.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// One factor for each input, in their order.
+    /// One factor for each column of the inputs, in their order.
     pub factors: Vec<f64>,
-    /// Root of the mean squared error.
+    /// Root mean square error.
     pub error: f64,
 }
 
-/// Finds the factors with the smallest squared error for `outputs` from rows of `inputs`.
+/// Fits factors to rows of `inputs` and their `outputs`, so that the sum of the squared errors is smallest.
 ///
 /// # Errors
 ///
-/// [`Unfit`] if the rows do not determine all factors.
-pub fn fit(inputs: &[Vec<f64>], outputs: &[f64]) -> Result<Fit, Unfit> {
+/// [`Undetermined`] if the rows do not determine all factors.
+pub fn fit(inputs: &[Vec<f64>], outputs: &[f64]) -> Result<Fit, Undetermined> {
     let width = inputs.first().map_or(0, Vec::len);
     if width == 0 || inputs.len() < width || inputs.len() != outputs.len() {
-        return Err(Unfit);
+        return Err(Undetermined);
     }
-    // Inputs of very different sizes are brought to one.
+    // Columns of very different magnitude are scaled to a largest value of 1.
     let scale: Vec<f64> = (0..width)
         .map(|c| inputs.iter().map(|r| r[c].abs()).fold(0.0, f64::max))
         .collect();
     if scale.contains(&0.0) {
-        return Err(Unfit);
+        return Err(Undetermined);
     }
     let rows: Vec<Vec<f64>> = inputs
         .iter()
@@ -60,7 +60,7 @@
     Ok(Fit { factors, error })
 }
 
-/// The value that factors give for a row of inputs.
+/// Computes the output for a row of inputs.
 pub fn predict(factors: &[f64], row: &[f64]) -> f64 {
     factors
         .iter()
@@ -69,7 +69,7 @@
         .sum()
 }
 
-/// One row for each factor: its sums of products with the others, then with the outputs.
+/// The normal equations. The row of a factor has the sums of its products with all factors, then that with the outputs.
 fn normal_equations(rows: &[Vec<f64>], outputs: &[f64]) -> Vec<Vec<f64>> {
     let width = rows[0].len();
     let product = |i: usize, j: usize| rows.iter().map(|r| r[i] * r[j]).sum::<f64>();
@@ -84,8 +84,8 @@
         .collect()
 }
 
-/// Gaussian elimination with the largest pivot first.
-fn solve(equations: &mut [Vec<f64>]) -> Result<Vec<f64>, Unfit> {
+/// Solves the equations by Gaussian elimination with partial pivoting.
+fn solve(equations: &mut [Vec<f64>]) -> Result<Vec<f64>, Undetermined> {
     let width = equations.len();
     let largest = equations
         .iter()
@@ -97,10 +97,10 @@
                 .abs()
                 .total_cmp(&equations[*b][column].abs())
         };
-        let pivot = (column..width).max_by(by_size).ok_or(Unfit)?;
+        let pivot = (column..width).max_by(by_size).ok_or(Undetermined)?;
         equations.swap(column, pivot);
-        if equations[column][column].abs() <= largest * SINGULAR {
-            return Err(Unfit);
+        if equations[column][column].abs() <= largest * MIN_PIVOT_FRACTION {
+            return Err(Undetermined);
         }
         for row in 0..width {
             if row != column {
--- a/crates/emulator/src/region.rs
+++ b/crates/emulator/src/region.rs
@@ -1,13 +1,13 @@
-//! A region's outside world over real connections: its state service, its cloud interface and its machines.
+//! The fake services of a region over real connections: its state service, its cloud interface and its machines.
 
 use crate::addresses::Addresses;
-use crate::fleet::HollowWorker;
-use crate::http::{Answer, Taken, Traffic, serve};
-use crate::judge::Judge;
+use crate::fakes::cloud::{Cloud, TypeSpec};
+use crate::fakes::state::{State, StateConfig};
+use crate::fakes::worker::{JobInfo, Worker};
+use crate::http::{Answer, IncomingRequest, Traffic, serve};
+use crate::invariants::InvariantChecker;
 use crate::scenario::Scenario;
-use crate::standins::cloud::{Cloud, TypeSpec};
-use crate::standins::state::{State, StateConfig};
-use crate::standins::worker::{JobInfo, Worker};
+use crate::workers::FakeWorker;
 use parking_lot::{Mutex, RwLock};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -25,44 +25,44 @@
 const MACHINE_MEMORY_GB: f64 = 64.0;
 /// The only type of machine.
 pub const MACHINE_TYPE: &str = "standard";
-/// How much more machines there are than are wanted.
-const SPARE_MACHINES: f64 = 1.05;
-/// Time until the cloud answers.
+/// Machines that the cloud has for each wanted worker.
+const MACHINES_PER_WANTED_WORKER: f64 = 1.05;
+/// Response time of the cloud.
 const CLOUD_LATENCY: Duration = Duration::from_millis(100);
-/// How often leases and watches are looked after.
-const STATE_TICK: Duration = Duration::from_millis(20);
-/// How long a lost answer keeps its connection.
-const LOST_ANSWER_HOLD: Duration = Duration::from_secs(5);
-/// Items of a page of the state service.
-const STATE_PAGE: usize = 200;
+/// Interval at which expired leases and due watches are handled.
+const STATE_TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for which the connection stays open if the response is lost.
+const LOST_ANSWER_DELAY: Duration = Duration::from_secs(5);
+/// Most items on a page of the state service.
+const STATE_PAGE_SIZE: usize = 200;
 /// Bytes in a KiB.
 const KIB: f64 = 1024.0;
 
-/// What all regions share.
-pub struct World {
-    /// What is run.
+/// State that all regions share.
+pub struct RunContext {
+    /// The scenario.
     pub scenario: Scenario,
-    /// Who listens where.
+    /// Addresses of all parties.
     pub addresses: Addresses,
-    /// When it began.
-    pub started: Instant,
-    /// What the jobs' tasks are like.
+    /// When the run started.
+    pub started_at: Instant,
+    /// Properties of the jobs' tasks, by job.
     pub jobs: RwLock<BTreeMap<u64, JobInfo>>,
-    /// The judge.
-    pub judge: Mutex<Judge>,
-    /// Threads of the hollow workers.
+    /// The invariant checker.
+    pub checker: Mutex<InvariantChecker>,
+    /// Runtime of the fake workers.
     pub worker_threads: Handle,
-    /// Threads of users, clouds and state services.
-    pub outside_threads: Handle,
+    /// Runtime of the fake users, clouds and state services.
+    pub service_threads: Handle,
 }
 
-impl World {
-    /// Microseconds since the begin of the run.
+impl RunContext {
+    /// Time since the start of the run, in microseconds.
     pub fn now(&self) -> u64 {
-        self.started.elapsed().as_micros() as u64
+        self.started_at.elapsed().as_micros() as u64
     }
 
-    /// The name of a zone.
+    /// Returns the name of a zone.
     pub fn zone(region: usize, zone: usize) -> String {
         format!("r{region}-z{zone}")
     }
@@ -70,8 +70,8 @@
 
 /// A region.
 pub struct Region {
-    /// What all regions share.
-    pub world: Arc<World>,
+    /// State that all regions share.
+    pub context: Arc<RunContext>,
     /// Its number.
     pub index: usize,
     /// Its state service.
@@ -79,24 +79,25 @@
     watches: Mutex<HashMap<u64, oneshot::Sender<Answer>>>,
     next_request: AtomicU64,
     cloud: Mutex<Cloud>,
-    /// Its workers by machine.
-    pub fleet: Mutex<BTreeMap<u64, Arc<HollowWorker>>>,
-    /// Zones that are cut off from the controllers, and until when in microseconds.
-    pub cut_zones: Mutex<Vec<(String, u64)>>,
+    /// Its fake workers, by machine.
+    pub fleet: Mutex<BTreeMap<u64, Arc<FakeWorker>>>,
+    /// Zones that are partitioned from the controllers, each with the end of the partition in microseconds.
+    pub partitioned_zones: Mutex<Vec<(String, u64)>>,
     random: Mutex<StdRng>,
-    /// What went to and from the state service.
+    /// Traffic of the state service.
     pub state_traffic: Arc<Traffic>,
-    /// What went to and from the cloud interface.
+    /// Traffic of the cloud interface.
     pub cloud_traffic: Arc<Traffic>,
 }
 
 impl Region {
-    /// A region in which nothing runs yet.
-    pub fn new(world: &Arc<World>, index: usize) -> Arc<Region> {
-        let scenario = &world.scenario;
+    /// Creates a region in which nothing runs yet.
+    pub fn new(context: &Arc<RunContext>, index: usize) -> Arc<Region> {
+        let scenario = &context.scenario;
         let spec = &scenario.regions[index];
-        let in_a_zone = (spec.workers as f64 * SPARE_MACHINES / spec.zones as f64).ceil() as u32;
-        let ordinary = in_a_zone / 2;
+        let machines_per_zone =
+            (spec.workers as f64 * MACHINES_PER_WANTED_WORKER / spec.zones as f64).ceil() as u32;
+        let on_demand = machines_per_zone / 2;
         let machine = TypeSpec {
             name: MACHINE_TYPE.to_owned(),
             cores: MACHINE_CORES,
@@ -104,20 +105,22 @@
             boot: scenario.cloud.boot_s,
             price: 1.0,
             spot_price: 0.9,
-            count: ordinary,
-            spot: in_a_zone - ordinary,
+            count: on_demand,
+            spot: machines_per_zone - on_demand,
             stuck: 0.0,
-            zones: (0..spec.zones).map(|z| World::zone(index, z)).collect(),
+            zones: (0..spec.zones)
+                .map(|z| RunContext::zone(index, z))
+                .collect(),
         };
         let state = StateConfig {
             txn_ops: scenario.state.txn_ops,
             value_bytes: (scenario.state.value_kb * KIB) as usize,
             rps: scenario.state.rps,
             write_rps: scenario.state.write_rps,
-            page: STATE_PAGE,
+            page: STATE_PAGE_SIZE,
         };
         Arc::new(Region {
-            world: Arc::clone(world),
+            context: Arc::clone(context),
             index,
             state: Mutex::new(State::new(state)),
             watches: Mutex::default(),
@@ -127,39 +130,39 @@
                 (scenario.cloud.list_lag_s * 1e6) as u64,
             )),
             fleet: Mutex::default(),
-            cut_zones: Mutex::default(),
+            partitioned_zones: Mutex::default(),
             random: Mutex::new(StdRng::seed_from_u64(scenario.seed ^ (index as u64 + 1))),
             state_traffic: Arc::default(),
             cloud_traffic: Arc::default(),
         })
     }
 
-    /// A random number below 1.
+    /// Draws a random number from 0 (inclusive) to 1 (exclusive).
     pub fn random(&self) -> f64 {
         self.random.lock().random::<f64>()
     }
 
-    /// Whether a zone is cut off from the controllers.
-    pub fn is_cut(&self, zone: &str, now: u64) -> bool {
-        self.cut_zones
+    /// Whether a zone is partitioned from the controllers.
+    pub fn is_partitioned(&self, zone: &str, now: u64) -> bool {
+        self.partitioned_zones
             .lock()
             .iter()
             .any(|(z, until)| z == zone && now < *until)
     }
 
-    /// Starts its servers.
+    /// Starts the servers of the state service and the cloud.
     ///
     /// # Errors
     ///
-    /// What the system says if an address cannot be had.
+    /// The error of the system if an address cannot be bound.
     pub async fn start(self: &Arc<Self>) -> std::io::Result<()> {
-        let state = TcpListener::bind(self.world.addresses.state(self.index)).await?;
-        let cloud = TcpListener::bind(self.world.addresses.cloud(self.index)).await?;
+        let state = TcpListener::bind(self.context.addresses.state(self.index)).await?;
+        let cloud = TcpListener::bind(self.context.addresses.cloud(self.index)).await?;
         let region = Arc::clone(self);
-        let handler = move |taken| Arc::clone(&region).state_request(taken);
+        let handler = move |request| Arc::clone(&region).state_request(request);
         tokio::spawn(serve(state, Arc::clone(&self.state_traffic), true, handler));
         let region = Arc::clone(self);
-        let handler = move |taken| Arc::clone(&region).cloud_request(taken);
+        let handler = move |request| Arc::clone(&region).cloud_request(request);
         tokio::spawn(serve(cloud, Arc::clone(&self.cloud_traffic), true, handler));
         tokio::spawn(Arc::clone(self).tick_state());
         Ok(())
@@ -167,57 +170,57 @@
 
     async fn tick_state(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(STATE_TICK).await;
+            tokio::time::sleep(STATE_TICK_INTERVAL).await;
             self.answer_watches();
         }
     }
 
     /// Answers the watches that are due.
     fn answer_watches(&self) {
-        let (due, violations) = {
+        let (due_watches, violations) = {
             let mut state = self.state.lock();
             (
-                state.tick(self.world.now()),
+                state.tick(self.context.now()),
                 std::mem::take(&mut state.violations),
             )
         };
-        for (id, status, body) in due {
+        for (id, status, body) in due_watches {
             if let Some(sender) = self.watches.lock().remove(&id) {
-                // The controller may have gone.
+                // The controller may have closed the connection.
                 let _ = sender.send(Answer::new(status, &body));
             }
         }
         for violation in violations {
-            self.world
-                .judge
+            self.context
+                .checker
                 .lock()
-                .beyond_limits(self.world.now(), &violation);
+                .limit_exceeded(self.context.now(), &violation);
         }
     }
 
-    /// Half of the time that the state service takes for an answer: drawn, with a long tail.
+    /// Waits for half of a response time of the state service, which is drawn from an exponential distribution.
     async fn state_latency(&self) {
-        let mean = self.world.scenario.state.latency_ms / 2e3;
-        let drawn = -(1.0 - self.random()).max(1e-4).ln() * mean;
-        if drawn > 0.0 {
-            tokio::time::sleep(Duration::from_secs_f64(drawn)).await;
+        let mean = self.context.scenario.state.latency_ms / 2e3;
+        let latency_s = -(1.0 - self.random()).max(1e-4).ln() * mean;
+        if latency_s > 0.0 {
+            tokio::time::sleep(Duration::from_secs_f64(latency_s)).await;
         }
     }
 
-    async fn state_request(self: Arc<Self>, taken: Taken) -> Option<Answer> {
+    async fn state_request(self: Arc<Self>, request: IncomingRequest) -> Option<Answer> {
         self.state_latency().await;
-        let is_txn = taken.path == "/txn";
-        let lost = is_txn && self.random() < self.world.scenario.state.lost_answers;
+        let is_txn = request.path == "/txn";
+        let is_lost = is_txn && self.random() < self.context.scenario.state.lost_answers;
         let id = self.next_request.fetch_add(1, Ordering::Relaxed);
-        let (answer, waiting) = self.ask_state(id, &taken);
+        let (answer, watch_receiver) = self.forward_to_state(id, &request);
         if is_txn {
             self.answer_watches();
         }
-        if lost {
-            tokio::time::sleep(LOST_ANSWER_HOLD).await;
+        if is_lost {
+            tokio::time::sleep(LOST_ANSWER_DELAY).await;
             return None;
         }
-        let answer = match waiting {
+        let answer = match watch_receiver {
             Some(receiver) => receiver.await.ok()?,
             None => answer,
         };
@@ -225,21 +228,25 @@
         Some(answer)
     }
 
-    /// Hands a request to the stand-in; a watch is answered later.
-    fn ask_state(&self, id: u64, taken: &Taken) -> (Answer, Option<oneshot::Receiver<Answer>>) {
+    /// Passes a request to the fake state service. The response to a watch arrives later, on the returned receiver.
+    fn forward_to_state(
+        &self,
+        id: u64,
+        request: &IncomingRequest,
+    ) -> (Answer, Option<oneshot::Receiver<Answer>>) {
         let mut state = self.state.lock();
         let answer = state.request(
-            self.world.now(),
+            self.context.now(),
             id,
-            &taken.method,
-            &taken.path,
-            &taken.body,
+            &request.method,
+            &request.path,
+            &request.body,
         );
         let malformed = Answer::new(400, &serde_json::json!({"error": "malformed"}));
         match answer {
             Some((status, body)) => (Answer::new(status, &body), None),
-            None if taken.path.starts_with("/changes") => {
-                // Registered before the lock is given back, so no change is missed.
+            None if request.path.starts_with("/changes") => {
+                // Registered before the lock on the state is released, so that no change is missed.
                 let (sender, receiver) = oneshot::channel();
                 self.watches.lock().insert(id, sender);
                 (malformed, Some(receiver))
@@ -248,61 +255,69 @@
         }
     }
 
-    async fn cloud_request(self: Arc<Self>, taken: Taken) -> Option<Answer> {
+    async fn cloud_request(self: Arc<Self>, request: IncomingRequest) -> Option<Answer> {
         tokio::time::sleep(CLOUD_LATENCY).await;
-        let now = self.world.now();
-        let (answer, new) = {
+        let now = self.context.now();
+        let (answer, provisioned) = {
             let mut cloud = self.cloud.lock();
             let last = cloud.hosts.keys().next_back().copied().unwrap_or(0);
-            let mut dice = || self.random();
-            let (status, body) =
-                cloud.request(now, &taken.method, &taken.path, &taken.body, &mut dice);
-            let new: Vec<u64> = cloud.hosts.range(last + 1..).map(|(i, _)| *i).collect();
-            (Answer::new(status, &body), new)
+            let mut random_fraction = || self.random();
+            let (status, body) = cloud.request(
+                now,
+                &request.method,
+                &request.path,
+                &request.body,
+                &mut random_fraction,
+            );
+            let provisioned: Vec<u64> = cloud.hosts.range(last + 1..).map(|(i, _)| *i).collect();
+            (Answer::new(status, &body), provisioned)
         };
-        for machine in new {
-            self.boot(machine);
+        for machine in provisioned {
+            self.boot_machine(machine);
         }
-        if taken.path == "/hosts/release" {
+        if request.path == "/hosts/release" {
             self.stop_released(now);
         }
         Some(answer)
     }
 
-    /// By the time of the answer, machines that were released are gone with all that is on them.
+    /// Stops the workers of released machines before the response to the release is sent.
     fn stop_released(&self, now: u64) {
-        let released: Vec<Arc<HollowWorker>> = {
+        let released: Vec<Arc<FakeWorker>> = {
             let cloud = self.cloud.lock();
             let mut fleet = self.fleet.lock();
-            let is_gone = |i: &u64| {
+            let is_released = |i: &u64| {
                 cloud
                     .hosts
                     .get(i)
                     .is_some_and(|h| h.gone_at.is_some_and(|g| g <= now))
             };
-            let gone: Vec<u64> = fleet.keys().copied().filter(is_gone).collect();
-            gone.iter().filter_map(|i| fleet.remove(i)).collect()
+            let released_machines: Vec<u64> = fleet.keys().copied().filter(is_released).collect();
+            released_machines
+                .iter()
+                .filter_map(|i| fleet.remove(i))
+                .collect()
         };
         for worker in released {
             worker.stop();
         }
     }
 
-    /// Starts a machine's worker once it has booted.
-    fn boot(self: &Arc<Self>, machine: u64) {
+    /// Starts a machine's worker once the machine has booted.
+    fn boot_machine(self: &Arc<Self>, machine: u64) {
         let Some(up_at) = self.cloud.lock().hosts.get(&machine).and_then(|h| h.up_at) else {
             return;
         };
         let region = Arc::clone(self);
-        self.world.worker_threads.spawn(async move {
-            let wait = up_at.saturating_sub(region.world.now());
+        self.context.worker_threads.spawn(async move {
+            let wait = up_at.saturating_sub(region.context.now());
             tokio::time::sleep(Duration::from_micros(wait)).await;
-            region.begin_worker(machine).await;
+            region.start_worker(machine).await;
         });
     }
 
-    async fn begin_worker(self: Arc<Self>, machine: u64) {
-        let Some(endpoint) = self.world.addresses.worker(self.index, machine) else {
+    async fn start_worker(self: Arc<Self>, machine: u64) {
+        let Some(endpoint) = self.context.addresses.worker(self.index, machine) else {
             return;
         };
         let Ok(listener) = TcpListener::bind(endpoint).await else {
@@ -313,21 +328,22 @@
             let Some(host) = cloud.hosts.get(&machine).filter(|h| h.gone_at.is_none()) else {
                 return;
             };
-            let lease = (self.world.scenario.workers.lease_s * 1e6) as u64;
-            let first = machine as usize % self.world.scenario.regions[self.index].controllers;
-            let place = (host.yard.clone(), host.spot);
+            let lease = (self.context.scenario.workers.lease_s * 1e6) as u64;
+            let first_node =
+                machine as usize % self.context.scenario.regions[self.index].controllers;
+            let zone_and_kind = (host.yard.clone(), host.spot);
             let kind = cloud.type_of(machine);
             Worker::new(
                 machine,
                 endpoint.to_string(),
                 kind,
-                place,
+                zone_and_kind,
                 lease,
-                first,
-                self.world.now(),
+                first_node,
+                self.context.now(),
             )
         };
-        let worker = HollowWorker::new(&self, worker);
+        let worker = FakeWorker::new(&self, worker);
         self.fleet.lock().insert(machine, Arc::clone(&worker));
         worker.run(listener).await;
     }
