--- a/crates/queues/src/counters.rs
+++ b/crates/queues/src/counters.rs
@@ -1,17 +1,17 @@
 //! Counters of the state machine. The metrics have names of their own, see `runtime::metrics`.
 
-/// Counters since the start of the process; none of them ever falls.
+/// Counters since the start of the process; they never decrease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Deliveries.
     pub received: u64,
     /// Deliveries that the broker marks as repeated.
     pub redelivered: u64,
-    /// Deliveries of messages that were in hand or answered already.
-    pub held_back: u64,
+    /// Deliveries of messages that were pending or answered already.
+    pub duplicate_deliveries: u64,
     /// Jobs that the controllers accepted, cancellations included.
     pub accepted: u64,
-    /// Messages refused for good.
+    /// Messages refused permanently.
     pub refused: u64,
     /// Responses of overloaded controllers.
     pub overload_responses: u64,
--- a/crates/queues/src/lib.rs
+++ b/crates/queues/src/lib.rs
@@ -6,12 +6,12 @@
 //!
 //! | task | module |
 //! |---|---|
-//! | what a message asks for | [`message`] |
+//! | the request that a message carries | [`message`] |
 //! | from a delivery to its answer | [`state_machine`] |
-//! | who may answer, and who has answered | [`progress`], [`replicated_log`] |
-//! | when controllers are asked | [`schedule`], [`rate_limiter`] |
-//! | what clients are told | [`reply`] |
-//! | forms that are sent and stored | [`wire`], `replicated_log::segment` |
+//! | claims of messages, and records of answers | [`progress`], [`replicated_log`] |
+//! | order and rate of requests to the controllers | [`schedule`], [`rate_limiter`] |
+//! | what is published for clients | [`reply`] |
+//! | wire and storage formats | [`wire`], `replicated_log::segment` |
 //! | settings | [`settings`], [`limits`] |
 //! | I/O | [`runtime`] |
 //!
@@ -19,7 +19,7 @@
 //!
 //! # Example
 //!
-//! Every delivery of a message is the same job, so a repeated submission changes nothing:
+//! Every delivery of a message submits the same job, so a repeated submission changes nothing:
 //!
 //! ```
 //! use cometlead_queues::{JobRequest, Message};
--- a/crates/queues/src/limits.rs
+++ b/crates/queues/src/limits.rs
@@ -16,7 +16,7 @@
     Over,
 }
 
-/// How one queue is served.
+/// How messages of one queue are handled.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QueueRule {
     /// Messages of lower ranks are submitted first.
--- a/crates/queues/src/message.rs
+++ b/crates/queues/src/message.rs
@@ -6,8 +6,8 @@
 use std::str::FromStr;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
-/// Largest body in bytes, the same limit as the controllers' user interface has.
-pub const BODY_LIMIT: usize = 64 * 1024;
+/// Largest body, the same limit as in the controllers' user interface.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Upper bound on the estimate of a job's runtime, in seconds.
 const MAX_ESTIMATED_RUNTIME_S: f64 = 86_400.0;
 
@@ -32,7 +32,7 @@
     pub cancel: bool,
     /// The header `interim`: the client wants status updates before the final answer.
     pub wants_status_updates: bool,
-    /// Its headers, or more of its properties, could not be decoded.
+    /// Its headers or other properties could not be decoded.
     pub is_unreadable: bool,
     /// The broker marked the delivery as repeated.
     pub redelivered: bool,
@@ -92,7 +92,7 @@
     /// Properties or headers could not be decoded.
     #[error("the headers cannot be read")]
     UnreadableHeaders,
-    /// The body is larger than [`BODY_LIMIT`].
+    /// The body is larger than [`MAX_BODY_BYTES`].
     #[error("the body is too large")]
     BodyTooLarge,
     /// The body is not a JSON object, or is nested too deeply.
@@ -101,7 +101,7 @@
     /// A cancellation names no job.
     #[error("nameId: missing")]
     MissingJobName,
-    /// The job's name is not of the users' form.
+    /// The job's name does not have the format of the controllers' user interface.
     #[error("nameId: invalid")]
     InvalidJobName,
     /// The deadline is negative or not a number.
@@ -113,7 +113,7 @@
     /// Identity of the message, from queue, id, reply address and correlation id; without an id also from the body.
     pub fn key(&self) -> MessageKey {
         let mut text = Vec::new();
-        // Each part is prefixed with its length, so that different parts never give the same text.
+        // Each part is prefixed with its length, so that different sequences of parts never produce the same text.
         let mut append = |bytes: Option<&[u8]>| {
             text.extend(bytes.map_or(u64::MAX, |b| b.len() as u64).to_be_bytes());
             text.extend(bytes.unwrap_or_default());
@@ -158,7 +158,7 @@
         if self.is_unreadable {
             return Err(InvalidRequest::UnreadableHeaders);
         }
-        if self.body.len() > BODY_LIMIT {
+        if self.body.len() > MAX_BODY_BYTES {
             return Err(InvalidRequest::BodyTooLarge);
         }
         // The parser limits the nesting depth by itself.
@@ -194,11 +194,11 @@
         }
     }
 
-    /// A name of the users' form: `req-` and eighteen digits without a leading zero.
+    /// A name in the format of the controllers' user interface: `req-` and eighteen digits without a leading zero.
     fn derived_job_name(&self) -> String {
-        const SMALLEST: u64 = 100_000_000_000_000_000;
+        const SMALLEST_NUMBER: u64 = 100_000_000_000_000_000;
         let hash = xxh3_64(&self.key().0.to_be_bytes());
-        format!("req-{}", SMALLEST + hash % (9 * SMALLEST))
+        format!("req-{}", SMALLEST_NUMBER + hash % (9 * SMALLEST_NUMBER))
     }
 }
 
--- a/crates/queues/src/orphans.rs
+++ b/crates/queues/src/orphans.rs
@@ -1,14 +1,15 @@
-//! Deliveries of consumers that are, or may be, gone: claims that wait for a verdict, and the receipts that give it.
+//! Deliveries of consumers that are or may be dead: the messages that they have claimed, and the receipts that show
+//! which of them were answered.
 
 use crate::message::MessageKey;
 use crate::progress::{ConsumerId, ConsumerState};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The receipts that a gone consumer has left.
+/// The receipts that a dead consumer has left.
 #[derive(Clone, Debug)]
 struct OrphanedReceipts {
-    /// Messages that it has answered, as far as the log does not say so yet.
+    /// Messages that it has answered but that are not recorded as answered in the log yet.
     unsettled: BTreeSet<MessageKey>,
     /// Its state before its receipts were read; a consumer that has advanced since may have left more receipts.
     state_when_read: ConsumerState,
@@ -17,10 +18,10 @@
     /// The broker has lost the receipts.
     are_lost: bool,
     /// The consumer's final state is being written to the log.
-    is_finishing: bool,
+    is_writing_final_state: bool,
 }
 
-/// Messages in hand that a certain other consumer has claimed.
+/// Pending messages that a certain other consumer has claimed.
 #[derive(Clone, Debug, Default)]
 struct AwaitedClaims {
     /// Its receipts are not requested before this time.
@@ -28,9 +29,9 @@
     messages: BTreeSet<MessageKey>,
 }
 
-/// A gone consumer whose receipts are all in the log.
+/// A dead consumer whose receipts are all recorded in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct DrainedConsumer {
+pub(crate) struct SettledConsumer {
     pub consumer: ConsumerId,
     /// Its state before its receipts were read.
     pub state_when_read: ConsumerState,
@@ -38,7 +39,7 @@
     pub receipts_lost: bool,
 }
 
-/// Tracks consumers that are, or may be, gone.
+/// Tracks consumers that are or may be dead.
 #[derive(Debug, Default)]
 pub(crate) struct OrphanedDeliveries {
     /// Consumers whose receipts are being read, with their states at the beginning of the read.
@@ -48,7 +49,7 @@
 }
 
 impl OrphanedDeliveries {
-    /// Begins a read of a consumer's receipts. False if they are being read or were read already.
+    /// Begins a read of a consumer's receipts. Returns false if they are being read or were read already.
     pub fn begin_read(&mut self, consumer: ConsumerId, state: ConsumerState) -> bool {
         let is_new = !self.is_tracked(consumer);
         if is_new {
@@ -62,7 +63,7 @@
         self.receipts.contains_key(&consumer) || self.reading.contains_key(&consumer)
     }
 
-    /// A message in hand waits until it is known whether this claimant has answered it.
+    /// Makes a pending message wait until it is known whether this claimant has answered it.
     pub fn await_claimant(&mut self, claimant: ConsumerId, message: MessageKey) {
         let claims = self.awaited.entry(claimant).or_default();
         claims.messages.insert(message);
@@ -91,7 +92,7 @@
         due.map(|(consumer, _)| consumer).collect()
     }
 
-    /// The consumer may still commit, so its receipts cannot be read before `retry_at`.
+    /// Postpones a read until `retry_at`: the consumer may still commit, so its receipts cannot be read before.
     pub fn postpone_read(&mut self, consumer: ConsumerId, retry_at: Micros) {
         self.reading.remove(&consumer);
         if let Some(claims) = self.awaited.get_mut(&consumer) {
@@ -99,10 +100,10 @@
         }
     }
 
-    /// Takes the receipts that a consumer has left; `None` if the broker has lost them.
+    /// Adds the receipts that a consumer has left; `None` if the broker has lost them.
     ///
     /// They are compared with the log once the given read of the log is completed. Receipts that nobody requested
-    /// are ignored, since it is unknown how the consumer stood before the read.
+    /// are ignored, since the consumer's state before the read is unknown.
     pub fn add_receipts(
         &mut self,
         consumer: ConsumerId,
@@ -117,12 +118,12 @@
             unsettled: answered.unwrap_or_default(),
             state_when_read,
             awaited_log_read: Some(awaited_log_read),
-            is_finishing: false,
+            is_writing_final_state: false,
         };
         self.receipts.insert(consumer, receipts);
     }
 
-    /// Returns, once, each receipt whose message's entry can be looked up now.
+    /// Returns each receipt once, when the log is current enough to look up the entry of its message.
     pub fn take_checkable(
         &mut self,
         is_completed: impl Fn(u64) -> bool,
@@ -137,7 +138,7 @@
         checkable
     }
 
-    /// Gone consumers whose unsettled receipts name this message.
+    /// Dead consumers whose unsettled receipts name this message.
     pub fn consumers_with_receipt(&self, message: MessageKey) -> Vec<ConsumerId> {
         let with_receipt = self
             .receipts
@@ -146,33 +147,33 @@
         with_receipt.map(|(consumer, _)| *consumer).collect()
     }
 
-    /// The log agrees with this receipt.
+    /// Marks a receipt as settled, because the log agrees with it.
     pub fn settle_receipt(&mut self, consumer: ConsumerId, message: MessageKey) {
         if let Some(receipts) = self.receipts.get_mut(&consumer) {
             receipts.unsettled.remove(&message);
         }
     }
 
-    /// Returns, once, each consumer whose receipts are all settled.
-    pub fn take_drained(&mut self) -> Vec<DrainedConsumer> {
-        let settled = self.receipts.iter_mut().filter(|(_, receipts)| {
+    /// Returns each consumer once, when all its receipts are settled.
+    pub fn take_settled(&mut self) -> Vec<SettledConsumer> {
+        let unreported = self.receipts.iter_mut().filter(|(_, receipts)| {
             receipts.unsettled.is_empty()
                 && receipts.awaited_log_read.is_none()
-                && !receipts.is_finishing
+                && !receipts.is_writing_final_state
         });
-        let drained = settled.map(|(consumer, receipts)| {
-            receipts.is_finishing = true;
-            DrainedConsumer {
+        let settled = unreported.map(|(consumer, receipts)| {
+            receipts.is_writing_final_state = true;
+            SettledConsumer {
                 consumer: *consumer,
                 state_when_read: receipts.state_when_read,
                 receipts_lost: receipts.are_lost,
             }
         });
-        drained.collect()
+        settled.collect()
     }
 
-    /// The log contains the consumer's final state. Returns the messages that have waited for it.
-    pub fn finish(&mut self, consumer: ConsumerId) -> BTreeSet<MessageKey> {
+    /// Removes a consumer whose final state is in the log. Returns the messages that have waited for it.
+    pub fn remove_consumer(&mut self, consumer: ConsumerId) -> BTreeSet<MessageKey> {
         self.receipts.remove(&consumer);
         self.awaited.remove(&consumer).unwrap_or_default().messages
     }
--- a/crates/queues/src/pending_message.rs
+++ b/crates/queues/src/pending_message.rs
@@ -7,7 +7,7 @@
 use crate::state_machine::{DeliveryTag, RequestId};
 use crate::time::Micros;
 
-/// How far a message is.
+/// Processing stage of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// A request to the controllers is scheduled, or left to another process during shutdown.
@@ -49,9 +49,9 @@
     pub outcome: Option<Outcome>,
     /// Deliveries of the message, and of copies of it, that are not acknowledged yet.
     pub unacked: Vec<DeliveryTag>,
-    /// Consecutive requests to the controllers that have to be repeated.
+    /// Number of consecutive requests to the controllers that had to be repeated.
     pub attempts: u32,
-    /// The answer may have been given before.
+    /// The answer may have been published before.
     pub maybe_duplicate: bool,
     reported: ReportedProgress,
     pub stage: Stage,
@@ -110,7 +110,7 @@
     }
 
     /// Whether its deliveries may be acknowledged as soon as the job is accepted.
-    pub fn ends_with_acceptance(&self) -> bool {
+    pub fn is_settled_on_acceptance(&self) -> bool {
         self.message.reply_to.is_none() && self.rule.without_reply == WithoutReply::Accepted
     }
 
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The answer or dead letter; `None` while the outcome is unknown or nobody is to be told.
+    /// The answer or dead letter; `None` while the outcome is unknown or if nothing has to be published.
     pub fn publication(&self, key: MessageKey) -> Option<Publication> {
         let outcome = self.outcome.clone()?;
         if let Some(reply_to) = self.message.reply_to.clone() {
@@ -148,7 +148,7 @@
         }))
     }
 
-    /// A status update if the client wants one; each kind once.
+    /// A status update if the client wants one; each kind is published at most once.
     pub fn status_update(&mut self, key: MessageKey, progress: Progress) -> Option<StatusUpdate> {
         let was_reported = match progress {
             Progress::Accepted => &mut self.reported.accepted,
--- a/crates/queues/src/progress.rs
+++ b/crates/queues/src/progress.rs
@@ -9,7 +9,7 @@
 ///
 /// The identity is the fencing token of the queue service: a claim belongs to exactly one connection, and no identity
 /// is used twice. A message claimed by one consumer is answered by that consumer, or by another one once the claimant
-/// is known to be gone.
+/// is known to be dead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConsumerId {
     /// Random number drawn when the process starts.
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Whether both entries say the same, whenever they were written.
+    /// Whether both entries are equal except for the time at which they were written.
     pub fn has_same_meaning(self, other: ProgressEntry) -> bool {
         self.claimant() == other.claimant()
     }
@@ -132,10 +132,10 @@
     /// Consumes and answers messages, or did until it ended.
     #[serde(rename = "u")]
     Active,
-    /// Gone; the log contains everything that its receipts said.
+    /// Will not commit any more; the log contains everything that its receipts said.
     #[serde(rename = "t")]
-    Drained,
-    /// Gone, and the broker has lost its receipts.
+    Settled,
+    /// Will not commit any more, and the broker has lost its receipts.
     #[serde(rename = "l")]
     ReceiptsLost,
 }
--- a/crates/queues/src/rate_limiter.rs
+++ b/crates/queues/src/rate_limiter.rs
@@ -11,7 +11,7 @@
     min_interval: Micros,
     /// When the bucket is full again.
     full_at: Micros,
-    last_slow_down: Micros,
+    last_slow_down_at: Micros,
 }
 
 impl RateLimiter {
@@ -26,17 +26,17 @@
             interval,
             min_interval: interval,
             full_at: 0,
-            last_slow_down: 0,
+            last_slow_down_at: 0,
         }
     }
 
     /// Whether an operation is permitted now.
-    pub fn is_free(&self, now: Micros) -> bool {
-        self.next_free_at() <= now
+    pub fn is_permitted(&self, now: Micros) -> bool {
+        self.next_permitted_at() <= now
     }
 
     /// When the next operation is permitted.
-    pub fn next_free_at(&self) -> Micros {
+    pub fn next_permitted_at(&self) -> Micros {
         self.full_at
             .saturating_sub(SECOND.saturating_sub(self.interval))
     }
@@ -48,10 +48,10 @@
 
     /// Halves the rate, at most once a second: all requests in flight report the same overload.
     pub fn slow_down(&mut self, now: Micros) {
-        if now < self.last_slow_down + SECOND {
+        if now < self.last_slow_down_at + SECOND {
             return;
         }
-        self.last_slow_down = now;
+        self.last_slow_down_at = now;
         let max_interval = Self::MAX_INTERVAL.max(self.min_interval);
         self.interval = (self.interval * 2).clamp(self.min_interval, max_interval);
         self.full_at = self.full_at.max(now + SECOND);
--- a/crates/queues/src/replicated_log/mod.rs
+++ b/crates/queues/src/replicated_log/mod.rs
@@ -219,7 +219,7 @@
         if self.phase != SyncPhase::Current || self.last_completed_read < self.wanted_read {
             return self.not_before;
         }
-        let batch_at = self.not_before.max(self.batch_rate.next_free_at());
+        let batch_at = self.not_before.max(self.batch_rate.next_permitted_at());
         if self.pending.is_empty() {
             batch_at.max(self.last_expiry_check + EXPIRY_INTERVAL)
         } else {
--- a/crates/queues/src/replicated_log/writes.rs
+++ b/crates/queues/src/replicated_log/writes.rs
@@ -28,7 +28,7 @@
 
     /// Collects pending changes whose conditions still hold, as many as one segment has room for.
     pub(super) fn next_batch(&mut self, now: Micros) -> Option<CompareAndSwap> {
-        if !self.batch_rate.is_free(now) {
+        if !self.batch_rate.is_permitted(now) {
             return None;
         }
         let removes = self.expired_segment(now);
--- a/crates/queues/src/reply.rs
+++ b/crates/queues/src/reply.rs
@@ -27,7 +27,7 @@
     pub job: Option<String>,
     /// How the job ended.
     pub outcome: Outcome,
-    /// The answer may have been given before: the broker has lost the receipts that would tell.
+    /// The answer may have been published before: the broker has lost the receipts that would show it.
     pub maybe_duplicate: bool,
 }
 
--- a/crates/queues/src/runtime/event_loop.rs
+++ b/crates/queues/src/runtime/event_loop.rs
@@ -74,12 +74,12 @@
                 _ = snapshot.tick() => gauges.set(&self.machine, self.clock.now()),
                 _ = report.tick() => metrics::report(&self.machine, self.clock.now()),
                 () = &mut stop, if deadline.is_none() => {
-                    tracing::info!(in_hand = self.machine.in_hand(), "stopping: finishing what was begun");
+                    tracing::info!(in_hand = self.machine.pending_count(), "stopping: finishing what was begun");
                     deadline = Some(Instant::now() + grace);
                     self.handle(Event::Stop);
                 }
                 () = passed(deadline) => {
-                    tracing::info!(in_hand = self.machine.in_hand(), "stopping: returning the rest to the broker");
+                    tracing::info!(in_hand = self.machine.pending_count(), "stopping: returning the rest to the broker");
                     return;
                 }
             }
--- a/crates/queues/src/runtime/metrics.rs
+++ b/crates/queues/src/runtime/metrics.rs
@@ -27,9 +27,9 @@
     /// Counters of the state machine.
     pub counters: Counters,
     /// Messages in hand.
-    pub in_hand: i64,
+    pub pending_messages: i64,
     /// How long the oldest message is in hand, in seconds.
-    pub oldest_s: i64,
+    pub oldest_pending_s: i64,
     /// Entries in the replicated log.
     pub log_entries: i64,
     /// Batches of changes that were written to the log.
@@ -46,8 +46,8 @@
             .map_or(0, |at| now.saturating_sub(at) / SECOND);
         Snapshot {
             counters: machine.counters(),
-            in_hand: saturating_i64(machine.in_hand()),
-            oldest_s: i64::try_from(oldest_s).unwrap_or(i64::MAX),
+            pending_messages: saturating_i64(machine.pending_count()),
+            oldest_pending_s: i64::try_from(oldest_s).unwrap_or(i64::MAX),
             log_entries: saturating_i64(log.len()),
             applied_batches: log.applied_batches(),
             log_conflicts: log.conflicts(),
@@ -76,7 +76,7 @@
     metric(
         "held_back",
         "deliveries of messages in hand or answered before",
-        |s| s.counters.held_back,
+        |s| s.counters.duplicate_deliveries,
     ),
     metric("accepted", "jobs accepted by the controllers", |s| {
         s.counters.accepted
@@ -118,11 +118,11 @@
 ];
 
 const GAUGES: [Metric<i64>; 3] = [
-    metric("in_hand", "messages in hand", |s| s.in_hand),
+    metric("in_hand", "messages in hand", |s| s.pending_messages),
     metric(
         "oldest_seconds",
         "how long the oldest of them is in hand",
-        |s| s.oldest_s,
+        |s| s.oldest_pending_s,
     ),
     metric("marks", "marks that are kept", |s| s.log_entries),
 ];
@@ -138,7 +138,7 @@
     tracing::info!(
         received = c.received,
         redelivered = c.redelivered,
-        held_back = c.held_back,
+        held_back = c.duplicate_deliveries,
         accepted = c.accepted,
         refused = c.refused,
         delayed = c.overload_responses,
@@ -148,8 +148,8 @@
         repeated = c.possible_duplicates,
         commits = c.commits,
         settled = c.claims_taken_over,
-        in_hand = snapshot.in_hand,
-        oldest_s = snapshot.oldest_s,
+        in_hand = snapshot.pending_messages,
+        oldest_s = snapshot.oldest_pending_s,
         marks = snapshot.log_entries,
         rounds = snapshot.applied_batches,
         clashes = snapshot.log_conflicts,
--- a/crates/queues/src/schedule.rs
+++ b/crates/queues/src/schedule.rs
@@ -1,7 +1,7 @@
-//! Which request to the controllers is sent when, and in which order.
+//! Order and rate of the requests to the controllers.
 //!
-//! The number of requests under way and the rates of submissions and status queries are bounded whatever waits in the
-//! queues. Submissions are ordered by the rank of their queue. Status queries are ordered by the expected end of the
+//! The number of requests in flight and the rates of submissions and status queries are bounded, however many messages
+//! wait in the queues. Submissions are ordered by the rank of their queue. Status queries are ordered by the expected end of the
 //! job, so that jobs which are probably over come first. When the controllers report overload, the submission rate
 //! falls at once and recovers slowly.
 
@@ -10,7 +10,7 @@
 use crate::time::Micros;
 use std::collections::BTreeSet;
 
-/// A request to the controllers. The order of the values is the order of sending.
+/// A request to the controllers. Requests are sent in the order of these values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ScheduledRequest {
     /// Submission or cancellation.
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Discards everything that waits. The adapted rates stay.
+    /// Discards all waiting requests. The adapted rates stay.
     pub fn clear(&mut self) {
         self.delayed.clear();
         self.ready.clear();
@@ -94,8 +94,8 @@
     fn next_permitted(&self, now: Micros, taken: usize) -> Option<(ScheduledRequest, MessageKey)> {
         let submission = self
             .next_submission()
-            .filter(|_| self.submissions.is_free(now));
-        let query = self.next_query().filter(|_| self.queries.is_free(now));
+            .filter(|_| self.submissions.is_permitted(now));
+        let query = self.next_query().filter(|_| self.queries.is_permitted(now));
         if taken.is_multiple_of(2) {
             submission.or(query)
         } else {
@@ -116,8 +116,8 @@
         let delayed = self.delayed.first().map(|(at, ..)| *at);
         let submission = self
             .next_submission()
-            .map(|_| self.submissions.next_free_at());
-        let query = self.next_query().map(|_| self.queries.next_free_at());
+            .map(|_| self.submissions.next_permitted_at());
+        let query = self.next_query().map(|_| self.queries.next_permitted_at());
         let all = [delayed, submission, query];
         all.into_iter().flatten().min().unwrap_or(Micros::MAX)
     }
--- a/crates/queues/src/state_machine/claims.rs
+++ b/crates/queues/src/state_machine/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: of all consumers that hold copies of a message, one may answer.
+//! Claims: only one of the consumers that have copies of a message may answer it.
 
 use super::DeliveryStateMachine;
 use crate::message::MessageKey;
@@ -8,7 +8,8 @@
 use crate::reply::Outcome;
 
 impl DeliveryStateMachine {
-    /// It is known how the job of a message ended.
+    /// Handles the outcome of a message's job: claims the message if something has to be published for it, otherwise
+    /// settles it.
     pub(super) fn on_outcome(&mut self, key: MessageKey, outcome: Outcome) {
         let Some(pending) = self.messages.get_mut(&key) else {
             return;
@@ -39,17 +40,19 @@
             return;
         };
         match current.entry {
-            ProgressEntry::Answered { .. } => self.hold_back_answered(key),
-            // A message that this consumer has answered stays in hand until the log says so; so it has not.
+            ProgressEntry::Answered { .. } => self.on_already_answered(key),
+            // The claim was not used yet: a message that this consumer has answered stays pending until the log records
+            // the answer.
             ProgressEntry::Claimed { by, .. } if by == self.own_id => {
                 self.set_stage(key, Stage::Claimed);
-                self.claimed.push_back(key);
+                self.claimed_messages.push_back(key);
             }
             ProgressEntry::Claimed { by, .. } => self.take_over_claim(key, by, current.version),
         }
     }
 
-    /// Another consumer holds the claim: waits for a verdict, or replaces the claim of one that is gone.
+    /// Handles a claim of another consumer: waits until it is known whether that consumer has answered, or replaces
+    /// the claim if the consumer is dead.
     fn take_over_claim(&mut self, key: MessageKey, claimant: ConsumerId, version: u16) {
         let state = self.log.consumer_state(claimant);
         if state.is_some_and(ConsumerState::may_be_running) {
@@ -57,7 +60,7 @@
             self.orphans.await_claimant(claimant, key);
             return;
         }
-        // The log contains all receipts of a consumer that is gone: it has not answered, unless they were lost.
+        // The log contains all receipts of a dead consumer, so it has not answered this message unless they were lost.
         self.counters.claims_taken_over += 1;
         if let Some(pending) = self.messages.get_mut(&key) {
             tracing::info!(job = pending.job(), message = %key, %claimant, "taking over the claim of a dead consumer");
@@ -89,13 +92,13 @@
         current.is_some_and(|c| matches!(c.entry, ProgressEntry::Answered { .. }))
     }
 
-    pub(super) fn hold_back_answered(&mut self, key: MessageKey) {
-        self.counters.held_back += 1;
+    pub(super) fn on_already_answered(&mut self, key: MessageKey) {
+        self.counters.duplicate_deliveries += 1;
         tracing::info!(message = %key, "already answered");
         self.settle(key);
     }
 
-    /// Nothing is left to do for a message but to acknowledge its deliveries.
+    /// Marks a message as settled: only its deliveries remain to be acknowledged.
     pub(super) fn settle(&mut self, key: MessageKey) {
         let Some(pending) = self.messages.get_mut(&key) else {
             return;
@@ -115,28 +118,28 @@
         self.retry_resolved_claims();
     }
 
-    /// Handles what became of changes of the log. Returns whether there was any.
+    /// Handles the outcomes of changes of the log. Returns whether there were any.
     pub(super) fn handle_log_outcomes(&mut self) -> bool {
         let outcomes = self.log.take_outcomes();
         let any = !outcomes.is_empty();
         for outcome in outcomes {
             match outcome {
-                ChangeOutcome::Entry { key, .. } => self.on_entry(key),
+                ChangeOutcome::Entry { key, .. } => self.on_entry_outcome(key),
                 ChangeOutcome::Consumer {
                     consumer,
                     succeeded,
-                } if consumer == self.own_id => self.on_own_state(succeeded),
+                } if consumer == self.own_id => self.on_own_state_outcome(succeeded),
                 ChangeOutcome::Consumer {
                     consumer,
                     succeeded,
-                } => self.on_orphan_state(consumer, succeeded),
+                } => self.on_orphan_state_outcome(consumer, succeeded),
             }
         }
         any
     }
 
-    /// An entry was written, or another one stands there.
-    fn on_entry(&mut self, key: MessageKey) {
+    /// Handles the outcome of a change of an entry: it was written, or the log has another entry.
+    fn on_entry_outcome(&mut self, key: MessageKey) {
         for consumer in self.orphans.consumers_with_receipt(key) {
             self.settle_receipt(consumer, key);
         }
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Writes that this consumer has answered a message, until the log says so.
+    /// Records in the log that this consumer has answered a message; repeated until the log says so.
     pub(super) fn record_answered(&mut self, key: MessageKey) {
         match self.log.entry(key) {
             Some(current) if current.entry.claimant().is_some() => {
--- a/crates/queues/src/state_machine/commits.rs
+++ b/crates/queues/src/state_machine/commits.rs
@@ -5,21 +5,21 @@
 use crate::pending_message::{PendingMessage, Stage};
 
 /// Most answers in one transaction.
-const MAX_PUBLICATIONS: usize = 64;
+const MAX_PUBLICATIONS_PER_TRANSACTION: usize = 64;
 
 /// A message in the transaction in flight.
 #[derive(Clone, Debug)]
 pub(super) struct CommittingMessage {
     key: MessageKey,
     /// The deliveries that the transaction acknowledges.
-    acked: Vec<DeliveryTag>,
+    acked_tags: Vec<DeliveryTag>,
 }
 
 impl CommittingMessage {
     fn new(key: MessageKey, pending: &PendingMessage) -> CommittingMessage {
         CommittingMessage {
             key,
-            acked: pending.unacked.clone(),
+            acked_tags: pending.unacked.clone(),
         }
     }
 }
@@ -48,8 +48,8 @@
         transaction: &mut BrokerTransaction,
         messages: &mut Vec<CommittingMessage>,
     ) {
-        while transaction.publications.len() < MAX_PUBLICATIONS {
-            let Some(key) = self.claimed.pop_front() else {
+        while transaction.publications.len() < MAX_PUBLICATIONS_PER_TRANSACTION {
+            let Some(key) = self.claimed_messages.pop_front() else {
                 return;
             };
             let pending = self.messages.get_mut(&key);
@@ -68,11 +68,11 @@
         transaction: &mut BrokerTransaction,
         messages: &mut Vec<CommittingMessage>,
     ) {
-        let is_due = |pending: &&PendingMessage| {
+        let needs_acknowledgement = |pending: &&PendingMessage| {
             !pending.unacked.is_empty() && matches!(pending.stage, Stage::Settled | Stage::Answered)
         };
         for key in std::mem::take(&mut self.to_acknowledge) {
-            if let Some(pending) = self.messages.get(&key).filter(is_due) {
+            if let Some(pending) = self.messages.get(&key).filter(needs_acknowledgement) {
                 transaction.acks.extend(&pending.unacked);
                 messages.push(CommittingMessage::new(key, pending));
             }
@@ -80,11 +80,11 @@
     }
 
     pub(super) fn on_committed(&mut self) {
-        for CommittingMessage { key, acked } in self.transaction.take().unwrap_or_default() {
+        for CommittingMessage { key, acked_tags } in self.transaction.take().unwrap_or_default() {
             let Some(pending) = self.messages.get_mut(&key) else {
                 continue;
             };
-            pending.unacked.retain(|tag| !acked.contains(tag));
+            pending.unacked.retain(|tag| !acked_tags.contains(tag));
             match pending.stage {
                 Stage::Committing => self.on_answered(key),
                 Stage::Settled => self.settle(key),
--- a/crates/queues/src/state_machine/connection.rs
+++ b/crates/queues/src/state_machine/connection.rs
@@ -4,21 +4,21 @@
 use crate::pending_message::Stage;
 use crate::progress::ConsumerState;
 
-/// How far the present connection is.
+/// Phase of the present connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionPhase {
-    /// There is none.
+    /// There is no connection.
     Disconnected,
-    /// Its registration is being written to the log.
+    /// The registration of the connection is being written to the log.
     Registering,
     /// Its receipt queue is being opened.
-    OpeningReceipts,
+    OpeningReceiptQueue,
     /// Its activation is being written to the log.
     Activating,
     /// It consumes messages.
     Active,
     /// Everything is answered, and that is being written to the log.
-    Draining,
+    Settling,
 }
 
 impl DeliveryStateMachine {
@@ -32,7 +32,7 @@
     pub(super) fn on_receipt_queue_opened(&mut self, succeeded: bool) {
         if !succeeded {
             self.command(BrokerCommand::Reconnect);
-        } else if self.connection == ConnectionPhase::OpeningReceipts {
+        } else if self.connection == ConnectionPhase::OpeningReceiptQueue {
             self.connection = ConnectionPhase::Activating;
             self.log.change_consumer(
                 self.own_id,
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Forgets everything in hand: the broker delivers again what is not acknowledged, and receipts tell what became
-    /// of the transaction in flight.
+    /// Discards all pending messages: the broker redelivers what is not acknowledged, and receipts show whether the
+    /// transaction in flight was committed.
     pub(super) fn on_disconnected(&mut self) {
         self.messages.clear();
         self.schedule.clear();
-        self.requested.clear();
-        self.claimed.clear();
+        self.messages_by_request.clear();
+        self.claimed_messages.clear();
         self.to_acknowledge.clear();
         self.status_updates.clear();
         self.transaction = None;
@@ -58,11 +58,11 @@
         self.connection = ConnectionPhase::Disconnected;
     }
 
-    /// A change of the own state was written, or the log has another state.
-    pub(super) fn on_own_state(&mut self, succeeded: bool) {
+    /// Handles the outcome of a change of this consumer's state: it was written, or the log has another state.
+    pub(super) fn on_own_state_outcome(&mut self, succeeded: bool) {
         match self.connection {
             ConnectionPhase::Registering if succeeded => {
-                self.connection = ConnectionPhase::OpeningReceipts;
+                self.connection = ConnectionPhase::OpeningReceiptQueue;
                 self.command(BrokerCommand::OpenReceiptQueue(self.own_id));
             }
             ConnectionPhase::Activating if succeeded => {
@@ -73,15 +73,15 @@
             ConnectionPhase::Registering | ConnectionPhase::Activating => {
                 self.command(BrokerCommand::Reconnect);
             }
-            ConnectionPhase::Draining => self.on_drained(),
+            ConnectionPhase::Settling => self.finish_settling(),
             ConnectionPhase::Disconnected
-            | ConnectionPhase::OpeningReceipts
+            | ConnectionPhase::OpeningReceiptQueue
             | ConnectionPhase::Active => {}
         }
     }
 
-    fn on_drained(&mut self) {
-        if self.log.consumer_state(self.own_id) == Some(ConsumerState::Drained) {
+    fn finish_settling(&mut self) {
+        if self.log.consumer_state(self.own_id) == Some(ConsumerState::Settled) {
             self.command(BrokerCommand::ReleaseReceipts {
                 consumer: self.own_id,
                 delete_queue: true,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Reconnects if another process has declared this consumer dead: whatever its reason, this consumer must not
+    /// Reconnects if another process has declared this consumer dead: whatever the reason, this consumer must not
     /// answer any more.
     pub(super) fn check_own_state(&mut self) {
         let is_active = self.log.consumer_state(self.own_id) == Some(ConsumerState::Active);
@@ -106,25 +106,25 @@
         self.schedule.clear();
     }
 
-    /// Once everything that was begun is answered, takes the consumer off the log and deletes its receipt queue.
+    /// Once all work in progress is answered, deregisters the consumer and deletes its receipt queue.
     pub(super) fn advance_shutdown(&mut self) {
         match self.connection {
-            ConnectionPhase::Active if self.is_busy() => {}
+            ConnectionPhase::Active if self.has_work_in_progress() => {}
             ConnectionPhase::Active => {
-                self.connection = ConnectionPhase::Draining;
+                self.connection = ConnectionPhase::Settling;
                 self.log.change_consumer(
                     self.own_id,
                     Some(ConsumerState::Active),
-                    Some(ConsumerState::Drained),
+                    Some(ConsumerState::Settled),
                 );
             }
-            ConnectionPhase::Draining => {}
+            ConnectionPhase::Settling => {}
             _ => self.finish(),
         }
     }
 
-    fn is_busy(&self) -> bool {
-        let is_begun = |stage: Stage| {
+    fn has_work_in_progress(&self) -> bool {
+        let is_in_progress = |stage: Stage| {
             matches!(
                 stage,
                 Stage::RequestInFlight(_)
@@ -138,7 +138,7 @@
             || !self.obsolete_receipts.is_empty()
             || !self.status_updates.is_empty()
             || !self.to_acknowledge.is_empty()
-            || self.messages.values().any(|m| is_begun(m.stage))
+            || self.messages.values().any(|m| is_in_progress(m.stage))
     }
 
     fn finish(&mut self) {
--- a/crates/queues/src/state_machine/controllers.rs
+++ b/crates/queues/src/state_machine/controllers.rs
@@ -10,8 +10,8 @@
 const MAX_RETRY_DELAY: Micros = 30 * SECOND;
 /// The retry delay is doubled at most this often.
 const MAX_RETRY_DOUBLINGS: u32 = 6;
-/// A job that runs longer than expected is expected to run on for this part of its time so far.
-const OVERDUE_DIVISOR: Micros = 8;
+/// A job that runs longer than expected is expected to run for its time so far divided by this in addition.
+const OVERDUE_EXTENSION_DIVISOR: Micros = 8;
 
 impl DeliveryStateMachine {
     /// Sends as many scheduled requests as the limits permit.
@@ -30,15 +30,19 @@
             };
             self.counters.status_queries += u64::from(matches!(effect, Effect::QueryStatus(..)));
             pending.stage = Stage::RequestInFlight(request);
-            self.requested.insert(request, key);
+            self.messages_by_request.insert(request, key);
             self.requests_in_flight.insert(request);
             self.effects.push(effect);
         }
     }
 
-    pub(super) fn on_controller(&mut self, request: RequestId, response: ControllerResponse) {
+    pub(super) fn on_controller_response(
+        &mut self,
+        request: RequestId,
+        response: ControllerResponse,
+    ) {
         self.requests_in_flight.remove(&request);
-        let Some(key) = self.requested.remove(&request) else {
+        let Some(key) = self.messages_by_request.remove(&request) else {
             return;
         };
         let pending = self.messages.get_mut(&key);
@@ -52,13 +56,13 @@
             ControllerResponse::UnknownJob => {
                 pending.accepted_at = None;
                 let submission = pending.submission();
-                self.retry(key, submission, MIN_RETRY_DELAY);
+                self.schedule_retry(key, submission, MIN_RETRY_DELAY);
             }
             ControllerResponse::RetryAfter(delay) => self.on_overload(key, delay),
             ControllerResponse::NoResponse => {
                 self.counters.lost_responses += 1;
                 let repeated = repeated_request(pending);
-                self.retry(key, repeated, MIN_RETRY_DELAY);
+                self.schedule_retry(key, repeated, MIN_RETRY_DELAY);
             }
         }
     }
@@ -72,12 +76,12 @@
         let is_first = pending.accepted_at.is_none();
         let accepted_at = *pending.accepted_at.get_or_insert(now);
         let expected_end = (accepted_at + pending.estimated_runtime())
-            .max(now + (now - accepted_at) / OVERDUE_DIVISOR);
+            .max(now + (now - accepted_at) / OVERDUE_EXTENSION_DIVISOR);
         if is_first {
             self.counters.accepted += 1;
             self.schedule.submissions.speed_up();
             tracing::info!(job = pending.job(), message = %key, "accepted");
-            if pending.ends_with_acceptance() {
+            if pending.is_settled_on_acceptance() {
                 self.settle(key);
                 return;
             }
@@ -114,11 +118,11 @@
             self.status_updates.extend(update);
         }
         let repeated = repeated_request(pending);
-        self.retry(key, repeated, delay.max(MIN_RETRY_DELAY));
+        self.schedule_retry(key, repeated, delay.max(MIN_RETRY_DELAY));
     }
 
     /// Schedules a request again, with a delay that doubles from attempt to attempt.
-    fn retry(&mut self, key: MessageKey, request: ScheduledRequest, min_delay: Micros) {
+    fn schedule_retry(&mut self, key: MessageKey, request: ScheduledRequest, min_delay: Micros) {
         let Some(pending) = self.messages.get_mut(&key) else {
             return;
         };
@@ -145,7 +149,7 @@
     Some(effect)
 }
 
-/// The same request again: a query for an accepted job, a submission for others.
+/// The request to repeat: a query for an accepted job, otherwise the submission or cancellation.
 fn repeated_request(pending: &PendingMessage) -> ScheduledRequest {
     match pending.accepted_at {
         Some(accepted_at) => ScheduledRequest::Query {
--- a/crates/queues/src/state_machine/event.rs
+++ b/crates/queues/src/state_machine/event.rs
@@ -1,4 +1,4 @@
-//! What the state machine is told, and what it wants done.
+//! Events that the state machine handles, and effects that it returns.
 
 use crate::message::{Message, MessageKey};
 use crate::progress::ConsumerId;
@@ -18,7 +18,7 @@
 pub enum ControllerResponse {
     /// The job is accepted and not over yet.
     Live,
-    /// The job has ended, or is refused for good.
+    /// The job has ended, or is refused permanently.
     Ended(Outcome),
     /// The controllers do not know the job.
     UnknownJob,
@@ -28,25 +28,25 @@
     NoResponse,
 }
 
-/// What came of reading another consumer's receipts.
+/// Result of reading another consumer's receipts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReceiptsResponse {
     /// The consumer may still commit, or another process reads its receipts.
     Busy,
-    /// The consumer can commit no more; these are the messages that it has answered.
+    /// The consumer cannot commit any more; these are the messages that it has answered.
     Complete(BTreeSet<MessageKey>),
-    /// The consumer can commit no more, and the broker has lost its receipts.
+    /// The consumer cannot commit any more, and the broker has lost its receipts.
     Lost,
 }
 
-/// Something that happened.
+/// An event that the state machine handles.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// There is a connection, after [`Event::Disconnected`] for the one before.
+    /// A connection was opened; [`Event::Disconnected`] came before if there was an earlier one.
     Connected {
-        /// Number of the attempt; no other one of this process has the same.
+        /// Number of the connection attempt, unique within this process.
         connection: u64,
     },
     /// The connection's receipt queue was declared, and has the connection as its exclusive consumer.
@@ -54,7 +54,7 @@
         /// False if either failed.
         succeeded: bool,
     },
-    /// The connection is gone.
+    /// The connection was lost.
     Disconnected,
     /// The broker delivered a message.
     Delivered(DeliveryTag, Message),
@@ -66,13 +66,13 @@
     Committed,
     /// Another consumer's receipts were read.
     ReceiptsRead(ConsumerId, ReceiptsResponse),
-    /// A gone consumer's receipt queue does not exist any more.
+    /// The receipt queue of a dead or stopping consumer does not exist any more.
     ReceiptQueueDeleted(ConsumerId),
-    /// Nothing new is to be begun any more.
+    /// Shutdown: nothing new is begun any more.
     Stop,
 }
 
-/// Something to be done.
+/// An effect that the runtime carries out.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Submit a job with this JSON body.
@@ -85,11 +85,11 @@
     State(StateRequest),
     /// Send a command over the connection to the broker.
     Broker(BrokerCommand),
-    /// Shutdown is complete: what was begun is answered, and nothing of this process is left behind.
+    /// Shutdown is complete: all work in progress is answered, and this process has left nothing behind.
     Finished,
 }
 
-/// What the connection to the broker has to do.
+/// A command for the connection to the broker.
 #[derive(Clone, Debug)]
 pub enum BrokerCommand {
     /// Declare the consumer's receipt queue, and become its exclusive consumer.
@@ -100,9 +100,9 @@
     Reconnect,
     /// Carry out a transaction with the broker.
     Commit(BrokerTransaction),
-    /// Read all receipts of another consumer if it is gone, and keep everybody else from reading them.
+    /// Read all receipts of another consumer if it is dead, and prevent other processes from reading them.
     ReadReceipts(ConsumerId),
-    /// Let others read a consumer's receipts again.
+    /// Let other processes read a consumer's receipts again.
     ReleaseReceipts {
         /// Whose receipts.
         consumer: ConsumerId,
--- a/crates/queues/src/state_machine/failover.rs
+++ b/crates/queues/src/state_machine/failover.rs
@@ -1,20 +1,20 @@
-//! Failover: recovers what gone consumers have answered, and removes what they have left behind.
+//! Failover: recovers what dead consumers have answered, and removes what they have left behind.
 
 use super::{BrokerCommand, DeliveryStateMachine, MIN_RETRY_DELAY, ReceiptsResponse};
 use crate::message::MessageKey;
-use crate::orphans::DrainedConsumer;
+use crate::orphans::SettledConsumer;
 use crate::pending_message::Stage;
 use crate::progress::{ConsumerId, ConsumerState, ProgressEntry};
 use crate::time::{Micros, SECOND};
 use rand::RngExt;
 
-/// How often the log is searched for gone consumers.
+/// How often the log is searched for dead consumers.
 const ORPHAN_CHECK_INTERVAL: Micros = 15 * SECOND;
-/// Most consumers that are examined in one search.
+/// Most consumers that are checked in one search.
 const MAX_CONSUMERS_PER_CHECK: usize = 4;
 
 impl DeliveryStateMachine {
-    /// Retries claims of messages whose claimants are settled, by state or by entry.
+    /// Retries claims that need not wait any more: the claimant is no longer running, or the entry is not its claim.
     pub(super) fn retry_resolved_claims(&mut self) {
         let log = &self.log;
         let is_unresolved = |claimant, key| {
@@ -36,8 +36,8 @@
         }
     }
 
-    pub(super) fn on_receipts(&mut self, consumer: ConsumerId, receipts: ReceiptsResponse) {
-        // The copy of the log may be older than the claims that the receipts are about.
+    pub(super) fn on_receipts_read(&mut self, consumer: ConsumerId, receipts: ReceiptsResponse) {
+        // The replica of the log may be older than the claims that the receipts are about.
         let log_read = self.log.refresh();
         match receipts {
             ReceiptsResponse::Busy => {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Writes that a gone consumer has answered a message, until the log says so.
+    /// Records in the log that a dead consumer has answered a message; repeated until the log says so.
     pub(super) fn settle_receipt(&mut self, consumer: ConsumerId, key: MessageKey) {
         match self.log.entry(key) {
             Some(current) if current.entry.claimant() == Some(consumer) => {
@@ -63,34 +63,34 @@
         }
     }
 
-    /// A change of another consumer's state was written, or the log has another state.
-    pub(super) fn on_orphan_state(&mut self, consumer: ConsumerId, succeeded: bool) {
+    /// Handles the outcome of a change of another consumer's state: it was written, or the log has another state.
+    pub(super) fn on_orphan_state_outcome(&mut self, consumer: ConsumerId, succeeded: bool) {
         if !self.orphans.is_tracked(consumer) {
             return;
         }
         let is_final = matches!(
             self.log.consumer_state(consumer),
-            Some(ConsumerState::Drained | ConsumerState::ReceiptsLost)
+            Some(ConsumerState::Settled | ConsumerState::ReceiptsLost)
         );
         self.command(BrokerCommand::ReleaseReceipts {
             consumer,
             delete_queue: succeeded && is_final,
         });
-        let waiting = self.orphans.finish(consumer);
+        let waiting = self.orphans.remove_consumer(consumer);
         self.retry_claims(waiting);
     }
 
-    /// A drained consumer's receipt queue is gone, so nothing of it is needed any more.
-    pub(super) fn deregister_drained(&mut self, consumer: ConsumerId) {
+    /// Deregisters a settled consumer whose receipt queue is deleted, since nothing of it is needed any more.
+    pub(super) fn deregister_settled(&mut self, consumer: ConsumerId) {
         self.log
-            .change_consumer(consumer, Some(ConsumerState::Drained), None);
+            .change_consumer(consumer, Some(ConsumerState::Settled), None);
     }
 
     pub(super) fn next_orphan_check(&self) -> Micros {
         self.last_orphan_check + ORPHAN_CHECK_INTERVAL
     }
 
-    /// Advances the recovery of everything that gone consumers have left.
+    /// Advances the recovery of everything that dead consumers have left behind.
     pub(super) fn recover_orphans(&mut self) {
         if self.is_stopping {
             return;
@@ -109,8 +109,8 @@
         for (consumer, key) in checkable {
             self.settle_receipt(consumer, key);
         }
-        for drained in self.orphans.take_drained() {
-            self.write_final_state(drained);
+        for settled in self.orphans.take_settled() {
+            self.write_final_state(settled);
         }
     }
 
@@ -122,27 +122,27 @@
         }
     }
 
-    fn write_final_state(&mut self, drained: DrainedConsumer) {
-        let consumer = drained.consumer;
+    fn write_final_state(&mut self, settled: SettledConsumer) {
+        let consumer = settled.consumer;
         let state = self.log.consumer_state(consumer);
-        // Another process was first and its finding stands; or the consumer has become active since.
-        if state != Some(drained.state_when_read) {
-            self.on_orphan_state(consumer, false);
+        // Either another process has already written the final state, which stays, or the consumer has become active.
+        if state != Some(settled.state_when_read) {
+            self.on_orphan_state_outcome(consumer, false);
             return;
         }
-        // A consumer that was never active has answered nothing, so it has lost nothing.
+        // A consumer that was never active has answered nothing, so no answers are lost.
         let has_lost_answers =
-            drained.receipts_lost && drained.state_when_read == ConsumerState::Active;
+            settled.receipts_lost && settled.state_when_read == ConsumerState::Active;
         let final_state = if has_lost_answers {
             ConsumerState::ReceiptsLost
         } else {
-            ConsumerState::Drained
+            ConsumerState::Settled
         };
-        tracing::info!(%consumer, ?final_state, "consumer is gone");
+        tracing::info!(%consumer, ?final_state, "consumer declared dead");
         self.log.change_consumer(consumer, state, Some(final_state));
     }
 
-    /// Examines a random few of the other registered consumers.
+    /// Checks a random selection of the other registered consumers.
     fn check_other_consumers(&mut self) {
         let others = self.log.consumers().iter().map(|(c, state)| (*c, *state));
         let mut others: Vec<(ConsumerId, ConsumerState)> = others
@@ -160,11 +160,11 @@
     fn check_consumer(&mut self, consumer: ConsumerId, state: ConsumerState) {
         match state {
             ConsumerState::Registered | ConsumerState::Active => self.read_receipts(consumer),
-            ConsumerState::Drained => self.command(BrokerCommand::ReleaseReceipts {
+            ConsumerState::Settled => self.command(BrokerCommand::ReleaseReceipts {
                 consumer,
                 delete_queue: true,
             }),
-            // It stays registered for as long as there are claims that only its receipts could have settled.
+            // The consumer stays registered as long as there are claims that only its receipts could have settled.
             ConsumerState::ReceiptsLost if !self.log.has_claims_of(consumer) => {
                 self.log
                     .change_consumer(consumer, Some(ConsumerState::ReceiptsLost), None);
--- a/crates/queues/src/state_machine/mod.rs
+++ b/crates/queues/src/state_machine/mod.rs
@@ -1,9 +1,9 @@
 //! The delivery state machine: takes each message from its first delivery to its one answer.
 //!
 //! Pure logic without I/O or clock: [`DeliveryStateMachine::handle`] takes an event and the time, and returns effects.
-//! Nothing that it knows has to outlive the process. What is not acknowledged is delivered again; the replicated log
-//! says which messages are answered; and after a connection that broke during a commit, its receipts tell which of its
-//! transactions were carried out.
+//! Its state need not survive the process. The broker redelivers what is not acknowledged; the replicated log says which
+//! messages are answered; and if a connection broke during a commit, its receipts show which of its transactions were
+//! committed.
 
 mod claims;
 mod commits;
@@ -33,10 +33,10 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 
-/// Shortest delay before something is tried again.
+/// Shortest delay before a retry.
 const MIN_RETRY_DELAY: Micros = 500_000;
 
-/// Everything that one process knows about the messages it has in hand.
+/// The pending messages of one process, with all state that is needed to answer them.
 #[derive(Debug)]
 pub struct DeliveryStateMachine {
     /// This process with its present connection.
@@ -51,12 +51,12 @@
     last_arrival: u64,
     messages: HashMap<MessageKey, PendingMessage>,
     schedule: RequestSchedule,
-    /// Messages in hand by the requests in flight for them.
-    requested: HashMap<RequestId, MessageKey>,
-    /// All requests to the controllers in flight, also for messages that are not in hand any more.
+    /// Pending messages by the requests in flight for them.
+    messages_by_request: HashMap<RequestId, MessageKey>,
+    /// All requests to the controllers in flight, including those for messages that are not pending any more.
     requests_in_flight: HashSet<RequestId>,
     /// Claimed messages in the order in which they are to be answered.
-    claimed: VecDeque<MessageKey>,
+    claimed_messages: VecDeque<MessageKey>,
     /// Messages with deliveries to acknowledge.
     to_acknowledge: BTreeSet<MessageKey>,
     status_updates: Vec<StatusUpdate>,
@@ -88,9 +88,9 @@
             last_arrival: 0,
             messages: HashMap::new(),
             schedule: RequestSchedule::new(limits.submissions_per_s, limits.queries_per_s),
-            requested: HashMap::new(),
+            messages_by_request: HashMap::new(),
             requests_in_flight: HashSet::new(),
-            claimed: VecDeque::new(),
+            claimed_messages: VecDeque::new(),
             to_acknowledge: BTreeSet::new(),
             status_updates: Vec::new(),
             transaction: None,
@@ -104,12 +104,12 @@
         }
     }
 
-    /// Number of messages in hand.
-    pub fn in_hand(&self) -> usize {
+    /// Number of pending messages.
+    pub fn pending_count(&self) -> usize {
         self.messages.len()
     }
 
-    /// When the oldest message in hand was received.
+    /// When the oldest pending message was received.
     pub fn oldest_received_at(&self) -> Option<Micros> {
         self.messages.values().map(|m| m.received_at).min()
     }
@@ -119,19 +119,19 @@
         self.counters
     }
 
-    /// The copy of the replicated log.
+    /// The local replica of the log.
     pub fn log(&self) -> &ReplicatedLog {
         &self.log
     }
 
-    /// Takes an event and returns what is to be done about it. Time never goes back: an earlier `now` counts as the
-    /// latest one before.
+    /// Handles an event and returns the resulting effects. Time never goes back: if `now` is earlier than in a previous
+    /// call, the latest time so far counts.
     pub fn handle(&mut self, now: Micros, event: Event) -> Vec<Effect> {
         self.now = self.now.max(now);
         self.dispatch(event);
         loop {
             self.advance();
-            // Changes found settled while a batch was collected have outcomes without a response.
+            // A change that is found settled while a batch is collected has its outcome without a response.
             if !self.handle_log_outcomes() {
                 return std::mem::take(&mut self.effects);
             }
@@ -145,16 +145,16 @@
             Event::ReceiptQueueOpened { succeeded } => self.on_receipt_queue_opened(succeeded),
             Event::Disconnected => self.on_disconnected(),
             Event::Delivered(tag, message) => self.on_delivery(tag, message),
-            Event::Controller(request, response) => self.on_controller(request, response),
+            Event::Controller(request, response) => self.on_controller_response(request, response),
             Event::State(response) => self.on_state_response(response),
             Event::Committed => self.on_committed(),
-            Event::ReceiptsRead(consumer, receipts) => self.on_receipts(consumer, receipts),
-            Event::ReceiptQueueDeleted(consumer) => self.deregister_drained(consumer),
+            Event::ReceiptsRead(consumer, receipts) => self.on_receipts_read(consumer, receipts),
+            Event::ReceiptQueueDeleted(consumer) => self.deregister_settled(consumer),
             Event::Stop => self.begin_shutdown(),
         }
     }
 
-    /// Does everything that has become possible.
+    /// Performs everything that the new state permits.
     fn advance(&mut self) {
         if self.connection == ConnectionPhase::Active {
             self.send_controller_requests();
@@ -199,12 +199,12 @@
         }
     }
 
-    /// A copy shares the answer of the message in hand.
+    /// Adds the delivery of a copy to the pending message, whose answer it shares.
     fn on_repeated_delivery(&mut self, key: MessageKey, tag: DeliveryTag) {
         let Some(pending) = self.messages.get_mut(&key) else {
             return;
         };
-        self.counters.held_back += 1;
+        self.counters.duplicate_deliveries += 1;
         pending.unacked.push(tag);
         if matches!(pending.stage, Stage::Settled | Stage::Answered) {
             self.to_acknowledge.insert(key);
@@ -225,7 +225,7 @@
         let invalid = pending.request.as_ref().err().copied();
         self.messages.insert(key, pending);
         if self.is_answered(key) {
-            self.hold_back_answered(key);
+            self.on_already_answered(key);
         } else if let Some(invalid) = invalid {
             self.on_outcome(key, Outcome::Refused(invalid.to_string()));
         } else {
--- a/crates/queues/src/wire/amqp.rs
+++ b/crates/queues/src/wire/amqp.rs
@@ -1,6 +1,6 @@
 //! AMQP message properties and bodies.
 
-use crate::message::{BODY_LIMIT, Message, MessageKey};
+use crate::message::{MAX_BODY_BYTES, Message, MessageKey};
 use crate::reply::{DeadLetter, FinalAnswer, Outcome, Progress, StatusUpdate};
 use crate::time::as_seconds;
 use amqprs::{BasicProperties, FieldTable, FieldValue};
@@ -11,7 +11,7 @@
 
 /// Converts a broker delivery into a [`Message`].
 ///
-/// Bodies above [`BODY_LIMIT`] are refused later; if the message has an id, the excess is dropped here already,
+/// Bodies above [`MAX_BODY_BYTES`] are refused later; if the message has an id, the excess is dropped here already,
 /// because the id alone identifies the message.
 pub fn decode_message(
     queue: &str,
@@ -19,8 +19,8 @@
     mut body: Vec<u8>,
     redelivered: bool,
 ) -> Message {
-    if body.len() > BODY_LIMIT && properties.message_id().is_some() {
-        body.truncate(BODY_LIMIT + 1);
+    if body.len() > MAX_BODY_BYTES && properties.message_id().is_some() {
+        body.truncate(MAX_BODY_BYTES + 1);
         body.shrink_to_fit();
     }
     let headers = properties.headers();
--- a/crates/queues/tests/golden_forms/log.rs
+++ b/crates/queues/tests/golden_forms/log.rs
@@ -40,7 +40,7 @@
     let states = [
         ConsumerState::Registered,
         ConsumerState::Active,
-        ConsumerState::Drained,
+        ConsumerState::Settled,
         ConsumerState::ReceiptsLost,
     ];
     for (connection, state) in (1..).zip(states) {
@@ -73,7 +73,7 @@
     let states = [
         (consumer(1), ConsumerState::Registered),
         (consumer(2), ConsumerState::Active),
-        (consumer(3), ConsumerState::Drained),
+        (consumer(3), ConsumerState::Settled),
         (consumer(4), ConsumerState::ReceiptsLost),
     ];
     assert_eq!(log.consumers(), &states.into_iter().collect());
--- a/crates/queues/tests/golden_forms/settings_and_metrics.rs
+++ b/crates/queues/tests/golden_forms/settings_and_metrics.rs
@@ -45,7 +45,7 @@
     let counters = Counters {
         received: 1,
         redelivered: 2,
-        held_back: 3,
+        duplicate_deliveries: 3,
         accepted: 4,
         refused: 5,
         overload_responses: 6,
@@ -58,8 +58,8 @@
     };
     let snapshot = Snapshot {
         counters,
-        in_hand: 13,
-        oldest_s: 14,
+        pending_messages: 13,
+        oldest_pending_s: 14,
         log_entries: 15,
         applied_batches: 16,
         log_conflicts: 17,
--- a/crates/queues/tests/simulation/verdict.rs
+++ b/crates/queues/tests/simulation/verdict.rs
@@ -68,7 +68,7 @@
 
     fn in_hand(&self) -> usize {
         let running = self.processes.iter().flatten();
-        running.map(|p| p.machine.in_hand()).sum()
+        running.map(|p| p.machine.pending_count()).sum()
     }
 
     /// Registered consumers beyond those of the running processes.
