--- a/crates/queues/src/replicated_log/batch.rs
+++ b/crates/queues/src/replicated_log/batch.rs
@@ -11,11 +11,11 @@
 pub(super) enum Assessment {
     /// Its condition holds.
     Pending,
-    /// It was written already, or its condition can hold no more.
+    /// It was written already, or its condition cannot hold any more.
     Settled(ChangeOutcome),
 }
 
-/// The log as it will be after the changes taken so far.
+/// The log as it will be after the changes collected so far.
 pub(super) struct Preview<'a> {
     replica: &'a Replica,
     consumers: BTreeMap<ConsumerId, ConsumerState>,
@@ -26,7 +26,7 @@
 }
 
 impl<'a> Preview<'a> {
-    /// Begins with a segment that contains these entries.
+    /// A preview that begins with a segment with these entries.
     pub fn new(replica: &'a Replica, segment: &[SegmentEntry]) -> Preview<'a> {
         Preview {
             replica,
@@ -48,7 +48,7 @@
     fn assess_entry(&self, change: &EntryChange) -> Assessment {
         let previewed = self.entries.get(&change.key).copied();
         let current = previewed.or_else(|| self.replica.entry(change.key));
-        let wanted = change.result();
+        let target = change.resulting_entry();
         let settled = |written_version| {
             Assessment::Settled(ChangeOutcome::Entry {
                 key: change.key,
@@ -57,8 +57,8 @@
         };
         match current {
             Some(current)
-                if current.version == wanted.version
-                    && current.entry.has_same_meaning(wanted.entry) =>
+                if current.version == target.version
+                    && current.entry.has_same_meaning(target.entry) =>
             {
                 settled(Some(current.version))
             }
@@ -80,32 +80,32 @@
         })
     }
 
-    /// Makes the change in the preview.
+    /// Applies the change to the preview.
     pub fn apply(&mut self, change: &Change) {
         match change {
             Change::Entry(change) => {
                 self.claimants.extend(change.entry.claimant());
-                self.entries.insert(change.key, change.result());
+                self.entries.insert(change.key, change.resulting_entry());
                 self.entry_count += 1;
             }
             Change::Consumer(change) => change.apply(&mut self.consumers),
         }
     }
 
-    /// Whether the segment may be larger than a value at the state service.
-    pub fn is_overfull(&self, max_value_bytes: usize) -> bool {
+    /// Whether the segment may have more bytes than a value at the state service, or too many claimants.
+    pub fn exceeds_limits(&self, max_value_bytes: usize) -> bool {
         let claimants = self.claimants.len();
         let bytes = Segment::max_encoded_bytes(self.consumers.len(), claimants, self.entry_count);
         bytes > max_value_bytes || claimants >= MAX_CLAIMANTS
     }
 }
 
-/// Makes changes in a segment that is about to be written.
+/// Applies changes to a segment that is about to be written.
 pub(super) fn apply_to_segment(segment: &mut Segment, changes: &[Change]) {
     for change in changes {
         match change {
             Change::Entry(change) => {
-                let VersionedEntry { entry, version } = change.result();
+                let VersionedEntry { entry, version } = change.resulting_entry();
                 segment.entries.retain(|e| e.key != change.key);
                 segment.entries.push(SegmentEntry {
                     key: change.key,
--- a/crates/queues/src/replicated_log/change.rs
+++ b/crates/queues/src/replicated_log/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the log, and what becomes of them.
+//! Changes of the log, and their outcomes.
 
 use crate::message::MessageKey;
 use crate::progress::{ConsumerId, ConsumerState, ProgressEntry, VersionedEntry};
@@ -14,7 +14,7 @@
 }
 
 impl EntryChange {
-    pub fn result(&self) -> VersionedEntry {
+    pub fn resulting_entry(&self) -> VersionedEntry {
         VersionedEntry {
             entry: self.entry,
             version: self.expected_version.saturating_add(1),
@@ -31,7 +31,7 @@
 }
 
 impl ConsumerChange {
-    /// Makes the change in a table of consumers.
+    /// Applies the change to a table of consumers.
     pub fn apply(&self, consumers: &mut BTreeMap<ConsumerId, ConsumerState>) {
         match self.to {
             Some(state) => consumers.insert(self.consumer, state),
@@ -48,20 +48,20 @@
 }
 
 impl Change {
-    /// Whether the change takes a consumer off the log.
+    /// Whether the change deregisters a consumer.
     pub fn is_deregistration(&self) -> bool {
         matches!(self, Change::Consumer(ConsumerChange { to: None, .. }))
     }
 }
 
-/// What became of a change.
+/// Outcome of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
     /// A change of a message's entry.
     Entry {
         /// The message.
         key: MessageKey,
-        /// The version that was written; `None` if another entry stands there.
+        /// The version that was written; `None` if the log has another entry.
         written_version: Option<u16>,
     },
     /// A change of a consumer's state.
--- a/crates/queues/src/replicated_log/mod.rs
+++ b/crates/queues/src/replicated_log/mod.rs
@@ -1,12 +1,13 @@
-//! The replicated log: each process holds a full copy of all progress entries and writes them in batches by
+//! The replicated log: each process holds a full replica of all progress entries and writes them in batches by
 //! compare-and-swap.
 //!
 //! Entries are appended to one open segment at the state service, on condition that the segment still has the revision
-//! which this copy knows. A full segment is closed, and a new one is opened, in the same transaction. A process that
-//! loses the race reads what others have added, checks its own changes again, and retries those whose conditions still
-//! hold. A batch therefore costs one write or two whatever it contains, and no process ever asks for a single entry.
+//! that this replica knows. A full segment is closed, and a new one is opened, in the same transaction. After a
+//! conflict, a process reads what others have added, checks its own changes again, and retries those whose conditions
+//! still hold. A batch therefore costs one or two writes, whatever it contains, and no process ever reads a single
+//! entry.
 //!
-//! A batch without a response may still be carried out, but only while the open segment stays as it is; the next batch
+//! A batch without a response may still be carried out, but only while the open segment is unchanged; the next batch
 //! depends on the same revision. So at most one of the two is carried out, and a change that turns out to be in
 //! the log already counts as written.
 
@@ -33,7 +34,7 @@
 
 /// Longest delay before a request is repeated.
 const MAX_RETRY_DELAY: Micros = 5 * SECOND;
-/// How often the copy is searched for segments that have expired.
+/// How often the replica is searched for expired segments.
 const EXPIRY_INTERVAL: Micros = 10 * SECOND;
 
 /// Limits of the log.
@@ -43,23 +44,23 @@
     pub max_value_bytes: usize,
     /// Most batches a second. A batch is one write, one more if it closes a segment, one more if it removes one.
     pub batches_per_s: u32,
-    /// How long entries are kept at least.
+    /// Shortest time for which entries are kept.
     pub retention: Micros,
 }
 
-/// How far the copy is.
+/// Synchronization state of the replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum SyncPhase {
     /// The open segment has to be read.
     Stale,
-    /// The open segment was read; closed ones before it have to be read.
+    /// The open segment was read; closed segments before it have to be read.
     CatchingUp {
-        /// Number of the next one to read.
+        /// Number of the next closed segment to read.
         next: u64,
         open: Segment,
         revision: u64,
     },
-    /// The copy is as new as is known.
+    /// No newer state of the log is known.
     Current,
 }
 
@@ -68,30 +69,32 @@
 struct BatchInFlight {
     changes: Vec<Change>,
     closes_segment: bool,
-    removes: Option<u64>,
-    /// Its changes are not to be retried, since nobody waits for them any more.
+    removed_segment: Option<u64>,
+    /// Its changes are not retried, since nothing waits for them any more.
     is_abandoned: bool,
 }
 
-/// A process's copy of the log, with its changes that wait to be written.
+/// A process's replica of the log, with the changes that wait to be written.
 ///
-/// Pure logic: [`next_request`](Self::next_request) says what to send to the state service, and
-/// [`handle_response`](Self::handle_response) takes what came back.
+/// Pure logic: [`next_request`](Self::next_request) returns the request to send to the state service, and
+/// [`handle_response`](Self::handle_response) handles the response to it.
 #[derive(Debug)]
 pub struct ReplicatedLog {
     limits: LogLimits,
     replica: Replica,
     phase: SyncPhase,
     request_in_flight: bool,
-    /// No request before this time.
+    /// No request is sent before this time.
     not_before: Micros,
     consecutive_failures: u32,
-    /// Reads of the open segment: how many were begun, the last one that was completed, the one that is wanted.
-    reads_begun: u64,
+    /// Number of reads of the open segment that were started.
+    reads_started: u64,
+    /// Number of the last read that was completed.
     last_completed_read: u64,
-    wanted_read: u64,
+    /// Number of the read that [`refresh`](Self::refresh) requested last.
+    requested_read: u64,
     batch_rate: RateLimiter,
-    pending: VecDeque<Change>,
+    pending_changes: VecDeque<Change>,
     batch_in_flight: Option<BatchInFlight>,
     outcomes: Vec<ChangeOutcome>,
     last_expiry_check: Micros,
@@ -100,7 +103,7 @@
 }
 
 impl ReplicatedLog {
-    /// An empty copy, which reads the log first.
+    /// An empty replica, which first reads the log.
     pub fn new(limits: LogLimits) -> ReplicatedLog {
         ReplicatedLog {
             limits,
@@ -109,11 +112,11 @@
             request_in_flight: false,
             not_before: 0,
             consecutive_failures: 0,
-            reads_begun: 0,
+            reads_started: 0,
             last_completed_read: 0,
-            wanted_read: 0,
+            requested_read: 0,
             batch_rate: RateLimiter::new(limits.batches_per_s),
-            pending: VecDeque::new(),
+            pending_changes: VecDeque::new(),
             batch_in_flight: None,
             outcomes: Vec::new(),
             last_expiry_check: 0,
@@ -122,7 +125,7 @@
         }
     }
 
-    /// A message's entry, as far as this copy knows.
+    /// A message's entry in this replica.
     pub fn entry(&self, key: MessageKey) -> Option<VersionedEntry> {
         self.replica.entry(key)
     }
@@ -164,7 +167,7 @@
 
     /// Queues a compare-and-swap of a message's entry: it must have this version, or not exist if that is 0.
     pub fn write_entry(&mut self, key: MessageKey, expected_version: u16, entry: ProgressEntry) {
-        self.pending.push_back(Change::Entry(EntryChange {
+        self.pending_changes.push_back(Change::Entry(EntryChange {
             key,
             expected_version,
             entry,
@@ -179,27 +182,27 @@
         to: Option<ConsumerState>,
     ) {
         let change = ConsumerChange { consumer, from, to };
-        self.pending.push_back(Change::Consumer(change));
+        self.pending_changes.push_back(Change::Consumer(change));
     }
 
     /// Requests a read of everything that others have written until now.
     ///
-    /// A copy that writes nothing has no conflicts, and so learns nothing otherwise. The returned number tells
-    /// [`has_completed_read`](Self::has_completed_read) which read is meant.
+    /// A replica that writes nothing has no conflicts, so it would not notice the writes of others. The returned number
+    /// identifies the read for [`has_completed_read`](Self::has_completed_read).
     pub fn refresh(&mut self) -> u64 {
-        // A read under way may have been answered before now, so another one is needed.
-        self.wanted_read = self.reads_begun + 1;
-        self.wanted_read
+        // The response to a read in flight may be older than this call, so another read is needed.
+        self.requested_read = self.reads_started + 1;
+        self.requested_read
     }
 
-    /// Whether the read that [`refresh`](Self::refresh) returned is completed.
+    /// Whether the read with a number that [`refresh`](Self::refresh) returned is completed.
     pub fn has_completed_read(&self, number: u64) -> bool {
         self.phase == SyncPhase::Current && self.last_completed_read >= number
     }
 
     /// Discards queued changes, except for deregistrations of consumers.
     pub fn abandon_changes(&mut self) {
-        self.pending.retain(Change::is_deregistration);
+        self.pending_changes.retain(Change::is_deregistration);
         // A batch in flight may still be written and is then part of the log; but it is not retried.
         if let Some(batch) = &mut self.batch_in_flight {
             batch.is_abandoned = true;
@@ -216,11 +219,11 @@
         if self.request_in_flight {
             return Micros::MAX;
         }
-        if self.phase != SyncPhase::Current || self.last_completed_read < self.wanted_read {
+        if self.phase != SyncPhase::Current || self.last_completed_read < self.requested_read {
             return self.not_before;
         }
         let batch_at = self.not_before.max(self.batch_rate.next_permitted_at());
-        if self.pending.is_empty() {
+        if self.pending_changes.is_empty() {
             batch_at.max(self.last_expiry_check + EXPIRY_INTERVAL)
         } else {
             batch_at
@@ -234,11 +237,11 @@
         }
         let request = match self.phase {
             SyncPhase::CatchingUp { next, .. } => StateRequest::ReadClosedSegments { from: next },
-            SyncPhase::Current if self.last_completed_read >= self.wanted_read => {
+            SyncPhase::Current if self.last_completed_read >= self.requested_read => {
                 StateRequest::CompareAndSwap(self.next_batch(now)?)
             }
             SyncPhase::Stale | SyncPhase::Current => {
-                self.reads_begun += 1;
+                self.reads_started += 1;
                 StateRequest::ReadOpenSegment
             }
         };
@@ -246,7 +249,7 @@
         Some(request)
     }
 
-    /// Takes the response to the request in flight.
+    /// Handles the response to the request in flight.
     pub fn handle_response(&mut self, now: Micros, response: StateResponse) {
         self.request_in_flight = false;
         self.update_backoff(now, response == StateResponse::NoResponse);
@@ -254,7 +257,7 @@
             StateResponse::OpenSegment(None) => self.load_open(Segment::default(), 0),
             StateResponse::OpenSegment(Some(open)) => match Segment::decode(&open.text) {
                 Ok(segment) => self.load_open(segment, open.revision),
-                Err(error) => self.on_unreadable_segment(now, "open", &error),
+                Err(error) => self.on_undecodable_segment(now, "open", &error),
             },
             StateResponse::ClosedSegments { segments, has_more } => {
                 self.load_closed(now, segments, has_more);
--- a/crates/queues/src/replicated_log/protocol.rs
+++ b/crates/queues/src/replicated_log/protocol.rs
@@ -31,7 +31,7 @@
     pub remove: Option<u64>,
 }
 
-/// A request to the state service. At most one is under way.
+/// A request to the state service. At most one is in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StateRequest {
     /// Read the open segment.
@@ -45,7 +45,7 @@
     CompareAndSwap(CompareAndSwap),
 }
 
-/// What came of a request.
+/// Result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StateResponse {
     /// The open segment, if there is one.
--- a/crates/queues/src/replicated_log/replica.rs
+++ b/crates/queues/src/replicated_log/replica.rs
@@ -26,11 +26,11 @@
     open_keys: BTreeSet<MessageKey>,
     /// First closed segment that is kept.
     first_kept: u64,
-    /// Closed segments below this number are in the copy.
+    /// Closed segments below this number are loaded.
     loaded_until: u64,
     /// When the newest entry of each closed segment was written, in seconds.
     newest_entry_s: BTreeMap<u64, u64>,
-    /// Value of `first_kept` when expired entries were dropped last.
+    /// Value of `first_kept` when expired entries were last dropped.
     dropped_until: u64,
 }
 
@@ -136,7 +136,7 @@
         self.loaded_until = self.open_number;
     }
 
-    /// Makes changes that were written to the open segment at this revision.
+    /// Applies changes that were written to the open segment at this revision.
     pub fn apply(&mut self, changes: &[Change], revision: u64) {
         self.open_revision = revision;
         for change in changes {
@@ -149,7 +149,7 @@
 
     fn apply_entry(&mut self, change: &EntryChange) {
         let stored = StoredEntry {
-            versioned: change.result(),
+            versioned: change.resulting_entry(),
             segment: self.open_number,
         };
         self.entries.insert(change.key, stored);
@@ -171,18 +171,18 @@
     }
 
     /// The oldest closed segment, if all its entries were written before this time.
-    pub fn oldest_segment_before(&self, limit_s: u64) -> Option<u64> {
+    pub fn oldest_segment_written_before(&self, before_s: u64) -> Option<u64> {
         let (number, newest_s) = self.newest_entry_s.first_key_value()?;
-        (*newest_s < limit_s && *number == self.first_kept).then_some(*number)
+        (*newest_s < before_s && *number == self.first_kept).then_some(*number)
     }
 
     /// Whether a segment holds a claim of a registered consumer, whose receipts may still settle it.
-    pub fn has_open_claims(&self, segment: u64) -> bool {
-        let is_open_claim = |entry: ProgressEntry| {
+    pub fn has_unsettled_claims(&self, segment: u64) -> bool {
+        let is_unsettled_claim = |entry: ProgressEntry| {
             let claimant = entry.claimant();
             claimant.is_some_and(|by| self.consumers.contains_key(&by))
         };
         let mut entries = self.entries.values().filter(|e| e.segment == segment);
-        entries.any(|stored| is_open_claim(stored.versioned.entry))
+        entries.any(|stored| is_unsettled_claim(stored.versioned.entry))
     }
 }
--- a/crates/queues/src/replicated_log/segment.rs
+++ b/crates/queues/src/replicated_log/segment.rs
@@ -1,8 +1,8 @@
-//! The stored form of the log: one open segment, and closed segments that never change.
+//! Storage format of the log: one open segment, and closed segments that never change.
 //!
 //! A segment is a JSON object. Its entries are fixed-size binary records in base64, because values at the state
-//! service are small and there is an entry for each message. A claim names its claimant by the place in a list of
-//! consumers, so that each consumer is written once.
+//! service are small and there is an entry for each message. A claim refers to its claimant by the position in a list
+//! of consumers, so that each consumer is written once.
 
 use crate::message::MessageKey;
 use crate::progress::{ConsumerId, ConsumerState, InvalidConsumerId, ProgressEntry};
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The version of the form that is written, and the only one that is read.
+/// The format version that is written, and the only one that can be read.
 pub(crate) const SEGMENT_VERSION: u32 = 1;
 
 const KEY_BYTES: usize = 16;
@@ -20,10 +20,10 @@
 const TIME_BYTES: usize = 4;
 const ENTRY_BYTES: usize = KEY_BYTES + VERSION_BYTES + CLAIMANT_BYTES + TIME_BYTES;
 
-/// Marks an answered message where a claim has the place of its claimant.
-const ANSWERED: u8 = u8::MAX;
+/// Marks an answered message, in the byte where a claim has the position of its claimant.
+const ANSWERED_MARKER: u8 = u8::MAX;
 /// Largest number of claimants in one segment.
-pub(crate) const MAX_CLAIMANTS: usize = ANSWERED as usize;
+pub(crate) const MAX_CLAIMANTS: usize = ANSWERED_MARKER as usize;
 
 /// Why a segment cannot be decoded.
 #[derive(Debug, thiserror::Error)]
@@ -31,17 +31,17 @@
     /// Not the JSON of a segment.
     #[error("not a log segment: {source}")]
     Malformed {
-        /// The parser's complaint.
+        /// The parser's error.
         #[from]
         source: serde_json::Error,
     },
-    /// Written in a form that this version does not know.
+    /// Written in a format version that this program does not know.
     #[error("segment version {found}; only version {SEGMENT_VERSION} can be read")]
     UnknownVersion {
         /// The version that the segment names.
         found: u32,
     },
-    /// A consumer is not named by its identity.
+    /// A consumer's name is not a consumer id.
     #[error("field {field}: {source}")]
     InvalidConsumer {
         /// The field that lists it.
@@ -52,23 +52,23 @@
     /// The entries are not base64.
     #[error("field e: {source}")]
     InvalidBase64 {
-        /// The decoder's complaint.
+        /// The decoder's error.
         #[from]
         source: base64::DecodeError,
     },
-    /// The entries are cut short.
+    /// The entries are truncated.
     #[error("field e: {found} bytes are not whole entries of {ENTRY_BYTES}")]
     TruncatedEntries {
         /// Their length.
         found: usize,
     },
-    /// A claim names a place that the list of claimants does not have.
-    #[error("field e: entry {index} names claimant {place}, which field h does not have")]
+    /// A claim has a position that the list of claimants does not have.
+    #[error("field e: entry {index} names claimant {position}, which field h does not have")]
     UnknownClaimant {
         /// Number of the entry, from 0.
         index: usize,
-        /// The place in the list.
-        place: u8,
+        /// The position in the list.
+        position: u8,
     },
 }
 
@@ -120,31 +120,31 @@
     entries: String,
 }
 
-/// The claimants of a segment, each in its place.
+/// The claimants of a segment, each at its position.
 #[derive(Default)]
 struct ClaimantTable(Vec<ConsumerId>);
 
 impl ClaimantTable {
-    fn place_of(&mut self, claimant: ConsumerId) -> u8 {
+    fn position_of(&mut self, claimant: ConsumerId) -> u8 {
         let known = self.0.iter().position(|c| *c == claimant);
-        let place = known.unwrap_or_else(|| {
+        let position = known.unwrap_or_else(|| {
             self.0.push(claimant);
             self.0.len() - 1
         });
-        // A batch never puts more claimants into a segment than there are places, see MAX_CLAIMANTS.
-        u8::try_from(place).unwrap_or(ANSWERED - 1)
+        // A batch never puts more claimants into a segment than there are positions, see MAX_CLAIMANTS.
+        u8::try_from(position).unwrap_or(ANSWERED_MARKER - 1)
     }
 }
 
 impl Segment {
     /// Upper bound on the encoded size in bytes.
     pub fn max_encoded_bytes(consumers: usize, claimants: usize, entries: usize) -> usize {
-        const FIXED: usize = 100;
+        const FIXED_BYTES: usize = 100;
         // Sixteen digits, a dash, up to twenty digits, quotes and a comma.
-        const NAME: usize = 16 + 1 + 20 + 3;
-        const CONSUMER: usize = NAME + 6;
+        const CONSUMER_ID_BYTES: usize = 16 + 1 + 20 + 3;
+        const CONSUMER_BYTES: usize = CONSUMER_ID_BYTES + 6;
         let entries_base64 = (entries * ENTRY_BYTES * 4).div_ceil(3) + 4;
-        FIXED + consumers * CONSUMER + claimants * NAME + entries_base64
+        FIXED_BYTES + consumers * CONSUMER_BYTES + claimants * CONSUMER_ID_BYTES + entries_base64
     }
 
     /// Encodes the segment as JSON text.
@@ -189,14 +189,14 @@
 }
 
 fn encode_entry(entry: &SegmentEntry, claimants: &mut ClaimantTable, bytes: &mut Vec<u8>) {
-    let place = match entry.entry {
-        ProgressEntry::Answered { .. } => ANSWERED,
-        ProgressEntry::Claimed { by, .. } => claimants.place_of(by),
+    let position = match entry.entry {
+        ProgressEntry::Answered { .. } => ANSWERED_MARKER,
+        ProgressEntry::Claimed { by, .. } => claimants.position_of(by),
     };
     let at_s = u32::try_from(entry.entry.written_at_s()).unwrap_or(u32::MAX);
     bytes.extend(entry.key.0.to_be_bytes());
     bytes.extend(entry.version.to_be_bytes());
-    bytes.push(place);
+    bytes.push(position);
     bytes.extend(at_s.to_be_bytes());
 }
 
@@ -236,14 +236,14 @@
 ) -> Result<SegmentEntry, SegmentError> {
     let (key, rest) = bytes.split_at(KEY_BYTES);
     let (version, rest) = rest.split_at(VERSION_BYTES);
-    let (place, time) = rest.split_at(CLAIMANT_BYTES);
-    let (place, at_s) = (place[0], big_endian(time) as u64);
-    let entry = match place {
-        ANSWERED => ProgressEntry::Answered { at_s },
-        place => ProgressEntry::Claimed {
+    let (position, time) = rest.split_at(CLAIMANT_BYTES);
+    let (position, at_s) = (position[0], big_endian(time) as u64);
+    let entry = match position {
+        ANSWERED_MARKER => ProgressEntry::Answered { at_s },
+        position => ProgressEntry::Claimed {
             by: *claimants
-                .get(usize::from(place))
-                .ok_or(SegmentError::UnknownClaimant { index, place })?,
+                .get(usize::from(position))
+                .ok_or(SegmentError::UnknownClaimant { index, position })?,
             at_s,
         },
     };
--- a/crates/queues/src/replicated_log/sync.rs
+++ b/crates/queues/src/replicated_log/sync.rs
@@ -1,4 +1,4 @@
-//! Reads: brings the copy up to date with the segments at the state service.
+//! Reads: brings the replica up to date with the segments at the state service.
 
 use super::segment::{Segment, SegmentError};
 use super::{ClosedSegment, MAX_RETRY_DELAY, ReplicatedLog, SyncPhase};
@@ -19,8 +19,8 @@
         self.not_before = now + (MIN_RETRY_DELAY << doublings).min(MAX_RETRY_DELAY);
     }
 
-    /// Never overwrites what another version of the program wrote: reads it again from time to time.
-    pub(super) fn on_unreadable_segment(
+    /// Reads the segment again after a delay, since what another version of the program wrote is never overwritten.
+    pub(super) fn on_undecodable_segment(
         &mut self,
         now: Micros,
         segment: &str,
@@ -41,7 +41,7 @@
             return;
         }
         self.replica.load_open(open, revision);
-        self.last_completed_read = self.reads_begun;
+        self.last_completed_read = self.reads_started;
         self.phase = SyncPhase::Current;
     }
 
@@ -68,7 +68,7 @@
             }
             match Segment::decode(&closed.text) {
                 Ok(segment) => self.replica.load_closed(next, segment),
-                Err(error) => return self.on_unreadable_segment(now, "closed", &error),
+                Err(error) => return self.on_undecodable_segment(now, "closed", &error),
             }
             next += 1;
         }
--- a/crates/queues/src/replicated_log/writes.rs
+++ b/crates/queues/src/replicated_log/writes.rs
@@ -1,4 +1,4 @@
-//! Writes: collects pending changes into batches, and handles what becomes of them.
+//! Writes: collects pending changes into batches, and handles their results.
 
 use super::batch::{self, Assessment, Preview};
 use super::change::Change;
@@ -10,11 +10,11 @@
 use crate::time::{Micros, SECOND};
 
 impl ReplicatedLog {
-    /// The batch was not written, or it is unknown whether it was: its changes are checked again after a read.
+    /// Requeues a batch that was not written, or possibly not: its changes are checked again after a read.
     pub(super) fn retry_batch(&mut self) {
         if let Some(batch) = self.batch_in_flight.take() {
-            let is_retried = |change: &Change| !batch.is_abandoned || change.is_deregistration();
-            self.requeue(batch.changes.iter().copied().filter(is_retried));
+            let should_retry = |change: &Change| !batch.is_abandoned || change.is_deregistration();
+            self.requeue(batch.changes.iter().copied().filter(should_retry));
         }
         self.phase = SyncPhase::Stale;
     }
@@ -22,7 +22,7 @@
     /// Puts changes back to the front of the queue, in their order.
     fn requeue(&mut self, changes: impl DoubleEndedIterator<Item = Change>) {
         for change in changes.rev() {
-            self.pending.push_front(change);
+            self.pending_changes.push_front(change);
         }
     }
 
@@ -31,13 +31,13 @@
         if !self.batch_rate.is_permitted(now) {
             return None;
         }
-        let removes = self.expired_segment(now);
-        if self.pending.is_empty() && removes.is_none() {
+        let removed_segment = self.expired_segment(now);
+        if self.pending_changes.is_empty() && removed_segment.is_none() {
             return None;
         }
         let open_entries = self.replica.open_entries();
         let (mut changes, mut is_full) = self.collect_changes(&open_entries);
-        // What does not fit beside the entries of the open segment begins a new one.
+        // Changes that do not fit next to the entries of the open segment begin a new one.
         let closes_segment = is_full && !open_entries.is_empty();
         if closes_segment {
             self.requeue(changes.into_iter());
@@ -51,14 +51,14 @@
             );
             self.not_before = now + MAX_RETRY_DELAY;
         }
-        if changes.is_empty() && removes.is_none() {
+        if changes.is_empty() && removed_segment.is_none() {
             return None;
         }
         self.batch_rate.record(now);
         let batch = BatchInFlight {
             changes,
             closes_segment,
-            removes,
+            removed_segment,
             is_abandoned: false,
         };
         let request = self.encode_batch(&batch, open_entries);
@@ -66,20 +66,20 @@
         Some(request)
     }
 
-    /// Takes pending changes until a segment that begins with these entries is full; and whether it is.
+    /// Takes pending changes until a segment that begins with these entries is full. Also returns whether it is full.
     fn collect_changes(&mut self, segment: &[SegmentEntry]) -> (Vec<Change>, bool) {
         let mut preview = Preview::new(&self.replica, segment);
         let mut changes = Vec::new();
-        while let Some(change) = self.pending.pop_front() {
+        while let Some(change) = self.pending_changes.pop_front() {
             if let Assessment::Settled(outcome) = preview.assess(&change) {
                 self.outcomes.push(outcome);
                 continue;
             }
             preview.apply(&change);
-            // Deregistrations make room, so they are never refused for lack of it.
-            let is_overfull = preview.is_overfull(self.limits.max_value_bytes);
-            if is_overfull && !change.is_deregistration() {
-                self.pending.push_front(change);
+            // Deregistrations free space, so they are accepted even if the segment is full.
+            let exceeds_limits = preview.exceeds_limits(self.limits.max_value_bytes);
+            if exceeds_limits && !change.is_deregistration() {
+                self.pending_changes.push_front(change);
                 return (changes, true);
             }
             changes.push(change);
@@ -102,7 +102,9 @@
             text: old.encode(SegmentRole::Closed),
         });
         let mut open = Segment {
-            first_kept: batch.removes.map_or(self.replica.first_kept(), |r| r + 1),
+            first_kept: batch
+                .removed_segment
+                .map_or(self.replica.first_kept(), |r| r + 1),
             number: number + u64::from(batch.closes_segment),
             consumers: self.consumers().clone(),
             entries: if batch.closes_segment {
@@ -116,7 +118,7 @@
             expected_revision: self.replica.open_revision(),
             open: open.encode(SegmentRole::Open),
             close,
-            remove: batch.removes,
+            remove: batch.removed_segment,
         }
     }
 
@@ -126,9 +128,11 @@
             return None;
         }
         self.last_expiry_check = now;
-        let limit_s = now.saturating_sub(self.limits.retention) / SECOND;
-        let number = self.replica.oldest_segment_before(limit_s)?;
-        if self.replica.has_open_claims(number) {
+        let expired_before_s = now.saturating_sub(self.limits.retention) / SECOND;
+        let number = self
+            .replica
+            .oldest_segment_written_before(expired_before_s)?;
+        if self.replica.has_unsettled_claims(number) {
             return None;
         }
         // The next segment may have expired as well: check again at once.
@@ -148,7 +152,7 @@
         self.replica.apply(&batch.changes, revision);
         self.outcomes
             .extend(batch.changes.iter().map(written_outcome));
-        if let Some(number) = batch.removes {
+        if let Some(number) = batch.removed_segment {
             self.replica.remove_segment(number);
         }
     }
@@ -158,7 +162,7 @@
     match change {
         Change::Entry(change) => ChangeOutcome::Entry {
             key: change.key,
-            written_version: Some(change.result().version),
+            written_version: Some(change.resulting_entry().version),
         },
         Change::Consumer(change) => ChangeOutcome::Consumer {
             consumer: change.consumer,
--- a/crates/queues/src/schedule.rs
+++ b/crates/queues/src/schedule.rs
@@ -1,9 +1,9 @@
 //! Order and rate of the requests to the controllers.
 //!
 //! The number of requests in flight and the rates of submissions and status queries are bounded, however many messages
-//! wait in the queues. Submissions are ordered by the rank of their queue. Status queries are ordered by the expected end of the
-//! job, so that jobs which are probably over come first. When the controllers report overload, the submission rate
-//! falls at once and recovers slowly.
+//! wait in the queues. Submissions are ordered by the rank of their queue. Status queries are ordered by the expected
+//! end of the job, so that jobs which are probably over come first. When the controllers report overload, the
+//! submission rate falls at once and recovers slowly.
 
 use crate::message::MessageKey;
 use crate::rate_limiter::RateLimiter;
--- a/crates/queues/src/state_machine/failover.rs
+++ b/crates/queues/src/state_machine/failover.rs
@@ -125,7 +125,8 @@
     fn write_final_state(&mut self, settled: SettledConsumer) {
         let consumer = settled.consumer;
         let state = self.log.consumer_state(consumer);
-        // Either another process has already written the final state, which stays, or the consumer has become active.
+        // Either another process has already written the final state, which stays, or the consumer has become active
+        // since the read.
         if state != Some(settled.state_when_read) {
             self.on_orphan_state_outcome(consumer, false);
             return;
--- a/crates/queues/src/state_machine/mod.rs
+++ b/crates/queues/src/state_machine/mod.rs
@@ -1,9 +1,9 @@
 //! The delivery state machine: takes each message from its first delivery to its one answer.
 //!
 //! Pure logic without I/O or clock: [`DeliveryStateMachine::handle`] takes an event and the time, and returns effects.
-//! Its state need not survive the process. The broker redelivers what is not acknowledged; the replicated log says which
-//! messages are answered; and if a connection broke during a commit, its receipts show which of its transactions were
-//! committed.
+//! Its state need not survive the process. The broker redelivers what is not acknowledged; the replicated log says
+//! which messages are answered; and if a connection broke during a commit, its receipts show which of its transactions
+//! were committed.
 
 mod claims;
 mod commits;
