--- a/crates/queues/src/orphans.rs
+++ b/crates/queues/src/orphans.rs
@@ -123,7 +123,7 @@
         self.receipts.insert(consumer, receipts);
     }
 
-    /// Returns each receipt once, when the log is current enough to look up the entry of its message.
+    /// Returns each receipt once, when the read of the log that it waits for is completed.
     pub fn take_checkable(
         &mut self,
         is_completed: impl Fn(u64) -> bool,
--- a/crates/queues/src/runtime/broker/session.rs
+++ b/crates/queues/src/runtime/broker/session.rs
@@ -36,7 +36,7 @@
     Exclusive,
 }
 
-/// An unlimited prefetch count.
+/// In AMQP, a prefetch count of 0 means no limit.
 const UNLIMITED_PREFETCH: u16 = 0;
 
 pub(super) struct Session<'a> {
--- a/crates/queues/src/runtime/clock.rs
+++ b/crates/queues/src/runtime/clock.rs
@@ -1,4 +1,4 @@
-//! The clock.
+//! A clock for the event loop.
 
 use crate::time::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/queues/src/runtime/event_loop.rs
+++ b/crates/queues/src/runtime/event_loop.rs
@@ -127,18 +127,20 @@
     fn execute(&mut self, effect: Effect) {
         let controllers = Arc::clone(&self.controllers);
         match effect {
-            Effect::Submit(request, body) => self
-                .spawn(async move { Event::Controller(request, controllers.submit(body).await) }),
+            Effect::Submit(request, body) => self.spawn(async move {
+                Event::ControllerResponse(request, controllers.submit(body).await)
+            }),
             Effect::QueryStatus(request, job) => self.spawn(async move {
-                Event::Controller(request, controllers.query_status(&job).await)
+                Event::ControllerResponse(request, controllers.query_status(&job).await)
+            }),
+            Effect::Cancel(request, job) => self.spawn(async move {
+                Event::ControllerResponse(request, controllers.cancel(&job).await)
             }),
-            Effect::Cancel(request, job) => self
-                .spawn(async move { Event::Controller(request, controllers.cancel(&job).await) }),
-            Effect::State(request) => {
+            Effect::StateRequest(request) => {
                 let state_service = Arc::clone(&self.state_service);
-                self.spawn(async move { Event::State(state_service.send(&request).await) });
+                self.spawn(async move { Event::StateResponse(state_service.send(&request).await) });
             }
-            Effect::Broker(command) => self.command(command),
+            Effect::BrokerCommand(command) => self.command(command),
             Effect::Finished => self.is_finished = true,
         }
     }
--- a/crates/queues/src/state_machine/controllers.rs
+++ b/crates/queues/src/state_machine/controllers.rs
@@ -10,7 +10,7 @@
 const MAX_RETRY_DELAY: Micros = 30 * SECOND;
 /// The retry delay is doubled at most this often.
 const MAX_RETRY_DOUBLINGS: u32 = 6;
-/// A job that runs longer than expected is expected to run for its time so far divided by this in addition.
+/// A job that runs longer than expected is expected to run on for its runtime so far, divided by this number.
 const OVERDUE_EXTENSION_DIVISOR: Micros = 8;
 
 impl DeliveryStateMachine {
--- a/crates/queues/src/state_machine/event.rs
+++ b/crates/queues/src/state_machine/event.rs
@@ -59,9 +59,9 @@
     /// The broker delivered a message.
     Delivered(DeliveryTag, Message),
     /// The controllers responded, or did not in time.
-    Controller(RequestId, ControllerResponse),
+    ControllerResponse(RequestId, ControllerResponse),
     /// The state service responded, or did not in time.
-    State(StateResponse),
+    StateResponse(StateResponse),
     /// The broker has committed the transaction.
     Committed,
     /// Another consumer's receipts were read.
@@ -82,9 +82,9 @@
     /// Cancel a job.
     Cancel(RequestId, String),
     /// Send a request to the state service.
-    State(StateRequest),
+    StateRequest(StateRequest),
     /// Send a command over the connection to the broker.
-    Broker(BrokerCommand),
+    BrokerCommand(BrokerCommand),
     /// Shutdown is complete: all work in progress is answered, and this process has left nothing behind.
     Finished,
 }
--- a/crates/queues/src/state_machine/mod.rs
+++ b/crates/queues/src/state_machine/mod.rs
@@ -145,8 +145,8 @@
             Event::ReceiptQueueOpened { succeeded } => self.on_receipt_queue_opened(succeeded),
             Event::Disconnected => self.on_disconnected(),
             Event::Delivered(tag, message) => self.on_delivery(tag, message),
-            Event::Controller(request, response) => self.on_controller_response(request, response),
-            Event::State(response) => self.on_state_response(response),
+            Event::ControllerResponse(id, response) => self.on_controller_response(id, response),
+            Event::StateResponse(response) => self.on_state_response(response),
             Event::Committed => self.on_committed(),
             Event::ReceiptsRead(consumer, receipts) => self.on_receipts_read(consumer, receipts),
             Event::ReceiptQueueDeleted(consumer) => self.deregister_settled(consumer),
@@ -165,7 +165,7 @@
             self.advance_shutdown();
         }
         let request = self.log.next_request(self.now);
-        self.effects.extend(request.map(Effect::State));
+        self.effects.extend(request.map(Effect::StateRequest));
     }
 
     /// When the next [`Event::Tick`] is wanted; [`Micros::MAX`] if only other events can change anything.
@@ -234,7 +234,7 @@
     }
 
     fn command(&mut self, command: BrokerCommand) {
-        self.effects.push(Effect::Broker(command));
+        self.effects.push(Effect::BrokerCommand(command));
     }
 
     /// The time for log entries, in seconds since the Unix epoch.
--- a/crates/queues/tests/simulation/process.rs
+++ b/crates/queues/tests/simulation/process.rs
@@ -212,7 +212,7 @@
         match effect {
             // The process ends, and another one is started.
             Effect::Finished => self.at(self.now, SimulationEvent::Kill(slot)),
-            Effect::State(request) => self.request_state(slot, incarnation, request),
+            Effect::StateRequest(request) => self.request_state(slot, incarnation, request),
             Effect::Submit(request, body) => {
                 let response = self.submit(&body);
                 self.respond(slot, incarnation, request, response);
@@ -225,8 +225,8 @@
                 let response = self.controllers.cancel(self.now, &job);
                 self.respond(slot, incarnation, request, response);
             }
-            Effect::Broker(BrokerCommand::Reconnect) => self.drop_connection(slot),
-            Effect::Broker(command) => self.carry_out_command(slot, command),
+            Effect::BrokerCommand(BrokerCommand::Reconnect) => self.drop_connection(slot),
+            Effect::BrokerCommand(command) => self.carry_out_command(slot, command),
         }
     }
 
@@ -273,7 +273,7 @@
             slot,
             incarnation,
             connection: None,
-            event: Event::State(response),
+            event: Event::StateResponse(response),
         };
         self.at(at, SimulationEvent::Deliver(event));
     }
@@ -303,7 +303,7 @@
             slot,
             incarnation,
             connection: None,
-            event: Event::Controller(request, response),
+            event: Event::ControllerResponse(request, response),
         };
         self.at(at, SimulationEvent::Deliver(event));
     }
