--- a/crates/queues/src/runtime/metrics.rs
+++ b/crates/queues/src/runtime/metrics.rs
@@ -21,20 +21,20 @@
 const MAX_CONNECTIONS: usize = 16;
 const NAME_PREFIX: &str = "cometlead_queues_";
 
-/// All values at one time. The metrics have names of their own.
+/// All values at one time. The exported metrics have other names than these fields.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Snapshot {
     /// Counters of the state machine.
     pub counters: Counters,
-    /// Messages in hand.
-    pub in_hand: i64,
-    /// How long the oldest message is in hand, in seconds.
-    pub oldest_s: i64,
+    /// Pending messages.
+    pub pending_messages: i64,
+    /// How long the oldest message has been pending, in seconds.
+    pub oldest_pending_s: i64,
     /// Entries in the replicated log.
     pub log_entries: i64,
     /// Batches of changes that were written to the log.
     pub applied_batches: u64,
-    /// Batches that were refused because the log had changed.
+    /// Batches that were not written because the log had changed.
     pub log_conflicts: u64,
 }
 
@@ -46,8 +46,8 @@
             .map_or(0, |at| now.saturating_sub(at) / SECOND);
         Snapshot {
             counters: machine.counters(),
-            in_hand: saturating_i64(machine.in_hand()),
-            oldest_s: i64::try_from(oldest_s).unwrap_or(i64::MAX),
+            pending_messages: saturating_i64(machine.pending_count()),
+            oldest_pending_s: i64::try_from(oldest_s).unwrap_or(i64::MAX),
             log_entries: saturating_i64(log.len()),
             applied_batches: log.applied_batches(),
             log_conflicts: log.conflicts(),
@@ -76,7 +76,7 @@
     metric(
         "held_back",
         "deliveries of messages in hand or answered before",
-        |s| s.counters.held_back,
+        |s| s.counters.duplicate_deliveries,
     ),
     metric("accepted", "jobs accepted by the controllers", |s| {
         s.counters.accepted
@@ -118,11 +118,11 @@
 ];
 
 const GAUGES: [Metric<i64>; 3] = [
-    metric("in_hand", "messages in hand", |s| s.in_hand),
+    metric("in_hand", "messages in hand", |s| s.pending_messages),
     metric(
         "oldest_seconds",
         "how long the oldest of them is in hand",
-        |s| s.oldest_s,
+        |s| s.oldest_pending_s,
     ),
     metric("marks", "marks that are kept", |s| s.log_entries),
 ];
@@ -132,13 +132,13 @@
 }
 
 /// Writes one line with all values to the log.
-pub(super) fn report(machine: &DeliveryStateMachine, now: Micros) {
+pub(super) fn log_counters(machine: &DeliveryStateMachine, now: Micros) {
     let snapshot = Snapshot::of(machine, now);
     let c = snapshot.counters;
     tracing::info!(
         received = c.received,
         redelivered = c.redelivered,
-        held_back = c.held_back,
+        held_back = c.duplicate_deliveries,
         accepted = c.accepted,
         refused = c.refused,
         delayed = c.overload_responses,
@@ -148,8 +148,8 @@
         repeated = c.possible_duplicates,
         commits = c.commits,
         settled = c.claims_taken_over,
-        in_hand = snapshot.in_hand,
-        oldest_s = snapshot.oldest_s,
+        in_hand = snapshot.pending_messages,
+        oldest_s = snapshot.oldest_pending_s,
         marks = snapshot.log_entries,
         rounds = snapshot.applied_batches,
         clashes = snapshot.log_conflicts,
@@ -157,14 +157,14 @@
     );
 }
 
-/// The newest values, shared between the state machine's task and the server.
+/// The latest values, shared between the state machine's task and the server.
 #[derive(Clone, Debug, Default)]
-pub struct Gauges(Arc<Mutex<Snapshot>>);
+pub struct SharedMetrics(Arc<Mutex<Snapshot>>);
 
-impl Gauges {
-    /// Gauges that show this snapshot.
-    pub fn new(snapshot: Snapshot) -> Gauges {
-        Gauges(Arc::new(Mutex::new(snapshot)))
+impl SharedMetrics {
+    /// Metrics with the values of this snapshot.
+    pub fn new(snapshot: Snapshot) -> SharedMetrics {
+        SharedMetrics(Arc::new(Mutex::new(snapshot)))
     }
 
     pub(super) fn set(&self, machine: &DeliveryStateMachine, now: Micros) {
@@ -172,7 +172,7 @@
     }
 }
 
-impl Collector for Gauges {
+impl Collector for SharedMetrics {
     fn encode(&self, mut encoder: DescriptorEncoder) -> Result<(), fmt::Error> {
         let snapshot = *self.0.lock();
         for Metric { name, help, value } in COUNTERS {
@@ -202,18 +202,18 @@
 /// # Errors
 ///
 /// [`fmt::Error`] if a value cannot be formatted.
-pub fn render(gauges: Gauges) -> Result<String, fmt::Error> {
+pub fn render(shared_metrics: SharedMetrics) -> Result<String, fmt::Error> {
     let mut registry = Registry::default();
-    registry.register_collector(Box::new(gauges));
+    registry.register_collector(Box::new(shared_metrics));
     let mut text = String::new();
     encode(&mut text, &registry)?;
     Ok(text)
 }
 
-struct MetricsPage(Gauges);
+struct MetricsHandler(SharedMetrics);
 
 #[async_trait]
-impl Handler for MetricsPage {
+impl Handler for MetricsHandler {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         match render(self.0.clone()) {
             Ok(text) => res.render(text),
@@ -224,21 +224,21 @@
     }
 }
 
-struct HealthPage;
+struct HealthHandler;
 
 #[async_trait]
-impl Handler for HealthPage {
+impl Handler for HealthHandler {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         res.render("ok\n");
     }
 }
 
 /// Serves `GET /metrics` and `GET /healthz` until its task is aborted.
-pub(super) async fn serve(address: String, gauges: Gauges) {
+pub(super) async fn serve(address: String, shared_metrics: SharedMetrics) {
     loop {
         let router = Router::new()
-            .push(Router::with_path("metrics").get(MetricsPage(gauges.clone())))
-            .push(Router::with_path("healthz").get(HealthPage));
+            .push(Router::with_path("metrics").get(MetricsHandler(shared_metrics.clone())))
+            .push(Router::with_path("healthz").get(HealthHandler));
         match TcpListener::new(address.clone()).try_bind().await {
             Ok(acceptor) => {
                 let server = Server::new(acceptor).max_connections(MAX_CONNECTIONS);
