--- a/src/cli/controller.rs
+++ b/src/cli/controller.rs
@@ -68,10 +68,10 @@
     ));
     tokio::spawn(peers::listen(
         Arc::clone(node),
-        settings.back,
+        settings.peer_bind,
         settings.others.len(),
     ));
     for peer in &settings.others {
-        tokio::spawn(peers::send_hints(Arc::clone(node), peer.back));
+        tokio::spawn(peers::send_hints(Arc::clone(node), peer.address));
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! cometlead: a shared-state cluster scheduler.
 //!
-//! A few identical controllers plan on a full replica of the cluster's state and commit what they decide to a small
-//! consistent state store, with a revision check on every record that a transaction changes. `docs/architecture.md` is
-//! the place to begin; `docs/glossary.md` explains the terms.
+//! A few identical controllers plan on a full replica of the cluster's state and commit their decisions to a small
+//! consistent state store, with a revision check on every record that a transaction changes. `docs/architecture.md` gives
+//! an overview; `docs/glossary.md` explains the terms.
 //!
 //! The layers, from the outside in:
 //!
@@ -13,7 +13,7 @@
 //! * [`storage`] has the records of the state store and the replica of the cell's state.
 //!
 //! `coordination`, `scheduler` and `storage` do no I/O and read no clock: events and the time go in, effects come out.
-//! So a controller can be driven by hand, which is what the scenario runner in `tests/runner` does:
+//! So a test can drive a controller event by event, which is what the scenario runner in `tests/runner` does:
 //!
 //! ```
 //! use cometlead::coordination::{Controller, Effect, Event, Now};
@@ -30,7 +30,7 @@
 //! let effects = controller.handle(Now::default(), Event::Tick);
 //! let reads_records = |effect: &Effect| matches!(effect, Effect::State(_, StateRequest::List { .. }, _));
 //! assert!(effects.iter().any(reads_records));
-//! // Before it has read them it takes no requests.
+//! // Until it has read them it serves no requests.
 //! assert!(!controller.healthy(Now::default()));
 //! # Ok(())
 //! # }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -7,12 +7,12 @@
 use crate::time::Micros;
 use serde::Deserialize;
 
-/// Most machines of one provisioning request.
+/// Largest number of machines in one provisioning request.
 pub const PROVISION_LIMIT: u32 = 50;
-/// Most machines of one release request.
+/// Largest number of machines in one release request.
 pub const RELEASE_LIMIT: usize = 100;
-/// The error by which the cloud says that it has no machine of the type left in the zone.
-const NO_CAPACITY: &str = "no capacity";
+/// Error text of the cloud for a provisioning request of a machine type that has no capacity left in the zone.
+const NO_CAPACITY_ERROR: &str = "no capacity";
 
 /// A request to the cloud.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,9 +21,9 @@
     Catalog,
     /// Provisions machines.
     Provision {
-        /// Idempotency key: a repeated request of this name provisions nothing more.
+        /// Idempotency key: repeating a request with the same name provisions no further machines.
         name: String,
-        /// Machine type by the catalog.
+        /// Machine type, as named in the catalog.
         machine_type: String,
         /// Zone of the machines.
         zone: String,
@@ -38,23 +38,23 @@
     List(Option<MachineId>),
 }
 
-/// A machine's state by the cloud.
+/// A machine's state as the cloud reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloudMachineState {
     /// The machine boots.
     Starting,
     /// The machine is up.
     Running,
-    /// The machine failed, and does not come back.
+    /// The machine failed and does not recover.
     Failed,
 }
 
-/// A machine of the cloud's list.
+/// An entry of the cloud's machine list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CloudMachine {
     /// The machine.
     pub id: MachineId,
-    /// Machine type by the catalog.
+    /// Machine type, as named in the catalog.
     pub machine_type: String,
     /// The machine's zone.
     pub zone: String,
@@ -73,7 +73,7 @@
     Catalog(Catalog),
     /// The provisioned machines.
     Provisioned(Vec<MachineId>),
-    /// The cloud has no such machine left.
+    /// The cloud has no capacity left for the requested machine type.
     NoCapacity,
     /// The machines are released.
     Released,
@@ -203,7 +203,7 @@
 }
 
 fn is_out_of_capacity(body: &[u8]) -> bool {
-    serde_json::from_slice::<ErrorWire>(body).is_ok_and(|wire| wire.error == NO_CAPACITY)
+    serde_json::from_slice::<ErrorWire>(body).is_ok_and(|wire| wire.error == NO_CAPACITY_ERROR)
 }
 
 fn parse_catalog(body: &[u8]) -> Result<CloudReply, CallError> {
@@ -252,7 +252,7 @@
 }
 
 impl CloudMachineWire {
-    /// The machine, unless its identifier has another form than those that this scheduler knows.
+    /// The machine; `None` if its identifier is not of a form that this scheduler knows.
     fn parse(self) -> Option<CloudMachine> {
         Some(CloudMachine {
             id: self.id.parse().ok()?,
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! The edge of the scheduler: wire formats, settings files and their validation.
+//! Messages and their encodings on the wire, settings files and their validation.
 
 pub mod cloud;
 pub mod operator;
--- a/src/protocol/operator.rs
+++ b/src/protocol/operator.rs
@@ -5,10 +5,10 @@
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-const SHARDS: RangeInclusive<usize> = 1..=64;
-const ROUND_MS: RangeInclusive<u64> = 10..=10_000;
-const NODE_LEASE_MS: RangeInclusive<u64> = 1_000..=60_000;
-const IDLE_S: RangeInclusive<f64> = 1.0..=86_400.0;
+const SHARDS_RANGE: RangeInclusive<usize> = 1..=64;
+const ROUND_MS_RANGE: RangeInclusive<u64> = 10..=10_000;
+const NODE_LEASE_MS_RANGE: RangeInclusive<u64> = 1_000..=60_000;
+const IDLE_S_RANGE: RangeInclusive<f64> = 1.0..=86_400.0;
 
 /// Why an operator's settings file cannot be used; one line.
 #[derive(Debug, Error)]
@@ -80,15 +80,21 @@
     }
 
     fn validate(&self) -> Result<(), OperatorSettingsError> {
-        let shards_valid = self.shards.is_none_or(|shards| SHARDS.contains(&shards));
-        check("slices", shards_valid, "1 to 64")?;
-        check("round_ms", ROUND_MS.contains(&self.round_ms), "10 to 10000")?;
-        let lease_valid = NODE_LEASE_MS.contains(&self.node_lease_ms);
-        check("node_lease_ms", lease_valid, "1000 to 60000")?;
-        let idle_valid = self.idle_s.is_none_or(|idle| IDLE_S.contains(&idle));
-        check("idle_s", idle_valid, "1 to 86400")?;
+        let shards_valid = self
+            .shards
+            .is_none_or(|shards| SHARDS_RANGE.contains(&shards));
+        check_field("slices", shards_valid, "1 to 64")?;
+        check_field(
+            "round_ms",
+            ROUND_MS_RANGE.contains(&self.round_ms),
+            "10 to 10000",
+        )?;
+        let lease_valid = NODE_LEASE_MS_RANGE.contains(&self.node_lease_ms);
+        check_field("node_lease_ms", lease_valid, "1000 to 60000")?;
+        let idle_valid = self.idle_s.is_none_or(|idle| IDLE_S_RANGE.contains(&idle));
+        check_field("idle_s", idle_valid, "1 to 86400")?;
         let rules_valid = self.rules.as_ref().is_none_or(|path| !path.is_empty());
-        check("rules", rules_valid, "the path of a file")
+        check_field("rules", rules_valid, "the path of a file")
     }
 
     /// The JSON schema of the settings file.
@@ -98,7 +104,7 @@
     }
 }
 
-fn check(
+fn check_field(
     field: &'static str,
     valid: bool,
     allowed: &'static str,
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -1,4 +1,4 @@
-//! Hints that controllers exchange. They only speed decisions up: no safety property relies on them.
+//! Hints that controllers exchange. They only make decisions faster: no safety property relies on them.
 
 use crate::storage::records::Incarnation;
 use serde::{Deserialize, Serialize};
@@ -12,22 +12,22 @@
     /// Incarnation of its process.
     #[serde(rename = "run")]
     pub run: Incarnation,
-    /// Milliseconds since the state store last answered it; absent if it never has.
+    /// Milliseconds since the state store last responded to it; absent if it never did.
     #[serde(rename = "contact_ms")]
     pub contact_ms: Option<u64>,
     /// Revision of the state store that its replica has reached.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// For each shard, in order: its term by the replica, and whether this controller leads it.
+    /// For each shard, in order: its leader term in the controller's replica, and whether the controller leads it.
     #[serde(rename = "terms")]
     pub terms: Vec<(u64, bool)>,
-    /// Rate of its writes at the state store, in thousandths of a change per second.
+    /// Rate of its writes to the state store, in thousandths of a change per second.
     #[serde(rename = "spends", default)]
     pub spends: u64,
-    /// Milliseconds since its last heartbeat from any agent; absent if it never had one.
+    /// Milliseconds since it last received a heartbeat from any agent; absent if it never received one.
     #[serde(rename = "heard_ms", default)]
     pub last_heartbeat_ms: Option<u64>,
-    /// Whether its commit rounds are full and further changes wait for the write rate.
+    /// Whether its commit rounds are full, so that further changes wait for the limit of the write rate.
     #[serde(rename = "pressed", default)]
     pub saturated: bool,
 }
--- a/src/protocol/settings/file.rs
+++ b/src/protocol/settings/file.rs
@@ -1,4 +1,4 @@
-//! The deploy file as it is written, before validation. Fields of later versions are ignored.
+//! The format of the deploy file, before validation. Unknown fields, such as those of later versions, are ignored.
 
 use serde::Deserialize;
 
@@ -44,7 +44,7 @@
 pub(super) struct ParamsSection {
     #[serde(rename = "teams", default)]
     pub teams: Vec<TeamEntry>,
-    /// Objectives of forms that this version does not know are skipped, so they are read one by one.
+    /// They are decoded one by one, since those of forms that this version does not know are skipped.
     #[serde(rename = "objectives", default)]
     pub objectives: Vec<serde_json::Value>,
     #[serde(rename = "workers")]
@@ -59,7 +59,7 @@
     pub clock_error_ms: f64,
 }
 
-/// A team's guarantee and limits; a limit of 0 limits nothing.
+/// A team's guarantee and limits; a limit of 0 means no limit.
 #[derive(Deserialize)]
 pub(super) struct TeamEntry {
     #[serde(rename = "name")]
@@ -85,7 +85,7 @@
     pub within_s: Option<f64>,
 }
 
-/// Intervals that hold for agents.
+/// Intervals and timeouts of agents.
 #[derive(Deserialize)]
 pub(super) struct AgentsSection {
     #[serde(rename = "report_s")]
@@ -111,7 +111,7 @@
     pub next: Option<NextStateSection>,
 }
 
-/// Limits that the state store is going to have. What is absent stays as it is.
+/// Limits that the state store will have later. A limit that is absent stays as it is.
 #[derive(Default, Deserialize)]
 pub(super) struct NextStateSection {
     #[serde(rename = "write_rps")]
@@ -131,7 +131,7 @@
     pub list_lag_s: f64,
 }
 
-/// What a controller's process may use.
+/// The resources that a controller's process may use.
 #[derive(Deserialize)]
 pub(super) struct QuotaSection {
     #[serde(rename = "core_share")]
--- a/src/protocol/settings/mod.rs
+++ b/src/protocol/settings/mod.rs
@@ -39,23 +39,23 @@
 
 /// Another controller.
 #[derive(Clone, Debug)]
-pub struct Other {
+pub struct Peer {
     /// The controller's name.
     pub node: String,
     /// Address at which it listens for its peers.
-    pub back: SocketAddrV4,
+    pub address: SocketAddrV4,
 }
 
-/// A team's guarantee and limits. Amounts are thousandths; a limit of `None` limits nothing.
+/// A team's guarantee and limits. Amounts are thousandths; `None` means no limit.
 #[derive(Clone, Debug)]
 pub struct Team {
     /// The team's name.
     pub name: String,
     /// Guaranteed cores and accelerators.
     pub guarantee: (u64, u64),
-    /// Most cores.
+    /// Largest number of cores that the team may use.
     pub cores_limit: Option<u64>,
-    /// Most accelerators.
+    /// Largest number of accelerators that the team may use.
     pub accelerators_limit: Option<u64>,
 }
 
@@ -65,23 +65,23 @@
         self.guarantee != (0, 0) || self.cores_limit.is_some() || self.accelerators_limit.is_some()
     }
 
-    /// Whether the team may use this much.
+    /// Whether the team's limits allow it to use these amounts in total.
     pub fn allows(&self, cores: u64, accelerators: u64) -> bool {
         self.cores_limit.is_none_or(|l| cores <= l)
             && self.accelerators_limit.is_none_or(|l| accelerators <= l)
     }
 }
 
-/// A service-level objective: how soon a class's tasks are to start or its jobs to end.
+/// A service-level objective: how soon the tasks of a job class should start or its jobs should end.
 #[derive(Clone, Debug)]
 pub struct Objective {
-    /// What the objective asks for.
+    /// What the objective requires.
     pub kind: ObjectiveKind,
-    /// The job class that it holds for; all classes if absent.
+    /// The job class that it applies to; all classes if absent.
     pub class: Option<String>,
 }
 
-/// What an objective asks for.
+/// What an objective requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObjectiveKind {
     /// Jobs end by their deadlines.
@@ -99,11 +99,11 @@
 /// Limits of the state store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StateLimits {
-    /// Changes per second that it takes from all controllers together.
+    /// Changes per second that it accepts from all controllers together.
     pub write_rps: f64,
     /// Size of its largest value, in bytes.
     pub value_bytes: usize,
-    /// Most changes of one transaction.
+    /// Largest number of changes in one transaction.
     pub txn_ops: usize,
 }
 
@@ -114,12 +114,12 @@
     pub node: String,
     /// Its zone.
     pub zone: String,
-    /// Address that it serves users, agents and health checks at.
+    /// Address at which it serves users, agents and health checks.
     pub bind: SocketAddrV4,
-    /// Address that it listens for its peers at.
-    pub back: SocketAddrV4,
+    /// Address at which it listens for its peers.
+    pub peer_bind: SocketAddrV4,
     /// The other controllers.
-    pub others: Vec<Other>,
+    pub others: Vec<Peer>,
     /// Address of the cloud's API.
     pub cloud: SocketAddrV4,
     /// Address of the state store.
@@ -130,27 +130,27 @@
     pub objectives: Vec<Objective>,
     /// Interval of an agent's heartbeats.
     pub heartbeat_interval: Micros,
-    /// Duration of an agent's lease: without a renewal its tasks end after it.
+    /// Duration of an agent's lease: an agent whose lease expires ends its tasks.
     pub lease: Micros,
     /// Time after a cancellation by which the job's tasks must have stopped.
     pub cancel: Micros,
-    /// Requests per second that the state store takes from all controllers together.
+    /// Requests per second that the state store accepts from all controllers together.
     pub state_rps: f64,
-    /// Limits of the state store now.
+    /// Current limits of the state store.
     pub limits: StateLimits,
     /// Limits announced for later; equal to `limits` if there is no announcement.
     pub next_limits: StateLimits,
-    /// Requests per second that the cloud takes.
+    /// Requests per second that the cloud accepts.
     pub cloud_rps: f64,
-    /// Most that the cloud's machine list may be out of date.
+    /// Longest time by which the cloud's machine list may be out of date.
     pub list_lag: Micros,
-    /// Share of a processor core that the process may use.
+    /// Fraction of a processor core that the process may use.
     pub core_share: f64,
     /// Memory that the process may use, in MB.
     pub ram_mb: f64,
-    /// Most sockets that the process may have open.
+    /// Largest number of sockets that the process may have open.
     pub connections: usize,
-    /// Bound of the error of the time of day.
+    /// Largest error of the time of day.
     pub clock_error: Micros,
 }
 
@@ -167,7 +167,7 @@
         Settings::parse(path, &text)
     }
 
-    /// Parses and validates the text of a file; `path` is only named in errors.
+    /// Parses and validates the text of a file; `path` only appears in errors.
     ///
     /// # Errors
     /// [`SettingsError`] with the first field that is invalid.
@@ -187,24 +187,25 @@
 
     /// Size in bytes of the largest response body that is read from the state store and the cloud.
     ///
-    /// A response with changes has no limit of its own: after a long disconnection it would hold all changes since, and
-    /// listing all keys in pages (of 512 KiB at most) takes less memory. While a response is parsed, it is in memory
-    /// about three times.
+    /// A response with changes would otherwise be unbounded: after a long disconnection it contains all changes since
+    /// then, and listing all keys in pages (of 512 KiB at most) takes less memory. While a response is parsed, it
+    /// occupies about three times its size in memory.
     pub fn body_limit(&self) -> usize {
         const MIN_BYTES: f64 = 1024.0 * 1024.0;
         const MAX_BYTES: f64 = 6.0 * MIN_BYTES;
-        const SHARE_OF_MEMORY: f64 = 32.0;
-        (self.ram_mb * 1e6 / SHARE_OF_MEMORY).clamp(MIN_BYTES, MAX_BYTES) as usize
+        const MEMORY_DIVISOR: f64 = 32.0;
+        (self.ram_mb * 1e6 / MEMORY_DIVISOR).clamp(MIN_BYTES, MAX_BYTES) as usize
     }
 
-    /// How long after the last contact with the state store the leases of agents may still be renewed.
+    /// How long after the last contact with the state store the leases of agents may still be renewed; zero if no lease can
+    /// ever be renewed.
     ///
-    /// A job may be cancelled right after the last contact, and an agent whose lease was renewed last keeps its tasks for
-    /// a whole lease: both together must stay within the time for cancellations. Zero where that leaves no time: then no
-    /// lease can be renewed.
+    /// A job may be cancelled right after the last contact, and an agent whose lease is renewed at the end of this time
+    /// keeps its tasks for the duration of a whole lease. Both durations together must stay within the time for
+    /// cancellations; the result is zero if the lease alone takes all of that time.
     pub fn contact_limit(&self) -> Micros {
-        const MARGIN: Micros = Micros::millis(1_500);
-        self.cancel - self.lease.with_drift() - MARGIN
+        const CANCELLATION_MARGIN: Micros = Micros::millis(1_500);
+        self.cancel - self.lease.with_drift() - CANCELLATION_MARGIN
     }
 
     /// Number of controllers, this one included.
--- a/src/protocol/settings/validation.rs
+++ b/src/protocol/settings/validation.rs
@@ -1,21 +1,23 @@
 //! Validation of the deploy file. Errors name the field by its path in the file.
 
 use super::file::{DeployFile, ObjectiveEntry, PeerEntry, StateSection, TeamEntry};
-use super::{Objective, ObjectiveKind, Other, Settings, SettingsError, StateLimits, Team};
+use super::{Objective, ObjectiveKind, Peer, Settings, SettingsError, StateLimits, Team};
 use crate::storage::resources::offered;
 use crate::time::Micros;
 use std::net::SocketAddrV4;
 
-/// Largest number of any field.
+/// Largest value of a numeric field.
 const NUMBER_LIMIT: f64 = 1e9;
-/// Longest name, in bytes.
-const NAME_LIMIT: usize = 100;
-/// Fewest sockets that a controller can work with.
-const CONNECTIONS_MIN: u64 = 32;
-/// Fewest changes of a transaction: the end of a task writes its group, its team's usage, its job and the job's end.
-const TXN_OPS_MIN: u64 = 4;
-/// Smallest announced value size in bytes: a job's record has to fit, with the first chunk of its finished set.
-const NEXT_VALUE_BYTES_MIN: usize = 2 * 1024;
+/// Longest name of a controller, in bytes.
+const NAME_BYTES_LIMIT: usize = 100;
+/// Smallest number of sockets that a controller can work with.
+const MIN_CONNECTIONS: u64 = 32;
+/// Smallest limit of the changes in a transaction: the end of a task writes its machine group, its team's usage, its job
+/// and the job's final record.
+const MIN_TXN_OPS: u64 = 4;
+/// Smallest announced limit of a value's size, in bytes: a job's record has to fit, with the first chunk of its
+/// completion bitmap.
+const MIN_NEXT_VALUE_BYTES: usize = 2 * 1024;
 
 impl Settings {
     /// Validates the fields. Their order here decides which of several invalid fields is reported.
@@ -35,7 +37,7 @@
             node: name("node", file.node)?,
             zone: file.zone,
             bind: address("bind", &file.bind)?,
-            back: address("back", &file.peer_bind)?,
+            peer_bind: address("back", &file.peer_bind)?,
             others,
             cloud: address("outside.cloud", &file.services.cloud)?,
             state: address("outside.state", &file.services.state)?,
@@ -88,12 +90,12 @@
         .or_else(|_| invalid(field, "must be an IPv4 address with a port"))
 }
 
-/// Checks a controller's name: it becomes a part of keys at the state store.
+/// Validates a controller's name, which becomes part of keys in the state store.
 fn name(field: &str, text: String) -> Result<String, SettingsError> {
     let printable = text
         .bytes()
         .all(|byte| byte.is_ascii_graphic() && byte != b'/');
-    if printable && (1..=NAME_LIMIT).contains(&text.len()) {
+    if printable && (1..=NAME_BYTES_LIMIT).contains(&text.len()) {
         Ok(text)
     } else {
         invalid(
@@ -103,10 +105,10 @@
     }
 }
 
-fn peer(entry: PeerEntry) -> Result<Other, SettingsError> {
-    Ok(Other {
+fn peer(entry: PeerEntry) -> Result<Peer, SettingsError> {
+    Ok(Peer {
         node: name("others.node", entry.node)?,
-        back: address("others.peer_addr", &entry.address)?,
+        address: address("others.peer_addr", &entry.address)?,
     })
 }
 
@@ -134,12 +136,12 @@
     })
 }
 
-/// Checks the limits that stand in the section at the path `section`.
+/// Validates the limits of the section at the path `section`.
 fn state_limits(section: &str, state: &StateSection) -> Result<StateLimits, SettingsError> {
     let field = |name: &str| format!("{section}.{name}");
     let write_rps = positive(&field("write_rps"), state.write_rps)?;
     let value_kb = positive(&field("value_kb"), state.value_kb)?;
-    if state.txn_ops < TXN_OPS_MIN {
+    if state.txn_ops < MIN_TXN_OPS {
         return invalid(field("txn_ops"), "must be at least 4");
     }
     Ok(StateLimits {
@@ -149,7 +151,7 @@
     })
 }
 
-/// Checks the limits that are announced for later; without an announcement they are those of now.
+/// Validates the limits that are announced for later; without an announcement they equal the current limits.
 fn next_state_limits(
     state: &StateSection,
     limits: StateLimits,
@@ -163,14 +165,14 @@
         next: None,
     };
     let next_limits = state_limits("params.state.next", &announced)?;
-    if next_limits.value_bytes < limits.value_bytes.min(NEXT_VALUE_BYTES_MIN) {
+    if next_limits.value_bytes < limits.value_bytes.min(MIN_NEXT_VALUE_BYTES) {
         return invalid("params.state.next.value_kb", "must be at least 2");
     }
     Ok(next_limits)
 }
 
 fn connections(max_connections: u64) -> Result<usize, SettingsError> {
-    if max_connections < CONNECTIONS_MIN {
+    if max_connections < MIN_CONNECTIONS {
         return invalid("params.quota.max_connections", "must be at least 32");
     }
     Ok(max_connections as usize)
@@ -183,7 +185,7 @@
     Ok(Micros::from_secs_f64(milliseconds / 1e3))
 }
 
-/// Skips objectives of unknown forms: objectives only influence the order of work.
+/// The objective; `None` if its form is unknown. Skipping it is safe, since objectives only influence the order of work.
 fn objective(value: serde_json::Value) -> Option<Objective> {
     let entry: ObjectiveEntry = serde_json::from_value(value).ok()?;
     let within = entry
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -1,6 +1,6 @@
 //! Requests to the state store and its responses.
 //!
-//! [`http`] encodes a request and [`parse`] reads its response; the formats on the wire are in submodules.
+//! [`http`] encodes a request and [`parse`] decodes its response; the wire formats are in submodules.
 
 mod request;
 mod response;
@@ -24,10 +24,11 @@
     /// 503: rejected without taking effect.
     #[error("unavailable")]
     Unavailable,
-    /// 429: rejected for the rate of requests, without taking effect.
+    /// 429: rejected by the rate limit, without taking effect.
     #[error("too many requests")]
     RateLimited,
-    /// The response is larger than what is read at once; whether a transaction took effect is as unknown as without one.
+    /// The response is larger than the limit and was not read. For a transaction this is as if there were no response: it
+    /// is unknown whether it took effect.
     #[error("the answer is too large")]
     ResponseTooLarge,
     /// 400: rejected as invalid, without taking effect.
@@ -42,21 +43,21 @@
     pub key: Key,
     /// Its new value, encoded; `None` removes the key.
     pub value: Option<Box<RawValue>>,
-    /// The lease that the key is attached to: the key goes when the lease expires.
+    /// The lease that the key is attached to: the store removes the key when the lease expires.
     pub lease_id: Option<u64>,
 }
 
 /// A compare-and-swap transaction: all its changes are applied if all its conditions hold, and none otherwise.
 #[derive(Clone, Debug, Default)]
 pub struct Transaction {
-    /// Keys, each with the revision of its last change that it must have; 0 for a key that must not exist.
+    /// The conditions: keys, each with the revision that its last change must have; 0 for a key that must not exist.
     pub when: Vec<(Key, u64)>,
     /// The changes.
     pub changes: Vec<KeyChange>,
 }
 
 impl Transaction {
-    /// Size of its largest value, in bytes.
+    /// Size of the largest value that it writes, in bytes.
     pub fn largest(&self) -> usize {
         self.changes
             .iter()
@@ -79,15 +80,15 @@
     },
     /// A transaction.
     Transaction(Transaction),
-    /// A new lease of this duration.
+    /// Grants a lease of this duration.
     LeaseGrant(Micros),
-    /// The renewal of a lease.
+    /// Renews the lease of this identifier.
     LeaseKeepAlive(u64),
     /// Changes of live keys after a revision.
     Changes {
         /// The revision.
         after: u64,
-        /// How long the store holds the request back while there is no change.
+        /// How long the store delays its response while there is no change (long polling).
         wait: Micros,
     },
 }
@@ -103,7 +104,7 @@
         items: Vec<Change>,
         /// The last key of the page, if more pages follow.
         next: Option<String>,
-        /// Revision of the store that the page shows.
+        /// Revision of the store at which the page was read.
         revision: u64,
     },
     /// The transaction was applied at this revision.
@@ -114,11 +115,11 @@
     Lease(u64),
     /// The lease was renewed.
     LeaseKeptAlive,
-    /// The lease that was to be renewed or written with has expired.
+    /// The lease that the request renews, or attaches a key to, has expired.
     LeaseExpired,
     /// The changes up to this revision.
     Changes(Vec<Change>, u64),
-    /// The store no longer keeps changes since the given revision: all keys have to be listed again.
+    /// The store has discarded the changes after the given revision: all keys have to be listed again.
     Compacted,
 }
 
--- a/src/protocol/state/request.rs
+++ b/src/protocol/state/request.rs
@@ -5,8 +5,8 @@
 use serde::Serialize;
 use serde_json::value::RawValue;
 
-/// Keys of one page of a listing.
-const PAGE_SIZE: usize = 1_000;
+/// Largest number of keys in one page of a listing.
+const PAGE_KEYS_LIMIT: usize = 1_000;
 
 #[derive(Serialize)]
 struct TransactionWire<'a> {
@@ -57,7 +57,7 @@
 
 fn list_path(after: Option<&str>) -> String {
     let after = after.map(|key| format!("&after={key}")).unwrap_or_default();
-    format!("/kv?prefix={LIVE}{after}&most={PAGE_SIZE}")
+    format!("/kv?prefix={LIVE}{after}&most={PAGE_KEYS_LIMIT}")
 }
 
 impl Transaction {
--- a/src/protocol/state/response.rs
+++ b/src/protocol/state/response.rs
@@ -147,7 +147,8 @@
     Ok(StateResponse::Conflict(keys.collect(), wire.revision))
 }
 
-/// Tells an expired lease from other reasons to reject a transaction with a lease: only the error's text differs.
+/// Distinguishes an expired lease from other reasons to reject a transaction with a lease. The status is the same; only
+/// the error's text differs.
 fn parse_rejected_lease(body: &[u8]) -> Result<StateResponse, CallError> {
     let wire: ErrorWire = serde_json::from_slice(body).unwrap_or_default();
     if wire.error.contains("lease") {
@@ -182,8 +183,8 @@
 /// Index in the log of the last change of each machine group.
 ///
 /// Earlier changes of a group need no decoding: the replica applies a response as a whole, and only a group's newest
-/// value has an effect. After a long disconnection nearly all entries are groups, each many times. Of jobs every change
-/// is needed: a cancelled record before the removal says how the job ended.
+/// value has an effect. After a long disconnection nearly all entries are changes of groups, many for each group. For
+/// jobs every change is needed: a record that is marked as cancelled, before its removal, tells how the job ended.
 fn last_group_changes<'a>(log: &'a [LogEntryWire<'_>]) -> HashMap<&'a str, usize> {
     log.iter()
         .enumerate()
@@ -202,7 +203,7 @@
         self.write.as_deref().or(self.remove.as_deref())
     }
 
-    /// The change, if its key and value are this project's.
+    /// The change; `None` if its key is not one of cometlead's or its value is malformed.
     fn change(&self) -> Option<Change> {
         let value = self.write.as_ref().and(self.value);
         change(self.key()?, value, self.mod_revision)
@@ -235,7 +236,7 @@
         Key::Usage(_) => Content::Usage(record(value)?),
         Key::Job(_) => Content::Job(record(value)?),
         Key::Chunk(..) => Content::Chunk(record(value)?),
-        // Malformed rules still exist: they must not be taken for absent.
+        // A key with malformed rules is kept with an empty content, so that the rules do not count as absent.
         Key::Rules(_) => Content::Rules(record(value).map(Arc::new)),
         Key::Final(_) => return None,
     })
--- a/src/protocol/state/tests.rs
+++ b/src/protocol/state/tests.rs
@@ -3,9 +3,10 @@
 use super::*;
 use crate::storage::cell_state::{CellChanges, CellState};
 
-/// Only changes of groups may be skipped: without the cancelled record the replica would take the job for completed.
+/// Only changes of groups may be skipped: if the record that is marked as cancelled were skipped, the replica would take
+/// the job for completed.
 #[test]
-fn of_repeated_changes_only_the_last_of_a_group_is_decoded_but_every_one_of_a_job() {
+fn changes_response_decodes_last_change_of_each_group_and_every_change_of_a_job() {
     let spec = serde_json::json!({"nameId": "req-000007", "lane": "x", "crew": "free", "shape": "sweep",
         "urgency": "high", "pieces": 2, "cores": 1.0, "accelerators": 0, "memGb": 1.0, "bundle": "i", "sizeGb": 0.1,
         "oneZone": false, "apart": false, "loaners": true, "guessS": 1.0, "bookmarkS": 0, "stashS": 0});
--- a/src/protocol/user.rs
+++ b/src/protocol/user.rs
@@ -11,19 +11,19 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Largest body of a request, in bytes.
-pub const BODY_LIMIT: usize = 64 * 1024;
-/// Most tasks of one job.
+/// Largest size of a request's body, in bytes.
+pub const BODY_BYTES_LIMIT: usize = 64 * 1024;
+/// Largest number of tasks of one job.
 pub const TASK_COUNT_LIMIT: u64 = 100_000;
-/// Longest text of a field, in bytes.
-const NAME_LIMIT: usize = 256;
-/// Largest number of a field, in its unit.
+/// Largest size of a text field, in bytes.
+const TEXT_BYTES_LIMIT: usize = 256;
+/// Largest value of a numeric field, in the unit of the field.
 const AMOUNT_LIMIT: f64 = 1e9;
 
 /// Why a submission is invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum InvalidSubmission {
-    /// The body is no JSON object, or a field is missing or of the wrong type.
+    /// The body is not a JSON object, or a field is missing or of the wrong type.
     #[error("{0}")]
     Malformed(String),
     /// The value of the field of this name is out of range.
@@ -82,10 +82,10 @@
     rules: Option<Vec<RuleText>>,
 }
 
-/// Parses the body of a submission. Every field has to be there, of its type and in its range.
+/// Parses the body of a submission. Every field must be present, of the right type and in range.
 ///
 /// # Errors
-/// [`InvalidSubmission`] with the first field that is not.
+/// [`InvalidSubmission`] with the first field that is invalid.
 pub fn parse_submission(body: &[u8]) -> Result<(JobId, JobSpec), InvalidSubmission> {
     if !is_json_object(body) {
         return Err(InvalidSubmission::Malformed("not a JSON object".to_owned()));
@@ -99,7 +99,7 @@
     Ok((id, submission.into_spec()?))
 }
 
-/// Whether the body begins as an object: serde also reads a JSON array, as the fields in their order.
+/// Whether the body is a JSON object. Serde would also accept a JSON array, with the fields in their order.
 fn is_json_object(body: &[u8]) -> bool {
     body.iter().find(|byte| !byte.is_ascii_whitespace()) == Some(&b'{')
 }
@@ -145,7 +145,7 @@
     }
 }
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job are started and how they end.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Shape {
     /// Tasks that run independently.
@@ -185,7 +185,7 @@
     }
 }
 
-/// The jobs that are awaited, each once and in order.
+/// The jobs that the job waits for, sorted and without duplicates.
 fn parse_dependencies(names: &[String]) -> Result<Vec<JobId>, InvalidSubmission> {
     let dependencies: BTreeSet<JobId> = names
         .iter()
@@ -196,7 +196,7 @@
 }
 
 fn parse_text(field: &'static str, text: String) -> Result<String, InvalidSubmission> {
-    if (1..=NAME_LIMIT).contains(&text.len()) {
+    if (1..=TEXT_BYTES_LIMIT).contains(&text.len()) {
         Ok(text)
     } else {
         Err(InvalidSubmission::Field(field))
@@ -211,7 +211,7 @@
     }
 }
 
-/// An amount that a task takes, in thousandths.
+/// The amount of a resource that a task needs, in thousandths.
 fn parse_amount(field: &'static str, number: f64) -> Result<u64, InvalidSubmission> {
     parse_number(field, number).map(taken)
 }
@@ -248,7 +248,7 @@
     pub done: u32,
     /// Number of tasks that are assigned to machines.
     pub running: u32,
-    /// Why the job waits, if its placement rules are the reason.
+    /// Why the job waits; only set if its placement rules are the reason.
     pub reason: Option<Arc<str>>,
 }
 
@@ -292,7 +292,7 @@
 }
 
 impl UserRequest {
-    /// The job that the request is about.
+    /// The job that the request names.
     pub fn job(&self) -> JobId {
         match self {
             UserRequest::Submit(id, _) | UserRequest::Query(id) | UserRequest::Abort(id) => *id,
@@ -307,13 +307,13 @@
     Accepted(JobStatusResponse),
     /// 200: the status of a job that was accepted before.
     Status(JobStatusResponse),
-    /// 404: no such job was ever accepted.
+    /// 404: no job of this name was ever accepted.
     NotFound,
     /// 422: the job can never run, with the reason.
     Unsatisfiable(Cow<'static, str>),
     /// 400: the submission is invalid, with the reason.
     Invalid(Cow<'static, str>),
-    /// 503: undecided; the user retries after this many seconds.
+    /// 503: not decided; the user should retry after this many seconds.
     RetryAfter(u32),
 }
 
--- a/src/protocol/user/tests.rs
+++ b/src/protocol/user/tests.rs
@@ -8,7 +8,7 @@
     "dueS":900.0,"awaits":["req-000411","req-000007","req-000411"],"later":1}"#;
 
 #[test]
-fn a_valid_submission_is_parsed_field_by_field() {
+fn valid_submission_is_parsed_field_by_field() {
     let (id, spec) = parse_submission(VALID.as_bytes()).unwrap();
     assert_eq!(id, JobId(412));
     assert_eq!(
@@ -20,7 +20,11 @@
         .replace("\"dueS\":900.0", "\"dueS\":null")
         .replace("\"yard\":null,", "");
     assert_eq!(parse_submission(nulls.as_bytes()).unwrap().1.deadline, None);
-    assert_eq!(spec.dependencies, [JobId(7), JobId(411)], "each once");
+    assert_eq!(
+        spec.dependencies,
+        [JobId(7), JobId(411)],
+        "sorted, without duplicates"
+    );
     for none in ["null", "[]"] {
         let text = VALID.replace(r#"["req-000411","req-000007","req-000411"]"#, none);
         assert_eq!(
@@ -31,7 +35,7 @@
 }
 
 #[test]
-fn an_invalid_field_rejects_the_submission() {
+fn submission_with_an_invalid_field_is_rejected() {
     for (from, to) in [
         ("req-000412", "req-412"),
         ("\"pieces\":16", "\"pieces\":0"),
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -72,7 +72,7 @@
     Exited(ExitReason),
 }
 
-/// Orders the heartbeats of one agent: the larger one is the newer.
+/// Orders the heartbeats of one agent: a newer heartbeat has a larger id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatId {
     /// The agent's incarnation; 0 before the first heartbeat.
@@ -102,9 +102,9 @@
 pub struct Heartbeat {
     /// The machine that the agent runs on.
     pub machine: MachineId,
-    /// Host and port at which the agent takes pushed commands.
+    /// Host and port at which the agent accepts pushed commands.
     pub endpoint: String,
-    /// Machine type by the catalog.
+    /// Machine type, as named in the catalog.
     pub machine_type: String,
     /// The machine's zone.
     pub zone: String,
@@ -194,7 +194,7 @@
     Launch(Attempt),
     /// Stop an attempt, with this grace period to write its checkpoint.
     Stop(Attempt, Micros),
-    /// Drop an attempt that has exited from further heartbeats.
+    /// Leave an attempt that has exited out of further heartbeats.
     Forget(Attempt),
 }
 
@@ -242,7 +242,7 @@
     NotLeader(Option<String>),
     /// 503: this controller cannot renew leases now.
     Unavailable,
-    /// 400: the body is no heartbeat.
+    /// 400: the body is not a valid heartbeat.
     Malformed,
 }
 
@@ -256,12 +256,12 @@
     commands: Vec<CommandWire>,
 }
 
-/// The body of a 200 to a heartbeat.
+/// The body of a response with status 200 to a heartbeat.
 pub fn heartbeat_response_body(fencing_token: u64, commands: &[Command]) -> Vec<u8> {
     build_commands_body(fencing_token, None, commands)
 }
 
-/// The body of commands that are pushed to an agent; only the given incarnation carries them out.
+/// The body of a push of commands to an agent; only the given incarnation of the agent carries them out.
 pub fn command_body(fencing_token: u64, incarnation: u64, commands: &[Command]) -> Vec<u8> {
     build_commands_body(fencing_token, Some(incarnation), commands)
 }
@@ -279,7 +279,7 @@
     serde_json::to_vec(&wire).unwrap_or_default()
 }
 
-/// The body of a 421, with the name of the controller to send heartbeats to.
+/// The body of a 421, with the name of the controller to send heartbeats to, if it is known.
 pub fn not_leader_body(node: Option<&str>) -> Vec<u8> {
     match node {
         Some(node) => {
--- a/src/time.rs
+++ b/src/time.rs
@@ -10,8 +10,9 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// The clocks of two machines drift apart by at most 0.05 %; the margin, one part in this many, is twice that.
-const DRIFT_MARGIN: u64 = 1_000;
+/// The clocks of two machines drift apart by at most 0.05 %. The margin is a duration divided by this number: 0.1 %,
+/// twice that drift.
+const DRIFT_MARGIN_DIVISOR: u64 = 1_000;
 
 /// A point in time or a duration, in whole microseconds. Arithmetic saturates.
 #[derive(
@@ -23,7 +24,7 @@
 impl Micros {
     /// The empty duration.
     pub const ZERO: Micros = Micros(0);
-    /// Later than any point in time that occurs.
+    /// Stands for never: later than any point in time that occurs.
     pub const FOREVER: Micros = Micros(u64::MAX);
 
     /// A duration of whole milliseconds.
@@ -46,7 +47,7 @@
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
 
-    /// A duration of `secs` seconds, rounded to the nearest microsecond; zero if that is negative.
+    /// A duration of `secs` seconds, rounded to the nearest microsecond; zero if `secs` is negative.
     pub fn from_secs_f64(secs: f64) -> Micros {
         Micros((secs * MICROS_PER_SECOND as f64).round().max(0.0) as u64)
     }
@@ -56,9 +57,9 @@
         Micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Lengthened by the drift between two monotonic clocks.
+    /// The duration with a margin added for the drift between the monotonic clocks of two machines.
     pub const fn with_drift(self) -> Micros {
-        Micros(self.0 + self.0 / DRIFT_MARGIN + 1)
+        Micros(self.0 + self.0 / DRIFT_MARGIN_DIVISOR + 1)
     }
 }
 
--- a/src/transport/server/mod.rs
+++ b/src/transport/server/mod.rs
@@ -6,7 +6,7 @@
 use super::node::Node;
 use crate::coordination::api::connections::{Request as RequestKind, Verdict};
 use crate::protocol::user::{
-    BODY_LIMIT, InvalidSubmission, UserRequest, UserResponse, parse_submission,
+    BODY_BYTES_LIMIT, InvalidSubmission, UserRequest, UserResponse, parse_submission,
 };
 use crate::protocol::worker::{Heartbeat, HeartbeatResponse};
 use crate::storage::ids::JobId;
@@ -191,10 +191,10 @@
 /// Reads the body of a request; the error is the status to respond with. A body whose declared length is too large is
 /// not read at all.
 async fn read_body(request: &mut Request) -> Result<&[u8], StatusCode> {
-    if declared_length(request) > BODY_LIMIT {
+    if declared_length(request) > BODY_BYTES_LIMIT {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    let read = request.payload_with_max_size(BODY_LIMIT);
+    let read = request.payload_with_max_size(BODY_BYTES_LIMIT);
     match tokio::time::timeout(BODY_TIMEOUT, read).await {
         Ok(Ok(bytes)) => Ok(bytes),
         Ok(Err(_)) => Err(StatusCode::PAYLOAD_TOO_LARGE),
