--- a/src/cli/config.rs
+++ b/src/cli/config.rs
@@ -7,9 +7,9 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// All that a controller is started with.
+/// The configuration of a controller, from all files.
 pub struct Config {
-    /// The deploy file, if one is named.
+    /// The deploy file, if the command line names one.
     pub settings: Option<Settings>,
     /// The operator's settings, or their defaults.
     pub operator: OperatorSettings,
@@ -18,7 +18,7 @@
 }
 
 impl Config {
-    /// Reads and validates the deploy file, the operator's settings file and the rules file that this names.
+    /// Reads and validates the deploy file, the operator's settings file and the rules file that the settings name.
     pub fn load(
         deploy_path: Option<&str>,
         operator_path: Option<&str>,
@@ -27,7 +27,7 @@
         let operator = load_operator_settings(operator_path)?;
         let rules = load_rules(operator_path, &operator)?;
         if let (Some(settings), Some(rules)) = (&settings, &rules) {
-            check_size(rules, settings)?;
+            check_rules_size(rules, settings)?;
         }
         Ok(Config {
             settings,
@@ -53,7 +53,7 @@
     })
 }
 
-/// The folder of a settings file, which relative paths in the file refer to.
+/// The folder of a settings file. Relative paths in the file are relative to it.
 pub fn folder_of(path: &str) -> &Path {
     Path::new(path).parent().unwrap_or(Path::new(""))
 }
@@ -80,8 +80,8 @@
     Ok(Some(Arc::new(rules)))
 }
 
-/// Rules are stored as one value: it has to fit under the limits of now and under those that are announced.
-fn check_size(rules: &RuleSet, settings: &Settings) -> Result<(), CliError> {
+/// Checks the size of the rules: they are stored as one value, which has to fit the current and the announced limits.
+fn check_rules_size(rules: &RuleSet, settings: &Settings) -> Result<(), CliError> {
     let bytes = serde_json::to_vec(rules).map_or(usize::MAX, |value| value.len());
     let limit = settings
         .limits
--- a/src/cli/controller.rs
+++ b/src/cli/controller.rs
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-/// `check`: validates the named files.
+/// `check`: validates the files that the command line names.
 pub fn check(deploy_path: Option<&str>, operator_path: Option<&str>) -> Result<ExitCode, CliError> {
     if deploy_path.is_none() && operator_path.is_none() {
         return Err(CliError::NothingToCheck);
@@ -48,7 +48,7 @@
     );
     if settings.contact_limit() == Micros::ZERO {
         tracing::error!(
-            "params.workers.cancel_s leaves no time beside lease_s: no worker can be answered"
+            "params.workers.cancel_s leaves no time in addition to lease_s: no agent lease can be renewed"
         );
     }
     let controller =
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -48,7 +48,7 @@
     /// The files of `rules explain` cannot be used.
     #[error(transparent)]
     Explain(#[from] cometlead::explain::ExplainError),
-    /// A report has no JSON form.
+    /// A report cannot be encoded as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The settings of the queues cannot be used.
@@ -60,14 +60,14 @@
         /// What is wrong with it, or with a file that it names.
         source: Box<cometlead_queues::settings::SettingsError>,
     },
-    /// `queues` has no settings file.
+    /// `queues` was run without a settings file.
     #[cfg(feature = "queues")]
     #[error("--settings FILE is missing; see queues --help")]
     MissingQueueSettings,
-    /// A controller has no deploy file.
+    /// A controller was started without a deploy file.
     #[error("--config FILE is missing; see --help")]
     MissingConfig,
-    /// `check` has no file.
+    /// `check` was run without a file.
     #[error("nothing to check: give --config, --settings or both")]
     NothingToCheck,
     /// The asynchronous runtime or a signal handler cannot be set up.
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -34,12 +34,12 @@
     }
 }
 
-/// Prints a line to standard output. That its reader is gone is no error.
+/// Prints a line to standard output. A reader that has closed it is not an error.
 fn print_line(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
-/// A runtime on the current thread.
+/// Creates an asynchronous runtime on the current thread.
 fn runtime() -> Result<tokio::runtime::Runtime, CliError> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/src/cli/queues.rs
+++ b/src/cli/queues.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Executes `queues` or a subcommand of it.
+/// Executes `queues` or one of its subcommands.
 pub fn execute(
     settings_path: Option<&str>,
     command: Option<&QueuesCommand>,
--- a/src/cli/rules.rs
+++ b/src/cli/rules.rs
@@ -1,4 +1,4 @@
-//! `rules`: checks rules files, and explains what they make of a job.
+//! `rules`: checks rules files, and explains how their rules apply to a job.
 
 use super::args::RulesCommand;
 use super::config::{read, read_rules};
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 
 /// The exit code for a job that no machine can run.
-const IMPOSSIBLE: u8 = 3;
+const EXIT_CODE_IMPOSSIBLE: u8 = 3;
 
 /// Executes a subcommand of `rules`.
 pub fn execute(command: &RulesCommand) -> Result<ExitCode, CliError> {
@@ -34,11 +34,11 @@
 }
 
 fn check(file: &str) -> Result<ExitCode, CliError> {
-    let set = read_rules(file)?;
+    let rule_set = read_rules(file)?;
     print_line(&format!(
         "ok: {} rules, version {:016x}",
-        set.rules.len(),
-        set.digest
+        rule_set.rules.len(),
+        rule_set.digest
     ));
     Ok(ExitCode::SUCCESS)
 }
@@ -52,7 +52,7 @@
     if report.possible {
         Ok(ExitCode::SUCCESS)
     } else {
-        Ok(ExitCode::from(IMPOSSIBLE))
+        Ok(ExitCode::from(EXIT_CODE_IMPOSSIBLE))
     }
 }
 
@@ -70,7 +70,7 @@
                 Some(weight) => format!("{} (prefers, {weight})", finding.rule),
             };
             for clause in &finding.clauses {
-                // Only the first clause of a rule is headed by its name.
+                // The rule's name is only shown with its first clause.
                 let rule = std::mem::take(&mut rule);
                 rows.push([rule, yes_or_no(clause.met), clause.text.clone()]);
             }
@@ -81,13 +81,13 @@
         if rows.is_empty() {
             rows.push(Default::default());
         }
-        let mut head = [
+        let mut machine_columns = [
             machine.host.clone(),
             yes_or_no(machine.allowed),
             machine.verdict.total_weight.to_string(),
         ];
         for row in rows {
-            table.add_row(std::mem::take(&mut head).into_iter().chain(row));
+            table.add_row(std::mem::take(&mut machine_columns).into_iter().chain(row));
         }
     }
     table
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,7 +1,7 @@
 //! Explanation of why machines may or may not run a job, as `cometlead rules explain` shows it.
 //!
-//! It is made from files alone: a submission as `POST /work` accepts it, a rules file, and the machines to evaluate
-//! together with the catalog of the cloud.
+//! It only needs files: a submission as `POST /work` accepts it, a rules file, and a file with the machines to evaluate
+//! and the cloud's catalog.
 
 mod input;
 mod machine_view;
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Why nothing can be explained. The message is one line, which names the file.
+/// Why there is no explanation. The message is one line, which names the file.
 #[derive(Debug, Error)]
 pub enum ExplainError {
     /// The rules file is invalid.
@@ -31,24 +31,24 @@
     /// A rule of the submission tests an unknown trait, or one of another sort.
     #[error("job: {0}")]
     JobRule(#[source] BadRules),
-    /// The file of machines is not JSON of the right form.
+    /// The machines file is not JSON of the right form.
     #[error("machines: {0}")]
     Machines(#[source] serde_json::Error),
-    /// The catalog in the file of machines is not a response of the cloud.
-    #[error("machines: catalog: not as the cloud answers")]
+    /// The catalog in the machines file is not a valid response of the cloud.
+    #[error("machines: catalog: not a valid response of the cloud")]
     Catalog,
 }
 
 /// Explanation for one machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Judgement {
+pub struct MachineReport {
     /// Name of the machine.
     #[serde(rename = "host")]
     pub host: String,
-    /// Whether it may run the job in its current state.
+    /// Whether the machine may run the job in its current state.
     #[serde(rename = "allowed")]
     pub allowed: bool,
-    /// Fields of the submission that exclude it, and rules of jobs there that exclude the job.
+    /// Fields of the submission that exclude the machine, and rules of jobs on it that exclude the job.
     #[serde(rename = "against")]
     pub against: Vec<String>,
     /// Result of each rule.
@@ -62,30 +62,30 @@
     /// Whether some machine that is listed or that the catalog offers could run the job.
     #[serde(rename = "possible")]
     pub possible: bool,
-    /// The smallest set of rules that clash, if it is not possible.
+    /// The smallest set of conflicting rules, if no machine could run the job.
     #[serde(rename = "clash")]
     pub clash: Vec<String>,
-    /// Machine by machine.
+    /// The explanation for each machine.
     #[serde(rename = "machines")]
-    pub machines: Vec<Judgement>,
+    pub machines: Vec<MachineReport>,
 }
 
-/// Explains for every machine of a file whether it may run a job.
+/// Explains for every machine of the machines file whether it may run the job.
 ///
 /// # Errors
-/// The first file that is invalid.
+/// [`ExplainError`] for the first file that is invalid.
 pub fn report(rules: &[u8], job: &[u8], machines: &[u8]) -> Result<Report, ExplainError> {
     let input = Input::parse(rules, job, machines)?;
     let explainer = Explainer::new(&input);
     let machines = input
         .machines
         .iter()
-        .map(|machine| explainer.judge(machine))
+        .map(|machine| explainer.explain_machine(machine))
         .collect();
-    let clash = explainer.clash();
+    let conflicting = explainer.conflicting_rules();
     Ok(Report {
-        possible: clash.is_none(),
-        clash: clash.unwrap_or_default(),
+        possible: conflicting.is_none(),
+        clash: conflicting.unwrap_or_default(),
         machines,
     })
 }
@@ -94,40 +94,42 @@
 struct Explainer<'a> {
     input: &'a Input,
     job_name: String,
-    sets: [Arc<RuleSet>; 1],
+    rule_sets: [Arc<RuleSet>; 1],
     /// Machines that the rules file labels by name.
-    labelled: BTreeSet<MachineId>,
+    labelled_machines: BTreeSet<MachineId>,
 }
 
 impl<'a> Explainer<'a> {
     fn new(input: &'a Input) -> Explainer<'a> {
-        let sets = [Arc::clone(&input.rules)];
+        let rule_sets = [Arc::clone(&input.rules)];
         Explainer {
             input,
             job_name: input.job.to_string(),
-            labelled: constraints::labelled(&sets),
-            sets,
+            labelled_machines: constraints::labelled(&rule_sets),
+            rule_sets,
         }
     }
 
-    fn judge(&self, machine: &Machine) -> Judgement {
+    fn explain_machine(&self, machine: &Machine) -> MachineReport {
         let Input { rules, spec, .. } = self.input;
         let job = NamedJob {
             name: &self.job_name,
             subject: subject(spec),
         };
         let class = self.class(machine);
-        let traits = self.class_traits(&class).map(|mut by_set| by_set.remove(0));
+        let traits = self
+            .class_traits(&class)
+            .map(|mut by_rule_set| by_rule_set.remove(0));
         let verdict = explain(
             rules.concerning(&job.subject).chain(&spec.rules),
             traits.as_ref().unwrap_or(&Traits::new()),
-            &MachineView::for_newcomer(machine, job),
+            &MachineView::for_candidate(machine, job),
         );
-        let mut against = self.fields_against(&class);
+        let mut against = self.excluding_fields(&class);
         if let Some(traits) = &traits {
             against.extend(excluding_rules(machine, rules, job, traits));
         }
-        Judgement {
+        MachineReport {
             host: machine.host.clone(),
             allowed: verdict.allowed && against.is_empty(),
             against,
@@ -141,20 +143,20 @@
             machine_type: machine.machine_type.as_str().into(),
             zone: machine.zone.as_str().into(),
             spot: machine.spot,
-            machine: id.filter(|id| self.labelled.contains(id)),
+            machine: id.filter(|id| self.labelled_machines.contains(id)),
         }
     }
 
     fn class_traits(&self, class: &Class) -> ClassTraits {
-        constraints::traits(class, &self.sets, &self.input.catalog)
+        constraints::traits(class, &self.rule_sets, &self.input.catalog)
     }
 
     /// Names of the fields of the submission that exclude a class.
-    fn fields_against(&self, class: &Class) -> Vec<String> {
+    fn excluding_fields(&self, class: &Class) -> Vec<String> {
         let catalog = &self.input.catalog;
         let mut fields = constraints::fields_against(&self.input.spec, class, catalog);
         if catalog.get(&class.machine_type).is_none() {
-            // The size comes last, and counts as too small if the type is unknown.
+            // The last of the fields is the size, which counts as too small if the type is unknown.
             fields.pop();
             fields.push("its type is not in the catalogue");
         }
@@ -162,7 +164,7 @@
     }
 
     /// The smallest set of rules that exclude the job from every machine; `None` if some machine could run it.
-    fn clash(&self) -> Option<Vec<String>> {
+    fn conflicting_rules(&self) -> Option<Vec<String>> {
         let Input { spec, catalog, .. } = self.input;
         let classes = self.classes();
         let traits: Vec<ClassTraits> = classes
@@ -170,14 +172,14 @@
             .iter()
             .map(|class| self.class_traits(class))
             .collect();
-        let constraints = JobConstraints::of(spec, &self.sets, &traits).unwrap_or_default();
-        clash(spec, &constraints, &self.sets, &classes, catalog)
+        let constraints = JobConstraints::of(spec, &self.rule_sets, &traits).unwrap_or_default();
+        clash(spec, &constraints, &self.rule_sets, &classes, catalog)
     }
 
     /// The classes of the machines that are listed or that the catalog offers.
     fn classes(&self) -> Classes {
         let mut classes = Classes::default();
-        classes.label(self.labelled.clone(), std::iter::empty());
+        classes.label(self.labelled_machines.clone(), std::iter::empty());
         classes.set_catalog(&self.input.catalog);
         for machine in &self.input.machines {
             if let Ok(id) = machine.host.parse() {
--- a/src/explain/input.rs
+++ b/src/explain/input.rs
@@ -10,10 +10,10 @@
 use serde::Deserialize;
 use std::sync::Arc;
 
-/// A job with tasks on a machine, as far as rules ask about it.
+/// A job with tasks on a machine, with the properties that rules test.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct Resident {
+pub(super) struct ColocatedJob {
     /// Its name.
     #[serde(rename = "nameId", default)]
     pub(super) name_id: String,
@@ -31,7 +31,7 @@
     pub(super) priority: String,
 }
 
-impl Resident {
+impl ColocatedJob {
     pub(super) fn subject(&self) -> Subject<'_> {
         Subject {
             job_class: &self.job_class,
@@ -58,14 +58,15 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners", default)]
     pub(super) spot: bool,
-    /// Images that it holds or fetches.
+    /// Images that the machine has in its cache or downloads.
     #[serde(rename = "images", default)]
     pub(super) images: Vec<String>,
-    /// Jobs with tasks there.
+    /// Jobs with tasks on the machine.
     #[serde(rename = "jobs", default)]
-    pub(super) jobs: Vec<Resident>,
+    pub(super) jobs: Vec<ColocatedJob>,
 }
 
+/// The machines file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct MachinesFile {
@@ -76,7 +77,7 @@
     machines: Vec<Machine>,
 }
 
-/// Everything that an explanation is made from.
+/// The parsed files that an explanation is based on.
 pub(super) struct Input {
     pub(super) rules: Arc<RuleSet>,
     pub(super) job: JobId,
@@ -86,7 +87,7 @@
 }
 
 impl Input {
-    /// Parses the files and checks them.
+    /// Parses and validates the files.
     pub(super) fn parse(rules: &[u8], job: &[u8], machines: &[u8]) -> Result<Input, ExplainError> {
         let rules = RuleSet::parse(rules).map_err(ExplainError::Rules)?;
         let (job, spec) = parse_submission(job).map_err(ExplainError::Job)?;
--- a/src/explain/machine_view.rs
+++ b/src/explain/machine_view.rs
@@ -1,10 +1,10 @@
-//! A listed machine as the rules of one job see it.
+//! A machine of the machines file, as seen by the rules of one job.
 
-use super::input::{Machine, Resident};
+use super::input::{ColocatedJob, Machine};
 use cometlead_constraints::expr::{Field, Words};
 use cometlead_constraints::{Expr, MachineState, Rule, RuleSet, Subject, Traits};
 
-/// A job by name, and its properties.
+/// A job's name, and its properties.
 #[derive(Clone, Copy)]
 pub(super) struct NamedJob<'a> {
     pub(super) name: &'a str,
@@ -12,10 +12,10 @@
 }
 
 impl<'a> NamedJob<'a> {
-    fn of(resident: &'a Resident) -> NamedJob<'a> {
+    fn of(colocated_job: &'a ColocatedJob) -> NamedJob<'a> {
         NamedJob {
-            name: &resident.name_id,
-            subject: resident.subject(),
+            name: &colocated_job.name_id,
+            subject: colocated_job.subject(),
         }
     }
 
@@ -31,46 +31,46 @@
     }
 }
 
-/// A machine as the rules of one job see it.
+/// A machine as seen by the rules of one job.
 pub(super) struct MachineView<'a> {
     machine: &'a Machine,
     /// The image of the job.
     image: &'a str,
-    /// The other jobs there.
+    /// The other jobs on the machine.
     colocated: Vec<NamedJob<'a>>,
 }
 
 impl<'a> MachineView<'a> {
-    /// The machine as the rules of a job see it that is to be placed there.
-    pub(super) fn for_newcomer(machine: &'a Machine, job: NamedJob<'a>) -> MachineView<'a> {
+    /// The machine as seen by the rules of a job that is to be placed on it.
+    pub(super) fn for_candidate(machine: &'a Machine, job: NamedJob<'a>) -> MachineView<'a> {
         MachineView {
             machine,
             image: job.subject.image,
             colocated: machine
                 .jobs
                 .iter()
-                .filter(|resident| resident.name_id != job.name)
+                .filter(|colocated_job| colocated_job.name_id != job.name)
                 .map(NamedJob::of)
                 .collect(),
         }
     }
 
-    /// The machine as the rules of a job there see it, by its index, once a newcomer is placed there.
-    fn for_resident(
+    /// The machine as seen by the rules of a job on it, given by its index, once the candidate is placed there too.
+    fn for_colocated_job(
         machine: &'a Machine,
-        resident: usize,
-        newcomer: NamedJob<'a>,
+        colocated_job: usize,
+        candidate: NamedJob<'a>,
     ) -> MachineView<'a> {
         let others = machine
             .jobs
             .iter()
             .enumerate()
-            .filter(|(index, _)| *index != resident)
+            .filter(|(index, _)| *index != colocated_job)
             .map(|(_, other)| NamedJob::of(other));
         MachineView {
             machine,
-            image: &machine.jobs[resident].image,
-            colocated: others.chain([newcomer]).collect(),
+            image: &machine.jobs[colocated_job].image,
+            colocated: others.chain([candidate]).collect(),
         }
     }
 }
@@ -92,31 +92,32 @@
     }
 }
 
-/// The rules of jobs on a machine that exclude a newcomer, each with the name of its job.
+/// The rules of jobs on a machine that exclude a candidate job, each with the name of the job that it belongs to.
 pub(super) fn excluding_rules(
     machine: &Machine,
     rules: &RuleSet,
-    newcomer: NamedJob<'_>,
+    candidate: NamedJob<'_>,
     traits: &Traits,
 ) -> Vec<String> {
     let mut excluding = Vec::new();
-    for (index, resident) in machine.jobs.iter().enumerate() {
-        let view = MachineView::for_resident(machine, index, newcomer);
-        let subject = resident.subject();
+    for (index, colocated_job) in machine.jobs.iter().enumerate() {
+        let view = MachineView::for_colocated_job(machine, index, candidate);
+        let subject = colocated_job.subject();
         let violated = rules
             .concerning(&subject)
-            .filter(|rule| rule.is_hard() && tests_job(rule, newcomer))
+            .filter(|rule| rule.is_hard() && rule_selects_job(rule, candidate))
             .filter(|rule| !rule.expr.holds(traits, &view));
-        excluding.extend(violated.map(|rule| format!("{} of {}", rule.name, resident.name_id)));
+        excluding
+            .extend(violated.map(|rule| format!("{} of {}", rule.name, colocated_job.name_id)));
     }
     excluding
 }
 
-/// Whether a test of a rule selects a job among the colocated ones.
-fn tests_job(rule: &Rule, job: NamedJob<'_>) -> bool {
-    let mut any = false;
+/// Whether a rule tests for colocated jobs in a way that selects this job.
+fn rule_selects_job(rule: &Rule, job: NamedJob<'_>) -> bool {
+    let mut selected = false;
     rule.expr.tests(&mut |test| {
-        any |= matches!(test, Expr::Colocated(field, words) if job.matches(*field, words));
+        selected |= matches!(test, Expr::Colocated(field, words) if job.matches(*field, words));
     });
-    any
+    selected
 }
--- a/src/transport/admission.rs
+++ b/src/transport/admission.rs
@@ -1,4 +1,4 @@
-//! Applies the admission of connections to the server: registers connections, and closes those that are too slow.
+//! Connection admission of the HTTP server: registers connections, decides on requests and closes slow connections.
 
 use super::clock::Clock;
 use crate::coordination::api::connections::{
@@ -13,9 +13,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How often slow connections are closed.
+/// Interval at which slow connections are closed.
 const SLOW_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the counts are logged, in microseconds.
+/// Interval at which the connection counts are logged, in microseconds.
 const LOG_INTERVAL_MICROS: u64 = 30_000_000;
 
 /// An open connection.
@@ -26,11 +26,11 @@
 
 struct Inner {
     connections: Connections,
-    /// By the client's address, which identifies a connection while it is open.
+    /// Open connections by the client's address, which identifies a connection while it is open.
     open: HashMap<SocketAddr, OpenConnection>,
     next_id: ConnectionId,
     /// The counts that were logged last.
-    logged: ConnectionCounts,
+    last_logged: ConnectionCounts,
 }
 
 impl Inner {
@@ -47,40 +47,40 @@
     }
 }
 
-/// The connections of the server.
+/// The connections of the server, and which of them are admitted.
 pub struct Admission {
     inner: Mutex<Inner>,
     clock: Clock,
 }
 
-/// Reports the end of its connection when it is dropped.
-struct Registered {
+/// Removes its connection from the admission when it is dropped, which the server does when the connection ends.
+struct ConnectionGuard {
     admission: Arc<Admission>,
     id: ConnectionId,
     remote: SocketAddr,
 }
 
-impl ConnObserver for Registered {}
+impl ConnObserver for ConnectionGuard {}
 
-impl Drop for Registered {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.admission.lock().close(self.id, self.remote);
     }
 }
 
-/// Registers each accepted connection.
-pub struct Register(pub Arc<Admission>);
+/// Accepts all connections and registers each with the admission.
+pub struct RegisterConnections(pub Arc<Admission>);
 
 #[async_trait]
-impl FusePolicy for Register {
+impl FusePolicy for RegisterConnections {
     async fn decide(&self, _: &FuseInfo) -> FuseAction {
         FuseAction::Accept(FuseConfig::default())
     }
 
     fn observe(&self, info: &FuseInfo, control: &ConnCtrl) -> Option<ArcConnObserver> {
         let remote = info.remote_addr.clone().into_std()?;
-        let id = self.0.opened(remote, control.clone());
-        Some(Arc::new(Registered {
+        let id = self.0.on_open(remote, control.clone());
+        Some(Arc::new(ConnectionGuard {
             admission: Arc::clone(&self.0),
             id,
             remote,
@@ -89,13 +89,13 @@
 }
 
 impl Admission {
-    /// A server without connections, of which at most `limit` may be open.
+    /// An admission without connections, which allows at most `limit` open ones.
     pub fn new(limit: usize) -> Arc<Admission> {
         let inner = Inner {
             connections: Connections::new(limit),
             open: HashMap::new(),
             next_id: 1,
-            logged: ConnectionCounts::default(),
+            last_logged: ConnectionCounts::default(),
         };
         Arc::new(Admission {
             inner: Mutex::new(inner),
@@ -111,7 +111,7 @@
         self.clock.now().steady
     }
 
-    fn opened(&self, remote: SocketAddr, control: ConnCtrl) -> ConnectionId {
+    fn on_open(&self, remote: SocketAddr, control: ConnCtrl) -> ConnectionId {
         let mut inner = self.lock();
         let id = inner.next_id;
         inner.next_id += 1;
@@ -120,8 +120,8 @@
         id
     }
 
-    /// The head of a request has arrived by the connection from `remote`.
-    pub fn requested(&self, remote: SocketAddr, request: Request) -> Verdict {
+    /// Decides on a request whose head has arrived on the connection from `remote`.
+    pub fn on_request(&self, remote: SocketAddr, request: Request) -> Verdict {
         let mut inner = self.lock();
         match inner.id_of(remote) {
             Some(id) => inner.connections.requested(self.now(), id, request),
@@ -129,8 +129,8 @@
         }
     }
 
-    /// The response is about to be sent. Returns whether the connection is to be closed with it.
-    pub fn answered(&self, remote: SocketAddr) -> bool {
+    /// Records that a response is about to be sent. Returns whether the connection must be closed after it.
+    pub fn on_response(&self, remote: SocketAddr) -> bool {
         let mut inner = self.lock();
         match inner.id_of(remote) {
             Some(id) => inner.connections.answered(self.now(), id),
@@ -142,14 +142,15 @@
     pub async fn run(self: Arc<Self>) {
         loop {
             tokio::time::sleep(SLOW_CHECK_INTERVAL).await;
-            for control in self.too_slow() {
+            for control in self.slow_connections() {
                 control.abort();
             }
             self.log_counts();
         }
     }
 
-    fn too_slow(&self) -> Vec<ConnCtrl> {
+    /// The controls of connections that are too slow.
+    fn slow_connections(&self) -> Vec<ConnCtrl> {
         let mut inner = self.lock();
         let slow = inner.connections.too_slow(self.now());
         if slow.is_empty() {
@@ -163,15 +164,15 @@
             .collect()
     }
 
-    /// Logs the counts if they have changed and it is time.
+    /// Logs the counts if they have changed and a log interval has passed.
     fn log_counts(&self) {
         let mut inner = self.lock();
         let counts = inner.connections.counts();
-        if counts == inner.logged || !self.is_log_due() {
+        if counts == inner.last_logged || !self.is_log_due() {
             return;
         }
         let open = inner.connections.open();
-        inner.logged = counts;
+        inner.last_logged = counts;
         drop(inner);
         tracing::info!(
             open = open.total,
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client: pooled connections, a timeout for every call, a bounded number of sockets.
+//! The HTTP client: a connection pool, a timeout for every call, and a bounded number of sockets.
 
 use crate::time::Micros;
 use bytes::Bytes;
@@ -15,21 +15,22 @@
 use thiserror::Error;
 use tokio::sync::Semaphore;
 
-/// How long an idle connection is kept. After a failover that leaves one controller leading all shards there is one to
-/// each agent that it commands, beside the connection by which the agent sends its heartbeats.
+/// How long an idle connection is kept open. After a failover that leaves one controller leading all shards, it keeps one
+/// connection to each agent that it sends commands to, in addition to the connection on which the agent sends its
+/// heartbeats.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Idle connections that are kept to one address.
-const IDLE_PER_HOST: usize = 4;
+/// Largest number of idle connections to one address.
+const MAX_IDLE_PER_HOST: usize = 4;
 
 /// The client.
 #[derive(Debug)]
 pub struct HttpClient {
     inner: Client<HttpConnector, Full<Bytes>>,
-    /// Calls that may still begin.
+    /// A permit for each call that may still begin.
     calls: Semaphore,
-    kept: KeptConnections,
-    /// Largest body that is read, in bytes.
+    agent_connections: IdleConnections,
+    /// Largest response body that is read, in bytes.
     body_limit: usize,
 }
 
@@ -40,45 +41,48 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum HttpError {
     /// No call could begin, the connection failed, or no response arrived in time.
-    #[error("no answer")]
+    #[error("no response")]
     NoResponse,
-    /// The response has a larger body than is read.
-    #[error("the answer is too large")]
+    /// The response's body is larger than the limit.
+    #[error("the response is too large")]
     ResponseTooLarge,
 }
 
-/// Counts the connections to agents that may be open and idle.
+/// Bounds the number of idle connections to agents.
 #[derive(Debug)]
-struct KeptConnections {
-    /// When connections were last kept, oldest first.
-    since: Mutex<VecDeque<Instant>>,
+struct IdleConnections {
+    /// When connections were kept after a call, oldest first.
+    kept_at: Mutex<VecDeque<Instant>>,
     limit: usize,
 }
 
-impl KeptConnections {
-    /// Whether a connection may be kept after a call. An agent that is commanded several times counts each time, so
-    /// rather fewer are kept than allowed.
+impl IdleConnections {
+    /// Whether the connection of a call may be kept open afterwards. Several calls to one agent are counted separately,
+    /// so fewer connections than the limit may be kept.
     fn try_keep(&self) -> bool {
-        let mut since = self.since.lock().unwrap_or_else(PoisonError::into_inner);
-        while since.front().is_some_and(|at| at.elapsed() > IDLE_TIMEOUT) {
-            since.pop_front();
+        let mut kept_at = self.kept_at.lock().unwrap_or_else(PoisonError::into_inner);
+        while kept_at
+            .front()
+            .is_some_and(|at| at.elapsed() > IDLE_TIMEOUT)
+        {
+            kept_at.pop_front();
         }
-        let keep = since.len() < self.limit;
+        let keep = kept_at.len() < self.limit;
         if keep {
-            since.push_back(Instant::now());
+            kept_at.push_back(Instant::now());
         }
         keep
     }
 }
 
-/// A request, and how it is sent.
+/// A request with its timeout and connection handling.
 struct Call<'a> {
     host: &'a str,
     method: &'static str,
     path: &'a str,
     body: Vec<u8>,
     timeout: Micros,
-    /// The connection may be used for further calls.
+    /// Whether the connection may be used for further calls.
     keep_alive: bool,
 }
 
@@ -98,29 +102,29 @@
 }
 
 impl HttpClient {
-    /// A client that makes at most `calls` calls at a time, keeps at most `most_kept` idle connections to agents and reads
+    /// A client that makes at most `calls` calls at a time, keeps at most `max_idle` idle connections to agents and reads
     /// bodies of at most `body_limit` bytes.
-    pub fn new(calls: usize, most_kept: usize, body_limit: usize) -> HttpClient {
+    pub fn new(calls: usize, max_idle: usize, body_limit: usize) -> HttpClient {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let inner = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(IDLE_TIMEOUT)
-            .pool_max_idle_per_host(IDLE_PER_HOST)
+            .pool_max_idle_per_host(MAX_IDLE_PER_HOST)
             .build(connector);
         HttpClient {
             inner,
             calls: Semaphore::new(calls),
-            kept: KeptConnections {
-                since: Mutex::default(),
-                limit: most_kept,
+            agent_connections: IdleConnections {
+                kept_at: Mutex::default(),
+                limit: max_idle,
             },
             body_limit,
         }
     }
 
-    /// Sends commands to an agent; the connection is closed afterwards if too many are kept already.
+    /// Sends commands to an agent. The connection is closed afterwards if the limit of idle connections is reached.
     ///
     /// # Errors
     /// [`HttpError`] if there is no usable response within `timeout`.
@@ -137,7 +141,7 @@
             path,
             body,
             timeout,
-            keep_alive: self.kept.try_keep(),
+            keep_alive: self.agent_connections.try_keep(),
         })
         .await
     }
--- a/src/transport/clock.rs
+++ b/src/transport/clock.rs
@@ -4,17 +4,18 @@
 use crate::time::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Longest time ahead for which an instant is computed, in microseconds: as good as never, without an overflow.
-const ONE_YEAR_MICROS: u64 = 365 * 86_400_000_000;
+/// Latest steady time for which an instant is computed, in microseconds. One year is practically never, and the sum
+/// cannot overflow.
+const MAX_INSTANT_MICROS: u64 = 365 * 86_400_000_000;
 
-/// A steady clock that starts with the process, and the time of day.
+/// A monotonic clock that starts with the process, and the time of day.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// A clock whose steady time starts now.
+    /// A clock whose monotonic time starts now.
     pub fn start() -> Clock {
         Clock {
             start: Instant::now(),
@@ -32,9 +33,9 @@
         }
     }
 
-    /// The instant at which the steady clock shows `at`.
+    /// The instant at which the monotonic clock shows `at`, but at most a year after its start.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
-        let span = Duration::from_micros(at.0.min(ONE_YEAR_MICROS));
-        tokio::time::Instant::from_std(self.start + span)
+        let since_start = Duration::from_micros(at.0.min(MAX_INSTANT_MICROS));
+        tokio::time::Instant::from_std(self.start + since_start)
     }
 }
--- a/src/transport/node.rs
+++ b/src/transport/node.rs
@@ -17,24 +17,25 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{Notify, oneshot, watch};
 
-/// The call of a heartbeat: its response is taken from the effects at once, so no call needs to be told from another.
+/// The call id of every heartbeat. The response is taken from the effects at once, so ids need not distinguish calls.
 const HEARTBEAT_CALL: CallId = CallId(0);
-/// Path at which agents take pushed commands.
+/// Path at which agents accept pushed commands.
 const COMMANDS_PATH: &str = "/commands";
 
 struct Inner {
     controller: Controller,
     /// Users' requests that wait for a response.
-    users: HashMap<CallId, oneshot::Sender<UserResponse>>,
+    pending_users: HashMap<CallId, oneshot::Sender<UserResponse>>,
     next_call: u64,
 }
 
 impl Inner {
-    fn add_user(&mut self) -> (CallId, oneshot::Receiver<UserResponse>) {
+    /// Registers a user's request, and returns its call id and where its response arrives.
+    fn register_user(&mut self) -> (CallId, oneshot::Receiver<UserResponse>) {
         let (sender, receiver) = oneshot::channel();
         let call = CallId(self.next_call);
         self.next_call += 1;
-        self.users.insert(call, sender);
+        self.pending_users.insert(call, sender);
         (call, receiver)
     }
 }
@@ -42,8 +43,8 @@
 /// A running controller.
 pub struct Node {
     inner: Mutex<Inner>,
-    /// Signals that the controller wants to be woken sooner.
-    timer: Notify,
+    /// Notified when the controller's next wake-up time becomes earlier.
+    wake_changed: Notify,
     client: HttpClient,
     clock: Clock,
     /// Address of the cloud's API.
@@ -54,16 +55,16 @@
 }
 
 impl Node {
-    /// Creates the node of a controller; [`Node::run`] keeps its timers.
+    /// Creates the node of a controller; [`Node::run`] drives its timers.
     pub fn new(controller: Controller, settings: &Settings) -> Arc<Node> {
         let sockets = SocketPlan::new(settings.connections, settings.others.len());
         Arc::new(Node {
             inner: Mutex::new(Inner {
                 controller,
-                users: HashMap::new(),
+                pending_users: HashMap::new(),
                 next_call: 1,
             }),
-            timer: Notify::new(),
+            wake_changed: Notify::new(),
             client: HttpClient::new(sockets.calls, sockets.kept_calls, settings.body_limit()),
             clock: Clock::start(),
             cloud: settings.cloud.to_string(),
@@ -86,7 +87,7 @@
         self.lock().controller.healthy(self.clock.now())
     }
 
-    /// Whether a hint of the peer has arrived.
+    /// Whether a hint from the peer of this name has arrived.
     pub fn knows_peer(&self, name: &str) -> bool {
         self.lock().controller.knows_peer(name)
     }
@@ -102,7 +103,7 @@
         let wake_before = inner.controller.wake();
         let effects = inner.controller.handle(self.clock.now(), event);
         if inner.controller.wake() < wake_before {
-            self.timer.notify_one();
+            self.wake_changed.notify_one();
         }
         effects
     }
@@ -113,23 +114,23 @@
             let wake = self.lock().controller.wake();
             if wake <= self.clock.now().steady {
                 self.post(Event::Tick);
-                // A wake-up time that stays in the past must not keep other tasks from running.
+                // If the wake-up time stays in the past, this loop must not keep other tasks from running.
                 tokio::task::yield_now().await;
                 continue;
             }
             tokio::select! {
                 () = tokio::time::sleep_until(self.clock.instant(wake)) => {}
-                () = self.timer.notified() => {}
+                () = self.wake_changed.notified() => {}
             }
         }
     }
 
-    /// Serves a user's request; returns once it is decided.
+    /// Serves a user's request; completes when the controller has decided on it.
     pub async fn user(self: &Arc<Self>, request: UserRequest) -> UserResponse {
         self.request(|call| Event::User(call, request)).await
     }
 
-    /// Serves an invalid submission that names a job.
+    /// Serves a submission that is invalid but names a job.
     pub async fn invalid_submission(
         self: &Arc<Self>,
         job: JobId,
@@ -140,12 +141,12 @@
     }
 
     async fn request(self: &Arc<Self>, event: impl FnOnce(CallId) -> Event) -> UserResponse {
-        let (call, receiver) = self.lock().add_user();
+        let (call, receiver) = self.lock().register_user();
         self.post(event(call));
         receiver.await.unwrap_or(UserResponse::RetryAfter(1))
     }
 
-    /// Serves an agent's heartbeat; it is answered at once.
+    /// Serves an agent's heartbeat. The controller responds to it at once.
     pub fn heartbeat(self: &Arc<Self>, heartbeat: Heartbeat) -> HeartbeatResponse {
         let mut effects = self.handle(Event::Heartbeat(HEARTBEAT_CALL, heartbeat));
         let response = effects
@@ -231,7 +232,7 @@
     }
 
     fn respond_to_user(&self, call: CallId, response: UserResponse) {
-        let sender = self.lock().users.remove(&call);
+        let sender = self.lock().pending_users.remove(&call);
         if let Some(sender) = sender {
             // Fails only if the user has disconnected.
             let _ = sender.send(response);
@@ -239,8 +240,8 @@
     }
 }
 
-/// Whether the agent carried the commands out (200) or rejected them (409), with the heartbeat that it responded with.
-/// With any other status it has not carried them out either, but says nothing about its tasks.
+/// Parses an agent's response to commands: whether it carried them out (200) or rejected them (409), and the heartbeat in
+/// the body. With any other status the agent has not carried them out either, and says nothing about its tasks.
 fn parse_command_response(status: u16, body: &[u8]) -> Option<(bool, Heartbeat)> {
     let carried_out = match status {
         200 => true,
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -12,31 +12,32 @@
 use tokio::sync::{Semaphore, watch};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-const FRAME_LIMIT: usize = 64 * 1024;
+/// Largest size of a frame, in bytes.
+const FRAME_BYTES_LIMIT: usize = 64 * 1024;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const SEND_TIMEOUT: Duration = Duration::from_secs(3);
-/// A connection without a hint for this long is closed.
+/// A connection on which no hint arrives for this long is closed.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(10);
 const RECONNECT_DELAY: Duration = Duration::from_secs(1);
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(500);
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Incoming connections per peer: old ones may linger beside the current one.
-const CONNECTIONS_PER_PEER: usize = 4;
+/// Largest number of incoming connections per peer: old ones may stay open for a while next to the current one.
+const MAX_CONNECTIONS_PER_PEER: usize = 4;
 
 type Frames = Framed<TcpStream, LengthDelimitedCodec>;
 
 fn framed(stream: TcpStream) -> Frames {
     let codec = LengthDelimitedCodec::builder()
-        .max_frame_length(FRAME_LIMIT)
+        .max_frame_length(FRAME_BYTES_LIMIT)
         .new_codec();
     Framed::new(stream, codec)
 }
 
-/// Receives the hints of up to `peers` peers at the address `at`; never returns.
-pub async fn listen(node: Arc<Node>, at: SocketAddrV4, peers: usize) {
-    let connections = Arc::new(Semaphore::new(peers.max(1) * CONNECTIONS_PER_PEER));
+/// Receives hints from up to `peers` peers at an address; never returns.
+pub async fn listen(node: Arc<Node>, address: SocketAddrV4, peers: usize) {
+    let connections = Arc::new(Semaphore::new(peers.max(1) * MAX_CONNECTIONS_PER_PEER));
     loop {
-        let Ok(listener) = TcpListener::bind(at).await else {
+        let Ok(listener) = TcpListener::bind(address).await else {
             tokio::time::sleep(BIND_RETRY_DELAY).await;
             continue;
         };
@@ -54,7 +55,7 @@
     }
 }
 
-/// Receives hints by one connection until it ends.
+/// Receives hints on one connection until it ends.
 async fn receive_hints(node: &Arc<Node>, mut frames: Frames) {
     while let Ok(Some(Ok(frame))) = tokio::time::timeout(RECEIVE_TIMEOUT, frames.next()).await {
         if let Ok(hint) = rmp_serde::from_slice::<PeerHint>(&frame) {
@@ -63,25 +64,26 @@
     }
 }
 
-/// Sends every new hint to the peer at `to`; never returns.
-pub async fn send_hints(node: Arc<Node>, to: SocketAddrV4) {
+/// Sends each new hint to the peer at an address; never returns.
+pub async fn send_hints(node: Arc<Node>, address: SocketAddrV4) {
     let mut hints = node.hints();
     loop {
-        let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await;
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         if let Ok(Ok(stream)) = connected {
-            // Hints are small: without this option they would be delayed. Nothing else depends on it.
+            // Without this option the delay of small packets (Nagle's algorithm) would hold hints back. A failure to set it
+            // has no other effect.
             let _ = stream.set_nodelay(true);
-            send_hints_by(framed(stream), &mut hints).await;
+            send_hints_on(framed(stream), &mut hints).await;
         }
         tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// Sends hints by one connection until it ends.
-async fn send_hints_by(mut frames: Frames, hints: &mut watch::Receiver<Option<PeerHint>>) {
+/// Sends hints on one connection until it ends.
+async fn send_hints_on(mut frames: Frames, hints: &mut watch::Receiver<Option<PeerHint>>) {
     loop {
-        // The peer sends nothing here, but only a read shows that it has closed the connection: after a long pause of
-        // this process, writes would go on into a connection that the peer gave up meanwhile.
+        // The peer sends nothing on this connection, but only a read shows that it has closed it. Without the read, this
+        // process would, after a long stall, write to a connection that the peer has closed in the meantime.
         tokio::select! {
             changed = hints.changed() => if changed.is_err() { return },
             _ = frames.next() => return,
--- a/src/transport/server/mod.rs
+++ b/src/transport/server/mod.rs
@@ -2,7 +2,7 @@
 
 mod response;
 
-use super::admission::{Admission, Register};
+use super::admission::{Admission, RegisterConnections};
 use super::node::Node;
 use crate::coordination::api::connections::{Request as RequestKind, Verdict};
 use crate::protocol::user::{
@@ -19,8 +19,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a request's body may take; its client waits for a response hardly longer.
+/// Timeout for receiving a request's body. Clients hardly wait longer than this for a response.
 const BODY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Delay before the server is started again after it stopped or could not bind.
 const RESTART_DELAY: Duration = Duration::from_millis(500);
 
 /// Serves at the address `at` with at most `connections` connections; never returns.
@@ -32,7 +33,7 @@
             Ok(acceptor) => {
                 let server = Server::new(acceptor)
                     .max_connections(connections)
-                    .fuse_policy(Register(Arc::clone(&admission)));
+                    .fuse_policy(RegisterConnections(Arc::clone(&admission)));
                 if let Err(error) = server.try_serve(service(&node, &admission)).await {
                     tracing::error!(%error, "server stopped");
                 }
@@ -78,16 +79,16 @@
         _: &mut FlowCtrl,
     ) {
         let remote = request.remote_addr().clone().into_std();
-        let verdict = remote.map_or(Verdict::Serve, |remote| {
-            self.admission.requested(remote, self.kind)
+        let decision = remote.map_or(Verdict::Serve, |remote| {
+            self.admission.on_request(remote, self.kind)
         });
-        match verdict {
+        match decision {
             Verdict::Serve => self.serve(request, response).await,
             Verdict::Reject(seconds) => {
                 write_user_response(response, UserResponse::RetryAfter(seconds));
             }
         }
-        if remote.is_some_and(|remote: SocketAddr| self.admission.answered(remote)) {
+        if remote.is_some_and(|remote: SocketAddr| self.admission.on_response(remote)) {
             response
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -130,7 +131,8 @@
         write_user_response(response, decided);
     }
 
-    /// A retry with an invalid body does not undo an accepted submission: if the body names a job, its status counts.
+    /// Decides on an invalid submission. If its body names a job, the controller decides: a retry with an invalid body does
+    /// not undo a submission that was accepted before.
     async fn reject_submission(&self, body: &[u8], error: &InvalidSubmission) -> UserResponse {
         let why: Cow<'static, str> = match error {
             InvalidSubmission::Field(field) => (*field).into(),
@@ -163,7 +165,7 @@
             .and_then(|id| id.parse::<JobId>().ok());
         let decided = match id {
             Some(id) => self.node.user(user_request(id)).await,
-            // No job of such a name was ever accepted.
+            // The path is not a job's name, so no such job was ever accepted.
             None => UserResponse::NotFound,
         };
         write_user_response(response, decided);
@@ -188,7 +190,7 @@
     value.get("nameId")?.as_str()?.parse().ok()
 }
 
-/// Reads the body of a request; the error is the status to respond with. A body whose declared length is too large is
+/// Reads the body of a request; the error is the status of the response. A body whose declared length is too large is
 /// not read at all.
 async fn read_body(request: &mut Request) -> Result<&[u8], StatusCode> {
     if declared_length(request) > BODY_BYTES_LIMIT {
--- a/src/transport/server/response.rs
+++ b/src/transport/server/response.rs
@@ -1,4 +1,4 @@
-//! Writes responses.
+//! Writing of HTTP responses.
 
 use crate::protocol::user::UserResponse;
 use crate::protocol::worker::{HeartbeatResponse, heartbeat_response_body, not_leader_body};
@@ -6,13 +6,13 @@
 use salvo::http::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use salvo::prelude::Response;
 
-/// Writes a response with a body of JSON.
+/// Writes a response with a JSON body.
 pub(super) fn write_json(response: &mut Response, status: StatusCode, body: Vec<u8>) {
     response.status_code(status);
     response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    // Fails only if a body was written already.
+    // Fails only if a body has already been written.
     let _ = response.write_body(body);
 }
 
