--- a/crates/constraints/src/clash.rs
+++ b/crates/constraints/src/clash.rs
@@ -1,65 +1,67 @@
-//! The smallest set of rules that clash.
+//! The smallest set of conflicting rules.
 //!
-//! A place (a class of machines that could be provisioned) is excluded by each rule that it does not meet. Rules
-//! clash if every place is excluded by one of them; the smallest such set is a minimum hitting set, found by trying
-//! ever larger sizes. With a few dozen rules and places this is fast. Many places that share no rule would make it
-//! exponential; they are counted, which bounds the search.
+//! A class of machines that could be provisioned is excluded by each rule that it does not meet. Rules conflict if
+//! every class is excluded by at least one of them. The smallest such set is a minimum hitting set, which is found by
+//! trying increasing sizes. With a few dozen rules and classes this is fast. Many classes that share no rule would make
+//! it exponential: their number is a lower bound of the size, which prunes the search.
 
-/// Rules by number, as bits.
+/// A set of rules: bit `n` stands for the rule of number `n`.
 pub type RuleMask = u128;
 
-/// Most rules that can be distinguished.
+/// Largest number of rules in a mask.
 pub const MAX_RULES: usize = RuleMask::BITS as usize;
 
-/// The smallest set of rules that exclude every place; `None` if some place meets all rules. Among sets of equal
-/// size the one with the lowest numbers is chosen, so that all controllers report the same. Without places the set is
+/// The smallest set of rules that exclude every class; `None` if some class meets all rules. Among sets of equal size
+/// the one with the lowest numbers is chosen, so that all controllers report the same set. Without classes the set is
 /// empty.
 ///
-/// `excluded_by`: for each place, the rules that it does not meet.
+/// `excluded_by`: for each class, the rules that it does not meet.
 pub fn smallest(excluded_by: &[RuleMask]) -> Option<RuleMask> {
     if excluded_by.contains(&0) {
         return None;
     }
-    let places = without_supersets(excluded_by);
-    (0..=places.len()).find_map(|size| hitting_set(&places, 0, size))
+    let classes = without_supersets(excluded_by);
+    (0..=classes.len()).find_map(|size| hitting_set(&classes, 0, size))
 }
 
-/// The places without those that are excluded by a superset of the rules of another: whatever hits the smaller set
-/// hits the larger one.
+/// The masks of the classes, without those that are supersets of another mask: a set of rules that hits the smaller
+/// mask hits the larger one too.
 fn without_supersets(excluded_by: &[RuleMask]) -> Vec<RuleMask> {
-    let mut places: Vec<RuleMask> = excluded_by.to_vec();
-    places.sort_unstable_by_key(|place| (place.count_ones(), *place));
+    let mut classes: Vec<RuleMask> = excluded_by.to_vec();
+    classes.sort_unstable_by_key(|class| (class.count_ones(), *class));
     let mut minimal: Vec<RuleMask> = Vec::new();
-    for place in places {
-        if !minimal.iter().any(|subset| subset & place == *subset) {
-            minimal.push(place);
+    for class in classes {
+        if !minimal.iter().any(|subset| subset & class == *subset) {
+            minimal.push(class);
         }
     }
     minimal
 }
 
-/// A set that hits every place, made of `chosen` and at most `size` more rules.
-fn hitting_set(places: &[RuleMask], chosen: RuleMask, size: usize) -> Option<RuleMask> {
-    let open = places.iter().filter(|place| *place & chosen == 0);
-    let Some(fewest) = open.clone().min_by_key(|place| place.count_ones()) else {
+/// A set of rules that hits every class and consists of `chosen` and at most `size` more rules; `None` if there is
+/// none.
+fn hitting_set(classes: &[RuleMask], chosen: RuleMask, size: usize) -> Option<RuleMask> {
+    let remaining = classes.iter().filter(|class| *class & chosen == 0);
+    let Some(smallest_mask) = remaining.clone().min_by_key(|class| class.count_ones()) else {
         return Some(chosen);
     };
-    if count_disjoint(open) > size {
+    if count_disjoint(remaining) > size {
         return None;
     }
     (0..MAX_RULES)
-        .filter(|rule| fewest >> rule & 1 == 1)
-        .filter_map(|rule| hitting_set(places, chosen | 1 << rule, size - 1))
+        .filter(|rule| smallest_mask >> rule & 1 == 1)
+        .filter_map(|rule| hitting_set(classes, chosen | 1 << rule, size - 1))
         .min_by_key(|set| (set.count_ones(), set.reverse_bits()))
 }
 
-/// Number of places that share no rule with those counted before. Each of them needs a rule of its own.
-fn count_disjoint<'a>(places: impl Iterator<Item = &'a RuleMask>) -> usize {
+/// Number of classes that share no rule with those counted before. Each of them needs a rule of its own in a hitting
+/// set.
+fn count_disjoint<'a>(classes: impl Iterator<Item = &'a RuleMask>) -> usize {
     let mut counted: RuleMask = 0;
     let mut count = 0;
-    for place in places {
-        if place & counted == 0 {
-            counted |= place;
+    for class in classes {
+        if class & counted == 0 {
+            counted |= class;
             count += 1;
         }
     }
--- a/crates/constraints/src/evaluation.rs
+++ b/crates/constraints/src/evaluation.rs
@@ -1,4 +1,4 @@
-//! Evaluation of expressions: once for a class of equal machines, and what is left for each machine.
+//! Evaluation of expressions: partially for a class of equal machines, and the rest for each machine.
 
 use super::expr::{Comparison, Expr, Field, Operand, Test, Words};
 use super::value::Value;
@@ -7,17 +7,17 @@
 /// Traits of a machine, by name.
 pub type Traits = BTreeMap<String, Value>;
 
-/// Current state of a machine, as the rules of one job see it.
+/// The current state of a machine, as seen by the rules of one job.
 pub trait MachineState {
-    /// Whether it holds or fetches the job's own image.
+    /// Whether the machine has the job's own image in its cache or downloads it.
     fn has_own_image(&self) -> bool;
-    /// Whether it holds or fetches one of these images.
+    /// Whether the machine has one of these images in its cache or downloads it.
     fn has_any_image(&self, images: &Words) -> bool;
-    /// Whether a task of another job with one of these words in the field is assigned to it.
+    /// Whether a task of another job, whose field has one of these words, is assigned to the machine.
     fn has_colocated(&self, field: Field, words: &Words) -> bool;
 }
 
-/// A machine without images and tasks, as it is when it has just come up.
+/// A machine without images and tasks, such as one that has just booted.
 #[derive(Clone, Copy, Debug)]
 pub struct EmptyMachine;
 
@@ -38,16 +38,17 @@
 /// Result of an expression for a class of machines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Evaluation {
-    /// It holds on all of them.
+    /// It holds on all machines of the class.
     Always,
-    /// It holds on none.
+    /// It holds on no machine of the class.
     Never,
-    /// It depends on the current state of each machine: this expression, which tests no traits, is left.
+    /// It depends on the current state of each machine. This expression, which tests no traits, remains to be
+    /// evaluated.
     Depends(Expr),
 }
 
 impl Evaluation {
-    /// Whether it holds on a machine of the class in its current state.
+    /// Whether the expression holds on a machine of the class in this state.
     pub fn holds(&self, state: &dyn MachineState) -> bool {
         match self {
             Evaluation::Always => true,
@@ -67,7 +68,7 @@
     }
 }
 
-/// Whether a comparison holds. Values of different sorts or dimensions meet no comparison.
+/// Whether a comparison holds. No comparison holds between values of different sorts or dimensions.
 fn compare(comparison: Comparison, value: &Value, operand: &Operand) -> bool {
     match (value, operand) {
         (Value::Word(word), Operand::Word(expected)) => match comparison {
@@ -98,7 +99,7 @@
 }
 
 impl Test {
-    /// Whether the value of a trait meets the test. A missing trait meets none, not even `!=`.
+    /// Whether the value of a trait meets the test. A missing trait meets no test, not even `!=`.
     fn holds(&self, value: Option<&Value>) -> bool {
         let Some(value) = value else {
             return false;
@@ -115,15 +116,15 @@
     }
 }
 
-/// How operands are joined.
+/// The operator that joins operands.
 #[derive(Clone, Copy)]
-enum Junction {
+enum Connective {
     And,
     Or,
 }
 
 impl Expr {
-    /// Whether it holds on a machine.
+    /// Whether the expression holds on a machine with these traits and this state.
     pub fn holds(&self, traits: &Traits, state: &dyn MachineState) -> bool {
         match self {
             Expr::Or(operands) => operands.iter().any(|operand| operand.holds(traits, state)),
@@ -136,17 +137,17 @@
         }
     }
 
-    /// Whether an expression without tests of traits holds on a machine.
+    /// Whether the expression, which must not test traits, holds on a machine in this state.
     fn holds_in(&self, state: &dyn MachineState) -> bool {
         static NO_TRAITS: Traits = Traits::new();
         self.holds(&NO_TRAITS, state)
     }
 
-    /// Evaluates it for machines with these traits, whatever their state.
+    /// Evaluates the expression for all machines with these traits, as far as it does not depend on their state.
     pub fn reduce(&self, traits: &Traits) -> Evaluation {
         match self {
-            Expr::Or(operands) => reduce_operands(operands, traits, Junction::Or),
-            Expr::And(operands) => reduce_operands(operands, traits, Junction::And),
+            Expr::Or(operands) => reduce_operands(operands, traits, Connective::Or),
+            Expr::And(operands) => reduce_operands(operands, traits, Connective::And),
             Expr::Not(negated) => match negated.reduce(traits) {
                 Evaluation::Always => Evaluation::Never,
                 Evaluation::Never => Evaluation::Always,
@@ -158,22 +159,22 @@
     }
 }
 
-/// Evaluates operands until one decides the whole; what depends on the state is left.
-fn reduce_operands(operands: &[Expr], traits: &Traits, junction: Junction) -> Evaluation {
-    let mut left = Vec::new();
+/// Evaluates operands until one decides the result. Operands that depend on the state remain.
+fn reduce_operands(operands: &[Expr], traits: &Traits, connective: Connective) -> Evaluation {
+    let mut remaining = Vec::new();
     for operand in operands {
-        match (operand.reduce(traits), junction) {
-            (Evaluation::Always, Junction::Or) => return Evaluation::Always,
-            (Evaluation::Never, Junction::And) => return Evaluation::Never,
-            (Evaluation::Depends(rest), _) => left.push(rest),
+        match (operand.reduce(traits), connective) {
+            (Evaluation::Always, Connective::Or) => return Evaluation::Always,
+            (Evaluation::Never, Connective::And) => return Evaluation::Never,
+            (Evaluation::Depends(operand), _) => remaining.push(operand),
             _ => {}
         }
     }
-    match (left.len(), junction) {
-        (0, Junction::And) => Evaluation::Always,
-        (0, Junction::Or) => Evaluation::Never,
-        (1, _) => Evaluation::Depends(left.remove(0)),
-        (_, Junction::And) => Evaluation::Depends(Expr::And(left)),
-        (_, Junction::Or) => Evaluation::Depends(Expr::Or(left)),
+    match (remaining.len(), connective) {
+        (0, Connective::And) => Evaluation::Always,
+        (0, Connective::Or) => Evaluation::Never,
+        (1, _) => Evaluation::Depends(remaining.remove(0)),
+        (_, Connective::And) => Evaluation::Depends(Expr::And(remaining)),
+        (_, Connective::Or) => Evaluation::Depends(Expr::Or(remaining)),
     }
 }
--- a/crates/constraints/src/explain.rs
+++ b/crates/constraints/src/explain.rs
@@ -5,12 +5,12 @@
 use super::rules::{Kind, Rule};
 use serde::Serialize;
 
-/// A part of a rule: all parts must hold.
+/// A part of a rule. The rule holds if all its clauses hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Clause {
-    /// Its text.
+    /// The clause's text.
     pub text: String,
-    /// Whether it holds.
+    /// Whether the clause holds.
     pub met: bool,
 }
 
@@ -21,24 +21,24 @@
     pub rule: String,
     /// Whether it is a hard rule.
     pub hard: bool,
-    /// Whether it holds.
+    /// Whether the rule holds.
     pub met: bool,
     /// Its weight, if it is a preference.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub weight: Option<u32>,
-    /// Its parts.
+    /// Its clauses.
     pub clauses: Vec<Clause>,
 }
 
 /// Result of all rules for a machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Verdict {
+pub struct Explanation {
     /// Whether every hard rule holds.
     pub allowed: bool,
     /// Total weight of the preferences that hold.
     #[serde(rename = "worth")]
     pub total_weight: u32,
-    /// Rule by rule.
+    /// The result of each rule.
     pub findings: Vec<Finding>,
 }
 
@@ -47,14 +47,14 @@
     rules: impl Iterator<Item = &'a Rule>,
     traits: &Traits,
     state: &dyn MachineState,
-) -> Verdict {
+) -> Explanation {
     let findings: Vec<Finding> = rules.map(|rule| Finding::of(rule, traits, state)).collect();
     let total_weight = findings
         .iter()
         .filter(|finding| finding.met)
         .filter_map(|finding| finding.weight)
         .sum();
-    Verdict {
+    Explanation {
         allowed: findings.iter().all(|finding| finding.met || !finding.hard),
         total_weight,
         findings,
--- a/crates/constraints/src/expr.rs
+++ b/crates/constraints/src/expr.rs
@@ -4,29 +4,29 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Position in the text that an expression was parsed from, counted from 1. All positions are equal, so that
-/// expressions are equal whatever their layout.
+/// Position in the text that an expression was parsed from, counted from 1. All positions compare as equal, so that the
+/// comparison of expressions ignores their layout.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct At {
+pub struct Position {
     /// Line.
     pub line: usize,
     /// Column, in characters.
     pub column: usize,
 }
 
-impl At {
+impl Position {
     /// The start of a text.
-    pub const START: At = At { line: 1, column: 1 };
+    pub const START: Position = Position { line: 1, column: 1 };
 
-    /// The position after a character at this one.
-    pub fn after(self, c: char) -> At {
+    /// The position after a character that is at this position.
+    pub fn after(self, c: char) -> Position {
         if c == '\n' {
-            At {
+            Position {
                 line: self.line + 1,
                 column: 1,
             }
         } else {
-            At {
+            Position {
                 column: self.column + 1,
                 ..self
             }
@@ -34,15 +34,15 @@
     }
 }
 
-impl PartialEq for At {
-    fn eq(&self, _: &At) -> bool {
+impl PartialEq for Position {
+    fn eq(&self, _: &Position) -> bool {
         true
     }
 }
 
-impl Eq for At {}
+impl Eq for Position {}
 
-/// The words of a test.
+/// The words that a test compares with.
 pub type Words = BTreeSet<String>;
 
 /// A comparison of numbers or words.
@@ -63,7 +63,7 @@
 }
 
 impl Comparison {
-    /// Every comparison with its sign.
+    /// All comparisons with their signs.
     pub const ALL: [(Comparison, &'static str); 6] = [
         (Comparison::Equal, "="),
         (Comparison::Unequal, "!="),
@@ -131,7 +131,7 @@
 }
 
 impl Field {
-    /// Every field with its name in the language.
+    /// All fields with their names in the language.
     pub const ALL: [(Field, &'static str); 5] = [
         (Field::JobClass, "lane"),
         (Field::Team, "crew"),
@@ -156,27 +156,27 @@
     }
 }
 
-/// An expression. A test of a trait that a machine does not have fails.
+/// An expression. A test of a trait fails if the machine does not have the trait.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Expr {
-    /// At least one of these holds.
+    /// At least one of these expressions holds.
     Or(Vec<Expr>),
-    /// All of these hold.
+    /// All of these expressions hold.
     And(Vec<Expr>),
-    /// This does not hold.
+    /// This expression does not hold.
     Not(Box<Expr>),
     /// A test of a trait.
-    Trait(String, Test, At),
-    /// The machine holds or fetches the job's own image.
+    Trait(String, Test, Position),
+    /// The machine has the job's own image in its cache or downloads it.
     HoldsOwn,
-    /// The machine holds or fetches one of these images.
+    /// The machine has one of these images in its cache or downloads it.
     Holds(Words),
-    /// A task of another job with one of these words in the field is assigned there.
+    /// A task of another job, whose field has one of these words, is assigned to the machine.
     Colocated(Field, Words),
 }
 
 impl Expr {
-    /// Calls `visit` with every test in it.
+    /// Calls `visit` with each test in the expression.
     pub fn tests<'a>(&'a self, visit: &mut dyn FnMut(&'a Expr)) {
         match self {
             Expr::Or(operands) | Expr::And(operands) => {
@@ -187,20 +187,20 @@
         }
     }
 
-    /// Whether it tests which other jobs are on the machine.
+    /// Whether the expression tests which other jobs are on the machine.
     pub fn tests_colocation(&self) -> bool {
-        let mut any = false;
-        self.tests(&mut |test| any |= matches!(test, Expr::Colocated(..)));
-        any
+        let mut found = false;
+        self.tests(&mut |test| found |= matches!(test, Expr::Colocated(..)));
+        found
     }
 }
 
-/// Keywords of the language. They are quoted where they are meant as words.
+/// Keywords of the language. A word that is spelled like a keyword has to be quoted.
 pub const KEYWORDS: [&str; 11] = [
     "and", "or", "not", "in", "has", "holds", "beside", "present", "any", "all", "own",
 ];
 
-/// Writes a word, quoted if it would not be read as a word otherwise.
+/// Writes a word, with quotes if it would not be parsed as a word without them.
 fn write_word(f: &mut fmt::Formatter<'_>, word: &str) -> fmt::Result {
     if is_bare(word) {
         return f.write_str(word);
@@ -218,7 +218,7 @@
     starts_bare && word.chars().all(is_bare_char) && !KEYWORDS.contains(&word)
 }
 
-/// Writes a single word as such, several in braces.
+/// Writes words: a single one without braces, several in braces.
 fn write_words(f: &mut fmt::Formatter<'_>, words: &Words) -> fmt::Result {
     if let (Some(word), 1) = (words.first(), words.len()) {
         return write_word(f, word);
@@ -233,7 +233,7 @@
     f.write_str("}")
 }
 
-/// How tightly an expression binds. An operand that binds less than its context requires is put in parentheses.
+/// Operator precedence, lowest first. An operand with a lower precedence than its context requires is parenthesized.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Precedence {
     Or,
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Writes it as an operand, which must bind at least this tightly.
+    /// Writes the expression as an operand, in parentheses if its precedence is lower than required.
     fn write_operand(&self, f: &mut fmt::Formatter<'_>, required: Precedence) -> fmt::Result {
         if self.precedence() < required {
             write!(f, "({self})")
--- a/crates/constraints/src/lib.rs
+++ b/crates/constraints/src/lib.rs
@@ -1,16 +1,16 @@
 //! The language of placement rules: hard requirements and soft preferences over the traits of machines.
 //!
 //! A rule is an [`Expr`] over what a machine is (its type, zone and labels) and its current state (images, tasks of
-//! other jobs). This crate parses and prints the language, evaluates it, finds the smallest set of rules that clash,
+//! other jobs). This crate parses and prints the language, evaluates it, finds the smallest set of conflicting rules,
 //! and explains results. It does no I/O, reads no clock and does not depend on the scheduler. The scheduler selects
-//! the rules of a [`RuleSet`] that concern a job, has them reduced once for each class of equal machines, and
-//! evaluates for a single machine only what is left then.
+//! the rules of a [`RuleSet`] that concern a job, evaluates them once for each class of equal machines, and for a
+//! single machine evaluates only what depends on its current state.
 //!
 //! ```
 //! use cometlead_constraints::evaluation::EmptyMachine;
-//! use cometlead_constraints::{BadRules, RuleSet, Subject, Traits, Value};
+//! use cometlead_constraints::{RuleSet, RulesError, Subject, Traits, Value};
 //!
-//! # fn main() -> Result<(), BadRules> {
+//! # fn main() -> Result<(), RulesError> {
 //! let rules = RuleSet::parse(
 //!     br#"{"labels": {"types": {"press-server": {"fonts": ["latin", "oromo"]}}},
 //!          "rules": [{"name": "oromo-fonts", "for": {"images": ["oromo-render"]}, "require": "fonts has oromo"}]}"#,
@@ -56,5 +56,5 @@
 pub use evaluation::{Evaluation, MachineState, Traits};
 pub use expr::{Expr, Field};
 pub use parse::ParseError;
-pub use rules::{BadRules, Kind, Rule, RuleSet, RulesFile, Subject};
+pub use rules::{Kind, Rule, RuleSet, RulesError, RulesFile, Subject};
 pub use value::{Dimension, Quantity, Value};
--- a/crates/constraints/src/parse.rs
+++ b/crates/constraints/src/parse.rs
@@ -1,7 +1,7 @@
-//! Parsing of expressions. The grammar is `grammar.pest`; this builds expressions from what it matches, within
-//! limits.
+//! Parsing of expressions. The grammar is in `grammar.pest`; this module builds expressions from its matches and
+//! enforces limits.
 
-use super::expr::{At, Comparison, Expr, Field, Operand, Test, Words};
+use super::expr::{Comparison, Expr, Field, Operand, Position, Test, Words};
 use super::value::Quantity;
 use pest::Parser;
 use pest::error::{Error, ErrorVariant, LineColLocation};
@@ -10,14 +10,14 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Longest text of an expression, in bytes.
+/// Largest size of an expression's text, in bytes.
 pub const TEXT_LIMIT: usize = 2_048;
-/// Deepest nesting of parentheses and negations. It bounds the stack that parsing uses.
+/// Largest nesting depth of parentheses and negations. It bounds the stack that parsing uses.
 pub const DEPTH_LIMIT: usize = 24;
-/// Most tests in an expression.
+/// Largest number of tests in an expression.
 pub const TESTS_LIMIT: usize = 96;
 
-/// The generated parser. Its rules are named as in the grammar.
+/// The generated parser. The variants of `Rule` are named as in the grammar.
 #[allow(missing_docs)]
 mod generated {
     #[derive(pest_derive::Parser)]
@@ -40,7 +40,7 @@
 
 impl ParseError {
     /// An error at a position.
-    pub fn at(at: At, message: impl Into<String>) -> ParseError {
+    pub fn at(at: Position, message: impl Into<String>) -> ParseError {
         ParseError {
             line: at.line,
             column: at.column,
@@ -48,11 +48,11 @@
         }
     }
 
-    fn too_deep(at: At) -> ParseError {
+    fn too_deep(at: Position) -> ParseError {
         ParseError::at(at, format!("nested deeper than {DEPTH_LIMIT}"))
     }
 
-    fn no_condition(at: At) -> ParseError {
+    fn no_condition(at: Position) -> ParseError {
         ParseError::at(at, "expected a condition")
     }
 }
@@ -84,8 +84,8 @@
         Rule::name | Rule::flag | Rule::compare | Rule::within | Rule::not_within => "a trait",
         Rule::has_any | Rule::has_all => "a trait",
         Rule::expression
-        | Rule::either
-        | Rule::both
+        | Rule::disjunction
+        | Rule::conjunction
         | Rule::unary
         | Rule::primary
         | Rule::group => "a condition",
@@ -116,10 +116,10 @@
     }
 }
 
-/// Rejects nesting that is too deep before the parser, which recurses, is run.
+/// Rejects nesting that is too deep before the text is parsed, since the parser is recursive.
 fn check_depth(text: &str) -> Result<(), ParseError> {
     let (mut depth, mut quoted, mut escaped) = (0usize, false, false);
-    let mut at = At::START;
+    let mut at = Position::START;
     for c in text.chars() {
         match c {
             _ if escaped => escaped = false,
@@ -137,12 +137,12 @@
     Ok(())
 }
 
-fn position(pair: &Pair<'_, Rule>) -> At {
+fn position(pair: &Pair<'_, Rule>) -> Position {
     let (line, column) = pair.line_col();
-    At { line, column }
+    Position { line, column }
 }
 
-/// The word of a pair, without quotes and escapes.
+/// The word that a pair matched, without quotes and escapes.
 fn word(pair: Pair<'_, Rule>) -> String {
     let Some(inner) = pair.into_inner().next() else {
         return String::new();
@@ -177,10 +177,10 @@
             _ => {}
         }
     }
-    Quantity::read(number, unit).ok_or_else(|| ParseError::at(at, "the number is too large"))
+    Quantity::parse(number, unit).ok_or_else(|| ParseError::at(at, "the number is too large"))
 }
 
-/// Builds an expression from what the grammar matched, within the limits.
+/// Builds an expression from the matches of the grammar and enforces the limits.
 #[derive(Default)]
 struct Builder {
     tests: usize,
@@ -193,13 +193,13 @@
             return Err(ParseError::too_deep(at));
         }
         match pair.as_rule() {
-            Rule::either => Ok(joined(self.operands(pair, depth)?, Expr::Or)),
-            Rule::both => Ok(joined(self.operands(pair, depth)?, Expr::And)),
+            Rule::disjunction => Ok(joined(self.operands(pair, depth)?, Expr::Or)),
+            Rule::conjunction => Ok(joined(self.operands(pair, depth)?, Expr::And)),
             Rule::unary => self.unary(pair, at, depth),
             Rule::group => {
                 let inner = pair
                     .into_inner()
-                    .find(|part| part.as_rule() == Rule::either)
+                    .find(|part| part.as_rule() == Rule::disjunction)
                     .ok_or_else(|| ParseError::no_condition(at))?;
                 self.expr(inner, depth + 1)
             }
@@ -214,8 +214,13 @@
             .collect()
     }
 
-    /// An expression after any number of negations.
-    fn unary(&mut self, pair: Pair<'_, Rule>, at: At, depth: usize) -> Result<Expr, ParseError> {
+    /// A primary expression with any number of negations before it.
+    fn unary(
+        &mut self,
+        pair: Pair<'_, Rule>,
+        at: Position,
+        depth: usize,
+    ) -> Result<Expr, ParseError> {
         let mut negations = 0;
         for part in pair.into_inner() {
             if part.as_rule() == Rule::not {
@@ -228,7 +233,7 @@
         Err(ParseError::no_condition(at))
     }
 
-    fn test(&mut self, pair: Pair<'_, Rule>, at: At) -> Result<Expr, ParseError> {
+    fn test(&mut self, pair: Pair<'_, Rule>, at: Position) -> Result<Expr, ParseError> {
         self.tests += 1;
         if self.tests > TESTS_LIMIT {
             return Err(ParseError::at(at, format!("more than {TESTS_LIMIT} tests")));
@@ -238,7 +243,7 @@
     }
 }
 
-/// Joins operands, unless there is only one.
+/// Joins operands; a single operand is returned as it is.
 fn joined(mut operands: Vec<Expr>, join: impl Fn(Vec<Expr>) -> Expr) -> Expr {
     if operands.len() == 1 {
         operands.remove(0)
@@ -247,7 +252,7 @@
     }
 }
 
-/// The parts of a test, in whatever order the grammar matched them.
+/// The parts of a test, independent of the order in which the grammar matched them.
 #[derive(Default)]
 struct TestParts {
     name: String,
@@ -274,7 +279,7 @@
         Ok(parts)
     }
 
-    fn into_expr(self, rule: Rule, at: At) -> Result<Expr, ParseError> {
+    fn into_expr(self, rule: Rule, at: Position) -> Result<Expr, ParseError> {
         let test = match rule {
             Rule::holds_own => return Ok(Expr::HoldsOwn),
             Rule::holds => return Ok(Expr::Holds(self.words)),
@@ -308,17 +313,17 @@
     fn from_str(text: &str) -> Result<Expr, ParseError> {
         if text.len() > TEXT_LIMIT {
             let message = format!("longer than {TEXT_LIMIT} bytes");
-            return Err(ParseError::at(At::START, message));
+            return Err(ParseError::at(Position::START, message));
         }
         check_depth(text)?;
         let mut pairs = Grammar::parse(Rule::expression, text).map_err(to_parse_error)?;
-        let whole = pairs
+        let root = pairs
             .next()
             .and_then(|pair| {
                 pair.into_inner()
-                    .find(|part| part.as_rule() == Rule::either)
+                    .find(|part| part.as_rule() == Rule::disjunction)
             })
-            .ok_or_else(|| ParseError::no_condition(At::START))?;
-        Builder::default().expr(whole, 0)
+            .ok_or_else(|| ParseError::no_condition(Position::START))?;
+        Builder::default().expr(root, 0)
     }
 }
--- a/crates/constraints/src/rules.rs
+++ b/crates/constraints/src/rules.rs
@@ -1,13 +1,13 @@
-//! Rules: those of the operators' rules file, and those that a job brings.
+//! Rules: those of the operators' rules file, and those of a job's submission.
 
 mod file;
 mod rule_set;
 mod vocabulary;
 
 pub use file::{
-    LabelTable, LabelValue, Labels, RuleText, RulesFile, Scope, WAIT_LIMIT, WEIGHT_LIMIT,
+    LabelTable, LabelValue, Labels, RuleText, RulesFile, Scope, WAIT_SECONDS_LIMIT, WEIGHT_LIMIT,
 };
-pub use rule_set::{FILE_LIMIT, RuleSet};
+pub use rule_set::{RULES_PER_FILE_LIMIT, RuleSet};
 pub use vocabulary::{BUILT_IN, Vocabulary};
 
 use crate::expr::Expr;
@@ -18,21 +18,21 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Most rules of one job.
-pub const JOB_LIMIT: usize = 12;
+/// Largest number of rules in one job's submission.
+pub const RULES_PER_JOB_LIMIT: usize = 12;
 
 /// Why rules are rejected. The message is one line, which names the rule or label.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum BadRules {
+pub enum RulesError {
     /// The text is not JSON of the right form, or has an unknown key; the message of the JSON parser.
     #[error("{0}")]
-    Form(String),
-    /// A file has more than [`FILE_LIMIT`] rules.
-    #[error("rules: more than {FILE_LIMIT}")]
+    Malformed(String),
+    /// A file has more than [`RULES_PER_FILE_LIMIT`] rules.
+    #[error("rules: more than {RULES_PER_FILE_LIMIT}")]
     TooManyInFile,
-    /// A job has more than [`JOB_LIMIT`] rules.
-    #[error("more than {JOB_LIMIT} rules")]
-    TooManyOfJob,
+    /// A job has more than [`RULES_PER_JOB_LIMIT`] rules.
+    #[error("more than {RULES_PER_JOB_LIMIT} rules")]
+    TooManyInJob,
     /// A rule is invalid.
     #[error("rule {rule}: {problem}")]
     Rule {
@@ -62,7 +62,7 @@
 /// What is wrong with a rule.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RuleProblem {
-    /// Its name is empty, too long, or has other characters.
+    /// Its name is empty or too long, or has characters that are not allowed.
     #[error("a name is 1 to 64 lower-case letters, digits, `-`, `_` and `.`")]
     Name,
     /// Another rule has the same name.
@@ -71,10 +71,10 @@
     /// Its scope has an unknown priority.
     #[error("for.urgencies: must be critical, high, standard or low")]
     Priority,
-    /// It is neither hard nor soft, or both.
+    /// It is neither hard nor soft, or it is both.
     #[error("must have either `require` or `prefer`")]
     Kind,
-    /// It is hard, but has a weight or a wait.
+    /// It is hard but has a weight or a wait, which only preferences have.
     #[error("weight and waitS are for `prefer`")]
     PreferenceFields,
     /// Its weight is out of range.
@@ -85,7 +85,7 @@
     Wait,
     /// A job's own rule has a scope.
     #[error("`for` is not for a job's own rules")]
-    ScopeOfOwnRule,
+    ScopeInJobRule,
 }
 
 /// What is wrong with a label.
@@ -94,7 +94,7 @@
     /// It has the name of a built-in trait.
     #[error("is what machines have by themselves")]
     BuiltIn,
-    /// Its name is not that of a trait.
+    /// Its name is not a valid name of a trait.
     #[error("a name is lower-case letters, digits, `-` and `_`, and no keyword")]
     Name,
     /// Its number is out of range.
@@ -136,7 +136,7 @@
     pub scope: Scope,
     /// Whether it is hard or soft.
     pub kind: Kind,
-    /// The expression that a machine meets or not.
+    /// The expression that a machine has to meet.
     pub expr: Expr,
 }
 
@@ -154,12 +154,12 @@
 }
 
 impl Rule {
-    /// Whether it is a hard rule.
+    /// Whether the rule is hard.
     pub fn is_hard(&self) -> bool {
         self.kind == Kind::Require
     }
 
-    /// Whether it concerns a job.
+    /// Whether the rule concerns a job.
     pub fn concerns(&self, job: &Subject<'_>) -> bool {
         let includes = |list: &Option<BTreeSet<String>>, property: &str| {
             list.as_ref().is_none_or(|list| list.contains(property))
@@ -170,11 +170,11 @@
             && includes(&self.scope.priorities, job.priority)
     }
 
-    /// Checks that every trait that it tests is known and of the right sort.
+    /// Checks that every trait that the rule tests is known and of the right sort.
     ///
     /// # Errors
-    /// The first test for which this is not so.
-    pub fn check(&self, vocabulary: &Vocabulary) -> Result<(), BadRules> {
+    /// The first test of an unknown trait, or of a trait of another sort.
+    pub fn check(&self, vocabulary: &Vocabulary) -> Result<(), RulesError> {
         let mut first_mismatch = None;
         self.expr.tests(&mut |test| {
             if first_mismatch.is_none() {
@@ -182,7 +182,7 @@
             }
         });
         first_mismatch.map_or(Ok(()), |source| {
-            Err(BadRules::Expression {
+            Err(RulesError::Expression {
                 rule: self.name.clone(),
                 source,
             })
@@ -190,18 +190,18 @@
     }
 }
 
-/// Parses the rules that a job brings.
+/// Parses the rules of a job's submission.
 ///
 /// # Errors
-/// The first thing that is wrong, in one line.
-pub fn read_own(texts: &[RuleText]) -> Result<Vec<Rule>, BadRules> {
-    if texts.len() > JOB_LIMIT {
-        return Err(BadRules::TooManyOfJob);
+/// The first problem, in one line.
+pub fn parse_job_rules(texts: &[RuleText]) -> Result<Vec<Rule>, RulesError> {
+    if texts.len() > RULES_PER_JOB_LIMIT {
+        return Err(RulesError::TooManyInJob);
     }
     if let Some(text) = texts.iter().find(|text| text.scope.is_limited()) {
-        return Err(BadRules::Rule {
+        return Err(RulesError::Rule {
             rule: text.name.clone(),
-            problem: RuleProblem::ScopeOfOwnRule,
+            problem: RuleProblem::ScopeInJobRule,
         });
     }
     let rules = texts
@@ -213,10 +213,10 @@
 }
 
 /// Checks that the names of rules are distinct.
-fn check_distinct(rules: &[Rule]) -> Result<(), BadRules> {
+fn check_distinct(rules: &[Rule]) -> Result<(), RulesError> {
     let mut seen = BTreeSet::new();
     match rules.iter().find(|rule| !seen.insert(&rule.name)) {
-        Some(rule) => Err(BadRules::Rule {
+        Some(rule) => Err(RulesError::Rule {
             rule: rule.name.clone(),
             problem: RuleProblem::DuplicateName,
         }),
@@ -224,7 +224,7 @@
     }
 }
 
-/// The stored form of a rule that a job brings: name and text, and of a preference weight and wait.
+/// The stored form of a rule of a job's submission: its name and text, and the weight and wait of a preference.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum StoredRule<'a> {
--- a/crates/constraints/src/rules/file.rs
+++ b/crates/constraints/src/rules/file.rs
@@ -1,8 +1,8 @@
-//! The rules file of the operators and the rules of a job, as they are written.
+//! The format of the operators' rules file and of the rules in a job's submission.
 //!
-//! The doc comments of the types are part of the published schema.
+//! The doc comments of the types are part of the published JSON schema, so changing them changes the schema.
 
-use super::{BadRules, Kind, LabelProblem, Rule, RuleProblem};
+use super::{Kind, LabelProblem, Rule, RuleProblem, RulesError};
 use crate::value::{Dimension, Quantity, Value};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -11,13 +11,13 @@
 /// Largest weight of a preference.
 pub const WEIGHT_LIMIT: u32 = 1_000;
 /// Longest wait for a preference, in seconds.
-pub const WAIT_LIMIT: f64 = 86_400.0;
+pub const WAIT_SECONDS_LIMIT: f64 = 86_400.0;
 /// Longest name of a rule, in bytes.
-const NAME_LIMIT: usize = 64;
-/// Largest number in a label.
+const NAME_BYTES_LIMIT: usize = 64;
+/// Largest number as the value of a label.
 const LABEL_NUMBER_LIMIT: f64 = 1e9;
 const MICROS_PER_SECOND: f64 = 1e6;
-const THOUSANDTHS: f64 = 1e3;
+const THOUSANDTHS_PER_UNIT: f64 = 1e3;
 
 /// Names of the priorities in a rules file.
 const PRIORITIES: [&str; 4] = ["critical", "high", "standard", "low"];
@@ -37,12 +37,12 @@
 }
 
 impl LabelValue {
-    /// The value of the trait that the label gives a machine.
+    /// The value that the label gives the trait of its name.
     pub(super) fn value(&self) -> Result<Value, LabelProblem> {
         match self {
             LabelValue::Flag(set) => Ok(Value::Flag(*set)),
             LabelValue::Number(number) if (0.0..=LABEL_NUMBER_LIMIT).contains(number) => {
-                let thousandths = (number * THOUSANDTHS).round() as u64;
+                let thousandths = (number * THOUSANDTHS_PER_UNIT).round() as u64;
                 let quantity = Quantity::thousandths(thousandths, Dimension::Plain);
                 Ok(Value::Number(quantity))
             }
@@ -140,18 +140,18 @@
 }
 
 impl Scope {
-    /// Whether it limits a rule to some jobs.
+    /// Whether the scope limits a rule to some jobs.
     pub(super) fn is_limited(&self) -> bool {
         !is_unlimited(self)
     }
 }
 
 impl RuleText {
-    /// Parses the rule. [`Rule::check`] then checks whether its traits are known.
+    /// Parses the rule. It does not check whether its traits are known, which [`Rule::check`] does.
     ///
     /// # Errors
     /// The first field that is invalid.
-    pub fn parse(&self) -> Result<Rule, BadRules> {
+    pub fn parse(&self) -> Result<Rule, RulesError> {
         let fail = |problem| Err(self.error(problem));
         if !self.has_valid_name() {
             return fail(RuleProblem::Name);
@@ -166,7 +166,7 @@
             _ => return fail(RuleProblem::Kind),
         };
         let kind = kind.map_err(|problem| self.error(problem))?;
-        let expr = text.parse().map_err(|source| BadRules::Expression {
+        let expr = text.parse().map_err(|source| RulesError::Expression {
             rule: self.name.clone(),
             source,
         })?;
@@ -178,10 +178,10 @@
         })
     }
 
-    /// An error about this rule. A name that is too long is cut off.
-    pub(super) fn error(&self, problem: RuleProblem) -> BadRules {
-        BadRules::Rule {
-            rule: self.name.chars().take(NAME_LIMIT).collect(),
+    /// An error about this rule. A name that is too long is truncated.
+    pub(super) fn error(&self, problem: RuleProblem) -> RulesError {
+        RulesError::Rule {
+            rule: self.name.chars().take(NAME_BYTES_LIMIT).collect(),
             problem,
         }
     }
@@ -189,7 +189,7 @@
     fn has_valid_name(&self) -> bool {
         let is_allowed =
             |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
-        (1..=NAME_LIMIT).contains(&self.name.len()) && self.name.chars().all(is_allowed)
+        (1..=NAME_BYTES_LIMIT).contains(&self.name.len()) && self.name.chars().all(is_allowed)
     }
 
     fn requirement(&self) -> Result<Kind, RuleProblem> {
@@ -205,7 +205,7 @@
         if !(1..=WEIGHT_LIMIT).contains(&weight) {
             return Err(RuleProblem::Weight);
         }
-        if !(0.0..=WAIT_LIMIT).contains(&wait) {
+        if !(0.0..=WAIT_SECONDS_LIMIT).contains(&wait) {
             return Err(RuleProblem::Wait);
         }
         Ok(Kind::Prefer {
--- a/crates/constraints/src/rules/rule_set.rs
+++ b/crates/constraints/src/rules/rule_set.rs
@@ -2,16 +2,16 @@
 
 use super::file::{LabelTable, RuleText, RulesFile};
 use super::vocabulary::Vocabulary;
-use super::{BadRules, Rule, Subject, check_distinct};
+use super::{Rule, RulesError, Subject, check_distinct};
 use crate::evaluation::Traits;
 use crate::value::Value;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Most rules of one file.
-pub const FILE_LIMIT: usize = 40;
+/// Largest number of rules in one file.
+pub const RULES_PER_FILE_LIMIT: usize = 40;
 
-/// A rules file, parsed and checked. It is serialized as the file.
+/// A rules file, parsed and checked. Its serialized form is that of the file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleSet {
     /// The file.
@@ -20,7 +20,7 @@
     pub rules: Vec<Rule>,
     /// Traits that rules may test.
     pub vocabulary: Vocabulary,
-    /// Identifies this version of the file.
+    /// Hash of the file's content, which identifies this version.
     pub digest: u64,
 }
 
@@ -28,20 +28,20 @@
     /// Parses the text of a rules file.
     ///
     /// # Errors
-    /// The first thing that is wrong, in one line.
-    pub fn parse(text: &[u8]) -> Result<RuleSet, BadRules> {
-        let file: RulesFile =
-            serde_json::from_slice(text).map_err(|error| BadRules::Form(error.to_string()))?;
+    /// The first problem, in one line.
+    pub fn parse(text: &[u8]) -> Result<RuleSet, RulesError> {
+        let file: RulesFile = serde_json::from_slice(text)
+            .map_err(|error| RulesError::Malformed(error.to_string()))?;
         RuleSet::of(file)
     }
 
     /// Parses the rules of a file and checks them.
     ///
     /// # Errors
-    /// The first thing that is wrong, in one line.
-    pub fn of(file: RulesFile) -> Result<RuleSet, BadRules> {
-        if file.rules.len() > FILE_LIMIT {
-            return Err(BadRules::TooManyInFile);
+    /// The first problem, in one line.
+    pub fn of(file: RulesFile) -> Result<RuleSet, RulesError> {
+        if file.rules.len() > RULES_PER_FILE_LIMIT {
+            return Err(RulesError::TooManyInFile);
         }
         let vocabulary = Vocabulary::of(&file.labels)?;
         let rules = file
@@ -51,7 +51,8 @@
             .collect::<Result<Vec<_>, _>>()?;
         check_distinct(&rules)?;
         rules.iter().try_for_each(|rule| rule.check(&vocabulary))?;
-        let text = serde_json::to_vec(&file).map_err(|error| BadRules::Form(error.to_string()))?;
+        let text =
+            serde_json::to_vec(&file).map_err(|error| RulesError::Malformed(error.to_string()))?;
         Ok(RuleSet {
             rules,
             vocabulary,
@@ -65,7 +66,8 @@
         self.rules.iter().filter(|rule| rule.concerns(job))
     }
 
-    /// Adds the labels of a machine of this type and zone to its traits. `machine`: its name, if it has one.
+    /// Adds the labels of a machine of this type and zone to its traits. `machine` is the machine's name, if it has
+    /// one.
     pub fn label(
         &self,
         traits: &mut Traits,
@@ -90,10 +92,10 @@
     }
 }
 
-/// Adds labels to traits: sets are merged, other values do not replace those that are there.
+/// Adds labels to traits: sets of words are merged, other values do not replace existing ones.
 fn add_labels(traits: &mut Traits, labels: &LabelTable) {
     for (name, value) in labels {
-        // Values were checked with the file.
+        // Cannot fail: the values were validated when the file was parsed.
         let Ok(value) = value.value() else { continue };
         match (traits.get_mut(name), value) {
             (Some(Value::Words(all)), Value::Words(more)) => all.extend(more),
--- a/crates/constraints/src/rules/vocabulary.rs
+++ b/crates/constraints/src/rules/vocabulary.rs
@@ -1,13 +1,13 @@
 //! The traits that rules may test.
 
 use super::file::{LabelTable, Labels};
-use super::{BadRules, LabelProblem};
-use crate::expr::{At, Comparison, Expr, Operand, Test};
+use super::{LabelProblem, RulesError};
+use crate::expr::{Comparison, Expr, Operand, Position, Test};
 use crate::parse::ParseError;
 use crate::value::{Dimension, Sort};
 use std::collections::BTreeMap;
 
-/// Traits that every machine has by its type, zone and kind.
+/// Traits that every machine has by its type, its zone and whether it is a spot machine.
 pub const BUILT_IN: [(&str, Sort); 10] = [
     ("type", Sort::Word),
     ("zone", Sort::Word),
@@ -21,8 +21,8 @@
     ("boot", Sort::Number(Dimension::Time)),
 ];
 
-/// Likeness of two names above which one is suggested for the other.
-const SUGGESTION_LIKENESS: f64 = 0.8;
+/// Jaro-Winkler similarity of names above which a known trait is suggested for an unknown one.
+const SUGGESTION_SIMILARITY_THRESHOLD: f64 = 0.8;
 
 /// The traits that rules may test, with their sorts.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,11 +33,11 @@
     ///
     /// # Errors
     /// The first label with an invalid name or value, or with values of different sorts.
-    pub(super) fn of(labels: &Labels) -> Result<Vocabulary, BadRules> {
+    pub(super) fn of(labels: &Labels) -> Result<Vocabulary, RulesError> {
         let mut known: BTreeMap<String, Sort> = BTreeMap::new();
         for table in tables(labels) {
             for (name, value) in table {
-                let fail = |problem| BadRules::Label {
+                let fail = |problem| RulesError::Label {
                     label: name.clone(),
                     problem,
                 };
@@ -53,7 +53,7 @@
         Ok(Vocabulary(known))
     }
 
-    /// The error of a test, if it tests an unknown trait, or a trait of another sort.
+    /// The error of a test that tests an unknown trait, or a trait of another sort; `None` if the test is valid.
     pub(super) fn mismatch(&self, test: &Expr) -> Option<ParseError> {
         let Expr::Trait(name, test, at) = test else {
             return None;
@@ -77,14 +77,15 @@
         })
     }
 
-    fn unknown_trait(&self, name: &str, at: At) -> ParseError {
-        let most_alike = self
+    fn unknown_trait(&self, name: &str, at: Position) -> ParseError {
+        let most_similar = self
             .0
             .keys()
             .map(|known| (strsim::jaro_winkler(known, name), known))
-            .filter(|(likeness, _)| *likeness > SUGGESTION_LIKENESS)
+            .filter(|(similarity, _)| *similarity > SUGGESTION_SIMILARITY_THRESHOLD)
             .max_by(|a, b| a.0.total_cmp(&b.0));
-        let hint = most_alike.map_or(String::new(), |(_, known)| format!("; is `{known}` meant?"));
+        let hint =
+            most_similar.map_or(String::new(), |(_, known)| format!("; is `{known}` meant?"));
         ParseError::at(at, format!("no machine has a trait `{name}`{hint}"))
     }
 }
@@ -117,7 +118,7 @@
     }
 }
 
-/// Whether a test compares words by order, which they do not have.
+/// Whether a test compares words by order. Words have no order.
 fn orders_words(test: &Test) -> bool {
     matches!(
         test,
--- a/crates/constraints/src/value.rs
+++ b/crates/constraints/src/value.rs
@@ -23,7 +23,7 @@
     pub name: &'static str,
     /// What it measures.
     pub dimension: Dimension,
-    /// Its size, in millionths of the base unit of the dimension.
+    /// The size of the unit, in millionths of the base unit of the dimension.
     pub millionths: u128,
 }
 
@@ -102,7 +102,7 @@
     pub unit: Unit,
 }
 
-/// Quantities are equal if they measure the same: 1000 MB is 1 GB.
+/// Quantities are equal if they measure the same, whatever their units: 1000 MB equals 1 GB.
 impl PartialEq for Quantity {
     fn eq(&self, other: &Quantity) -> bool {
         (self.millionths, self.unit.dimension) == (other.millionths, other.unit.dimension)
@@ -126,7 +126,7 @@
 
     /// Parses what the grammar accepts: digits with at most three decimals, and the name of a unit. `None` if the
     /// unit is unknown or the number is too large.
-    pub fn read(number: &str, unit: &str) -> Option<Quantity> {
+    pub fn parse(number: &str, unit: &str) -> Option<Quantity> {
         let unit = UNITS.into_iter().find(|known| known.name == unit)?;
         let (whole, decimals) = number.split_once('.').unwrap_or((number, "0"));
         let decimals: u128 = format!("{decimals:0<3}").parse().ok()?;
@@ -148,8 +148,8 @@
         let thousandths = self.millionths * 1_000 / self.unit.millionths;
         write!(f, "{}", thousandths / 1_000)?;
         if !thousandths.is_multiple_of(1_000) {
-            let part = format!("{:03}", thousandths % 1_000);
-            write!(f, ".{}", part.trim_end_matches('0'))?;
+            let decimals = format!("{:03}", thousandths % 1_000);
+            write!(f, ".{}", decimals.trim_end_matches('0'))?;
         }
         if self.unit.name.is_empty() {
             Ok(())
--- a/crates/constraints/tests/language.rs
+++ b/crates/constraints/tests/language.rs
@@ -1,10 +1,10 @@
-//! Tests of the language: parsing, errors, printing, evaluation by class, and clashes.
+//! Tests of the language: parsing, errors, printing, evaluation by class, and conflicting rules.
 
 use cometlead_constraints::clash::smallest;
 use cometlead_constraints::evaluation::{EmptyMachine, MachineState, Traits};
 use cometlead_constraints::expr::{Comparison, Expr, Field, Operand, Test, Words};
 use cometlead_constraints::parse::{DEPTH_LIMIT, TESTS_LIMIT, TEXT_LIMIT};
-use cometlead_constraints::rules::{RuleSet, RuleText, read_own};
+use cometlead_constraints::rules::{RuleSet, RuleText, parse_job_rules};
 use cometlead_constraints::value::{Quantity, UNITS, Value};
 use proptest::prelude::*;
 
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn texts_beyond_the_limits_are_rejected() {
+fn expressions_beyond_the_limits_are_rejected() {
     let deep = |n: usize| format!("{}spot{}", "(".repeat(n), ")".repeat(n));
     assert!(deep(DEPTH_LIMIT).parse::<Expr>().is_ok());
     assert!(parse_error(&deep(DEPTH_LIMIT + 1)).contains("nested deeper"));
@@ -52,8 +52,11 @@
 #[test]
 fn expressions_hold_by_units_words_and_flags() {
     let traits: Traits = [
-        ("memory", Value::Number(Quantity::read("64", "GB").unwrap())),
-        ("boot", Value::Number(Quantity::read("30", "s").unwrap())),
+        (
+            "memory",
+            Value::Number(Quantity::parse("64", "GB").unwrap()),
+        ),
+        ("boot", Value::Number(Quantity::parse("30", "s").unwrap())),
         ("zone", Value::Word("7-hills".to_owned())),
         (
             "fonts",
@@ -96,8 +99,8 @@
     set.label(&mut traits, "kiosk-box", "merkato", Some("i-000007"));
     assert_eq!(
         traits["floor"],
-        Value::Number(Quantity::read("3", "").unwrap()),
-        "the machine's own counts"
+        Value::Number(Quantity::parse("3", "").unwrap()),
+        "the machine's own label takes precedence"
     );
     assert_eq!(
         traits["fonts"],
@@ -105,11 +108,11 @@
     );
     assert_eq!(traits["exposed"], Value::Flag(true));
     let again: RuleSet = serde_json::from_str(&serde_json::to_string(&set).unwrap()).unwrap();
-    assert_eq!(again, set, "it survives the store, digest included");
+    assert_eq!(again, set, "unchanged by serialization, digest included");
 }
 
 #[test]
-fn errors_name_what_is_wrong_in_a_file() {
+fn rules_file_errors_name_the_rule_or_label_and_the_problem() {
     for (from, to, error) in [
         ("\"rules\":", "\"ruels\":", "unknown field `ruels`"),
         ("\"weight\": 5", "\"weigth\": 5", "unknown field `weigth`"),
@@ -198,12 +201,12 @@
 }
 
 #[test]
-fn own_rules_of_a_job_survive_serialization() {
+fn job_rules_survive_serialization() {
     let texts: Vec<RuleText> = serde_json::from_str(
         r#"[{"name": "a", "require": "not beside lane {masters, \"raw cuts\"}"}, {"name": "b", "prefer": "spot", "weight": 3, "waitS": 1.5}]"#,
     )
     .unwrap();
-    let rules = read_own(&texts).unwrap();
+    let rules = parse_job_rules(&texts).unwrap();
     let text = serde_json::to_string(&rules).unwrap();
     assert_eq!(
         text,
@@ -218,10 +221,10 @@
         ..t.clone()
     });
     assert!(
-        read_own(&scoped.collect::<Vec<_>>()).is_err(),
-        "a job cannot make rules for others"
+        parse_job_rules(&scoped.collect::<Vec<_>>()).is_err(),
+        "a job's own rules cannot have a scope"
     );
-    assert!(read_own(&vec![texts[0].clone(); 13]).is_err());
+    assert!(parse_job_rules(&vec![texts[0].clone(); 13]).is_err());
 }
 
 fn word() -> impl Strategy<Value = String> {
@@ -240,7 +243,7 @@
 
 fn quantity() -> impl Strategy<Value = Quantity> {
     (0..100_000u32, 0..1_000u32, 0..UNITS.len())
-        .prop_map(|(n, part, u)| Quantity::read(&format!("{n}.{part:03}"), UNITS[u].name).unwrap())
+        .prop_map(|(n, part, u)| Quantity::parse(&format!("{n}.{part:03}"), UNITS[u].name).unwrap())
 }
 
 const NAMES: [&str; 4] = ["zone", "fonts", "floor", "exposed"];
@@ -280,10 +283,10 @@
     })
 }
 
-/// A machine whose state is drawn from the bits of a number.
-struct Drawn(u64);
+/// A machine whose state is derived from the bits of a random number.
+struct RandomMachine(u64);
 
-impl MachineState for Drawn {
+impl MachineState for RandomMachine {
     fn has_own_image(&self) -> bool {
         self.0 & 1 == 1
     }
@@ -311,23 +314,27 @@
 
 proptest! {
     #[test]
-    fn printed_expressions_parse_to_themselves(e in expr()) {
+    fn printed_expressions_parse_to_equal_expressions(e in expr()) {
         let text = e.to_string();
         prop_assert_eq!(text.parse::<Expr>().map_err(|x| format!("{text}: {x}")), Ok(e));
     }
 
-    /// A class of equal machines is evaluated once; each of its machines must get the result of its own evaluation.
+    /// An expression is evaluated once for a class of equal machines. Each machine of the class must get the result
+    /// that its own evaluation would give.
     #[test]
     fn evaluation_by_class_equals_evaluation_by_machine(e in expr(), t in traits(), bits in any::<u64>()) {
-        prop_assert_eq!(e.reduce(&t).holds(&Drawn(bits)), e.holds(&t, &Drawn(bits)));
+        prop_assert_eq!(
+            e.reduce(&t).holds(&RandomMachine(bits)),
+            e.holds(&t, &RandomMachine(bits))
+        );
     }
 
-    /// The reported set excludes every place, and no smaller set does.
+    /// The reported set excludes every class, and no smaller set does.
     #[test]
-    fn smallest_clash_excludes_every_place(places in prop::collection::vec(0..256u128, 0..9)) {
-        let excludes_all = |set: u128| places.iter().all(|p| p & set != 0);
-        match smallest(&places) {
-            None => prop_assert!(places.contains(&0)),
+    fn smallest_conflict_excludes_every_class(classes in prop::collection::vec(0..256u128, 0..9)) {
+        let excludes_all = |set: u128| classes.iter().all(|p| p & set != 0);
+        match smallest(&classes) {
+            None => prop_assert!(classes.contains(&0)),
             Some(set) => {
                 prop_assert!(excludes_all(set));
                 prop_assert!((0..256u128).all(|s| s.count_ones() >= set.count_ones() || !excludes_all(s)));
@@ -340,7 +347,7 @@
         let _ = text.parse::<Expr>();
     }
 
-    /// Tokens of the language in any order get further into the parser than arbitrary text.
+    /// Tokens of the language in random order reach more of the parser than arbitrary text does.
     #[test]
     fn arbitrary_tokens_do_not_panic(parts in prop::collection::vec(prop::sample::select(&[
         "(", ")", "{", "}", ",", "\"", "\\", "not", "and", "or", "in", "has", "all", "any", "holds", "own", "beside",
--- a/src/cli/controller.rs
+++ b/src/cli/controller.rs
@@ -48,7 +48,7 @@
     );
     if settings.contact_limit() == Micros::ZERO {
         tracing::error!(
-            "params.workers.cancel_s leaves no time in addition to lease_s: no agent lease can be renewed"
+            "params.workers.cancel_s leaves no time after lease_s: agent leases cannot be renewed"
         );
     }
     let controller =
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -2,7 +2,7 @@
 
 use cometlead::protocol::operator::OperatorSettingsError;
 use cometlead::protocol::settings::SettingsError;
-use cometlead_constraints::BadRules;
+use cometlead_constraints::RulesError;
 use std::io;
 use std::process::ExitCode;
 use thiserror::Error;
@@ -35,7 +35,7 @@
         /// Path of the file.
         path: String,
         /// What is wrong with it.
-        source: BadRules,
+        source: RulesError,
     },
     /// The rules do not fit into a value of the state store.
     #[error("rules: the file takes {bytes} bytes, the state service keeps {limit} in one value")]
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -10,8 +10,8 @@
 use crate::scheduler::constraints::{self, ClassTraits, JobConstraints, clash, subject};
 use crate::storage::ids::MachineId;
 use crate::storage::machine_classes::{Class, Classes};
-use cometlead_constraints::explain::{Verdict, explain};
-use cometlead_constraints::{BadRules, RuleSet, Traits};
+use cometlead_constraints::explain::{Explanation, explain};
+use cometlead_constraints::{RuleSet, RulesError, Traits};
 use input::{Input, Machine};
 use machine_view::{MachineView, NamedJob, excluding_rules};
 use serde::Serialize;
@@ -24,13 +24,13 @@
 pub enum ExplainError {
     /// The rules file is invalid.
     #[error("rules: {0}")]
-    Rules(#[source] BadRules),
+    Rules(#[source] RulesError),
     /// The submission is invalid.
     #[error("job: {0}")]
     Job(#[source] InvalidSubmission),
     /// A rule of the submission tests an unknown trait, or one of another sort.
     #[error("job: {0}")]
-    JobRule(#[source] BadRules),
+    JobRule(#[source] RulesError),
     /// The machines file is not JSON of the right form.
     #[error("machines: {0}")]
     Machines(#[source] serde_json::Error),
@@ -51,9 +51,9 @@
     /// Fields of the submission that exclude the machine, and rules of jobs on it that exclude the job.
     #[serde(rename = "against")]
     pub against: Vec<String>,
-    /// Result of each rule.
+    /// Results of the rules.
     #[serde(rename = "verdict")]
-    pub verdict: Verdict,
+    pub verdict: Explanation,
 }
 
 /// Explanation for all machines.
--- a/src/explain/machine_view.rs
+++ b/src/explain/machine_view.rs
@@ -58,18 +58,18 @@
     /// The machine as seen by the rules of a job on it, given by its index, once the candidate is placed there too.
     fn for_colocated_job(
         machine: &'a Machine,
-        colocated_job: usize,
+        job_index: usize,
         candidate: NamedJob<'a>,
     ) -> MachineView<'a> {
         let others = machine
             .jobs
             .iter()
             .enumerate()
-            .filter(|(index, _)| *index != colocated_job)
+            .filter(|(index, _)| *index != job_index)
             .map(|(_, other)| NamedJob::of(other));
         MachineView {
             machine,
-            image: &machine.jobs[colocated_job].image,
+            image: &machine.jobs[job_index].image,
             colocated: others.chain([candidate]).collect(),
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! cometlead: a shared-state cluster scheduler.
 //!
 //! A few identical controllers plan on a full replica of the cluster's state and commit their decisions to a small
-//! consistent state store, with a revision check on every record that a transaction changes. `docs/architecture.md` gives
-//! an overview; `docs/glossary.md` explains the terms.
+//! consistent state store, with a revision check on every record that a transaction changes. `docs/architecture.md`
+//! gives an overview; `docs/glossary.md` explains the terms.
 //!
 //! The layers, from the outside in:
 //!
--- a/src/protocol/settings/mod.rs
+++ b/src/protocol/settings/mod.rs
@@ -197,12 +197,12 @@
         (self.ram_mb * 1e6 / MEMORY_DIVISOR).clamp(MIN_BYTES, MAX_BYTES) as usize
     }
 
-    /// How long after the last contact with the state store the leases of agents may still be renewed; zero if no lease can
-    /// ever be renewed.
+    /// How long after the last contact with the state store the leases of agents may still be renewed; zero if no lease
+    /// can ever be renewed.
     ///
     /// A job may be cancelled right after the last contact, and an agent whose lease is renewed at the end of this time
     /// keeps its tasks for the duration of a whole lease. Both durations together must stay within the time for
-    /// cancellations; the result is zero if the lease alone takes all of that time.
+    /// cancellations. The result is zero where that leaves no time.
     pub fn contact_limit(&self) -> Micros {
         const CANCELLATION_MARGIN: Micros = Micros::millis(1_500);
         self.cancel - self.lease.with_drift() - CANCELLATION_MARGIN
--- a/src/protocol/settings/validation.rs
+++ b/src/protocol/settings/validation.rs
@@ -12,8 +12,8 @@
 const NAME_BYTES_LIMIT: usize = 100;
 /// Smallest number of sockets that a controller can work with.
 const MIN_CONNECTIONS: u64 = 32;
-/// Smallest limit of the changes in a transaction: the end of a task writes its machine group, its team's usage, its job
-/// and the job's final record.
+/// Smallest limit of the changes in a transaction: the end of a task writes its machine group, its team's usage, its
+/// job and the job's final record.
 const MIN_TXN_OPS: u64 = 4;
 /// Smallest announced limit of a value's size, in bytes: a job's record has to fit, with the first chunk of its
 /// completion bitmap.
@@ -185,7 +185,8 @@
     Ok(Micros::from_secs_f64(milliseconds / 1e3))
 }
 
-/// The objective; `None` if its form is unknown. Skipping it is safe, since objectives only influence the order of work.
+/// The objective; `None` if its form is unknown. Skipping it is safe, since objectives only influence the order of
+/// work.
 fn objective(value: serde_json::Value) -> Option<Objective> {
     let entry: ObjectiveEntry = serde_json::from_value(value).ok()?;
     let within = entry
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -27,8 +27,8 @@
     /// 429: rejected by the rate limit, without taking effect.
     #[error("too many requests")]
     RateLimited,
-    /// The response is larger than the limit and was not read. For a transaction this is as if there were no response: it
-    /// is unknown whether it took effect.
+    /// The response is larger than the limit for reading it. As without a response, it is unknown whether a transaction
+    /// took effect.
     #[error("the answer is too large")]
     ResponseTooLarge,
     /// 400: rejected as invalid, without taking effect.
--- a/src/protocol/state/response.rs
+++ b/src/protocol/state/response.rs
@@ -236,7 +236,7 @@
         Key::Usage(_) => Content::Usage(record(value)?),
         Key::Job(_) => Content::Job(record(value)?),
         Key::Chunk(..) => Content::Chunk(record(value)?),
-        // A key with malformed rules is kept with an empty content, so that the rules do not count as absent.
+        // A key with malformed rules still exists: its content is `None`, so that the rules do not count as absent.
         Key::Rules(_) => Content::Rules(record(value).map(Arc::new)),
         Key::Final(_) => return None,
     })
--- a/src/protocol/state/tests.rs
+++ b/src/protocol/state/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::storage::cell_state::{CellChanges, CellState};
 
-/// Only changes of groups may be skipped: if the record that is marked as cancelled were skipped, the replica would take
-/// the job for completed.
+/// Only changes of groups may be skipped: if the record that is marked as cancelled were skipped, the replica would
+/// take the job for completed.
 #[test]
 fn changes_response_decodes_last_change_of_each_group_and_every_change_of_a_job() {
     let spec = serde_json::json!({"nameId": "req-000007", "lane": "x", "crew": "free", "shape": "sweep",
--- a/src/protocol/user.rs
+++ b/src/protocol/user.rs
@@ -4,7 +4,7 @@
 use crate::storage::job::{JobSpec, Priority};
 use crate::storage::resources::{Amount, taken};
 use crate::time::Micros;
-use cometlead_constraints::rules::{BadRules, RuleText, read_own};
+use cometlead_constraints::rules::{RuleText, RulesError, parse_job_rules};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::collections::BTreeSet;
@@ -31,7 +31,7 @@
     Field(&'static str),
     /// The job's placement rules are invalid.
     #[error("rules: {0}")]
-    Rules(#[from] BadRules),
+    Rules(#[from] RulesError),
 }
 
 #[derive(Deserialize)]
@@ -87,7 +87,7 @@
 /// # Errors
 /// [`InvalidSubmission`] with the first field that is invalid.
 pub fn parse_submission(body: &[u8]) -> Result<(JobId, JobSpec), InvalidSubmission> {
-    if !is_json_object(body) {
+    if !starts_json_object(body) {
         return Err(InvalidSubmission::Malformed("not a JSON object".to_owned()));
     }
     let submission: Submission = serde_json::from_slice(body)
@@ -99,8 +99,9 @@
     Ok((id, submission.into_spec()?))
 }
 
-/// Whether the body is a JSON object. Serde would also accept a JSON array, with the fields in their order.
-fn is_json_object(body: &[u8]) -> bool {
+/// Whether the body starts like a JSON object. Without this check, serde would also accept a JSON array that has the
+/// fields in their order.
+fn starts_json_object(body: &[u8]) -> bool {
     body.iter().find(|byte| !byte.is_ascii_whitespace()) == Some(&b'{')
 }
 
@@ -109,7 +110,7 @@
     fn into_spec(self) -> Result<JobSpec, InvalidSubmission> {
         let task_count = parse_task_count(self.task_count)?;
         let dependencies = parse_dependencies(&self.dependencies.unwrap_or_default())?;
-        let rules = read_own(&self.rules.unwrap_or_default())?;
+        let rules = parse_job_rules(&self.rules.unwrap_or_default())?;
         let job_class = parse_text("lane", self.job_class)?;
         let team = parse_text("crew", self.team)?;
         let shape = Shape::parse(&self.shape)?;
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -15,8 +15,8 @@
 use thiserror::Error;
 use tokio::sync::Semaphore;
 
-/// How long an idle connection is kept open. After a failover that leaves one controller leading all shards, it keeps one
-/// connection to each agent that it sends commands to, in addition to the connection on which the agent sends its
+/// How long an idle connection is kept open. After a failover that leaves one controller leading all shards, it keeps
+/// one connection to each agent that it sends commands to, in addition to the connection on which the agent sends its
 /// heartbeats.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -102,8 +102,8 @@
 }
 
 impl HttpClient {
-    /// A client that makes at most `calls` calls at a time, keeps at most `max_idle` idle connections to agents and reads
-    /// bodies of at most `body_limit` bytes.
+    /// A client that makes at most `calls` calls at a time, keeps at most `max_idle` idle connections to agents and
+    /// reads bodies of at most `body_limit` bytes.
     pub fn new(calls: usize, max_idle: usize, body_limit: usize) -> HttpClient {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
--- a/src/transport/clock.rs
+++ b/src/transport/clock.rs
@@ -4,7 +4,7 @@
 use crate::time::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Latest steady time for which an instant is computed, in microseconds. One year is practically never, and the sum
+/// Latest monotonic time for which an instant is computed, in microseconds. One year is practically never, and the sum
 /// cannot overflow.
 const MAX_INSTANT_MICROS: u64 = 365 * 86_400_000_000;
 
--- a/src/transport/node.rs
+++ b/src/transport/node.rs
@@ -240,8 +240,8 @@
     }
 }
 
-/// Parses an agent's response to commands: whether it carried them out (200) or rejected them (409), and the heartbeat in
-/// the body. With any other status the agent has not carried them out either, and says nothing about its tasks.
+/// Parses an agent's response to commands: whether it carried them out (200) or rejected them (409), and the heartbeat
+/// in the body. With any other status the agent has not carried them out either, and says nothing about its tasks.
 fn parse_command_response(status: u16, body: &[u8]) -> Option<(bool, Heartbeat)> {
     let carried_out = match status {
         200 => true,
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -70,8 +70,8 @@
     loop {
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         if let Ok(Ok(stream)) = connected {
-            // Without this option the delay of small packets (Nagle's algorithm) would hold hints back. A failure to set it
-            // has no other effect.
+            // Without this option the delay of small packets (Nagle's algorithm) would hold hints back. A failure to
+            // set it has no other effect.
             let _ = stream.set_nodelay(true);
             send_hints_on(framed(stream), &mut hints).await;
         }
@@ -82,8 +82,8 @@
 /// Sends hints on one connection until it ends.
 async fn send_hints_on(mut frames: Frames, hints: &mut watch::Receiver<Option<PeerHint>>) {
     loop {
-        // The peer sends nothing on this connection, but only a read shows that it has closed it. Without the read, this
-        // process would, after a long stall, write to a connection that the peer has closed in the meantime.
+        // The peer sends nothing on this connection, but only a read shows that it has closed it. Without the read,
+        // this process would, after a long stall, write to a connection that the peer has closed in the meantime.
         tokio::select! {
             changed = hints.changed() => if changed.is_err() { return },
             _ = frames.next() => return,
--- a/src/transport/server/mod.rs
+++ b/src/transport/server/mod.rs
@@ -131,8 +131,8 @@
         write_user_response(response, decided);
     }
 
-    /// Decides on an invalid submission. If its body names a job, the controller decides: a retry with an invalid body does
-    /// not undo a submission that was accepted before.
+    /// Decides on an invalid submission. If its body names a job, the controller decides: a retry with an invalid body
+    /// does not undo a submission that was accepted before.
     async fn reject_submission(&self, body: &[u8], error: &InvalidSubmission) -> UserResponse {
         let why: Cow<'static, str> = match error {
             InvalidSubmission::Field(field) => (*field).into(),
