--- a/src/cli/controller.rs
+++ b/src/cli/controller.rs
@@ -2,7 +2,7 @@
 
 use super::config::Config;
 use super::error::CliError;
-use super::{print_line, runtime, start_log};
+use super::{init_logging, print_line, runtime};
 use cometlead::coordination::Controller;
 use cometlead::coordination::api::connections::SocketPlan;
 use cometlead::protocol::operator::OperatorSettings;
@@ -34,7 +34,7 @@
 pub fn run(deploy_path: Option<&str>, operator_path: Option<&str>) -> Result<ExitCode, CliError> {
     let config = Config::load(deploy_path, operator_path)?;
     let settings = config.settings.ok_or(CliError::MissingConfig)?;
-    start_log();
+    init_logging();
     runtime()?.block_on(serve(Arc::new(settings), config.operator, config.rules));
     Ok(ExitCode::SUCCESS)
 }
@@ -60,7 +60,7 @@
 
 /// Starts the server for users and agents, and the links to and from all peers.
 fn spawn_listeners(node: &Arc<Node>, settings: &Settings) {
-    let sockets = SocketPlan::new(settings.connections, settings.others.len());
+    let sockets = SocketPlan::new(settings.max_connections, settings.others.len());
     tokio::spawn(server::serve(
         Arc::clone(node),
         settings.bind,
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -48,7 +48,7 @@
 }
 
 /// Starts logging to standard error, at the level of the environment variable `LOG_LEVEL`.
-fn start_log() {
+fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => LevelFilter::DEBUG,
         Ok("error") => LevelFilter::ERROR,
--- a/src/cli/queues.rs
+++ b/src/cli/queues.rs
@@ -3,7 +3,7 @@
 use super::args::QueuesCommand;
 use super::config::{folder_of, read};
 use super::error::CliError;
-use super::{print_line, runtime, start_log};
+use super::{init_logging, print_line, runtime};
 use cometlead_queues::runtime::QueueService;
 use cometlead_queues::settings::QueueSettings;
 use std::process::ExitCode;
@@ -23,7 +23,7 @@
         print_line("ok");
         return Ok(ExitCode::SUCCESS);
     }
-    start_log();
+    init_logging();
     runtime()?.block_on(serve(queues))?;
     Ok(ExitCode::SUCCESS)
 }
--- a/src/protocol/settings/mod.rs
+++ b/src/protocol/settings/mod.rs
@@ -121,9 +121,9 @@
     /// The other controllers.
     pub others: Vec<Peer>,
     /// Address of the cloud's API.
-    pub cloud: SocketAddrV4,
+    pub cloud_address: SocketAddrV4,
     /// Address of the state store.
-    pub state: SocketAddrV4,
+    pub state_store_address: SocketAddrV4,
     /// Teams that may submit jobs.
     pub teams: Vec<Team>,
     /// Service-level objectives.
@@ -149,7 +149,7 @@
     /// Memory that the process may use, in MB.
     pub ram_mb: f64,
     /// Largest number of sockets that the process may have open.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Largest error of the time of day.
     pub clock_error: Micros,
 }
--- a/src/protocol/settings/validation.rs
+++ b/src/protocol/settings/validation.rs
@@ -31,7 +31,7 @@
         let others = file.peers.into_iter().map(peer).collect::<Result<_, _>>()?;
         let limits = state_limits("params.state", &params.state)?;
         let next_limits = next_state_limits(&params.state, limits)?;
-        let connections = connections(params.quota.max_connections)?;
+        let max_connections = connections(params.quota.max_connections)?;
         let clock_error = clock_error(params.clock_error_ms)?;
         Ok(Settings {
             node: name("node", file.node)?,
@@ -39,8 +39,8 @@
             bind: address("bind", &file.bind)?,
             peer_bind: address("back", &file.peer_bind)?,
             others,
-            cloud: address("outside.cloud", &file.services.cloud)?,
-            state: address("outside.state", &file.services.state)?,
+            cloud_address: address("outside.cloud", &file.services.cloud)?,
+            state_store_address: address("outside.state", &file.services.state)?,
             teams,
             objectives: params
                 .objectives
@@ -60,7 +60,7 @@
             list_lag: duration("params.cloud.list_lag_s", params.cloud.list_lag_s)?,
             core_share: positive("params.quota.core_share", params.quota.core_share)?,
             ram_mb: positive("params.quota.ram_mb", params.quota.ram_mb)?,
-            connections,
+            max_connections,
             clock_error,
         })
     }
--- a/src/transport/node.rs
+++ b/src/transport/node.rs
@@ -48,16 +48,16 @@
     client: HttpClient,
     clock: Clock,
     /// Address of the cloud's API.
-    cloud: String,
+    cloud_address: String,
     /// Address of the state store.
-    state: String,
+    state_store_address: String,
     hints: watch::Sender<Option<PeerHint>>,
 }
 
 impl Node {
     /// Creates the node of a controller; [`Node::run`] drives its timers.
     pub fn new(controller: Controller, settings: &Settings) -> Arc<Node> {
-        let sockets = SocketPlan::new(settings.connections, settings.others.len());
+        let sockets = SocketPlan::new(settings.max_connections, settings.others.len());
         Arc::new(Node {
             inner: Mutex::new(Inner {
                 controller,
@@ -67,8 +67,8 @@
             wake_changed: Notify::new(),
             client: HttpClient::new(sockets.calls, sockets.kept_calls, settings.body_limit()),
             clock: Clock::start(),
-            cloud: settings.cloud.to_string(),
-            state: settings.state.to_string(),
+            cloud_address: settings.cloud_address.to_string(),
+            state_store_address: settings.state_store_address.to_string(),
             hints: watch::Sender::new(None),
         })
     }
@@ -191,7 +191,7 @@
         let (method, path, body) = state::http(&request);
         let response = self
             .client
-            .call(&self.state, method, &path, body, timeout)
+            .call(&self.state_store_address, method, &path, body, timeout)
             .await;
         let result = match response {
             Ok((status, body)) => state::parse(&request, status, &body),
@@ -205,7 +205,7 @@
         let (method, path, body) = cloud::http(&request);
         let response = self
             .client
-            .call(&self.cloud, method, &path, body, timeout)
+            .call(&self.cloud_address, method, &path, body, timeout)
             .await;
         let result = match response {
             Ok((status, body)) => cloud::parse(&request, status, &body),
