--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -34,12 +34,12 @@
     }
 }
 
-/// Prints a line to standard output. That its reader is gone is no error.
+/// Prints a line to standard output. A reader that has closed it is not an error.
 fn print_line(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
-/// A runtime on the current thread.
+/// Creates an asynchronous runtime on the current thread.
 fn runtime() -> Result<tokio::runtime::Runtime, CliError> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -48,7 +48,7 @@
 }
 
 /// Starts logging to standard error, at the level of the environment variable `LOG_LEVEL`.
-fn start_log() {
+fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => LevelFilter::DEBUG,
         Ok("error") => LevelFilter::ERROR,
