--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,6 +1,6 @@
 //! Digests of all decisions of all controllers, for changes that must not change any. Not part of CI.
 
-mod days;
+mod random_scenarios;
 #[allow(dead_code)]
 mod runner;
 
@@ -34,7 +34,7 @@
 fn sweep() -> Vec<(String, Script)> {
     (0..=6)
         .flat_map(|kind| kind * 1000 + 1..=kind * 1000 + if kind == 6 { 60 } else { 40 })
-        .map(|seed| (format!("seed-{seed:04}"), days::drawn(seed)))
+        .map(|seed| (format!("seed-{seed:04}"), random_scenarios::drawn(seed)))
         .collect()
 }
 
--- a/tests/sets.rs
+++ b/tests/gangs.rs
@@ -164,13 +164,13 @@
     let mut world = World::new(script);
     world.run();
     let name = format!("{}, seed {seed}, {controllers} controllers", case.name);
-    let waited_for = world.check.first_start.range(..SMALL_JOBS_FROM);
+    let waited_for = world.checker.first_start.range(..SMALL_JOBS_FROM);
     let starts: Vec<String> = waited_for
         .map(|(job, at)| format!("req-{job:06} began at {} s", at / 1_000_000))
         .collect();
     println!("{name}: {}", starts.join(", "));
     world
-        .verdict()
+        .failures()
         .iter()
         // There is more work than room, so small jobs queue for longer than the 90 s that hold beside free room.
         .filter(|failure| !failure.contains("left_waiting"))
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -105,7 +105,7 @@
                 at 22 submit req-000005 pieces=40 cores=2 run=300 urgency=high\n";
     let mut world = World::new(Script::parse(text).unwrap());
     world.run();
-    assert!(world.verdict().is_empty(), "{:?}", world.verdict());
+    assert!(world.failures().is_empty(), "{:?}", world.failures());
     let mut read = 0;
     for prefix in ["c/", "final/"] {
         for (key, value) in world.state.values(prefix) {
--- a/tests/runner/looks.rs
+++ b/tests/runner/adversarial.rs
@@ -1,13 +1,13 @@
 //! Users that look closely, cancel at the worst moment and ask for odd things; answers that are lost, and copies of
 //! reports that are kept for the next owner.
 
-use super::{Happening, Message, World};
+use super::{Message, SimEvent, World};
 use cometlead::protocol::state::{StateRequest, Transaction};
 use cometlead::storage::records::Key;
 use serde_json::{Value, json};
 
 /// What a transaction is for, as scenarios name it.
-fn kind_of(txn: &Transaction) -> &'static str {
+fn transaction_kind(txn: &Transaction) -> &'static str {
     let writes = |of: fn(&Key) -> bool| txn.changes.iter().any(|p| of(&p.key));
     let mod_revision = |key: &Key| {
         txn.when
@@ -48,51 +48,51 @@
 
 impl World {
     /// Counts what was played, for expectations that it was.
-    pub(super) fn count(&mut self, what: &'static str) {
-        *self.played.entry(what).or_default() += 1;
+    pub(super) fn count_fault(&mut self, what: &'static str) {
+        *self.fault_counts.entry(what).or_default() += 1;
     }
 
     /// Whether the answer to a transaction is lost, though it is carried out.
-    pub(super) fn loses_answer(&mut self, request: &StateRequest) -> bool {
+    pub(super) fn loses_response(&mut self, request: &StateRequest) -> bool {
         let StateRequest::Transaction(txn) = request else {
             return false;
         };
-        let (now, kind) = (self.now, kind_of(txn));
+        let (now, kind) = (self.now, transaction_kind(txn));
         let concerned = |of: &Option<String>| of.as_ref().is_none_or(|of| of == kind);
         let of_kind = self
-            .lost_answers
+            .lost_responses
             .iter()
             .filter(|(_, until, of)| now < *until && concerned(of));
         let share = of_kind.map(|(share, ..)| *share).fold(0.0, f64::max);
-        let lost = share > 0.0 && self.dice() < share;
+        let lost = share > 0.0 && self.random_fraction() < share;
         if lost {
-            self.count("answers");
-            self.count(kind);
+            self.count_fault("answers");
+            self.count_fault(kind);
         }
         lost
     }
 
     /// A report is sent: a copy of it may be kept.
-    pub(super) fn keep_copy(&mut self, report: &Message) {
+    pub(super) fn keep_heartbeat_copy(&mut self, report: &Message) {
         let now = self.now;
-        let keeping: Vec<(f64, bool)> = self
-            .keeping
+        let heartbeat_copy_windows: Vec<(f64, bool)> = self
+            .heartbeat_copy_windows
             .iter()
             .filter(|(_, until, _)| now < *until)
             .map(|(share, _, all)| (*share, *all))
             .collect();
-        for (share, all) in keeping {
-            if self.dice() < share {
-                self.kept_reports.push((all, report.clone()));
+        for (share, all) in heartbeat_copy_windows {
+            if self.random_fraction() < share {
+                self.kept_heartbeats.push((all, report.clone()));
             }
         }
     }
 
     /// A controller took slices over: the copies that were kept arrive there, or at every controller, within a second, and
     /// once more within ten. The oldest come first.
-    pub(super) fn deliver_copies(&mut self, owner: usize) {
+    pub(super) fn deliver_heartbeat_copies(&mut self, owner: usize) {
         const MOST: usize = 400;
-        let kept = std::mem::take(&mut self.kept_reports);
+        let kept = std::mem::take(&mut self.kept_heartbeats);
         let from = kept.len().saturating_sub(MOST);
         for (all, message) in kept.into_iter().skip(from) {
             let Message::Heartbeat {
@@ -106,22 +106,22 @@
             };
             for node in (0..self.script.nodes).filter(|n| all || *n == owner) {
                 for span in [1e6, 1e7] {
-                    self.count("copies");
-                    let at = self.now + (self.dice() * span) as u64;
+                    self.count_fault("copies");
+                    let at = self.now + (self.random_fraction() * span) as u64;
                     let copy = Message::Heartbeat {
                         machine,
                         node,
                         sent,
                         body: body.clone(),
                     };
-                    self.at(at, Happening::Deliver(Box::new(copy)));
+                    self.schedule(at, SimEvent::Deliver(Box::new(copy)));
                 }
             }
         }
     }
 
     /// The largest of some shares that hold now.
-    pub(super) fn share_of(&self, of: &[(f64, u64)]) -> Option<f64> {
+    pub(super) fn active_share(&self, of: &[(f64, u64)]) -> Option<f64> {
         of.iter()
             .filter(|(_, until)| self.now < *until)
             .map(|(share, _)| *share)
@@ -129,22 +129,23 @@
     }
 
     /// Something may have become known of a job: users ask at all nodes, several times, and repeat the submission.
-    pub(super) fn look_closely(&mut self, job: u64) {
-        let (Some(aborts), Some(told)) =
-            (self.share_of(&self.close_looks), self.check.last_told(job))
-        else {
+    pub(super) fn burst_after_state_change(&mut self, job: u64) {
+        let (Some(abort_share), Some(state)) = (
+            self.active_share(&self.query_bursts),
+            self.checker.last_reported_state(job),
+        ) else {
             return;
         };
-        if self.looked.insert(job, told) == Some(told) {
+        if self.last_burst_state.insert(job, state) == Some(state) {
             return;
         }
-        self.count("looks");
-        self.looks(job);
-        if told == "live" && self.dice() < aborts {
-            let at = self.now + (self.dice() * 2e6) as u64;
-            self.at(
+        self.count_fault("looks");
+        self.send_burst(job);
+        if state == "live" && self.random_fraction() < abort_share {
+            let at = self.now + (self.random_fraction() * 2e6) as u64;
+            self.schedule(
                 at,
-                Happening::Look {
+                SimEvent::ExtraRequest {
                     job,
                     kind: "abort",
                     node: None,
@@ -153,7 +154,7 @@
         }
     }
 
-    fn looks(&mut self, job: u64) {
+    fn send_burst(&mut self, job: u64) {
         for node in 0..self.script.nodes {
             for (kind, span) in [
                 ("query", 3e3),
@@ -161,10 +162,10 @@
                 ("query", 1.5e5),
                 ("submit", 1e6),
             ] {
-                let at = self.now + (self.dice() * span) as u64;
-                self.at(
+                let at = self.now + (self.random_fraction() * span) as u64;
+                self.schedule(
                     at,
-                    Happening::Look {
+                    SimEvent::ExtraRequest {
                         job,
                         kind,
                         node: Some(node),
@@ -175,37 +176,41 @@
     }
 
     /// One such request. A cancellation goes on until it is answered.
-    pub(super) fn look(&mut self, job: u64, kind: &'static str, node: Option<usize>) {
+    pub(super) fn send_extra_request(&mut self, job: u64, kind: &'static str, node: Option<usize>) {
         if node.is_some_and(|n| self.nodes[n].is_none()) {
             return;
         }
         match kind {
             "abort" => {
-                self.check.asks_abort(job);
-                self.user(job, kind, Vec::new(), node);
+                self.checker.record_abort_request(job);
+                self.send_with_retries(job, kind, Vec::new(), node);
             }
             "submit" => {
-                let body = self.bodies.get(&job).cloned().unwrap_or_default();
-                self.once(job, kind, body, node);
+                let body = self
+                    .submission_bodies
+                    .get(&job)
+                    .cloned()
+                    .unwrap_or_default();
+                self.send_once(job, kind, body, node);
             }
-            _ => self.once(job, kind, Vec::new(), node),
+            _ => self.send_once(job, kind, Vec::new(), node),
         }
     }
 
     /// A task has ended well; if it was its job's last, users may look, and cancel.
-    pub(super) fn at_end(&mut self, job: u64) {
-        if !self.check.all_ran(job) {
+    pub(super) fn handle_task_completed(&mut self, job: u64) {
+        if !self.checker.all_tasks_completed(job) {
             return;
         }
-        if self.share_of(&self.close_looks).is_some() {
-            self.looks(job);
+        if self.active_share(&self.query_bursts).is_some() {
+            self.send_burst(job);
         }
-        if self.drawn(|w| &w.cancel_at_end) {
-            self.count("at-end");
-            let at = self.now + (self.dice() * 4e5) as u64;
-            self.at(
+        if self.draws_fault(|w| &w.cancel_at_end) {
+            self.count_fault("at-end");
+            let at = self.now + (self.random_fraction() * 4e5) as u64;
+            self.schedule(
                 at,
-                Happening::Look {
+                SimEvent::ExtraRequest {
                     job,
                     kind: "abort",
                     node: None,
@@ -215,22 +220,22 @@
     }
 
     /// Users call off jobs that run, and some of their machines hang.
-    pub(super) fn cancel_now(&mut self, count: usize, hang: u64) {
+    pub(super) fn cancel_running_jobs(&mut self, count: usize, hang: u64) {
         const HANGING: usize = 8;
         let mut jobs: Vec<(u64, Vec<u64>)> = self
-            .check
-            .running()
+            .checker
+            .machines_of_running_jobs()
             .into_iter()
-            .filter(|(j, _)| self.check.last_told(*j) == Some("live"))
+            .filter(|(j, _)| self.checker.last_reported_state(*j) == Some("live"))
             .collect();
         let mut machines = Vec::new();
         for _ in 0..count.min(jobs.len()) {
-            let (job, on) = jobs.swap_remove((self.dice() * jobs.len() as f64) as usize);
-            let at = self.now + (self.dice() * 2e5) as u64;
-            self.count("cancelled");
-            self.at(
+            let (job, on) = jobs.swap_remove((self.random_fraction() * jobs.len() as f64) as usize);
+            let at = self.now + (self.random_fraction() * 2e5) as u64;
+            self.count_fault("cancelled");
+            self.schedule(
                 at,
-                Happening::Look {
+                SimEvent::ExtraRequest {
                     job,
                     kind: "abort",
                     node: None,
@@ -244,51 +249,55 @@
             .into_iter()
             .take(if hang > 0 { HANGING } else { 0 })
         {
-            self.hang(m, hang);
+            self.hang_machine(m, hang);
         }
     }
 
     /// One odd request: a repeated submission, a cancellation of what is done, or what can never be accepted.
-    pub(super) fn odd(&mut self, until: u64) {
-        self.count("odd");
+    pub(super) fn send_unusual_request(&mut self, until: u64) {
+        self.count_fault("odd");
         let jobs: Vec<u64> = self
-            .check
-            .asked
+            .checker
+            .job_requests
             .keys()
             .copied()
-            .filter(|j| self.check.is_accepted(*j))
+            .filter(|j| self.checker.is_accepted(*j))
             .collect();
         let done = jobs
             .iter()
             .copied()
-            .filter(|j| self.check.is_done(*j))
+            .filter(|j| self.checker.is_done(*j))
             .collect::<Vec<_>>();
-        let pick = (self.dice() * 1e6) as usize;
-        match (self.dice() * 6.0) as u64 {
-            0 | 1 if !jobs.is_empty() => self.look(jobs[pick % jobs.len()], "submit", None),
+        let pick = (self.random_fraction() * 1e6) as usize;
+        match (self.random_fraction() * 6.0) as u64 {
+            0 | 1 if !jobs.is_empty() => {
+                self.send_extra_request(jobs[pick % jobs.len()], "submit", None)
+            }
             // Nobody asked to cancel it while it ran: it must stay done.
-            2 if !done.is_empty() => self.once(done[pick % done.len()], "abort", Vec::new(), None),
+            2 if !done.is_empty() => {
+                self.send_once(done[pick % done.len()], "abort", Vec::new(), None)
+            }
             kind => {
-                let job = self.next_odd;
-                self.next_odd += 1;
-                self.check.bad.insert(job);
+                let job = self.next_invalid_job;
+                self.next_invalid_job += 1;
+                self.checker.invalid_jobs.insert(job);
                 match kind {
-                    3 => self.once(job, ["query", "abort"][pick % 2], Vec::new(), None),
+                    3 => self.send_once(job, ["query", "abort"][pick % 2], Vec::new(), None),
                     _ => {
-                        let body = odd_body(job, pick);
-                        self.once(job, "submit", body, None);
+                        let body = invalid_submission_body(job, pick);
+                        self.send_once(job, "submit", body, None);
                     }
                 }
             }
         }
         if self.now < until {
-            self.at(self.now + 300_000, Happening::Odd(until));
+            self.schedule(self.now + 300_000, SimEvent::UnusualRequest(until));
         }
     }
 }
 
 /// A submission that must be refused.
-fn odd_body(job: u64, pick: usize) -> Vec<u8> {
+fn invalid_submission_body(job: u64, pick: usize) -> Vec<u8> {
     const FIELDS: [&str; 15] = [
         "lane",
         "crew",
--- /dev/null
+++ b/tests/runner/invariants.rs
@@ -0,0 +1,552 @@
+//! Judges what workers do and what users are told, by the protocol's rules alone.
+
+use super::placement_rules::PlacementRuleChecker;
+use super::worker::{Deed, Task, task_name};
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What a user asked for, as far as the rules need it.
+#[derive(Clone, Debug)]
+pub struct JobRequest {
+    pub dependencies: Vec<u64>,
+    pub team: String,
+    pub job_class: String,
+    pub cores: f64,
+    pub task_count: u32,
+    pub machine_types: Option<Vec<String>>,
+    pub zone: Option<String>,
+    pub spot_allowed: bool,
+    pub single_zone: bool,
+    pub anti_affinity: bool,
+    pub image: String,
+    pub priority: String,
+    /// Rules that it brought.
+    pub own_rules: Option<Value>,
+}
+
+#[derive(Clone, Debug)]
+pub struct MachineInfo {
+    pub machine_type: String,
+    pub zone: String,
+    pub spot: bool,
+}
+
+#[derive(Default)]
+pub struct InvariantChecker {
+    pub violations: Vec<String>,
+    pub job_requests: BTreeMap<u64, JobRequest>,
+    pub team_limits: BTreeMap<String, f64>,
+    /// Limits of a later deploy file; they count once what was booked before has run.
+    pub next_team_limits: BTreeMap<String, f64>,
+    cancel: u64,
+    machine_of: BTreeMap<Task, u64>,
+    /// The same by machine.
+    tasks_on: BTreeMap<u64, BTreeSet<Task>>,
+    completed_tasks: BTreeMap<u64, BTreeSet<u32>>,
+    accepted_at: BTreeMap<u64, u64>,
+    reported_state: BTreeMap<u64, (&'static str, u64)>,
+    cancellation_reported_at: BTreeMap<u64, u64>,
+    abort_requests: BTreeSet<u64>,
+    completion_reported_at: BTreeMap<u64, u64>,
+    /// When jobs were first submitted, and how long their tasks waited for their first start.
+    pub submitted_at: BTreeMap<u64, u64>,
+    pub start_delays: BTreeMap<Task, u64>,
+    pub start_counts: BTreeMap<u64, u64>,
+    /// When a job's first task started, and when the last one was done.
+    pub first_start: BTreeMap<u64, u64>,
+    last_end: BTreeMap<u64, u64>,
+    /// Since when all polls for a job have failed, how many polls there had been by then and how many were answered, and how
+    /// many of those since then were its own.
+    failing_polls: BTreeMap<u64, (u64, (u64, u64), u64)>,
+    /// When the last trouble is over, and when a question about a job was last answered.
+    pub last_fault_end: u64,
+    last_answered_at: BTreeMap<u64, u64>,
+    /// Submissions that can never run or lack a field.
+    pub invalid_jobs: BTreeSet<u64>,
+    /// Tasks that started after their users were told that their jobs are cancelled.
+    pub starts_after_cancellation: u64,
+    /// Since when a job has waited although a machine fits and its team has room, and how many of its tasks had started.
+    waiting_with_room: BTreeMap<u64, (u64, u64)>,
+    /// The least time that was left when a task of a cancelled job was gone.
+    pub cancel_margin: Option<u64>,
+    pub polls: (u64, u64),
+    pub started_tasks: u64,
+    /// Rules for where jobs run.
+    pub rule_checker: PlacementRuleChecker,
+    /// Where the tasks of each job were started.
+    pub places: BTreeMap<u64, Vec<MachineInfo>>,
+    /// What users were told of jobs that were refused, and of those that wait.
+    pub refusals: BTreeMap<u64, String>,
+    pub reasons: BTreeMap<u64, BTreeSet<String>>,
+}
+
+impl InvariantChecker {
+    pub fn new(cancel: u64) -> InvariantChecker {
+        InvariantChecker {
+            cancel,
+            ..InvariantChecker::default()
+        }
+    }
+
+    fn record_violation(&mut self, now: u64, text: String) {
+        self.violations
+            .push(format!("{:.3}: {text}", now as f64 / 1e6));
+    }
+
+    pub fn observe(
+        &mut self,
+        now: u64,
+        machine: u64,
+        info: &MachineInfo,
+        deed: &Deed,
+        machines: &BTreeMap<u64, MachineInfo>,
+    ) {
+        match deed {
+            Deed::Ended(t, why) => {
+                if self.machine_of.get(t) == Some(&machine) {
+                    self.end_task(now, *t);
+                }
+                if *why == "done" {
+                    self.completed_tasks.entry(t.0).or_default().insert(t.1);
+                    self.last_end.insert(t.0, now);
+                }
+            }
+            Deed::Started(t) => {
+                self.started_tasks += 1;
+                self.starts_after_cancellation += u64::from(
+                    self.cancellation_reported_at
+                        .get(&t.0)
+                        .is_some_and(|c| now > *c),
+                );
+                *self.start_counts.entry(t.0).or_default() += 1;
+                self.first_start.entry(t.0).or_insert(now);
+                if let Some(before) = self
+                    .dependencies_of(t.0)
+                    .into_iter()
+                    .find(|j| !self.all_tasks_completed(*j))
+                {
+                    self.record_violation(
+                        now,
+                        format!(
+                            "too_early: {} starts before req-{before:06} is done",
+                            task_name(*t)
+                        ),
+                    );
+                }
+                if let Some(at) = self.submitted_at.get(&t.0) {
+                    self.start_delays.entry(*t).or_insert(now - at);
+                }
+                let other = self.end_task(now, *t);
+                self.machine_of.insert(*t, machine);
+                self.tasks_on.entry(machine).or_default().insert(*t);
+                if let Some(other) = other.filter(|o| *o != machine) {
+                    self.record_violation(
+                        now,
+                        format!(
+                            "ran_twice: {} starts on {machine} while on {other}",
+                            task_name(*t)
+                        ),
+                    );
+                }
+                let Some(asked) = self.job_requests.get(&t.0).cloned() else {
+                    return self
+                        .record_violation(now, format!("{} was never submitted", task_name(*t)));
+                };
+                if let Some(limit) = self
+                    .team_limits
+                    .get(&asked.team)
+                    .copied()
+                    .filter(|l| *l > 0.0)
+                {
+                    let used = self.cores_used(&asked.team);
+                    if used > limit + 1e-6 {
+                        self.record_violation(
+                            now,
+                            format!("quota: {} uses {used} of {limit}", asked.team),
+                        );
+                    }
+                }
+                let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
+                if asked.single_zone || asked.anti_affinity {
+                    for (_, m) in self.machine_of.range((t.0, 0)..=(t.0, u32::MAX)) {
+                        *zones.entry(machines[m].zone.as_str()).or_default() += 1;
+                    }
+                }
+                let wrong = asked
+                    .machine_types
+                    .as_ref()
+                    .is_some_and(|b| !b.contains(&info.machine_type))
+                    || asked.zone.as_ref().is_some_and(|y| *y != info.zone)
+                    || info.spot && !asked.spot_allowed
+                    || asked.single_zone && zones.len() > 1
+                    || asked.anti_affinity
+                        && zones.values().any(|n| *n > asked.task_count.div_ceil(2));
+                self.places.entry(t.0).or_default().push(info.clone());
+                let colocated: BTreeSet<u64> = self.tasks_on[&machine]
+                    .iter()
+                    .filter(|o| o.0 != t.0)
+                    .map(|o| o.0)
+                    .collect();
+                if let Some(rule) = self.rule_checker.broken_rule(
+                    now,
+                    &self.job_requests,
+                    t.0,
+                    (machine, info),
+                    &colocated,
+                ) {
+                    self.record_violation(
+                        now,
+                        format!(
+                            "rule_broken: {rule}: {} on {machine} {info:?}",
+                            task_name(*t)
+                        ),
+                    );
+                }
+                if wrong {
+                    self.record_violation(
+                        now,
+                        format!(
+                            "wrong_place: {} on {machine} {info:?} {zones:?}",
+                            task_name(*t)
+                        ),
+                    );
+                }
+                if self
+                    .cancellation_reported_at
+                    .get(&t.0)
+                    .is_some_and(|c| now > c + self.cancel)
+                {
+                    self.record_violation(now, format!("ran_cancelled: {} starts", task_name(*t)));
+                }
+            }
+        }
+    }
+
+    /// A task is not running any more; where it was.
+    fn end_task(&mut self, now: u64, t: Task) -> Option<u64> {
+        let machine = self.machine_of.remove(&t)?;
+        if let Some(told) = self.cancellation_reported_at.get(&t.0) {
+            let left = (told + self.cancel).saturating_sub(now);
+            self.cancel_margin = Some(self.cancel_margin.map_or(left, |m| m.min(left)));
+        }
+        self.tasks_on.get_mut(&machine)?.remove(&t);
+        Some(machine)
+    }
+
+    /// The jobs that a job names.
+    fn dependencies_of(&self, job: u64) -> Vec<u64> {
+        self.job_requests
+            .get(&job)
+            .map(|a| a.dependencies.clone())
+            .unwrap_or_default()
+    }
+
+    /// Whether all tasks of a job were done somewhere.
+    pub fn all_tasks_completed(&self, job: u64) -> bool {
+        self.job_requests.get(&job).is_some_and(|a| {
+            self.completed_tasks
+                .get(&job)
+                .is_some_and(|d| d.len() >= a.task_count as usize)
+        })
+    }
+
+    /// The jobs that a job needs, directly or through others.
+    fn transitive_dependencies(&self, job: u64) -> BTreeSet<u64> {
+        let mut all = BTreeSet::new();
+        let mut todo = self.dependencies_of(job);
+        while let Some(j) = todo.pop() {
+            if all.insert(j) {
+                todo.extend(self.dependencies_of(j));
+            }
+        }
+        all
+    }
+
+    /// The last end of those that a job awaits, once all of them are done.
+    pub fn dependencies_completed_at(&self, job: u64) -> Option<u64> {
+        let awaited = self.dependencies_of(job);
+        awaited
+            .iter()
+            .all(|j| self.all_tasks_completed(*j))
+            .then(|| awaited.iter().filter_map(|j| self.last_end.get(j)).max())?
+            .copied()
+    }
+
+    /// How long after the last end of those that it awaits a job started.
+    pub fn start_delay_after_dependencies(&self, job: u64) -> Option<u64> {
+        let ready = self
+            .dependencies_of(job)
+            .iter()
+            .filter_map(|j| self.last_end.get(j))
+            .max()
+            .copied()?;
+        Some(self.first_start.get(&job)?.saturating_sub(ready))
+    }
+
+    /// Whether a team may have so many cores more.
+    pub fn is_within_team_limit(&self, team: &str, cores: f64) -> bool {
+        self.team_limits
+            .get(team)
+            .is_none_or(|most| *most == 0.0 || self.cores_used(team) + cores <= most + 1e-6)
+    }
+
+    /// Whether a task was done somewhere.
+    pub fn is_task_completed(&self, t: Task) -> bool {
+        self.completed_tasks
+            .get(&t.0)
+            .is_some_and(|d| d.contains(&t.1))
+    }
+
+    /// Whether users were told that all that a job awaits is done: results may be lost before they are.
+    pub fn dependencies_reported_done(&self, job: u64) -> bool {
+        self.dependencies_of(job).iter().all(|j| self.is_done(*j))
+    }
+
+    /// Jobs with tasks on machines, and these machines.
+    pub fn machines_of_running_jobs(&self) -> BTreeMap<u64, Vec<u64>> {
+        let mut jobs: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
+        self.machine_of
+            .iter()
+            .for_each(|(t, m)| jobs.entry(t.0).or_default().push(*m));
+        jobs
+    }
+
+    /// What users were last told of a job: nothing, that it is accepted, done or cancelled.
+    pub fn last_reported_state(&self, job: u64) -> Option<&'static str> {
+        self.reported_state.get(&job).map(|t| t.0)
+    }
+
+    /// Which jobs wait now although a machine, here by job, fits and their teams have room: none may for 90 s, once the troubles are over.
+    pub fn observe_waiting_jobs(&mut self, now: u64, jobs: &BTreeMap<u64, u64>) {
+        const MOST: u64 = 90_000_000;
+        let starts = &self.start_counts;
+        let started = |j: &u64| starts.get(j).copied().unwrap_or(0);
+        self.waiting_with_room
+            .retain(|j, (_, before)| jobs.contains_key(j) && started(j) == *before);
+        for j in jobs.keys() {
+            self.waiting_with_room
+                .entry(*j)
+                .or_insert((now, started(j)));
+        }
+        let late: Vec<u64> = self
+            .waiting_with_room
+            .iter()
+            .filter(|(_, (since, _))| now > since + MOST)
+            .map(|(j, _)| *j)
+            .collect();
+        for j in late {
+            self.waiting_with_room.remove(&j);
+            self.record_violation(
+                now,
+                format!(
+                    "left_waiting: req-{j:06} has waited for 90 s although i-{:06} fits",
+                    jobs[&j]
+                ),
+            );
+        }
+    }
+
+    /// What a team's tasks take now.
+    fn cores_used(&self, team: &str) -> f64 {
+        let asked = self
+            .machine_of
+            .keys()
+            .filter_map(|o| self.job_requests.get(&o.0));
+        asked.filter(|a| a.team == team).map(|a| a.cores).sum()
+    }
+
+    /// Looks for tasks of cancelled jobs that are still there.
+    pub fn check_deadlines(&mut self, now: u64) {
+        for (team, most) in std::mem::take(&mut self.next_team_limits) {
+            if most == 0.0 || self.cores_used(&team) <= most {
+                self.team_limits.insert(team, most);
+            } else {
+                self.next_team_limits.insert(team, most);
+            }
+        }
+        let late: Vec<Task> = self
+            .machine_of
+            .keys()
+            .filter(|t| {
+                self.cancellation_reported_at
+                    .get(&t.0)
+                    .is_some_and(|c| now > c + self.cancel)
+            })
+            .copied()
+            .collect();
+        for t in late {
+            self.end_task(now, t);
+            self.record_violation(
+                now,
+                format!("ran_cancelled: {} is still there", task_name(t)),
+            );
+        }
+        // Once all troubles are over each job counts by itself, however others fare.
+        for job in self.unfinished_jobs() {
+            let since = self
+                .last_answered_at
+                .get(&job)
+                .copied()
+                .unwrap_or(0)
+                .max(self.last_fault_end)
+                .max(self.accepted_at[&job]);
+            if now > since + 75_000_000 {
+                self.last_answered_at.insert(job, now);
+                self.record_violation(
+                    now,
+                    format!("forgotten: no question about req-{job:06} was answered for 75 s"),
+                );
+            }
+        }
+    }
+
+    pub fn record_abort_request(&mut self, job: u64) {
+        self.abort_requests.insert(job);
+    }
+
+    /// A poll was answered with a state or a 404, or it failed.
+    pub fn record_poll(&mut self, now: u64, job: u64, answered: bool) {
+        self.polls.0 += 1;
+        self.polls.1 += u64::from(answered);
+        if answered || !self.is_accepted(job) {
+            self.failing_polls.remove(&job);
+            return;
+        }
+        let (since, before, own) = self
+            .failing_polls
+            .entry(job)
+            .or_insert((now, self.polls, 0));
+        let (others, answered) = (self.polls.0 - before.0 - *own, self.polls.1 - before.1);
+        *own += 1;
+        let since = *since;
+        if now - since > 90_000_000 && answered > 20 && answered * 2 > others {
+            self.record_violation(
+                now,
+                format!("forgotten: every poll for req-{job:06} has failed for 90 s"),
+            );
+            self.failing_polls.remove(&job);
+        }
+    }
+
+    /// A user was answered. `kind`: submit, query or abort.
+    pub fn record_reply(
+        &mut self,
+        now: u64,
+        sent_at: u64,
+        kind: &str,
+        job: u64,
+        status: u16,
+        state: Option<&str>,
+    ) {
+        // A request that began before the job was accepted may be answered from before it.
+        let known = self.accepted_at.get(&job).is_some_and(|at| *at <= sent_at);
+        if matches!(status, 200 | 201 | 404) {
+            self.last_answered_at.insert(job, now);
+        }
+        match status {
+            200 | 201 => {
+                if self.invalid_jobs.contains(&job) {
+                    return self.record_violation(
+                        now,
+                        format!("accepted_bad: req-{job:06} can't run or lacks a field"),
+                    );
+                }
+                if !self.job_requests.contains_key(&job) {
+                    return self.record_violation(now, format!("invented: req-{job:06}"));
+                }
+                self.accepted_at.entry(job).or_insert(now);
+                let state = match state {
+                    Some("done") => "done",
+                    Some("cancelled") => "cancelled",
+                    _ => "live",
+                };
+                let pieces = self.job_requests[&job].task_count as usize;
+                if state == "done"
+                    && self
+                        .completed_tasks
+                        .get(&job)
+                        .is_none_or(|d| d.len() < pieces)
+                {
+                    self.record_violation(now, format!("not_done: req-{job:06}"));
+                }
+                let needed = self.transitive_dependencies(job);
+                let told = needed
+                    .iter()
+                    .filter_map(|j| self.cancellation_reported_at.get(j))
+                    .min();
+                if state == "live" && told.is_some_and(|t| now > t + self.cancel) {
+                    self.record_violation(now, format!("orphaned: req-{job:06}"));
+                }
+                let asked_for = |j: &u64| self.abort_requests.contains(j);
+                if state == "cancelled" && !asked_for(&job) && !needed.iter().any(asked_for) {
+                    self.record_violation(
+                        now,
+                        format!("went_back: req-{job:06} is cancelled by nobody"),
+                    );
+                }
+                // Answers to requests that overlapped may cross on their way.
+                let (before, at) = self
+                    .reported_state
+                    .get(&job)
+                    .copied()
+                    .unwrap_or(("live", now));
+                if before == "live" {
+                    self.reported_state.insert(job, (state, now));
+                } else if before != state && at <= sent_at {
+                    self.record_violation(
+                        now,
+                        format!("went_back: req-{job:06} was {before}, is {state}"),
+                    );
+                }
+                if state == "done" {
+                    self.completion_reported_at.entry(job).or_insert(now);
+                }
+                if state == "cancelled" {
+                    self.cancellation_reported_at.entry(job).or_insert(now);
+                }
+            }
+            404 if known => {
+                self.record_violation(now, format!("forgotten: req-{job:06} gets 404 to a {kind}"))
+            }
+            400 | 422 if known => {
+                self.record_violation(now, format!("forgotten: req-{job:06} gets {status}"))
+            }
+            _ => {}
+        }
+    }
+
+    pub fn is_done(&self, job: u64) -> bool {
+        self.reported_state.get(&job).is_some_and(|t| t.0 == "done")
+    }
+
+    /// The jobs that are done, with when that was first told, in seconds.
+    pub fn done_jobs(&self) -> Vec<(u64, u64)> {
+        self.completion_reported_at
+            .iter()
+            .take(12)
+            .map(|(j, t)| (*j, t / 1_000_000))
+            .collect()
+    }
+
+    pub fn completion_reported_at(&self, job: u64) -> Option<u64> {
+        self.completion_reported_at.get(&job).copied()
+    }
+
+    pub fn is_cancelled(&self, job: u64) -> bool {
+        self.reported_state
+            .get(&job)
+            .is_some_and(|t| t.0 == "cancelled")
+    }
+
+    pub fn is_accepted(&self, job: u64) -> bool {
+        self.accepted_at.contains_key(&job)
+    }
+
+    pub fn unfinished_jobs(&self) -> Vec<u64> {
+        self.accepted_at
+            .keys()
+            .copied()
+            .filter(|j| !self.is_done(*j) && !self.is_cancelled(*j))
+            .collect()
+    }
+}
--- a/tests/runner/machines.rs
+++ b/tests/runner/machines.rs
@@ -1,14 +1,14 @@
 //! Machines and their workers: boots, reports, answers, direct commands.
 
-use super::check::MachineInfo;
+use super::invariants::MachineInfo;
 use super::script::Party;
 use super::worker::{ANSWER_LIMIT, Deed, NEXT_NODE_PAUSE, Redirect, Worker};
-use super::{Ask, Happening, Message, World};
+use super::{Message, Outbound, SimEvent, World};
 use cometlead::coordination::CallId;
 use serde_json::Value;
 
 impl World {
-    pub(super) fn after_cloud(&mut self, before: &[u64]) {
+    pub(super) fn apply_cloud_changes(&mut self, before: &[u64]) {
         let new: Vec<(u64, Option<u64>)> = self
             .cloud
             .hosts
@@ -18,7 +18,7 @@
             .collect();
         for (i, up) in new {
             if let Some(up) = up {
-                self.at(up, Happening::Boot(i));
+                self.schedule(up, SimEvent::MachineBoot(i));
             }
         }
         let now = self.now;
@@ -29,24 +29,24 @@
             .copied()
             .collect();
         for i in gone {
-            self.machine_gone(i);
+            self.terminate_machine(i);
         }
     }
 
-    pub(super) fn machine_gone(&mut self, i: u64) {
+    pub(super) fn terminate_machine(&mut self, i: u64) {
         if let Some(mut w) = self.workers.remove(&i) {
-            let mut deeds = Vec::new();
-            w.kill_all(&mut deeds);
+            let mut task_events = Vec::new();
+            w.kill_all(&mut task_events);
             self.lost_leases += w.lost_leases;
-            self.deeds(i, deeds);
+            self.record_task_events(i, task_events);
         }
     }
 
-    pub(super) fn direct(
+    pub(super) fn deliver_command(
         &mut self,
         machine: u64,
         body: &[u8],
-        deeds: &mut Vec<Deed>,
+        task_events: &mut Vec<Deed>,
     ) -> Option<(u16, Value)> {
         let now = self.now;
         let w = self.workers.get_mut(&machine)?;
@@ -54,60 +54,61 @@
             // Carried out when the machine goes on, if token and session still match.
             let body = body.to_vec();
             let until = w.hung_until;
-            let ask = Ask::Direct(machine, body);
-            let late = Message::Ask {
+            let outbound = Outbound::PushCommand(machine, body);
+            let late = Message::Request {
                 node: usize::MAX,
-                life: 0,
+                incarnation: 0,
                 call: CallId(0),
-                ask,
+                outbound,
             };
-            self.at(until + 2_000, Happening::Deliver(Box::new(late)));
+            self.schedule(until + 2_000, SimEvent::Deliver(Box::new(late)));
             return None;
         }
-        let answer = w.take_command(now, body, &self.jobs, deeds)?;
+        let answer = w.take_command(now, body, &self.jobs, task_events)?;
         let next = w.next_deadline();
-        self.at(next, Happening::Worker(machine));
+        self.schedule(next, SimEvent::WorkerDeadline(machine));
         Some(answer)
     }
 
-    pub(super) fn deeds(&mut self, machine: u64, deeds: Vec<Deed>) {
-        let info = self.infos[&machine].clone();
-        for d in deeds {
+    pub(super) fn record_task_events(&mut self, machine: u64, task_events: Vec<Deed>) {
+        let info = self.machine_infos[&machine].clone();
+        for d in task_events {
             tracing::debug!(machine, deed = ?d, "worker");
-            self.check.deed(self.now, machine, &info, &d, &self.infos);
+            self.checker
+                .observe(self.now, machine, &info, &d, &self.machine_infos);
             if let Deed::Ended(t, "done") = d {
-                self.at_end(t.0);
+                self.handle_task_completed(t.0);
             }
         }
     }
 
     /// A machine hangs for a while.
-    pub(super) fn hang(&mut self, m: u64, span: u64) {
+    pub(super) fn hang_machine(&mut self, m: u64, span: u64) {
         let until = self.now + span;
         if let Some(w) = self.workers.get_mut(&m) {
             w.hung_until = until;
-            self.at(until, Happening::Worker(m));
+            self.schedule(until, SimEvent::WorkerDeadline(m));
         }
     }
 
     /// A worker's own time has come.
-    pub(super) fn worker(&mut self, machine: u64) {
+    pub(super) fn run_worker(&mut self, machine: u64) {
         let now = self.now;
         let nodes = self.script.nodes;
-        let report = (self.script.report * 1e6) as u64;
-        let jitter = 0.75 + 0.5 * self.dice();
+        let report = (self.script.report_interval_s * 1e6) as u64;
+        let jitter = 0.75 + 0.5 * self.random_fraction();
         let Some(w) = self.workers.get_mut(&machine) else {
             return;
         };
-        let mut deeds = Vec::new();
-        w.check_lease(now, &mut deeds);
+        let mut task_events = Vec::new();
+        w.check_lease(now, &mut task_events);
         if now < w.hung_until {
             // Its tasks do not run, but its lease ends all the same.
             let next = w.next_deadline();
-            self.at(next.max(now + 1_000), Happening::Worker(machine));
-            return self.deeds(machine, deeds);
+            self.schedule(next.max(now + 1_000), SimEvent::WorkerDeadline(machine));
+            return self.record_task_events(machine, task_events);
         }
-        w.advance(now, &self.jobs, &mut deeds);
+        w.advance(now, &self.jobs, &mut task_events);
         let mut message = None;
         if let Some(body) = w.due_report(now, (report as f64 * jitter) as u64) {
             let (node, sent) = (w.node % nodes, now);
@@ -122,35 +123,36 @@
             ));
         }
         let next = w.next_deadline();
-        self.at(next.max(now + 1_000), Happening::Worker(machine));
-        self.deeds(machine, deeds);
+        self.schedule(next.max(now + 1_000), SimEvent::WorkerDeadline(machine));
+        self.record_task_events(machine, task_events);
         if let Some((node, m)) = message {
-            self.at(now + ANSWER_LIMIT, Happening::WorkerTimeout(machine, now));
-            if self.drawn(|w| &w.late_reports) {
-                let after = 2_000_000 + (self.dice() * self.script.lease * 2.5e6) as u64;
-                self.at(now + after, Happening::Deliver(Box::new(m.clone())));
+            self.schedule(now + ANSWER_LIMIT, SimEvent::WorkerTimeout(machine, now));
+            if self.draws_fault(|w| &w.late_reports) {
+                let after =
+                    2_000_000 + (self.random_fraction() * self.script.lease_s * 2.5e6) as u64;
+                self.schedule(now + after, SimEvent::Deliver(Box::new(m.clone())));
             }
-            self.keep_copy(&m);
+            self.keep_heartbeat_copy(&m);
             if self.nodes[node].is_some() {
                 self.send(Party::Machine(machine), Party::Node(node), false, m);
             }
         }
     }
 
-    pub(super) fn next_node(&mut self, machine: u64, wait: u64) {
+    pub(super) fn switch_node(&mut self, machine: u64, wait: u64) {
         let now = self.now;
         let nodes = self.script.nodes;
         if let Some(w) = self.workers.get_mut(&machine) {
             w.try_next_node(now, nodes, wait);
-            self.at(now + wait, Happening::Worker(machine));
+            self.schedule(now + wait, SimEvent::WorkerDeadline(machine));
         }
     }
 
-    pub(super) fn replied(
+    pub(super) fn handle_heartbeat_reply(
         &mut self,
         machine: u64,
         sent: u64,
-        shift: u64,
+        incarnation: u64,
         status: u16,
         body: &[u8],
     ) {
@@ -165,35 +167,41 @@
         {
             return;
         }
-        let mut deeds = Vec::new();
-        let redirect = w.take_answer(now, (sent, shift), (status, body), &self.jobs, &mut deeds);
+        let mut task_events = Vec::new();
+        let redirect = w.take_answer(
+            now,
+            (sent, incarnation),
+            (status, body),
+            &self.jobs,
+            &mut task_events,
+        );
         let next = w.next_deadline();
         if redirect == Redirect::Next {
-            self.deeds(machine, deeds);
-            return self.next_node(machine, NEXT_NODE_PAUSE);
+            self.record_task_events(machine, task_events);
+            return self.switch_node(machine, NEXT_NODE_PAUSE);
         }
-        self.at(next, Happening::Worker(machine));
-        self.deeds(machine, deeds);
+        self.schedule(next, SimEvent::WorkerDeadline(machine));
+        self.record_task_events(machine, task_events);
     }
 
-    pub(super) fn boot(&mut self, i: u64) {
+    pub(super) fn boot_machine(&mut self, i: u64) {
         let host = &self.cloud.hosts[&i];
         if host.gone_at.is_some() {
             return;
         }
         let t = self.cloud.type_of(i);
-        let (yard, spot) = (host.yard.clone(), host.spot);
+        let (zone, spot) = (host.yard.clone(), host.spot);
         let info = MachineInfo {
-            build: t.name.clone(),
-            yard: yard.clone(),
+            machine_type: t.name.clone(),
+            zone: zone.clone(),
             spot,
         };
         let node = (i as usize * 7) % self.script.nodes;
         let endpoint = format!("10.1.0.{i}:9000");
-        let lease = (self.script.lease * 1e6) as u64;
-        let w = Worker::new(i, endpoint, t, (yard, spot), lease, node, self.now);
+        let lease = (self.script.lease_s * 1e6) as u64;
+        let w = Worker::new(i, endpoint, t, (zone, spot), lease, node, self.now);
         self.workers.insert(i, w);
-        self.infos.insert(i, info);
-        self.at(self.now, Happening::Worker(i));
+        self.machine_infos.insert(i, info);
+        self.schedule(self.now, SimEvent::WorkerDeadline(i));
     }
 }
--- a/tests/runner/mod.rs
+++ b/tests/runner/mod.rs
@@ -3,19 +3,18 @@
 //! One seed gives one run. Messages can be held, dropped, repeated and delayed; parties can hang,
 //! crash and be cut off. The checker judges what the stand-in workers do and what users are told.
 
-pub mod check;
+mod adversarial;
 /// Only `tests/decisions.rs` reads the digest.
 #[allow(dead_code)]
 pub mod effects;
-pub mod laws;
-mod looks;
+mod expectations;
+pub mod invariants;
 mod machines;
+pub mod placement_rules;
 pub mod script;
+mod starvation;
 mod users;
-mod verdict;
-mod waiting;
 
-use check::{Checker, MachineInfo};
 use cometlead::coordination::{CallId, Controller, Counters, Effect, Event, Now};
 use cometlead::protocol::cloud as cloud_wire;
 use cometlead::protocol::operator::OperatorSettings;
@@ -30,6 +29,7 @@
 use cometlead::time::Micros;
 use cometlead_constraints::RuleSet;
 pub use cometlead_emulator::standins::{cloud, state, worker};
+use invariants::{InvariantChecker, MachineInfo};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use script::{CopiesTo, Mode, Party, Script, Step};
@@ -39,32 +39,32 @@
 use std::sync::Arc;
 use worker::{JobInfo, Worker};
 
-const DAY: u64 = 1_700_000_000_000_000;
+const WALL_CLOCK_START_US: u64 = 1_700_000_000_000_000;
 
 /// Who waits for an answer of the outside.
 #[derive(Clone, Debug)]
-enum Ask {
+enum Outbound {
     State(StateRequest),
     Cloud(cloud_wire::CloudRequest),
-    Direct(u64, Vec<u8>),
+    PushCommand(u64, Vec<u8>),
 }
 
 #[derive(Clone, Debug)]
 enum Message {
     /// A controller's request reaches the other side.
-    Ask {
+    Request {
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: CallId,
-        ask: Ask,
+        outbound: Outbound,
     },
     /// Its answer reaches the controller.
-    Answer {
+    Response {
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: CallId,
-        ask: Ask,
-        answer: Option<(u16, Vec<u8>)>,
+        outbound: Outbound,
+        response: Option<(u16, Vec<u8>)>,
     },
     /// A worker's report reaches a controller.
     Heartbeat {
@@ -74,17 +74,17 @@
         body: Vec<u8>,
     },
     /// The answer reaches the worker.
-    Reply {
+    HeartbeatReply {
         machine: u64,
         sent: u64,
-        shift: u64,
+        incarnation: u64,
         status: u16,
         body: Vec<u8>,
     },
     /// A user's request reaches a controller.
-    User { node: usize, user: usize },
+    UserRequest { node: usize, user: usize },
     /// The answer reaches the user.
-    Told {
+    UserReply {
         user: usize,
         attempt: u32,
         status: u16,
@@ -97,35 +97,35 @@
 }
 
 #[derive(Debug)]
-enum Happening {
+enum SimEvent {
     Deliver(Box<Message>),
     Wake(usize),
-    Worker(u64),
+    WorkerDeadline(u64),
     WorkerTimeout(u64, u64),
     UserTimeout(usize, u32),
-    UserAgain(usize),
+    UserRetry(usize),
     Poll {
         job: u64,
         count: u64,
         every: u64,
         until: u64,
     },
-    Boot(u64),
-    Gone(u64),
+    MachineBoot(u64),
+    MachineTerminated(u64),
     Restart(usize),
     Step(usize),
     StateTick,
-    Sweep,
+    CheckDeadlines,
     /// A transaction that got no answer is carried out.
-    LateWrite(Box<StateRequest>),
+    DelayedTransaction(Box<StateRequest>),
     /// A user looks closely, or cancels.
-    Look {
+    ExtraRequest {
         job: u64,
         kind: &'static str,
         node: Option<usize>,
     },
     /// One odd request of many.
-    Odd(u64),
+    UnusualRequest(u64),
 }
 
 struct Fault {
@@ -142,18 +142,18 @@
     body: Vec<u8>,
     node: Option<usize>,
     attempt: u32,
-    asked: u64,
-    waiting: bool,
-    repeats: bool,
+    sent_at: u64,
+    awaiting_response: bool,
+    retries: bool,
 }
 
 struct Node {
     controller: Controller,
-    life: u64,
-    waits: BTreeMap<CallId, (usize, u32)>,
+    incarnation: u64,
+    open_user_calls: BTreeMap<CallId, (usize, u32)>,
     hung_until: u64,
-    held: Vec<Message>,
-    next_user: u64,
+    deferred_messages: Vec<Message>,
+    next_user_call: u64,
     wake_at: u64,
 }
 
@@ -193,58 +193,58 @@
     script: Script,
     settings: Vec<Arc<Settings>>,
     now: u64,
-    order: u64,
+    last_id: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
+    scheduled_events: BTreeMap<u64, SimEvent>,
     rng: StdRng,
     nodes: Vec<Option<Node>>,
-    lives: u64,
+    last_incarnation: u64,
     pub state: state::State,
     cloud: cloud::Cloud,
     workers: BTreeMap<u64, Worker>,
-    infos: BTreeMap<u64, MachineInfo>,
+    machine_infos: BTreeMap<u64, MachineInfo>,
     jobs: BTreeMap<u64, JobInfo>,
     users: Vec<User>,
     faults: Vec<Fault>,
-    refused: Vec<(usize, u64)>,
-    throttled: Vec<(usize, u64)>,
+    refused_nodes: Vec<(usize, u64)>,
+    throttled_nodes: Vec<(usize, u64)>,
     /// Shares of transactions that are carried out late, and of reports that come again; until when.
     late_writes: Vec<(f64, u64)>,
     late_reports: Vec<(f64, u64)>,
     /// Shares of transactions of a kind whose answers are lost, until when.
-    lost_answers: Vec<(f64, u64, Option<String>)>,
+    lost_responses: Vec<(f64, u64, Option<String>)>,
     /// Copies of reports that are kept for when a controller takes slices over, and whether they go to all then.
-    kept_reports: Vec<(bool, Message)>,
-    keeping: Vec<(f64, u64, bool)>,
+    kept_heartbeats: Vec<(bool, Message)>,
+    heartbeat_copy_windows: Vec<(f64, u64, bool)>,
     /// Machines that hear nothing, and those that reach no controller; until when.
-    deaf: BTreeMap<u64, u64>,
-    mute: BTreeMap<u64, u64>,
+    inbound_dropped_until: BTreeMap<u64, u64>,
+    heartbeats_dropped_until: BTreeMap<u64, u64>,
     /// Users look closely, and a share of them cancels; and shares of jobs that are called off at their ends. Until when.
-    close_looks: Vec<(f64, u64)>,
+    query_bursts: Vec<(f64, u64)>,
     cancel_at_end: Vec<(f64, u64)>,
     /// What was last looked at closely, and submissions as they were sent.
-    looked: BTreeMap<u64, &'static str>,
-    bodies: BTreeMap<u64, Vec<u8>>,
-    next_odd: u64,
+    last_burst_state: BTreeMap<u64, &'static str>,
+    submission_bodies: BTreeMap<u64, Vec<u8>>,
+    next_invalid_job: u64,
     /// How often something was played.
-    played: BTreeMap<&'static str, u64>,
+    fault_counts: BTreeMap<&'static str, u64>,
     /// Machines that had a record a moment ago, and how many got one when they were gone already.
-    known: BTreeSet<u64>,
-    ghosts: u64,
-    pub check: Checker,
+    recorded_machines: BTreeSet<u64>,
+    late_machine_records: u64,
+    pub checker: InvariantChecker,
     /// All that the controllers decided.
     pub decisions: effects::Decisions,
     counters: Counters,
     failovers: u64,
     lost_leases: u64,
-    most_groups: u64,
-    throttles: u64,
+    max_groups_of_shard: u64,
+    throttled_requests: u64,
     /// Controllers that have not read the newest deploy file.
-    newer: BTreeSet<usize>,
+    nodes_with_old_settings: BTreeSet<usize>,
     /// Controllers that start with the version before.
-    old: BTreeSet<usize>,
+    nodes_on_previous_version: BTreeSet<usize>,
     /// The rules that each controller has, or had before it went down.
-    rules: Vec<Option<String>>,
+    node_rules: Vec<Option<String>>,
 }
 
 fn zone_of(s: &Script, n: usize) -> &str {
@@ -267,10 +267,10 @@
         "back": format!("10.0.0.{}:81", n + 1), "others": others,
         "outside": {"cloud": "10.2.0.2:1", "state": "10.2.0.1:1"},
         "params": {"teams": teams, "objectives": [{"kind": "wait", "class": "urgent", "within_s": 2, "share": 0.9}],
-            "workers": {"report_s": s.report, "lease_s": s.lease, "cancel_s": s.cancel},
-            "state": {"rps": s.rates.0, "write_rps": s.rates.1, "value_kb": s.value_kb, "txn_ops": 12,
-                "next": s.next.map(|(rate, size, ops)| json!({"write_rps": rate, "value_kb": size, "txn_ops": ops}))},
-            "cloud": {"rps": 10, "list_lag_s": s.lag},
+            "workers": {"report_s": s.report_interval_s, "lease_s": s.lease_s, "cancel_s": s.cancel_s},
+            "state": {"rps": s.state_rates.0, "write_rps": s.state_rates.1, "value_kb": s.value_kb, "txn_ops": 12,
+                "next": s.next_limits.map(|(rate, size, ops)| json!({"write_rps": rate, "value_kb": size, "txn_ops": ops}))},
+            "cloud": {"rps": 10, "list_lag_s": s.list_lag_s},
             "quota": {"core_share": 0.1, "ram_mb": 40, "max_connections": 600}, "clock_error_ms": 200},
     });
     Arc::new(Settings::parse("scenario", file.to_string().as_bytes()).expect("settings"))
@@ -278,65 +278,67 @@
 
 impl World {
     pub fn new(script: Script) -> World {
-        let mut check = Checker::new((script.cancel * 1e6) as u64);
+        let mut checker = InvariantChecker::new((script.cancel_s * 1e6) as u64);
         for (name, _, most) in &script.teams {
-            check.limits.insert(name.clone(), *most);
+            checker.team_limits.insert(name.clone(), *most);
         }
         let mut w = World {
             settings: (0..script.nodes).map(|n| settings(&script, n)).collect(),
             now: 0,
-            order: 0,
+            last_id: 0,
             queue: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
+            scheduled_events: BTreeMap::new(),
             rng: StdRng::seed_from_u64(script.seed),
             nodes: (0..script.nodes).map(|_| None).collect(),
-            lives: 0,
+            last_incarnation: 0,
             state: state::State::new(state::StateConfig {
                 txn_ops: 12,
                 value_bytes: (script.value_kb * 1024.0) as usize,
-                rps: script.rates.0,
-                write_rps: script.rates.1,
+                rps: script.state_rates.0,
+                write_rps: script.state_rates.1,
                 // Small pages, so that there are several on ordinary days.
                 page: 40,
             }),
-            cloud: cloud::Cloud::new(script.types.clone(), (script.lag * 1e6) as u64),
+            cloud: cloud::Cloud::new(script.types.clone(), (script.list_lag_s * 1e6) as u64),
             workers: BTreeMap::new(),
-            infos: BTreeMap::new(),
+            machine_infos: BTreeMap::new(),
             jobs: BTreeMap::new(),
             users: Vec::new(),
             faults: Vec::new(),
-            refused: Vec::new(),
-            throttled: Vec::new(),
+            refused_nodes: Vec::new(),
+            throttled_nodes: Vec::new(),
             late_writes: Vec::new(),
             late_reports: Vec::new(),
-            lost_answers: Vec::new(),
-            kept_reports: Vec::new(),
-            keeping: Vec::new(),
-            deaf: BTreeMap::new(),
-            mute: BTreeMap::new(),
-            close_looks: Vec::new(),
+            lost_responses: Vec::new(),
+            kept_heartbeats: Vec::new(),
+            heartbeat_copy_windows: Vec::new(),
+            inbound_dropped_until: BTreeMap::new(),
+            heartbeats_dropped_until: BTreeMap::new(),
+            query_bursts: Vec::new(),
             cancel_at_end: Vec::new(),
-            looked: BTreeMap::new(),
-            bodies: BTreeMap::new(),
-            next_odd: 900_001,
-            played: BTreeMap::new(),
-            known: BTreeSet::new(),
-            ghosts: 0,
-            check,
+            last_burst_state: BTreeMap::new(),
+            submission_bodies: BTreeMap::new(),
+            next_invalid_job: 900_001,
+            fault_counts: BTreeMap::new(),
+            recorded_machines: BTreeSet::new(),
+            late_machine_records: 0,
+            checker,
             decisions: effects::Decisions::default(),
             counters: Counters::default(),
             failovers: 0,
             lost_leases: 0,
-            most_groups: 0,
-            throttles: 0,
-            newer: BTreeSet::new(),
-            old: (0..script.nodes).filter(|_| script.old).collect(),
-            rules: vec![script.with.clone(); script.nodes],
+            max_groups_of_shard: 0,
+            throttled_requests: 0,
+            nodes_with_old_settings: BTreeSet::new(),
+            nodes_on_previous_version: (0..script.nodes)
+                .filter(|_| script.starts_on_previous_version)
+                .collect(),
+            node_rules: vec![script.initial_rules.clone(); script.nodes],
             script,
         };
-        w.check.calm = w.script.calm();
-        w.check.laws = laws::Laws::new(&w.script);
-        if let Some(file) = &w.script.records {
+        w.checker.last_fault_end = w.script.last_fault_end();
+        w.checker.rule_checker = placement_rules::PlacementRuleChecker::new(&w.script);
+        if let Some(file) = &w.script.records_file {
             let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
                 .join("tests/production")
                 .join(file);
@@ -351,45 +353,45 @@
         }
         for i in 0..w.script.steps.len() {
             let at = w.script.steps[i].0;
-            w.at(at, Happening::Step(i));
+            w.schedule(at, SimEvent::Step(i));
         }
-        w.at(0, Happening::StateTick);
-        w.at(1_000_000, Happening::Sweep);
+        w.schedule(0, SimEvent::StateTick);
+        w.schedule(1_000_000, SimEvent::CheckDeadlines);
         w
     }
 
-    fn at(&mut self, at: u64, what: Happening) {
-        self.order += 1;
-        self.queue.push(Reverse((at.max(self.now), self.order)));
-        self.happenings.insert(self.order, what);
+    fn schedule(&mut self, at: u64, event: SimEvent) {
+        self.last_id += 1;
+        self.queue.push(Reverse((at.max(self.now), self.last_id)));
+        self.scheduled_events.insert(self.last_id, event);
     }
 
-    fn dice(&mut self) -> f64 {
+    fn random_fraction(&mut self) -> f64 {
         self.rng.random::<f64>()
     }
 
     fn start(&mut self, n: usize) {
-        if self.newer.remove(&n) && self.newer.is_empty() {
+        if self.nodes_with_old_settings.remove(&n) && self.nodes_with_old_settings.is_empty() {
             // From now on everybody knows the limits.
             let limits = self
                 .script
                 .teams
                 .iter()
                 .map(|(name, _, most)| (name.clone(), *most));
-            self.check.later = limits.collect();
+            self.checker.next_team_limits = limits.collect();
         }
-        self.lives += 1;
+        self.last_incarnation += 1;
         let seed = self.rng.random();
         let operator = OperatorSettings {
-            shards: self.script.slices,
+            shards: self.script.shards,
             ..OperatorSettings::default()
         };
-        let record_format = if self.old.contains(&n) {
+        let record_format = if self.nodes_on_previous_version.contains(&n) {
             INITIAL_FORMAT
         } else {
             LATEST_FORMAT
         };
-        let rules = self.rules[n]
+        let rules = self.node_rules[n]
             .as_ref()
             .filter(|_| record_format == LATEST_FORMAT)
             .map(|name| {
@@ -400,14 +402,14 @@
         let controller = controller.understanding(record_format).with_rules(rules);
         self.nodes[n] = Some(Node {
             controller,
-            life: self.lives,
-            waits: BTreeMap::new(),
+            incarnation: self.last_incarnation,
+            open_user_calls: BTreeMap::new(),
             hung_until: 0,
-            held: Vec::new(),
-            next_user: 1,
+            deferred_messages: Vec::new(),
+            next_user_call: 1,
             wake_at: u64::MAX,
         });
-        self.event(n, Event::Tick);
+        self.handle_event(n, Event::Tick);
     }
 
     fn time(&self, n: usize) -> Now {
@@ -415,30 +417,34 @@
         let drift = self.now + self.now / 2_000 * (n as u64 % 2);
         Now {
             steady: Micros(drift),
-            day: Micros(DAY + self.now + n as u64 * 50_000),
+            day: Micros(WALL_CLOCK_START_US + self.now + n as u64 * 50_000),
         }
     }
 
     /// Sends a message, as the faults between the two let it.
-    fn send(&mut self, from: Party, to: Party, answer: bool, message: Message) {
+    fn send(&mut self, from: Party, to: Party, is_response: bool, message: Message) {
         let now = self.now;
-        if matches!(to, Party::Machine(m) if self.deaf.get(&m).is_some_and(|until| now < *until)) {
+        if matches!(to, Party::Machine(m) if self.inbound_dropped_until.get(&m).is_some_and(|until| now < *until))
+        {
             return;
         }
         if let (Party::Machine(m), Message::Heartbeat { .. }) = (&from, &message)
-            && self.mute.get(m).is_some_and(|until| now < *until)
+            && self
+                .heartbeats_dropped_until
+                .get(m)
+                .is_some_and(|until| now < *until)
         {
             return;
         }
-        let mut at = now + 500 + (self.dice() * 3_000.0) as u64;
-        if self.dice() < 0.01 {
-            at += (self.dice() * 300_000.0) as u64;
+        let mut at = now + 500 + (self.random_fraction() * 3_000.0) as u64;
+        if self.random_fraction() < 0.01 {
+            at += (self.random_fraction() * 300_000.0) as u64;
         }
         let (mut twice, mut slow) = (false, false);
         let command = matches!(
             message,
-            Message::Ask {
-                ask: Ask::Direct(..),
+            Message::Request {
+                outbound: Outbound::PushCommand(..),
                 ..
             }
         );
@@ -452,8 +458,8 @@
             }
             match f.mode {
                 Mode::Drop => return,
-                Mode::Deaf if answer => return,
-                Mode::Deaf => {}
+                Mode::DropResponses if is_response => return,
+                Mode::DropResponses => {}
                 Mode::Reset => return self.reset(message),
                 Mode::Hold => at = at.max(f.until + 1_000 + at - now),
                 Mode::Repeat => twice = !command,
@@ -463,13 +469,13 @@
             }
         }
         if slow {
-            at += (self.dice() * 2e6) as u64;
+            at += (self.random_fraction() * 2e6) as u64;
         }
         if twice {
-            let later = at + (self.dice() * 8e6) as u64;
-            self.at(later, Happening::Deliver(Box::new(message.clone())));
+            let later = at + (self.random_fraction() * 8e6) as u64;
+            self.schedule(later, SimEvent::Deliver(Box::new(message.clone())));
         }
-        self.at(at, Happening::Deliver(Box::new(message)));
+        self.schedule(at, SimEvent::Deliver(Box::new(message)));
     }
 
     /// Whether a controller or a machine is in a zone. Users, the cloud and the state service are in none.
@@ -485,36 +491,37 @@
     fn reset(&mut self, message: Message) {
         let soon = self.now + 2_000;
         match message {
-            Message::Ask {
+            Message::Request {
                 node,
-                life,
+                incarnation,
                 call,
-                ask,
+                outbound,
             }
-            | Message::Answer {
+            | Message::Response {
                 node,
-                life,
+                incarnation,
                 call,
-                ask,
+                outbound,
                 ..
             } => {
-                let none = Message::Answer {
+                let none = Message::Response {
                     node,
-                    life,
+                    incarnation,
                     call,
-                    ask,
-                    answer: None,
+                    outbound,
+                    response: None,
                 };
-                self.at(soon, Happening::Deliver(Box::new(none)));
+                self.schedule(soon, SimEvent::Deliver(Box::new(none)));
             }
-            Message::Heartbeat { machine, sent, .. } | Message::Reply { machine, sent, .. } => {
-                self.at(soon, Happening::WorkerTimeout(machine, sent));
+            Message::Heartbeat { machine, sent, .. }
+            | Message::HeartbeatReply { machine, sent, .. } => {
+                self.schedule(soon, SimEvent::WorkerTimeout(machine, sent));
             }
             _ => {}
         }
     }
 
-    fn event(&mut self, n: usize, event: Event) -> Option<HeartbeatResponse> {
+    fn handle_event(&mut self, n: usize, event: Event) -> Option<HeartbeatResponse> {
         let now = self.time(n);
         let node = self.nodes[n].as_mut()?;
         let before = node.controller.counters().failovers;
@@ -523,24 +530,24 @@
             self.decisions.add(self.now, n, effect);
         }
         let took_over = node.controller.counters().failovers > before;
-        let life = node.life;
+        let incarnation = node.incarnation;
         let wake = node.controller.wake().0;
         let wake = wake.max(self.now + 100);
         if wake < node.wake_at || node.wake_at <= self.now {
             node.wake_at = wake;
-            self.at(wake, Happening::Wake(n));
+            self.schedule(wake, SimEvent::Wake(n));
         }
         if took_over {
-            self.deliver_copies(n);
+            self.deliver_heartbeat_copies(n);
         }
         let mut report = None;
         for e in effects {
             match e {
                 Effect::State(call, request, limit) => {
-                    self.ask(n, life, call, Ask::State(request), limit);
+                    self.call_out(n, incarnation, call, Outbound::State(request), limit);
                 }
                 Effect::Cloud(call, request, limit) => {
-                    self.ask(n, life, call, Ask::Cloud(request), limit);
+                    self.call_out(n, incarnation, call, Outbound::Cloud(request), limit);
                 }
                 Effect::PushCommand {
                     call,
@@ -553,27 +560,35 @@
                         .nth(3)
                         .and_then(|m| m.parse().ok())
                         .expect("endpoint");
-                    self.ask(n, life, call, Ask::Direct(machine, body), limit);
+                    self.call_out(
+                        n,
+                        incarnation,
+                        call,
+                        Outbound::PushCommand(machine, body),
+                        limit,
+                    );
                 }
-                Effect::Heartbeat(_, answer) => report = Some(answer),
-                Effect::User(call, answer) => {
-                    let wait = self.nodes[n].as_mut().and_then(|x| x.waits.remove(&call));
+                Effect::Heartbeat(_, response) => report = Some(response),
+                Effect::User(call, response) => {
+                    let wait = self.nodes[n]
+                        .as_mut()
+                        .and_then(|x| x.open_user_calls.remove(&call));
                     if let Some((user, attempt)) = wait {
                         let job = self.users[user].job;
-                        if let UserResponse::Unsatisfiable(why) = &answer {
-                            self.check.refusals.insert(job, why.to_string());
+                        if let UserResponse::Unsatisfiable(why) = &response {
+                            self.checker.refusals.insert(job, why.to_string());
                         }
                         if let UserResponse::Status(JobStatusResponse {
                             reason: Some(why), ..
-                        }) = &answer
+                        }) = &response
                         {
-                            self.check
+                            self.checker
                                 .reasons
                                 .entry(job)
                                 .or_default()
                                 .insert(why.to_string());
                         }
-                        let (status, state) = match answer {
+                        let (status, state) = match response {
                             UserResponse::Accepted(a) => (201, Some(a)),
                             UserResponse::Status(a) => (200, Some(a)),
                             UserResponse::NotFound => (404, None),
@@ -586,13 +601,13 @@
                             v["status"].as_str().unwrap_or_default().to_owned()
                         });
                         // Users are beyond every cut.
-                        let m = Message::Told {
+                        let m = Message::UserReply {
                             user,
                             attempt,
                             status,
                             state,
                         };
-                        self.at(self.now + 1_000, Happening::Deliver(Box::new(m)));
+                        self.schedule(self.now + 1_000, SimEvent::Deliver(Box::new(m)));
                     }
                 }
                 Effect::Peers(hint) => {
@@ -611,36 +626,43 @@
         report
     }
 
-    fn party(ask: &Ask) -> Party {
-        match ask {
-            Ask::State(_) => Party::State,
-            Ask::Cloud(_) => Party::Cloud,
-            Ask::Direct(m, _) => Party::Machine(*m),
+    fn callee(outbound: &Outbound) -> Party {
+        match outbound {
+            Outbound::State(_) => Party::State,
+            Outbound::Cloud(_) => Party::Cloud,
+            Outbound::PushCommand(m, _) => Party::Machine(*m),
         }
     }
 
-    fn ask(&mut self, node: usize, life: u64, call: CallId, ask: Ask, limit: Micros) {
-        let to = Self::party(&ask);
-        let abandon_boots = Message::Answer {
+    fn call_out(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        call: CallId,
+        outbound: Outbound,
+        timeout: Micros,
+    ) {
+        let to = Self::callee(&outbound);
+        let timeout_response = Message::Response {
             node,
-            life,
+            incarnation,
             call,
-            ask: ask.clone(),
-            answer: None,
+            outbound: outbound.clone(),
+            response: None,
         };
-        self.at(
-            self.now + limit.0,
-            Happening::Deliver(Box::new(abandon_boots)),
+        self.schedule(
+            self.now + timeout.0,
+            SimEvent::Deliver(Box::new(timeout_response)),
         );
         self.send(
             Party::Node(node),
             to,
             false,
-            Message::Ask {
+            Message::Request {
                 node,
-                life,
+                incarnation,
                 call,
-                ask,
+                outbound,
             },
         );
     }
@@ -648,55 +670,60 @@
     fn deliver(&mut self, message: Message) {
         // A node that hangs takes nothing before it goes on.
         let to_node = match &message {
-            Message::Answer { node, .. } | Message::Heartbeat { node, .. } => Some(*node),
-            Message::User { node, .. } | Message::Hint { node, .. } => Some(*node),
+            Message::Response { node, .. } | Message::Heartbeat { node, .. } => Some(*node),
+            Message::UserRequest { node, .. } | Message::Hint { node, .. } => Some(*node),
             _ => None,
         };
         if let Some(node) = to_node.and_then(|n| self.nodes[n].as_mut())
             && self.now < node.hung_until
         {
-            node.held.push(message);
+            node.deferred_messages.push(message);
             return;
         }
         match message {
-            Message::Ask {
+            Message::Request {
                 node,
-                life,
+                incarnation,
                 call,
-                ask,
-            } => self.asked(node, life, call, ask),
-            Message::Answer {
+                outbound,
+            } => self.receive_call(node, incarnation, call, outbound),
+            Message::Response {
                 node,
-                life,
+                incarnation,
                 call,
-                ask,
-                answer,
+                outbound,
+                response,
             } => {
-                if self.nodes[node].as_ref().is_none_or(|n| n.life != life) {
+                if self.nodes[node]
+                    .as_ref()
+                    .is_none_or(|n| n.incarnation != incarnation)
+                {
                     return;
                 }
                 let none = || Err(CallError::OutcomeUnknown);
-                let most = (self.script.body_kb * 1024.0) as usize;
-                let event = match ask {
-                    Ask::State(_) if answer.as_ref().is_some_and(|(_, b)| b.len() > most) => {
+                let most = (self.script.max_response_kb * 1024.0) as usize;
+                let event = match outbound {
+                    Outbound::State(_)
+                        if response.as_ref().is_some_and(|(_, b)| b.len() > most) =>
+                    {
                         Event::State(call, Err(CallError::ResponseTooLarge))
                     }
-                    Ask::State(r) => Event::State(
+                    Outbound::State(r) => Event::State(
                         call,
-                        answer.map_or_else(none, |(s, b)| state_wire::parse(&r, s, &b)),
+                        response.map_or_else(none, |(s, b)| state_wire::parse(&r, s, &b)),
                     ),
-                    Ask::Cloud(r) => Event::Cloud(
+                    Outbound::Cloud(r) => Event::Cloud(
                         call,
-                        answer.map_or(Err(CallError::OutcomeUnknown), |(s, b)| {
+                        response.map_or(Err(CallError::OutcomeUnknown), |(s, b)| {
                             cloud_wire::parse(&r, s, &b)
                         }),
                     ),
-                    Ask::Direct(..) => Event::PushCommand(
+                    Outbound::PushCommand(..) => Event::PushCommand(
                         call,
-                        answer.and_then(|(s, b)| Some((s == 200, Heartbeat::parse(&b)?))),
+                        response.and_then(|(s, b)| Some((s == 200, Heartbeat::parse(&b)?))),
                     ),
                 };
-                self.event(node, event);
+                self.handle_event(node, event);
             }
             Message::Heartbeat {
                 machine,
@@ -705,11 +732,12 @@
                 body,
             } => {
                 let report = Heartbeat::parse(&body).expect("a report");
-                let shift = report.incarnation();
-                let Some(answer) = self.event(node, Event::Heartbeat(CallId(0), report)) else {
+                let incarnation = report.incarnation();
+                let Some(response) = self.handle_event(node, Event::Heartbeat(CallId(0), report))
+                else {
                     return;
                 };
-                let (status, body) = match answer {
+                let (status, body) = match response {
                     HeartbeatResponse::Commands {
                         fencing_token,
                         commands,
@@ -718,32 +746,32 @@
                     HeartbeatResponse::Unavailable => (503, Vec::new()),
                     HeartbeatResponse::Malformed => panic!("a good report was refused"),
                 };
-                let reply = Message::Reply {
+                let reply = Message::HeartbeatReply {
                     machine,
                     sent,
-                    shift,
+                    incarnation,
                     status,
                     body,
                 };
                 self.send(Party::Node(node), Party::Machine(machine), true, reply);
             }
-            Message::Reply {
+            Message::HeartbeatReply {
                 machine,
                 sent,
-                shift,
+                incarnation,
                 status,
                 body,
-            } => self.replied(machine, sent, shift, status, &body),
-            Message::User { node, user } => {
+            } => self.handle_heartbeat_reply(machine, sent, incarnation, status, &body),
+            Message::UserRequest { node, user } => {
                 let u = &self.users[user];
                 let (kind, job, attempt) = (u.kind, u.job, u.attempt);
                 let body = u.body.clone();
                 let Some(n) = self.nodes[node].as_mut() else {
                     return;
                 };
-                let call = CallId(n.next_user);
-                n.next_user += 1;
-                n.waits.insert(call, (user, attempt));
+                let call = CallId(n.next_user_call);
+                n.next_user_call += 1;
+                n.open_user_calls.insert(call, (user, attempt));
                 let id = cometlead::storage::ids::JobId(job);
                 let request = match kind {
                     "abort" => UserRequest::Abort(id),
@@ -756,115 +784,118 @@
                             // As the server has it, which reads the name alone then.
                             Err(_) => Event::InvalidSubmission(call, id, "body".into()),
                         };
-                        self.event(node, event);
+                        self.handle_event(node, event);
                         return;
                     }
                 };
-                self.event(node, Event::User(call, request));
+                self.handle_event(node, Event::User(call, request));
             }
-            Message::Told {
+            Message::UserReply {
                 user,
                 attempt,
                 status,
                 state,
             } => {
-                if self.users[user].attempt == attempt && self.users[user].waiting {
-                    self.told(user, status, state.as_deref());
+                if self.users[user].attempt == attempt && self.users[user].awaiting_response {
+                    self.handle_user_reply(user, status, state.as_deref());
                 }
             }
             Message::Hint { node, hint } => {
-                self.event(node, Event::Peer(hint));
+                self.handle_event(node, Event::Peer(hint));
             }
         }
     }
 
     /// A controller's request has reached the other side.
-    fn asked(&mut self, node: usize, life: u64, call: CallId, ask: Ask) {
+    fn receive_call(&mut self, node: usize, incarnation: u64, call: CallId, outbound: Outbound) {
         let now = self.now;
-        let answer = match &ask {
-            Ask::State(request) => {
+        let response = match &outbound {
+            Outbound::State(request) => {
                 let (method, path, body) = state_wire::http(request);
                 let late = matches!(request, StateRequest::Transaction(_))
-                    && self.drawn(|w| &w.late_writes);
-                if self.is_among(&self.refused, node) {
+                    && self.draws_fault(|w| &w.late_writes);
+                if self.is_affected(&self.refused_nodes, node) {
                     Some((503, json!({})))
                 } else if late {
-                    let after = 2_000_000 + (self.dice() * 1e7) as u64;
-                    self.at(now + after, Happening::LateWrite(Box::new(request.clone())));
+                    let after = 2_000_000 + (self.random_fraction() * 1e7) as u64;
+                    self.schedule(
+                        now + after,
+                        SimEvent::DelayedTransaction(Box::new(request.clone())),
+                    );
                     return;
-                } else if self.is_among(&self.throttled, node) {
-                    self.throttles += 1;
+                } else if self.is_affected(&self.throttled_nodes, node) {
+                    self.throttled_requests += 1;
                     Some((429, json!({})))
-                } else if self.loses_answer(request) {
-                    self.order += 1;
-                    self.state.request(now, self.order, method, &path, &body);
+                } else if self.loses_response(request) {
+                    self.last_id += 1;
+                    self.state.request(now, self.last_id, method, &path, &body);
                     self.state_tick();
                     return;
                 } else {
                     // Watches are told apart by the order in which they are kept.
-                    self.order += 1;
-                    let id = self.order;
-                    let answer = self.state.request(now, id, method, &path, &body);
-                    if answer.is_none() {
-                        let keep = Message::Answer {
+                    self.last_id += 1;
+                    let id = self.last_id;
+                    let response = self.state.request(now, id, method, &path, &body);
+                    if response.is_none() {
+                        let keep = Message::Response {
                             node,
-                            life,
+                            incarnation,
                             call,
-                            ask: ask.clone(),
-                            answer: None,
+                            outbound: outbound.clone(),
+                            response: None,
                         };
-                        self.happenings
-                            .insert(id, Happening::Deliver(Box::new(keep)));
+                        self.scheduled_events
+                            .insert(id, SimEvent::Deliver(Box::new(keep)));
                     }
                     self.state_tick();
-                    answer
+                    response
                 }
             }
-            Ask::Cloud(request) => {
+            Outbound::Cloud(request) => {
                 let (method, path, body) = cloud_wire::http(request);
                 let mut rng = StdRng::seed_from_u64(self.rng.random());
                 let before: Vec<u64> = self.cloud.hosts.keys().copied().collect();
-                let answer = self
+                let response = self
                     .cloud
                     .request(now, method, &path, &body, &mut || rng.random::<f64>());
-                self.after_cloud(&before);
-                Some(answer)
+                self.apply_cloud_changes(&before);
+                Some(response)
             }
-            Ask::Direct(machine, body) => {
-                let mut deeds = Vec::new();
-                let answer = self.direct(*machine, body, &mut deeds);
-                self.deeds(*machine, deeds);
-                answer
+            Outbound::PushCommand(machine, body) => {
+                let mut task_events = Vec::new();
+                let response = self.deliver_command(*machine, body, &mut task_events);
+                self.record_task_events(*machine, task_events);
+                response
             }
         };
-        if let Some((status, body)) = answer {
-            let from = Self::party(&ask);
-            let answer = Some((status, body.to_string().into_bytes()));
+        if let Some((status, body)) = response {
+            let from = Self::callee(&outbound);
+            let response = Some((status, body.to_string().into_bytes()));
             self.send(
                 from,
                 Party::Node(node),
                 true,
-                Message::Answer {
+                Message::Response {
                     node,
-                    life,
+                    incarnation,
                     call,
-                    ask,
-                    answer,
+                    outbound,
+                    response,
                 },
             );
         }
     }
 
     /// Whether a controller is among those that are troubled now.
-    fn is_among(&self, list: &[(usize, u64)], node: usize) -> bool {
+    fn is_affected(&self, list: &[(usize, u64)], node: usize) -> bool {
         list.iter()
             .any(|(n, until)| *n == node && self.now < *until)
     }
 
     /// Whether something of which a share is troubled now is.
-    fn drawn(&mut self, of: impl Fn(&World) -> &[(f64, u64)]) -> bool {
-        let share = self.share_of(of(self)).unwrap_or(0.0);
-        share > 0.0 && self.dice() < share
+    fn draws_fault(&mut self, of: impl Fn(&World) -> &[(f64, u64)]) -> bool {
+        let share = self.active_share(of(self)).unwrap_or(0.0);
+        share > 0.0 && self.random_fraction() < share
     }
 
     fn state_tick(&mut self) {
@@ -875,26 +906,26 @@
         );
         for (id, status, body) in self.state.tick(self.now) {
             // Kept by its number in `happenings`, out of the queue.
-            if let Some(Happening::Deliver(m)) = self.happenings.remove(&id)
-                && let Message::Answer {
+            if let Some(SimEvent::Deliver(m)) = self.scheduled_events.remove(&id)
+                && let Message::Response {
                     node,
-                    life,
+                    incarnation,
                     call,
-                    ask,
+                    outbound,
                     ..
                 } = *m
             {
                 // Open watches of a controller that is refused wait as in an outage, longer than it waits for them.
-                if self.is_among(&self.refused, node) {
+                if self.is_affected(&self.refused_nodes, node) {
                     continue;
                 }
-                let answer = Some((status, body.to_string().into_bytes()));
-                let m = Message::Answer {
+                let response = Some((status, body.to_string().into_bytes()));
+                let m = Message::Response {
                     node,
-                    life,
+                    incarnation,
                     call,
-                    ask,
-                    answer,
+                    outbound,
+                    response,
                 };
                 self.send(Party::State, Party::Node(node), true, m);
             }
@@ -906,11 +937,11 @@
         let Some(node) = self.nodes[n].take() else {
             return;
         };
-        self.tally(node.controller.counters());
-        self.at(self.now + down, Happening::Restart(n));
+        self.add_counters(node.controller.counters());
+        self.schedule(self.now + down, SimEvent::Restart(n));
     }
 
-    fn tally(&mut self, x: Counters) {
+    fn add_counters(&mut self, x: Counters) {
         self.counters.clashes += x.clashes;
         self.counters.commits += x.commits;
         self.failovers += x.failovers;
@@ -925,10 +956,10 @@
         match self.script.steps[i].1.clone() {
             Step::Submit { job, fields, node } => self.submit(job, &fields, node),
             Step::Abort { job, node } => {
-                self.check.asks_abort(job);
-                self.user(job, "abort", Vec::new(), node);
+                self.checker.record_abort_request(job);
+                self.send_with_retries(job, "abort", Vec::new(), node);
             }
-            Step::Query { job, node } => self.user(job, "query", Vec::new(), node),
+            Step::Query { job, node } => self.send_with_retries(job, "query", Vec::new(), node),
             Step::Crash {
                 node: Some(n),
                 down,
@@ -936,13 +967,13 @@
             Step::Crash { node: None, down } => {
                 (0..self.script.nodes).for_each(|n| self.crash(n, down));
             }
-            Step::Die { zone, down } => {
+            Step::FailZone { zone, down } => {
                 self.cloud.dark.push((zone.clone(), now + down));
                 let there = |m: &&u64| self.is_in(&Party::Machine(**m), &zone);
                 let machines: Vec<u64> = self.workers.keys().filter(there).copied().collect();
                 machines
                     .into_iter()
-                    .for_each(|m| self.at(now, Happening::Gone(m)));
+                    .for_each(|m| self.schedule(now, SimEvent::MachineTerminated(m)));
                 for n in 0..self.script.nodes {
                     if zone_of(&self.script, n) == zone {
                         self.crash(n, down);
@@ -970,14 +1001,14 @@
                 span,
             } => self.cloud.out_until = now + span,
             Step::Outage { party, .. } => panic!("{party:?} has no outages"),
-            Step::Refuse { node, span } => self.refused.push((node, now + span)),
-            Step::Throttle { node, span } => self.throttled.push((node, now + span)),
+            Step::Refuse { node, span } => self.refused_nodes.push((node, now + span)),
+            Step::Throttle { node, span } => self.throttled_nodes.push((node, now + span)),
             Step::LateWrites {
                 share,
                 span,
                 at_once: true,
                 of,
-            } => self.lost_answers.push((share, now + span, of)),
+            } => self.lost_responses.push((share, now + span, of)),
             Step::LateWrites { share, span, .. } => self.late_writes.push((share, now + span)),
             Step::LateReports {
                 share,
@@ -985,39 +1016,40 @@
                 to: CopiesTo::Same,
             } => self.late_reports.push((share, now + span)),
             Step::LateReports { share, span, to } => {
-                self.keeping.push((share, now + span, to == CopiesTo::All));
+                self.heartbeat_copy_windows
+                    .push((share, now + span, to == CopiesTo::All));
             }
-            Step::Mute {
+            Step::DropHeartbeats {
                 machine,
                 count,
                 span,
             } => {
-                self.mute
+                self.heartbeats_dropped_until
                     .extend((machine..machine + count).map(|m| (m, now + span)));
             }
-            Step::CancelNow { count, hang } => self.cancel_now(count, hang),
+            Step::CancelNow { count, hang } => self.cancel_running_jobs(count, hang),
             Step::CancelAtEnd { share, span } => self.cancel_at_end.push((share, now + span)),
-            Step::CloseLooks { aborts, span } => self.close_looks.push((aborts, now + span)),
-            Step::OddRequests { span } => self.at(now, Happening::Odd(now + span)),
-            Step::Deaf {
+            Step::QueryBursts { aborts, span } => self.query_bursts.push((aborts, now + span)),
+            Step::OddRequests { span } => self.schedule(now, SimEvent::UnusualRequest(now + span)),
+            Step::DropInbound {
                 machine,
                 count,
                 span,
             } => {
-                self.deaf
+                self.inbound_dropped_until
                     .extend((machine..machine + count).map(|m| (m, now + span)));
             }
             Step::Hang { party, span } => match party {
-                Party::Machine(m) => self.hang(m, span),
+                Party::Machine(m) => self.hang_machine(m, span),
                 Party::Node(n) => {
                     if let Some(node) = self.nodes[n].as_mut() {
                         node.hung_until = now + span;
-                        self.at(now + span, Happening::Wake(n));
+                        self.schedule(now + span, SimEvent::Wake(n));
                     }
                 }
                 other => panic!("{other:?} cannot hang"),
             },
-            Step::Take {
+            Step::ReclaimMachines {
                 machine,
                 count,
                 notice,
@@ -1027,12 +1059,12 @@
                         w.recall_at = Some(now + notice);
                         w.changed = true;
                         let next = w.next_deadline();
-                        self.at(next, Happening::Worker(machine));
+                        self.schedule(next, SimEvent::WorkerDeadline(machine));
                     }
-                    self.at(now + notice, Happening::Gone(machine));
+                    self.schedule(now + notice, SimEvent::MachineTerminated(machine));
                 }
             }
-            Step::Boots { factor, span } => self.cloud.slow = (factor, now + span),
+            Step::ScaleBootTimes { factor, span } => self.cloud.slow = (factor, now + span),
             Step::Polls {
                 job,
                 count,
@@ -1040,9 +1072,9 @@
                 span,
             } => {
                 let every = (1e6 / rate) as u64;
-                self.at(
+                self.schedule(
                     now,
-                    Happening::Poll {
+                    SimEvent::Poll {
                         job,
                         count,
                         every,
@@ -1050,27 +1082,27 @@
                     },
                 );
             }
-            Step::Team { name, cores, most } => {
+            Step::ChangeTeam { name, cores, most } => {
                 self.script.teams.retain(|t| t.0 != name);
                 self.script.teams.push((name, cores, most));
                 self.settings = (0..self.script.nodes)
                     .map(|n| settings(&self.script, n))
                     .collect();
-                self.newer = (0..self.script.nodes).collect();
+                self.nodes_with_old_settings = (0..self.script.nodes).collect();
             }
-            Step::Limits => {
-                let (rate, size, ops) = self.script.next.expect("next limits");
+            Step::ApplyNextLimits => {
+                let (rate, size, ops) = self.script.next_limits.expect("next limits");
                 self.state.lower(rate, (size * 1024.0) as usize, ops);
             }
-            Step::Rules { node, name, down } => {
-                self.rules[node] = name;
+            Step::ChangeRules { node, name, down } => {
+                self.node_rules[node] = name;
                 self.crash(node, down);
             }
-            Step::Change { node, down, new } => {
+            Step::ChangeVersion { node, down, new } => {
                 if new {
-                    self.old.remove(&node);
+                    self.nodes_on_previous_version.remove(&node);
                 } else {
-                    self.old.insert(node);
+                    self.nodes_on_previous_version.insert(node);
                 }
                 self.crash(node, down);
             }
@@ -1089,8 +1121,8 @@
         if self.now < node.hung_until {
             return;
         }
-        let held = std::mem::take(&mut node.held);
-        for m in held {
+        let deferred_messages = std::mem::take(&mut node.deferred_messages);
+        for m in deferred_messages {
             self.deliver(m);
         }
         let Some(node) = self.nodes[n].as_mut() else {
@@ -1099,7 +1131,7 @@
         if node.wake_at <= self.now || node.hung_until > 0 {
             node.wake_at = u64::MAX;
             node.hung_until = 0;
-            self.event(n, Event::Tick);
+            self.handle_event(n, Event::Tick);
         }
     }
 
@@ -1111,44 +1143,44 @@
             }
             self.now = at;
             NOW.set(at);
-            match self.happenings.remove(&id).expect("a happening") {
-                Happening::Deliver(m) => match *m {
+            match self.scheduled_events.remove(&id).expect("a happening") {
+                SimEvent::Deliver(m) => match *m {
                     // A command that a hanging machine carries out late: nobody waits for it.
-                    Message::Ask {
+                    Message::Request {
                         node: usize::MAX,
-                        ask: Ask::Direct(machine, body),
+                        outbound: Outbound::PushCommand(machine, body),
                         ..
                     } => {
-                        let mut deeds = Vec::new();
-                        self.direct(machine, &body, &mut deeds);
-                        self.deeds(machine, deeds);
+                        let mut task_events = Vec::new();
+                        self.deliver_command(machine, &body, &mut task_events);
+                        self.record_task_events(machine, task_events);
                     }
                     m => self.deliver(m),
                 },
-                Happening::Wake(n) => self.wake(n),
-                Happening::Worker(m) => self.worker(m),
-                Happening::WorkerTimeout(m, sent) => {
+                SimEvent::Wake(n) => self.wake(n),
+                SimEvent::WorkerDeadline(m) => self.run_worker(m),
+                SimEvent::WorkerTimeout(m, sent) => {
                     let timed_out = self
                         .workers
                         .get(&m)
                         .is_some_and(|w| w.waiting.is_some_and(|(_, s, _)| s == sent));
                     if timed_out {
-                        self.next_node(m, 1_000_000);
+                        self.switch_node(m, 1_000_000);
                     }
                 }
-                Happening::UserTimeout(u, attempt) => self.gave_up(u, attempt),
-                Happening::Poll {
+                SimEvent::UserTimeout(u, attempt) => self.handle_user_timeout(u, attempt),
+                SimEvent::Poll {
                     job,
                     count,
                     every,
                     until,
                 } => {
-                    let which = job + (self.dice() * count as f64) as u64;
+                    let which = job + (self.random_fraction() * count as f64) as u64;
                     self.poll(which);
                     if self.now + every < until {
-                        self.at(
+                        self.schedule(
                             self.now + every,
-                            Happening::Poll {
+                            SimEvent::Poll {
                                 job,
                                 count,
                                 every,
@@ -1157,55 +1189,59 @@
                         );
                     }
                 }
-                Happening::Look { job, kind, node } => self.look(job, kind, node),
-                Happening::Odd(until) => self.odd(until),
-                Happening::UserAgain(u) => {
-                    if !self.users[u].waiting {
-                        self.try_user(u);
+                SimEvent::ExtraRequest { job, kind, node } => {
+                    self.send_extra_request(job, kind, node)
+                }
+                SimEvent::UnusualRequest(until) => self.send_unusual_request(until),
+                SimEvent::UserRetry(u) => {
+                    if !self.users[u].awaiting_response {
+                        self.send_user_request(u);
                     }
                 }
-                Happening::Boot(i) => self.boot(i),
-                Happening::Gone(i) => {
+                SimEvent::MachineBoot(i) => self.boot_machine(i),
+                SimEvent::MachineTerminated(i) => {
                     if let Some(h) = self.cloud.hosts.get_mut(&i) {
                         h.gone_at.get_or_insert(self.now);
                     }
-                    self.machine_gone(i);
+                    self.terminate_machine(i);
                 }
-                Happening::Restart(n) => self.start(n),
-                Happening::Step(i) => self.step(i),
-                Happening::StateTick => {
+                SimEvent::Restart(n) => self.start(n),
+                SimEvent::Step(i) => self.step(i),
+                SimEvent::StateTick => {
                     self.state_tick();
                     let next = self
                         .state
                         .next_deadline()
                         .unwrap_or(u64::MAX)
                         .max(self.now + 20_000);
-                    self.at(next.min(self.now + 100_000), Happening::StateTick);
+                    self.schedule(next.min(self.now + 100_000), SimEvent::StateTick);
                 }
-                Happening::LateWrite(request) => {
+                SimEvent::DelayedTransaction(request) => {
                     let (method, path, body) = state_wire::http(&request);
-                    self.order += 1;
-                    self.state.request(at, self.order, method, &path, &body);
+                    self.last_id += 1;
+                    self.state.request(at, self.last_id, method, &path, &body);
                     self.state_tick();
                 }
-                Happening::Sweep => {
-                    self.check.sweep(self.now);
-                    self.note_waiting();
+                SimEvent::CheckDeadlines => {
+                    self.checker.check_deadlines(self.now);
+                    self.check_starvation();
                     let ruled = self.state.values("c/meta").any(|(_, v)| {
                         v["layout"]
                             .as_u64()
                             .is_some_and(|l| format_has_rules(l as u32))
                     });
-                    self.check.laws.note(self.now, ruled, &self.rules);
-                    self.recorded();
-                    self.at(self.now + 1_000_000, Happening::Sweep);
+                    self.checker
+                        .rule_checker
+                        .observe_rules(self.now, ruled, &self.node_rules);
+                    self.machines_with_records();
+                    self.schedule(self.now + 1_000_000, SimEvent::CheckDeadlines);
                 }
             }
         }
         for n in 0..self.script.nodes {
             if let Some(node) = self.nodes[n].as_ref() {
                 let counters = node.controller.counters();
-                self.tally(counters);
+                self.add_counters(counters);
             }
         }
         self.lost_leases += self.workers.values().map(|w| w.lost_leases).sum::<u64>();
--- a/tests/runner/script.rs
+++ b/tests/runner/script.rs
@@ -36,10 +36,10 @@
     }
 
     /// Whether a fault on `self` concerns `one`.
-    pub fn covers(&self, one: &Party) -> bool {
-        self == one
+    pub fn covers(&self, party: &Party) -> bool {
+        self == party
             || matches!(
-                (self, one),
+                (self, party),
                 (Party::Nodes, Party::Node(_)) | (Party::Machines, Party::Machine(_))
             )
     }
@@ -58,7 +58,7 @@
     /// Every message takes up to two seconds, each on its own.
     Slow,
     /// Only answers are lost.
-    Deaf,
+    DropResponses,
     /// Connections are reset: nothing arrives, and who sends learns so at once.
     Reset,
 }
@@ -132,7 +132,7 @@
         to: CopiesTo,
     },
     /// Machines by number from this one on reach no controller; direct commands to them arrive and are answered.
-    Mute {
+    DropHeartbeats {
         machine: u64,
         count: u64,
         span: u64,
@@ -149,7 +149,7 @@
     },
     /// Users ask at all nodes and submit again within milliseconds after a job was accepted, ended or cancelled; this share
     /// of them cancels.
-    CloseLooks {
+    QueryBursts {
         aborts: f64,
         span: u64,
     },
@@ -158,18 +158,18 @@
         span: u64,
     },
     /// Machines by number from this one on are deaf: their reports arrive, answers and commands to them are lost.
-    Deaf {
+    DropInbound {
         machine: u64,
         count: u64,
         span: u64,
     },
     /// A zone loses its power: its machines are gone, its controllers come back later.
-    Die {
+    FailZone {
         zone: String,
         down: u64,
     },
     /// Machines are taken back, by number from this one on.
-    Take {
+    ReclaimMachines {
         machine: u64,
         count: u64,
         notice: u64,
@@ -178,15 +178,15 @@
         machine: u64,
     },
     /// The state service has its next limits from now on.
-    Limits,
+    ApplyNextLimits,
     /// A controller ends, and comes back with this version or the one before.
-    Change {
+    ChangeVersion {
         node: usize,
         down: u64,
         new: bool,
     },
     /// What is rented takes so many times as long to come up.
-    Boots {
+    ScaleBootTimes {
         factor: f64,
         span: u64,
     },
@@ -198,13 +198,13 @@
         span: u64,
     },
     /// A controller ends, and comes back with these rules, or none.
-    Rules {
+    ChangeRules {
         node: usize,
         name: Option<String>,
         down: u64,
     },
     /// A later deploy file has this team; controllers that start from now on read it.
-    Team {
+    ChangeTeam {
         name: String,
         cores: f64,
         most: f64,
@@ -215,48 +215,48 @@
 pub enum Expect {
     Done(u64),
     Cancelled(u64),
-    Unknown(u64),
+    NotAccepted(u64),
     AllDone,
-    Clashes,
-    Takeovers(u64),
-    FewTakeovers(u64),
-    LostLeases(u64),
-    FewerMachines(u64),
+    AnyConflict,
+    FailoversAtLeast(u64),
+    FailoversAtMost(u64),
+    LostLeasesAtMost(u64),
+    MachinesAtMost(u64),
     /// Some slice had at least so many group records at once.
-    Groups(u64),
+    GroupsAtLeast(u64),
     /// Every machine that is up at the end has a record.
-    AllRecorded,
+    AllMachinesRecorded,
     /// The state service refused requests for their rate.
     Throttled,
     /// Of the tasks of a lane, this share started within the time of its submission.
-    Started {
+    StartedWithin {
         lane: String,
         within: u64,
         share: f64,
     },
     /// The job's tasks were started at most so often.
-    Starts(u64, u64),
+    StartsAtMost(u64, u64),
     /// The user was told by then that the job is done.
     DoneBy(u64, u64),
     /// The state service was sent at most so many requests, or changes.
-    Requests(u64),
-    Changes(u64),
+    StateRequestsAtMost(u64),
+    StateChangesAtMost(u64),
     /// The state service refused at most so many requests as wrong.
-    FewRefused(u64),
+    RefusedAtMost(u64),
     /// No value is larger than the next limits allow.
-    AllSmall,
+    ValuesWithinNextLimits,
     /// The records have this layout at the end.
-    Layout(u64),
+    RecordFormat(u64),
     /// A job that awaits others started within this time of the last of them.
-    Follows(u64, u64),
+    StartsAfterDependenciesWithin(u64, u64),
     /// A job's first task started before any of another's.
-    Before(u64, u64),
+    StartsBefore(u64, u64),
     /// It was refused as impossible, and the answer names this.
-    Refused(u64, String),
+    RefusedNaming(u64, String),
     /// Some answer said that it waits, and named this.
-    Reason(u64, String),
+    ReasonNaming(u64, String),
     /// So many of its tasks, as a share, started in this zone or on this type of machine.
-    Ran {
+    RanOn {
         job: u64,
         place: String,
         share: f64,
@@ -266,45 +266,45 @@
     /// Its first task started by this time.
     StartsBy(u64, u64),
     /// So many rounds clashed, at least.
-    ManyClashes(u64),
+    ConflictsAtLeast(u64),
     /// So many controllers own slices at the end.
-    Owners(usize),
+    ShardLeadersAtLeast(usize),
     /// So many times some controller did not run for a while.
-    Absences(u64),
+    StallsAtLeast(u64),
     /// At most so many machines of a zone were returned while it was cut off.
-    FewReturned(String, u64),
+    ReleasedWhileCutOffAtMost(String, u64),
     /// At most so many were hired there while it was cut off or dead.
-    FewHired(String, u64),
+    ProvisionedWhileCutOffAtMost(String, u64),
     /// At least so many machines were marked as lost with their zones.
-    LostWithZones(u64),
+    LostWithZonesAtLeast(u64),
     /// At most so many were; with 0 no zone was lost.
-    FewLostWithZones(u64),
+    LostWithZonesAtMost(u64),
     /// At least so many machines of a zone are there at the end.
-    Machines(String, u64),
+    MachinesAtLeast(String, u64),
     /// Sessions that were declared over for silence, and machines to be returned for want of work, at most.
-    FewSilenced(u64),
-    FewUnneeded(u64),
+    ExpiredLeasesAtMost(u64),
+    SurplusMachinesAtMost(u64),
     /// Of a class's or team's jobs, this share was done within the time of their submission.
-    Throughput {
+    DoneWithin {
         name: String,
         within: u64,
         share: f64,
     },
     /// Of the polls, this share was answered with a state, or that there is no such job.
-    Polled(f64),
+    PollsAnswered(f64),
     /// At least half of each class, of each team and of each class's largest jobs was done, and the largest jobs
     /// began within four minutes.
     Fair,
     /// Every task of a cancelled job was gone at least so long before its time was over.
-    Margin(u64),
+    CancelMarginAtLeast(u64),
     /// At most so many machines got a record when they were gone already.
-    FewGhosts(u64),
+    LateMachineRecordsAtMost(u64),
     /// At most so many tasks started after their users were told that their jobs are cancelled.
-    FewLateStarts(u64),
+    StartsAfterCancellationAtMost(u64),
     /// So many jobs were told to be cancelled, at least.
-    ManyCancelled(usize),
+    CancelledAtLeast(usize),
     /// Something was played so often, at least: answers lost, copies delivered, looks, jobs called off, odd requests.
-    Played(String, u64),
+    InjectedAtLeast(String, u64),
 }
 
 #[derive(Clone, Debug)]
@@ -314,33 +314,33 @@
     /// Zones of the controllers, in turn.
     pub zones: Vec<String>,
     pub end: u64,
-    pub lease: f64,
-    pub report: f64,
-    pub cancel: f64,
-    pub lag: f64,
+    pub lease_s: f64,
+    pub report_interval_s: f64,
+    pub cancel_s: f64,
+    pub list_lag_s: f64,
     pub value_kb: f64,
     /// Largest answer that controllers read, in KiB.
-    pub body_kb: f64,
-    pub slices: Option<usize>,
+    pub max_response_kb: f64,
+    pub shards: Option<usize>,
     /// Requests and changes a second that the state service takes.
-    pub rates: (f64, f64),
+    pub state_rates: (f64, f64),
     /// Limits that the state service will have: changes a second, KiB of a value, changes of a transaction.
-    pub next: Option<(f64, f64, usize)>,
+    pub next_limits: Option<(f64, f64, usize)>,
     /// All controllers begin with the version before.
-    pub old: bool,
+    pub starts_on_previous_version: bool,
     /// Records that are there before anything runs: a file of `tests/production`.
-    pub records: Option<String>,
+    pub records_file: Option<String>,
     pub chaos: u32,
     pub load: u32,
     pub teams: Vec<(String, f64, f64)>,
     pub types: Vec<TypeSpec>,
     /// Rules files, and rules that jobs bring, by name.
     pub rules: BTreeMap<String, serde_json::Value>,
-    pub own: BTreeMap<String, serde_json::Value>,
+    pub job_rules: BTreeMap<String, serde_json::Value>,
     /// Rules that all controllers begin with.
-    pub with: Option<String>,
+    pub initial_rules: Option<String>,
     /// For how long after a change of rules starts are judged by neither.
-    pub grace: f64,
+    pub rules_grace_s: f64,
     pub steps: Vec<(u64, Step)>,
     pub expects: Vec<Expect>,
 }
@@ -354,17 +354,17 @@
     text.strip_prefix("req-")?.parse().ok()
 }
 
-struct Words<'a> {
-    plain: Vec<&'a str>,
+struct StatementWords<'a> {
+    positional: Vec<&'a str>,
     named: BTreeMap<&'a str, &'a str>,
 }
 
-impl<'a> Words<'a> {
-    fn of(line: &'a str) -> Words<'a> {
-        let (named, plain): (Vec<&str>, Vec<&str>) =
+impl<'a> StatementWords<'a> {
+    fn parse(line: &'a str) -> StatementWords<'a> {
+        let (named, positional): (Vec<&str>, Vec<&str>) =
             line.split_whitespace().partition(|w| w.contains('='));
-        Words {
-            plain,
+        StatementWords {
+            positional,
             named: named
                 .into_iter()
                 .filter_map(|w| w.split_once('='))
@@ -372,7 +372,7 @@
         }
     }
 
-    fn take<T>(
+    fn optional<T>(
         &mut self,
         key: &str,
         parse: impl Fn(&str) -> Option<T>,
@@ -385,17 +385,24 @@
         }
     }
 
-    fn need<T>(&mut self, key: &str, parse: impl Fn(&str) -> Option<T>) -> Result<T, String> {
-        self.take(key, parse)?.ok_or(format!("{key}= is missing"))
+    fn required<T>(&mut self, key: &str, parse: impl Fn(&str) -> Option<T>) -> Result<T, String> {
+        self.optional(key, parse)?
+            .ok_or(format!("{key}= is missing"))
     }
 
-    fn word<T>(&self, at: usize, parse: impl Fn(&str) -> Option<T>) -> Result<T, String> {
-        let text = self.plain.get(at).ok_or("a word is missing".to_owned())?;
+    fn positional<T>(&self, at: usize, parse: impl Fn(&str) -> Option<T>) -> Result<T, String> {
+        let text = self
+            .positional
+            .get(at)
+            .ok_or("a word is missing".to_owned())?;
         parse(text).ok_or(format!("{text} is not understood"))
     }
 
-    fn finish(self, plain: usize) -> Result<(), String> {
-        match (self.named.keys().next(), self.plain.get(plain)) {
+    fn finish(self, positional_count: usize) -> Result<(), String> {
+        match (
+            self.named.keys().next(),
+            self.positional.get(positional_count),
+        ) {
             (Some(k), _) => Err(format!("unknown key {k}")),
             (_, Some(w)) => Err(format!("{w} is one word too many")),
             _ => Ok(()),
@@ -420,18 +427,18 @@
             | Step::Hang { span, .. }
             | Step::LateWrites { span, .. }
             | Step::LateReports { span, .. }
-            | Step::Deaf { span, .. }
-            | Step::Mute { span, .. }
+            | Step::DropInbound { span, .. }
+            | Step::DropHeartbeats { span, .. }
             | Step::CancelNow { hang: span, .. }
             | Step::CancelAtEnd { span, .. }
-            | Step::CloseLooks { span, .. }
+            | Step::QueryBursts { span, .. }
             | Step::OddRequests { span }
-            | Step::Boots { span, .. }
+            | Step::ScaleBootTimes { span, .. }
             | Step::Polls { span, .. } => *span,
-            Step::Crash { down, .. } | Step::Die { down, .. } => *down,
-            Step::Change { down, .. } | Step::Rules { down, .. } => *down,
-            Step::Take { notice, .. } => *notice,
-            Step::Faulty { .. } | Step::Limits | Step::Team { .. } => 0,
+            Step::Crash { down, .. } | Step::FailZone { down, .. } => *down,
+            Step::ChangeVersion { down, .. } | Step::ChangeRules { down, .. } => *down,
+            Step::ReclaimMachines { notice, .. } => *notice,
+            Step::Faulty { .. } | Step::ApplyNextLimits | Step::ChangeTeam { .. } => 0,
             Step::Submit { .. } | Step::Abort { .. } | Step::Query { .. } => return None,
         })
     }
@@ -439,7 +446,7 @@
 
 impl Script {
     /// When the last trouble is over.
-    pub fn calm(&self) -> u64 {
+    pub fn last_fault_end(&self) -> u64 {
         self.steps
             .iter()
             .filter_map(|(at, step)| Some(at + step.span()?))
@@ -453,25 +460,25 @@
             nodes: 3,
             zones: vec!["a".to_owned()],
             end: 120_000_000,
-            lease: 10.0,
-            report: 1.0,
-            cancel: 35.0,
-            lag: 4.0,
+            lease_s: 10.0,
+            report_interval_s: 1.0,
+            cancel_s: 35.0,
+            list_lag_s: 4.0,
             value_kb: 16.0,
-            body_kb: 6144.0,
-            slices: None,
-            rates: (120.0, 60.0),
-            next: None,
-            old: false,
-            records: None,
+            max_response_kb: 6144.0,
+            shards: None,
+            state_rates: (120.0, 60.0),
+            next_limits: None,
+            starts_on_previous_version: false,
+            records_file: None,
             chaos: 0,
             load: 0,
             teams: Vec::new(),
             types: Vec::new(),
             rules: BTreeMap::new(),
-            own: BTreeMap::new(),
-            with: None,
-            grace: 8.0,
+            job_rules: BTreeMap::new(),
+            initial_rules: None,
+            rules_grace_s: 8.0,
             steps: Vec::new(),
             expects: Vec::new(),
         };
@@ -490,7 +497,7 @@
 
     fn line(&mut self, line: &str) -> Result<(), String> {
         // These two go on with JSON.
-        for (word, table) in [("rules ", &mut self.rules), ("own ", &mut self.own)] {
+        for (word, table) in [("rules ", &mut self.rules), ("own ", &mut self.job_rules)] {
             if let Some((name, json)) = line
                 .strip_prefix(word)
                 .and_then(|rest| rest.split_once(' '))
@@ -500,157 +507,202 @@
                 return Ok(());
             }
         }
-        let mut w = Words::of(line);
-        let real = |t: &str| t.parse::<f64>().ok().filter(|v| *v >= 0.0);
-        let whole = |t: &str| t.parse::<u64>().ok();
-        let mut plain = 2;
-        match *w.plain.first().ok_or("a word is missing")? {
-            "seed" => self.seed = w.word(1, whole)?,
-            "nodes" => self.nodes = w.word(1, whole)? as usize,
+        let mut w = StatementWords::parse(line);
+        let parse_amount = |t: &str| t.parse::<f64>().ok().filter(|v| *v >= 0.0);
+        let parse_count = |t: &str| t.parse::<u64>().ok();
+        let mut positional_count = 2;
+        match *w.positional.first().ok_or("a word is missing")? {
+            "seed" => self.seed = w.positional(1, parse_count)?,
+            "nodes" => self.nodes = w.positional(1, parse_count)? as usize,
             "zones" => {
-                self.zones = w.word(1, |t| Some(t.split(',').map(str::to_owned).collect()))?;
+                self.zones =
+                    w.positional(1, |t| Some(t.split(',').map(str::to_owned).collect()))?;
             }
-            "end" => self.end = w.word(1, micros)?,
-            "lease" => self.lease = w.word(1, real)?,
-            "report" => self.report = w.word(1, real)?,
-            "cancel" => self.cancel = w.word(1, real)?,
-            "grace" => self.grace = w.word(1, real)?,
-            "with" => self.with = Some(w.word(1, |t| Some(t.to_owned()))?),
-            "lag" => self.lag = w.word(1, real)?,
-            "body_kb" => self.body_kb = w.word(1, real)?,
-            "value_kb" => self.value_kb = w.word(1, real)?,
-            "slices" => self.slices = Some(w.word(1, whole)? as usize),
+            "end" => self.end = w.positional(1, micros)?,
+            "lease" => self.lease_s = w.positional(1, parse_amount)?,
+            "report" => self.report_interval_s = w.positional(1, parse_amount)?,
+            "cancel" => self.cancel_s = w.positional(1, parse_amount)?,
+            "grace" => self.rules_grace_s = w.positional(1, parse_amount)?,
+            "with" => self.initial_rules = Some(w.positional(1, |t| Some(t.to_owned()))?),
+            "lag" => self.list_lag_s = w.positional(1, parse_amount)?,
+            "body_kb" => self.max_response_kb = w.positional(1, parse_amount)?,
+            "value_kb" => self.value_kb = w.positional(1, parse_amount)?,
+            "slices" => self.shards = Some(w.positional(1, parse_count)? as usize),
             "rates" => {
-                self.rates = (w.need("requests", real)?, w.need("changes", real)?);
-                plain = 1;
+                self.state_rates = (
+                    w.required("requests", parse_amount)?,
+                    w.required("changes", parse_amount)?,
+                );
+                positional_count = 1;
             }
             "next" => {
-                let rate = w.take("changes", real)?.unwrap_or(self.rates.1);
-                let size = w.take("value_kb", real)?.unwrap_or(self.value_kb);
-                self.next = Some((rate, size, w.take("txn_ops", whole)?.unwrap_or(12) as usize));
-                plain = 1;
+                let rate = w
+                    .optional("changes", parse_amount)?
+                    .unwrap_or(self.state_rates.1);
+                let size = w
+                    .optional("value_kb", parse_amount)?
+                    .unwrap_or(self.value_kb);
+                self.next_limits = Some((
+                    rate,
+                    size,
+                    w.optional("txn_ops", parse_count)?.unwrap_or(12) as usize,
+                ));
+                positional_count = 1;
             }
             "old" => {
-                self.old = true;
-                plain = 1;
+                self.starts_on_previous_version = true;
+                positional_count = 1;
             }
-            "records" => self.records = Some(w.word(1, |t| Some(t.to_owned()))?),
-            "chaos" => self.chaos = w.word(1, whole)? as u32,
-            "load" => self.load = w.word(1, whole)? as u32,
+            "records" => self.records_file = Some(w.positional(1, |t| Some(t.to_owned()))?),
+            "chaos" => self.chaos = w.positional(1, parse_count)? as u32,
+            "load" => self.load = w.positional(1, parse_count)? as u32,
             "team" => {
-                let name = w.word(1, |t| Some(t.to_owned()))?;
-                let guarantee = w.take("cores", real)?.unwrap_or(0.0);
-                let limit = w.take("most", real)?.unwrap_or(0.0);
+                let name = w.positional(1, |t| Some(t.to_owned()))?;
+                let guarantee = w.optional("cores", parse_amount)?.unwrap_or(0.0);
+                let limit = w.optional("most", parse_amount)?.unwrap_or(0.0);
                 self.teams.push((name, guarantee, limit));
             }
             "type" => {
                 let t = TypeSpec {
-                    name: w.word(1, |t| Some(t.to_owned()))?,
-                    cores: w.need("cores", real)?,
-                    mem: w.need("mem", real)?,
-                    boot: w.need("boot", real)?,
-                    price: w.need("price", real)?,
-                    spot_price: w.need("spot_price", real)?,
-                    count: w.need("count", whole)? as u32,
-                    spot: w.need("spot", whole)? as u32,
-                    stuck: w.take("stuck", real)?.unwrap_or(0.0),
+                    name: w.positional(1, |t| Some(t.to_owned()))?,
+                    cores: w.required("cores", parse_amount)?,
+                    mem: w.required("mem", parse_amount)?,
+                    boot: w.required("boot", parse_amount)?,
+                    price: w.required("price", parse_amount)?,
+                    spot_price: w.required("spot_price", parse_amount)?,
+                    count: w.required("count", parse_count)? as u32,
+                    spot: w.required("spot", parse_count)? as u32,
+                    stuck: w.optional("stuck", parse_amount)?.unwrap_or(0.0),
                     zones: w
-                        .take("zones", |t| Some(t.split(',').map(str::to_owned).collect()))?
+                        .optional("zones", |t| Some(t.split(',').map(str::to_owned).collect()))?
                         .unwrap_or_else(|| vec!["a".to_owned()]),
                 };
                 self.types.push(t);
             }
             "expect" => {
-                plain = 3;
-                let e = match *w.plain.get(1).ok_or("a word is missing")? {
-                    "done" => Expect::Done(w.word(2, job)?),
-                    "refused-at-most" => Expect::FewRefused(w.word(2, whole)?),
-                    "all-small" => Expect::AllSmall,
-                    "layout" => Expect::Layout(w.word(2, whole)?),
-                    "follows" => Expect::Follows(w.word(2, job)?, w.need("within", micros)?),
+                positional_count = 3;
+                let e = match *w.positional.get(1).ok_or("a word is missing")? {
+                    "done" => Expect::Done(w.positional(2, job)?),
+                    "refused-at-most" => Expect::RefusedAtMost(w.positional(2, parse_count)?),
+                    "all-small" => Expect::ValuesWithinNextLimits,
+                    "layout" => Expect::RecordFormat(w.positional(2, parse_count)?),
+                    "follows" => Expect::StartsAfterDependenciesWithin(
+                        w.positional(2, job)?,
+                        w.required("within", micros)?,
+                    ),
                     "before" => {
-                        plain = 4;
-                        Expect::Before(w.word(2, job)?, w.word(3, job)?)
+                        positional_count = 4;
+                        Expect::StartsBefore(w.positional(2, job)?, w.positional(3, job)?)
                     }
-                    "refused" => {
-                        Expect::Refused(w.word(2, job)?, w.need("naming", |t| Some(t.to_owned()))?)
+                    "refused" => Expect::RefusedNaming(
+                        w.positional(2, job)?,
+                        w.required("naming", |t| Some(t.to_owned()))?,
+                    ),
+                    "reason" => Expect::ReasonNaming(
+                        w.positional(2, job)?,
+                        w.required("naming", |t| Some(t.to_owned()))?,
+                    ),
+                    "ran" => Expect::RanOn {
+                        job: w.positional(2, job)?,
+                        place: w.required("on", |t| Some(t.to_owned()))?,
+                        share: w.required("share", parse_amount)?,
+                    },
+                    "starts-by" => {
+                        Expect::StartsBy(w.positional(2, job)?, w.required("at", micros)?)
                     }
-                    "reason" => {
-                        Expect::Reason(w.word(2, job)?, w.need("naming", |t| Some(t.to_owned()))?)
+                    "starts-after" => {
+                        Expect::StartsAfter(w.positional(2, job)?, w.required("at", micros)?)
                     }
-                    "ran" => Expect::Ran {
-                        job: w.word(2, job)?,
-                        place: w.need("on", |t| Some(t.to_owned()))?,
-                        share: w.need("share", real)?,
-                    },
-                    "starts-by" => Expect::StartsBy(w.word(2, job)?, w.need("at", micros)?),
-                    "starts-after" => Expect::StartsAfter(w.word(2, job)?, w.need("at", micros)?),
-                    "clashes-at-least" => Expect::ManyClashes(w.word(2, whole)?),
-                    "cancelled" => Expect::Cancelled(w.word(2, job)?),
-                    "unknown" => Expect::Unknown(w.word(2, job)?),
+                    "clashes-at-least" => Expect::ConflictsAtLeast(w.positional(2, parse_count)?),
+                    "cancelled" => Expect::Cancelled(w.positional(2, job)?),
+                    "unknown" => Expect::NotAccepted(w.positional(2, job)?),
                     "all-done" => Expect::AllDone,
-                    "clashes" => Expect::Clashes,
-                    "takeovers-at-most" => Expect::FewTakeovers(w.word(2, whole)?),
-                    "takeovers" => Expect::Takeovers(w.word(2, whole)?),
-                    "lost-leases" => Expect::LostLeases(w.word(2, whole)?),
-                    "groups" => Expect::Groups(w.word(2, whole)?),
-                    "all-recorded" => Expect::AllRecorded,
+                    "clashes" => Expect::AnyConflict,
+                    "takeovers-at-most" => Expect::FailoversAtMost(w.positional(2, parse_count)?),
+                    "takeovers" => Expect::FailoversAtLeast(w.positional(2, parse_count)?),
+                    "lost-leases" => Expect::LostLeasesAtMost(w.positional(2, parse_count)?),
+                    "groups" => Expect::GroupsAtLeast(w.positional(2, parse_count)?),
+                    "all-recorded" => Expect::AllMachinesRecorded,
                     "throttled" => Expect::Throttled,
-                    "started" => Expect::Started {
-                        lane: w.word(2, |t| Some(t.to_owned()))?,
-                        within: w.need("within", micros)?,
-                        share: w.need("share", real)?,
+                    "started" => Expect::StartedWithin {
+                        lane: w.positional(2, |t| Some(t.to_owned()))?,
+                        within: w.required("within", micros)?,
+                        share: w.required("share", parse_amount)?,
                     },
-                    "owners" => Expect::Owners(w.word(2, whole)? as usize),
-                    "returned-at-most" => Expect::FewReturned(
-                        w.need("zone", |t| Some(t.to_owned()))?,
-                        w.word(2, whole)?,
+                    "owners" => Expect::ShardLeadersAtLeast(w.positional(2, parse_count)? as usize),
+                    "returned-at-most" => Expect::ReleasedWhileCutOffAtMost(
+                        w.required("zone", |t| Some(t.to_owned()))?,
+                        w.positional(2, parse_count)?,
+                    ),
+                    "machines-at-least" => Expect::MachinesAtLeast(
+                        w.required("zone", |t| Some(t.to_owned()))?,
+                        w.positional(2, parse_count)?,
+                    ),
+                    "lost-with-zones" => {
+                        Expect::LostWithZonesAtLeast(w.positional(2, parse_count)?)
+                    }
+                    "lost-with-zones-at-most" => {
+                        Expect::LostWithZonesAtMost(w.positional(2, parse_count)?)
+                    }
+                    "hired-at-most" => Expect::ProvisionedWhileCutOffAtMost(
+                        w.required("zone", |t| Some(t.to_owned()))?,
+                        w.positional(2, parse_count)?,
                     ),
-                    "machines-at-least" => {
-                        Expect::Machines(w.need("zone", |t| Some(t.to_owned()))?, w.word(2, whole)?)
+                    "absences" => Expect::StallsAtLeast(w.positional(2, parse_count)?),
+                    "silenced-at-most" => {
+                        Expect::ExpiredLeasesAtMost(w.positional(2, parse_count)?)
                     }
-                    "lost-with-zones" => Expect::LostWithZones(w.word(2, whole)?),
-                    "lost-with-zones-at-most" => Expect::FewLostWithZones(w.word(2, whole)?),
-                    "hired-at-most" => {
-                        Expect::FewHired(w.need("zone", |t| Some(t.to_owned()))?, w.word(2, whole)?)
+                    "unneeded-at-most" => {
+                        Expect::SurplusMachinesAtMost(w.positional(2, parse_count)?)
                     }
-                    "absences" => Expect::Absences(w.word(2, whole)?),
-                    "silenced-at-most" => Expect::FewSilenced(w.word(2, whole)?),
-                    "unneeded-at-most" => Expect::FewUnneeded(w.word(2, whole)?),
-                    "served" => Expect::Throughput {
-                        name: w.word(2, |t| Some(t.to_owned()))?,
-                        within: w.need("within", micros)?,
-                        share: w.need("share", real)?,
+                    "served" => Expect::DoneWithin {
+                        name: w.positional(2, |t| Some(t.to_owned()))?,
+                        within: w.required("within", micros)?,
+                        share: w.required("share", parse_amount)?,
                     },
-                    "starts-at-most" => Expect::Starts(w.word(2, job)?, w.need("count", whole)?),
-                    "done-by" => Expect::DoneBy(w.word(2, job)?, w.need("at", micros)?),
-                    "requests-at-most" => Expect::Requests(w.word(2, whole)?),
-                    "changes-at-most" => Expect::Changes(w.word(2, whole)?),
-                    "polls-answered" => Expect::Polled(w.word(2, real)?),
+                    "starts-at-most" => Expect::StartsAtMost(
+                        w.positional(2, job)?,
+                        w.required("count", parse_count)?,
+                    ),
+                    "done-by" => Expect::DoneBy(w.positional(2, job)?, w.required("at", micros)?),
+                    "requests-at-most" => {
+                        Expect::StateRequestsAtMost(w.positional(2, parse_count)?)
+                    }
+                    "changes-at-most" => Expect::StateChangesAtMost(w.positional(2, parse_count)?),
+                    "polls-answered" => Expect::PollsAnswered(w.positional(2, parse_amount)?),
                     "fair" => {
-                        plain = 2;
+                        positional_count = 2;
                         Expect::Fair
                     }
-                    "late-starts-at-most" => Expect::FewLateStarts(w.word(2, whole)?),
-                    "cancelled-at-least" => Expect::ManyCancelled(w.word(2, whole)? as usize),
+                    "late-starts-at-most" => {
+                        Expect::StartsAfterCancellationAtMost(w.positional(2, parse_count)?)
+                    }
+                    "cancelled-at-least" => {
+                        Expect::CancelledAtLeast(w.positional(2, parse_count)? as usize)
+                    }
                     "played" => {
-                        plain = 4;
-                        Expect::Played(w.word(2, |t| Some(t.to_owned()))?, w.word(3, whole)?)
+                        positional_count = 4;
+                        Expect::InjectedAtLeast(
+                            w.positional(2, |t| Some(t.to_owned()))?,
+                            w.positional(3, parse_count)?,
+                        )
+                    }
+                    "ghosts-at-most" => {
+                        Expect::LateMachineRecordsAtMost(w.positional(2, parse_count)?)
                     }
-                    "ghosts-at-most" => Expect::FewGhosts(w.word(2, whole)?),
-                    "margin" => Expect::Margin(w.word(2, micros)?),
-                    "machines-at-most" => Expect::FewerMachines(w.word(2, whole)?),
+                    "margin" => Expect::CancelMarginAtLeast(w.positional(2, micros)?),
+                    "machines-at-most" => Expect::MachinesAtMost(w.positional(2, parse_count)?),
                     other => return Err(format!("unknown expectation {other}")),
                 };
                 self.expects.push(e);
             }
             "at" => {
-                let at = w.word(1, micros)?;
-                let times = w.take("times", whole)?.unwrap_or(1);
-                let every = w.take("every", micros)?.unwrap_or(0);
-                let stride = w.take("stride", whole)?.unwrap_or(1);
+                let at = w.positional(1, micros)?;
+                let times = w.optional("times", parse_count)?.unwrap_or(1);
+                let every = w.optional("every", micros)?.unwrap_or(0);
+                let stride = w.optional("stride", parse_count)?.unwrap_or(1);
                 let (step, words) = step(&mut w)?;
-                plain = words;
+                positional_count = words;
                 for i in 0..times {
                     let mut step = step.clone();
                     match &mut step {
@@ -669,11 +721,11 @@
             }
             other => return Err(format!("unknown statement {other}")),
         }
-        w.finish(plain)
+        w.finish(positional_count)
     }
 }
 
-fn step(w: &mut Words<'_>) -> Result<(Step, usize), String> {
+fn step(w: &mut StatementWords<'_>) -> Result<(Step, usize), String> {
     let node = |t: &str| match Party::parse(t)? {
         Party::Node(n) => Some(n),
         _ => None,
@@ -689,28 +741,28 @@
             "repeat" => Mode::Repeat,
             "slow" => Mode::Slow,
             "late-commands" => Mode::LateCommands,
-            "deaf" => Mode::Deaf,
+            "deaf" => Mode::DropResponses,
             "reset" => Mode::Reset,
             _ => return None,
         })
     };
     let share = |t: &str| t.parse::<f64>().ok().filter(|s| (0.0..=1.0).contains(s));
-    let yes = |t: &str| match t {
+    let parse_yes_no = |t: &str| match t {
         "yes" => Some(true),
         "no" => Some(false),
         _ => None,
     };
-    let kind = *w.plain.get(2).ok_or("a fault is missing")?;
+    let kind = *w.positional.get(2).ok_or("a fault is missing")?;
     Ok(match kind {
         "submit" => {
-            let to = w.take("node", node)?;
+            let to = w.optional("node", node)?;
             let mut fields = BTreeMap::new();
             for f in JOB_FIELDS {
                 if let Some(v) = w.named.remove(f) {
                     fields.insert(f.to_owned(), v.to_owned());
                 }
             }
-            let job = w.word(3, job)?;
+            let job = w.positional(3, job)?;
             (
                 Step::Submit {
                     job,
@@ -722,20 +774,20 @@
         }
         "abort" => (
             Step::Abort {
-                job: w.word(3, job)?,
-                node: w.take("node", node)?,
+                job: w.positional(3, job)?,
+                node: w.optional("node", node)?,
             },
             4,
         ),
         "query" => (
             Step::Query {
-                job: w.word(3, job)?,
-                node: w.take("node", node)?,
+                job: w.positional(3, job)?,
+                node: w.optional("node", node)?,
             },
             4,
         ),
         "crash" => {
-            let which = match w.word(3, Party::parse)? {
+            let which = match w.positional(3, Party::parse)? {
                 Party::Node(n) => Some(n),
                 Party::Nodes => None,
                 other => return Err(format!("{other:?} cannot crash")),
@@ -743,60 +795,60 @@
             (
                 Step::Crash {
                     node: which,
-                    down: w.need("for", micros)?,
+                    down: w.required("for", micros)?,
                 },
                 4,
             )
         }
         "cut" => {
             let step = Step::Cut {
-                a: w.word(3, Party::parse)?,
-                b: w.word(4, Party::parse)?,
-                mode: w.need("mode", mode)?,
-                span: w.need("for", micros)?,
+                a: w.positional(3, Party::parse)?,
+                b: w.positional(4, Party::parse)?,
+                mode: w.required("mode", mode)?,
+                span: w.required("for", micros)?,
             };
             (step, 5)
         }
         "die" => {
-            let zone = w.word(3, |t| t.strip_prefix("zone-").map(str::to_owned))?;
+            let zone = w.positional(3, |t| t.strip_prefix("zone-").map(str::to_owned))?;
             (
-                Step::Die {
+                Step::FailZone {
                     zone,
-                    down: w.need("for", micros)?,
+                    down: w.required("for", micros)?,
                 },
                 4,
             )
         }
         "outage" => (
             Step::Outage {
-                party: w.word(3, Party::parse)?,
-                span: w.need("for", micros)?,
+                party: w.positional(3, Party::parse)?,
+                span: w.required("for", micros)?,
             },
             4,
         ),
         "refuse" => (
             Step::Refuse {
-                node: w.word(3, node)?,
-                span: w.need("for", micros)?,
+                node: w.positional(3, node)?,
+                span: w.required("for", micros)?,
             },
             4,
         ),
         "throttle" => (
             Step::Throttle {
-                node: w.word(3, node)?,
-                span: w.need("for", micros)?,
+                node: w.positional(3, node)?,
+                span: w.required("for", micros)?,
             },
             4,
         ),
         "late-writes" | "late-reports" => {
-            let share = w.need("share", share)?;
-            let span = w.need("for", micros)?;
+            let share = w.required("share", share)?;
+            let span = w.required("for", micros)?;
             let step = if kind == "late-writes" {
-                let of = w.take("of", |t| Some(t.to_owned()))?;
+                let of = w.optional("of", |t| Some(t.to_owned()))?;
                 Step::LateWrites {
                     share,
                     span,
-                    at_once: w.take("at_once", yes)?.unwrap_or(false),
+                    at_once: w.optional("at_once", parse_yes_no)?.unwrap_or(false),
                     of,
                 }
             } else {
@@ -808,24 +860,24 @@
                 Step::LateReports {
                     share,
                     span,
-                    to: w.take("to", to)?.unwrap_or(CopiesTo::Same),
+                    to: w.optional("to", to)?.unwrap_or(CopiesTo::Same),
                 }
             };
             (step, 3)
         }
         "deaf" | "mute" => {
-            let count = w.take("count", |t| t.parse().ok())?.unwrap_or(1);
-            let (machine, span) = (w.word(3, machine)?, w.need("for", micros)?);
+            let count = w.optional("count", |t| t.parse().ok())?.unwrap_or(1);
+            let (machine, span) = (w.positional(3, machine)?, w.required("for", micros)?);
             let deaf = kind == "deaf";
             (
                 if deaf {
-                    Step::Deaf {
+                    Step::DropInbound {
                         machine,
                         count,
                         span,
                     }
                 } else {
-                    Step::Mute {
+                    Step::DropHeartbeats {
                         machine,
                         count,
                         span,
@@ -835,51 +887,51 @@
             )
         }
         "cancel-now" => {
-            let count = w.need("count", |t| t.parse().ok())?;
+            let count = w.required("count", |t| t.parse().ok())?;
             (
                 Step::CancelNow {
                     count,
-                    hang: w.take("hang", micros)?.unwrap_or(0),
+                    hang: w.optional("hang", micros)?.unwrap_or(0),
                 },
                 3,
             )
         }
         "cancel-at-end" => (
             Step::CancelAtEnd {
-                share: w.need("share", share)?,
-                span: w.need("for", micros)?,
+                share: w.required("share", share)?,
+                span: w.required("for", micros)?,
             },
             3,
         ),
         "close-looks" => {
-            let aborts = w.take("aborts", share)?.unwrap_or(0.0);
+            let aborts = w.optional("aborts", share)?.unwrap_or(0.0);
             (
-                Step::CloseLooks {
+                Step::QueryBursts {
                     aborts,
-                    span: w.need("for", micros)?,
+                    span: w.required("for", micros)?,
                 },
                 3,
             )
         }
         "odd-requests" => (
             Step::OddRequests {
-                span: w.need("for", micros)?,
+                span: w.required("for", micros)?,
             },
             3,
         ),
         "hang" => (
             Step::Hang {
-                party: w.word(3, Party::parse)?,
-                span: w.need("for", micros)?,
+                party: w.positional(3, Party::parse)?,
+                span: w.required("for", micros)?,
             },
             4,
         ),
         "take" => {
-            let notice = w.take("notice", micros)?.unwrap_or(0);
-            let count = w.take("count", |t| t.parse().ok())?.unwrap_or(1);
+            let notice = w.optional("notice", micros)?.unwrap_or(0);
+            let count = w.optional("count", |t| t.parse().ok())?.unwrap_or(1);
             (
-                Step::Take {
-                    machine: w.word(3, machine)?,
+                Step::ReclaimMachines {
+                    machine: w.positional(3, machine)?,
                     count,
                     notice,
                 },
@@ -887,40 +939,40 @@
             )
         }
         "boots" => {
-            let factor = w.need("factor", |t| t.parse::<f64>().ok().filter(|f| *f >= 0.0))?;
+            let factor = w.required("factor", |t| t.parse::<f64>().ok().filter(|f| *f >= 0.0))?;
             (
-                Step::Boots {
+                Step::ScaleBootTimes {
                     factor,
-                    span: w.need("for", micros)?,
+                    span: w.required("for", micros)?,
                 },
                 3,
             )
         }
         "polls" => {
-            let whole = |t: &str| t.parse::<u64>().ok();
+            let parse_count = |t: &str| t.parse::<u64>().ok();
             let step = Step::Polls {
-                job: w.word(3, job)?,
-                count: w.take("count", whole)?.unwrap_or(1),
-                rate: w.need("rate", |t| t.parse::<f64>().ok().filter(|r| *r > 0.0))?,
-                span: w.need("for", micros)?,
+                job: w.positional(3, job)?,
+                count: w.optional("count", parse_count)?.unwrap_or(1),
+                rate: w.required("rate", |t| t.parse::<f64>().ok().filter(|r| *r > 0.0))?,
+                span: w.required("for", micros)?,
             };
             (step, 4)
         }
         "team" => {
-            let real = |t: &str| t.parse::<f64>().ok().filter(|v| *v >= 0.0);
-            let step = Step::Team {
-                name: w.word(3, |t| Some(t.to_owned()))?,
-                cores: w.take("cores", real)?.unwrap_or(0.0),
-                most: w.take("most", real)?.unwrap_or(0.0),
+            let parse_amount = |t: &str| t.parse::<f64>().ok().filter(|v| *v >= 0.0);
+            let step = Step::ChangeTeam {
+                name: w.positional(3, |t| Some(t.to_owned()))?,
+                cores: w.optional("cores", parse_amount)?.unwrap_or(0.0),
+                most: w.optional("most", parse_amount)?.unwrap_or(0.0),
             };
             (step, 4)
         }
-        "limits" => (Step::Limits, 3),
+        "limits" => (Step::ApplyNextLimits, 3),
         "upgrade" | "downgrade" => {
-            let down = w.need("for", micros)?;
+            let down = w.required("for", micros)?;
             (
-                Step::Change {
-                    node: w.word(3, node)?,
+                Step::ChangeVersion {
+                    node: w.positional(3, node)?,
                     down,
                     new: kind == "upgrade",
                 },
@@ -928,20 +980,20 @@
             )
         }
         "rules" => {
-            let name = w.word(4, |t| Some(t.to_owned()))?;
+            let name = w.positional(4, |t| Some(t.to_owned()))?;
             let name = Some(name).filter(|n| n != "none");
             (
-                Step::Rules {
-                    node: w.word(3, node)?,
+                Step::ChangeRules {
+                    node: w.positional(3, node)?,
                     name,
-                    down: w.need("for", micros)?,
+                    down: w.required("for", micros)?,
                 },
                 5,
             )
         }
         "faulty" => (
             Step::Faulty {
-                machine: w.word(3, machine)?,
+                machine: w.positional(3, machine)?,
             },
             4,
         ),
--- a/tests/runner/waiting.rs
+++ b/tests/runner/starvation.rs
@@ -8,8 +8,8 @@
     /// Notes the jobs of which a task could start now: a machine that is well fits, and the team is under its limit. None may
     /// wait so for 90 s once the troubles are over. Jobs that fail wherever they run are left out, and those whose place
     /// depends on more than their own machine (rules, zones of their other tasks).
-    pub(super) fn note_waiting(&mut self) {
-        if self.now < self.check.calm || !self.script.rules.is_empty() {
+    pub(super) fn check_starvation(&mut self) {
+        if self.now < self.checker.last_fault_end || !self.script.rules.is_empty() {
             return;
         }
         let mut here = BTreeSet::new();
@@ -22,16 +22,19 @@
             );
         }
         let mut waiting = BTreeMap::new();
-        for job in self.check.open() {
-            let (asked, info) = (&self.check.asked[&job], &self.jobs[&job]);
-            let one_of_many = asked.one_zone || asked.apart || asked.rules.is_some();
+        for job in self.checker.unfinished_jobs() {
+            let (asked, info) = (&self.checker.job_requests[&job], &self.jobs[&job]);
+            let one_of_many = asked.single_zone || asked.anti_affinity || asked.own_rules.is_some();
             // What is left of a set that lost a task ends first; then all are placed anew.
             let in_part = info.together && here.range((job, 0)..=(job, u32::MAX)).next().is_some();
-            if info.fails || one_of_many || in_part || !self.check.is_ready(job) {
+            if info.fails || one_of_many || in_part || !self.checker.dependencies_reported_done(job)
+            {
                 continue;
             }
             let pending = (0..info.pieces)
-                .filter(|i| !here.contains(&(job, *i)) && !self.check.ran((job, *i)))
+                .filter(|i| {
+                    !here.contains(&(job, *i)) && !self.checker.is_task_completed((job, *i))
+                })
                 .count();
             let at_once = if info.together {
                 pending
@@ -39,25 +42,30 @@
                 pending.min(1)
             };
             if at_once > 0
-                && self.check.allows(&asked.team, asked.cores * at_once as f64)
-                && let Some(machine) = self.room_for(job, at_once)
+                && self
+                    .checker
+                    .is_within_team_limit(&asked.team, asked.cores * at_once as f64)
+                && let Some(machine) = self.machine_with_room(job, at_once)
             {
                 waiting.insert(job, machine);
             }
         }
-        self.check.waits(self.now, &waiting);
+        self.checker.observe_waiting_jobs(self.now, &waiting);
     }
 
     /// Whether machines that are well have room for so many tasks of a job; the last of these.
-    fn room_for(&self, job: u64, tasks: usize) -> Option<u64> {
-        let (asked, info) = (&self.check.asked[&job], &self.jobs[&job]);
+    fn machine_with_room(&self, job: u64, tasks: usize) -> Option<u64> {
+        let (asked, info) = (&self.checker.job_requests[&job], &self.jobs[&job]);
         let fits = self.workers.values().filter(|w| {
             self.now >= w.hung_until
                 && w.recall_at.is_none()
                 && !w.faulty
-                && (!w.spot || asked.spot)
-                && asked.builds.as_ref().is_none_or(|b| b.contains(&w.build))
-                && asked.yard.as_ref().is_none_or(|y| *y == w.yard)
+                && (!w.spot || asked.spot_allowed)
+                && asked
+                    .machine_types
+                    .as_ref()
+                    .is_none_or(|b| b.contains(&w.build))
+                && asked.zone.as_ref().is_none_or(|y| *y == w.yard)
         });
         let mut room = 0;
         for w in fits {
--- a/tests/runner/users.rs
+++ b/tests/runner/users.rs
@@ -1,8 +1,8 @@
 //! Users: what they submit, ask and cancel, and how they repeat it.
 
-use super::check::Asked;
+use super::invariants::JobRequest;
 use super::worker::JobInfo;
-use super::{Happening, Message, User, World};
+use super::{Message, SimEvent, User, World};
 use cometlead_emulator::standins::submission::Submission;
 use std::collections::BTreeMap;
 
@@ -25,36 +25,38 @@
                 .and_then(|n| n.parse().ok())
                 .expect("a job")
         };
-        let asked = Asked {
-            awaits: awaits.iter().flatten().map(number).collect(),
+        let asked = JobRequest {
+            dependencies: awaits.iter().flatten().map(number).collect(),
             team: text("team", "free"),
-            lane: text("lane", "lane"),
+            job_class: text("lane", "lane"),
             cores: real("cores", 1.0),
-            pieces,
-            builds: builds.clone(),
-            yard: f.get("yard").cloned(),
-            spot: flag("spot", true),
-            one_zone: flag("one_zone", false),
-            apart: flag("apart", false),
+            task_count: pieces,
+            machine_types: builds.clone(),
+            zone: f.get("yard").cloned(),
+            spot_allowed: flag("spot", true),
+            single_zone: flag("one_zone", false),
+            anti_affinity: flag("apart", false),
             image: text("image", "img"),
-            urgency: text("urgency", "standard"),
-            rules: f.get("rules").map(|name| self.script.own[name].clone()),
+            priority: text("urgency", "standard"),
+            own_rules: f
+                .get("rules")
+                .map(|name| self.script.job_rules[name].clone()),
         };
         let shape = text("shape", "sweep");
         let submission = Submission {
             job,
-            lane: asked.lane.clone(),
+            lane: asked.job_class.clone(),
             crew: asked.team.clone(),
             shape: shape.clone(),
-            urgency: asked.urgency.clone(),
+            urgency: asked.priority.clone(),
             pieces,
             cores: asked.cores,
             mem: real("mem", 1.0),
             builds,
-            yard: asked.yard.clone(),
-            one_zone: asked.one_zone,
-            apart: asked.apart,
-            spot: asked.spot,
+            yard: asked.zone.clone(),
+            one_zone: asked.single_zone,
+            apart: asked.anti_affinity,
+            spot: asked.spot_allowed,
             image: asked.image.clone(),
             size: real("size", 0.5),
             guess: real("guess", run),
@@ -64,7 +66,7 @@
             awaits,
         };
         let mut body = submission.body();
-        if let Some(rules) = &asked.rules {
+        if let Some(rules) = &asked.own_rules {
             body["rules"] = rules.clone();
         }
         let info = JobInfo {
@@ -81,14 +83,16 @@
             stash: real("stash", 0.0),
         };
         self.jobs.entry(job).or_insert(info);
-        self.check.submitted.entry(job).or_insert(self.now);
-        self.check.asked.entry(job).or_insert(asked);
+        self.checker.submitted_at.entry(job).or_insert(self.now);
+        self.checker.job_requests.entry(job).or_insert(asked);
         let body = body.to_string().into_bytes();
-        self.bodies.entry(job).or_insert_with(|| body.clone());
-        self.user(job, "submit", body, node);
+        self.submission_bodies
+            .entry(job)
+            .or_insert_with(|| body.clone());
+        self.send_with_retries(job, "submit", body, node);
     }
 
-    pub(super) fn user(
+    pub(super) fn send_with_retries(
         &mut self,
         job: u64,
         kind: &'static str,
@@ -101,21 +105,21 @@
             body,
             node,
             attempt: 0,
-            asked: 0,
-            waiting: false,
-            repeats: true,
+            sent_at: 0,
+            awaiting_response: false,
+            retries: true,
         });
         let user = self.users.len() - 1;
-        self.try_user(user);
+        self.send_user_request(user);
     }
 
     /// One poll of many.
     pub(super) fn poll(&mut self, job: u64) {
-        self.once(job, "query", Vec::new(), None);
+        self.send_once(job, "query", Vec::new(), None);
     }
 
     /// A request that is not repeated, whatever comes of it.
-    pub(super) fn once(
+    pub(super) fn send_once(
         &mut self,
         job: u64,
         kind: &'static str,
@@ -128,38 +132,38 @@
             body,
             node,
             attempt: 0,
-            asked: 0,
-            waiting: false,
-            repeats: false,
+            sent_at: 0,
+            awaiting_response: false,
+            retries: false,
         });
-        self.try_user(self.users.len() - 1);
+        self.send_user_request(self.users.len() - 1);
     }
 
     /// A user has waited long enough for an answer.
-    pub(super) fn gave_up(&mut self, user: usize, attempt: u32) {
+    pub(super) fn handle_user_timeout(&mut self, user: usize, attempt: u32) {
         let u = &mut self.users[user];
-        if !u.waiting || u.attempt != attempt {
+        if !u.awaiting_response || u.attempt != attempt {
             return;
         }
-        u.waiting = false;
-        let (job, kind, repeats) = (u.job, u.kind, u.repeats);
+        u.awaiting_response = false;
+        let (job, kind, retries) = (u.job, u.kind, u.retries);
         if kind == "query" {
-            self.check.polled(self.now, job, false);
+            self.checker.record_poll(self.now, job, false);
         }
-        if repeats {
-            self.at(self.now + 1_000_000, Happening::UserAgain(user));
+        if retries {
+            self.schedule(self.now + 1_000_000, SimEvent::UserRetry(user));
         }
     }
 
-    pub(super) fn try_user(&mut self, user: usize) {
+    pub(super) fn send_user_request(&mut self, user: usize) {
         let alive: Vec<usize> = (0..self.script.nodes)
             .filter(|n| self.nodes[*n].is_some())
             .collect();
-        let pick = (self.dice() * alive.len() as f64) as usize;
+        let pick = (self.random_fraction() * alive.len() as f64) as usize;
         let u = &mut self.users[user];
         u.attempt += 1;
-        u.asked = self.now;
-        u.waiting = true;
+        u.sent_at = self.now;
+        u.awaiting_response = true;
         let attempt = u.attempt;
         let limit = if u.kind == "query" {
             2_000_000
@@ -167,37 +171,37 @@
             5_000_000
         };
         let node = u.node.or_else(|| alive.get(pick).copied());
-        self.at(self.now + limit, Happening::UserTimeout(user, attempt));
+        self.schedule(self.now + limit, SimEvent::UserTimeout(user, attempt));
         if let Some(node) = node {
-            let m = Message::User { node, user };
-            self.at(self.now + 1_000, Happening::Deliver(Box::new(m)));
+            let m = Message::UserRequest { node, user };
+            self.schedule(self.now + 1_000, SimEvent::Deliver(Box::new(m)));
         }
     }
 
-    pub(super) fn told(&mut self, user: usize, status: u16, state: Option<&str>) {
-        let (job, kind, repeats) = (
+    pub(super) fn handle_user_reply(&mut self, user: usize, status: u16, state: Option<&str>) {
+        let (job, kind, retries) = (
             self.users[user].job,
             self.users[user].kind,
-            self.users[user].repeats,
+            self.users[user].retries,
         );
-        self.users[user].waiting = false;
+        self.users[user].awaiting_response = false;
         if kind == "query" {
-            self.check
-                .polled(self.now, job, matches!(status, 200 | 404));
+            self.checker
+                .record_poll(self.now, job, matches!(status, 200 | 404));
         }
-        self.check
-            .told(self.now, self.users[user].asked, kind, job, status, state);
-        self.look_closely(job);
+        self.checker
+            .record_reply(self.now, self.users[user].sent_at, kind, job, status, state);
+        self.burst_after_state_change(job);
         let over = matches!(state, Some("done" | "cancelled"));
         match kind {
-            "query" if !over && repeats => {
-                self.at(self.now + 3_000_000, Happening::UserAgain(user));
+            "query" if !over && retries => {
+                self.schedule(self.now + 3_000_000, SimEvent::UserRetry(user));
             }
-            "submit" if repeats && matches!(status, 200 | 201) => {
-                self.user(job, "query", Vec::new(), None);
+            "submit" if retries && matches!(status, 200 | 201) => {
+                self.send_with_retries(job, "query", Vec::new(), None);
             }
-            "submit" | "abort" if repeats && status == 503 => {
-                self.at(self.now + 1_000_000, Happening::UserAgain(user));
+            "submit" | "abort" if retries && status == 503 => {
+                self.schedule(self.now + 1_000_000, SimEvent::UserRetry(user));
             }
             _ => {}
         }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,9 +1,9 @@
 //! Plays every file in `tests/scenarios`, and a randomised sweep over a fixed list of seeds.
 
-mod days;
+mod random_scenarios;
 mod runner;
 
-use days::drawn;
+use random_scenarios::drawn;
 use runner::World;
 use runner::script::Script;
 use std::path::Path;
@@ -14,7 +14,7 @@
     runner::show_log();
     let mut world = World::new(script);
     world.run();
-    let bad = world.verdict();
+    let bad = world.failures();
     (world, bad)
 }
 
@@ -27,7 +27,7 @@
             scope.spawn(|| {
                 while let Some((name, script)) = scripts.get(next.fetch_add(1, Ordering::Relaxed)) {
                     let (world, mut bad) = play(script.clone());
-                    if world.started() == 0 {
+                    if world.started_tasks() == 0 {
                         bad.push("nothing ran".to_owned());
                     }
                     failures
@@ -99,7 +99,7 @@
                 .chain(4001..=4000 + count)
                 .chain(5001..=5000 + count)
                 .chain(6001..=6000 + count)
-                .chain(days::SETS_FROM + 1..=days::SETS_FROM + count / 4)
+                .chain(random_scenarios::SETS_FROM + 1..=random_scenarios::SETS_FROM + count / 4)
                 .collect(),
         },
         |s| vec![s],
@@ -151,7 +151,7 @@
         let rules = serde_json::json!({"rules": [{"name": "later", "require": rule}]});
         world.state.put("c/rules/0123456789abcdef", rules);
         world.run();
-        assert_eq!(world.started() > 0, starts, "{rule}");
+        assert_eq!(world.started_tasks() > 0, starts, "{rule}");
     }
 }
 
@@ -170,8 +170,8 @@
     world.run();
     assert!(!world.any_healthy(), "a node is in service");
     assert_eq!(world.state.commits, 0, "something was written");
-    assert_eq!(world.started(), 0, "something was started");
-    assert!(world.verdict().is_empty(), "a rule was broken");
+    assert_eq!(world.started_tasks(), 0, "something was started");
+    assert!(world.failures().is_empty(), "a rule was broken");
 }
 
 /// The checker's newer judgements on planted faults: a job that nobody is told about, and one that never begins.
@@ -193,21 +193,25 @@
     }
     // From here on nobody is told anything of it, although no trouble is left.
     let last = 400_000_000;
-    world.check.sweep(last + 74_000_000);
+    world.checker.check_deadlines(last + 74_000_000);
     assert!(
-        !world.check.broken.iter().any(|b| b.contains("forgotten")),
+        !world
+            .checker
+            .violations
+            .iter()
+            .any(|b| b.contains("forgotten")),
         "{:?}",
-        world.check.broken
+        world.checker.violations
     );
-    world.check.sweep(last + 76_000_000);
+    world.checker.check_deadlines(last + 76_000_000);
     assert!(
         world
-            .check
-            .broken
+            .checker
+            .violations
             .iter()
             .any(|b| b.contains("forgotten: no question")),
         "{:?}",
-        world.check.broken
+        world.checker.violations
     );
 }
 
@@ -223,94 +227,114 @@
     world
 }
 
-fn broken(world: &World, rule: &str) -> bool {
-    world.check.broken.iter().any(|b| b.contains(rule))
+fn has_violation(world: &World, rule: &str) -> bool {
+    world.checker.violations.iter().any(|b| b.contains(rule))
 }
 
 /// Planted faults for what the checker judges of answers: nothing older at any node than any node said, and nothing accepted
 /// that can't run or lacks a field.
 #[test]
 fn older_answers_and_bad_jobs_are_seen() {
-    let asked = |world: &mut World| world.check.asks_abort(1);
+    let asked = |world: &mut World| world.checker.record_abort_request(1);
     let mut world = one_job("end 1.5");
     asked(&mut world);
     world
-        .check
-        .told(9_000_000, 8_000_000, "submit", 1, 201, Some("queued"));
+        .checker
+        .record_reply(9_000_000, 8_000_000, "submit", 1, 201, Some("queued"));
     world
-        .check
-        .told(20_000_000, 19_000_000, "abort", 1, 200, Some("cancelled"));
+        .checker
+        .record_reply(20_000_000, 19_000_000, "abort", 1, 200, Some("cancelled"));
     // It was asked before the other node had told, so it may cross that answer.
     world
-        .check
-        .told(22_000_000, 19_000_000, "submit", 1, 200, Some("running"));
-    assert!(world.check.broken.is_empty(), "{:?}", world.check.broken);
+        .checker
+        .record_reply(22_000_000, 19_000_000, "submit", 1, 200, Some("running"));
+    assert!(
+        world.checker.violations.is_empty(),
+        "{:?}",
+        world.checker.violations
+    );
     for (status, state, rule) in [
         (200, Some("running"), "went_back"),
         (404, None, "forgotten"),
         (422, None, "forgotten"),
         (400, None, "forgotten"),
     ] {
-        world.check.broken.clear();
+        world.checker.violations.clear();
         world
-            .check
-            .told(30_000_000, 25_000_000, "query", 1, status, state);
-        assert!(broken(&world, rule), "{status}: {:?}", world.check.broken);
+            .checker
+            .record_reply(30_000_000, 25_000_000, "query", 1, status, state);
+        assert!(
+            has_violation(&world, rule),
+            "{status}: {:?}",
+            world.checker.violations
+        );
     }
-    world.check.broken.clear();
-    world.check.bad.insert(2);
+    world.checker.violations.clear();
+    world.checker.invalid_jobs.insert(2);
     world
-        .check
-        .told(30_000_000, 25_000_000, "submit", 2, 422, None);
-    assert!(world.check.broken.is_empty());
+        .checker
+        .record_reply(30_000_000, 25_000_000, "submit", 2, 422, None);
+    assert!(world.checker.violations.is_empty());
     world
-        .check
-        .told(30_000_000, 25_000_000, "submit", 2, 201, Some("queued"));
-    assert!(broken(&world, "accepted_bad"), "{:?}", world.check.broken);
+        .checker
+        .record_reply(30_000_000, 25_000_000, "submit", 2, 201, Some("queued"));
+    assert!(
+        has_violation(&world, "accepted_bad"),
+        "{:?}",
+        world.checker.violations
+    );
     // What nobody submitted, cancelled through an abort.
-    world.check.broken.clear();
+    world.checker.violations.clear();
     world
-        .check
-        .told(30_000_000, 25_000_000, "abort", 3, 200, Some("cancelled"));
-    assert!(broken(&world, "invented"), "{:?}", world.check.broken);
+        .checker
+        .record_reply(30_000_000, 25_000_000, "abort", 3, 200, Some("cancelled"));
+    assert!(
+        has_violation(&world, "invented"),
+        "{:?}",
+        world.checker.violations
+    );
 }
 
 /// Planted faults: a task that starts after its job was confirmed as cancelled, and one that goes on beyond `cancel_s` as its
 /// machine hung meanwhile.
 #[test]
 fn tasks_of_cancelled_jobs_are_seen() {
-    use runner::check::MachineInfo;
+    use runner::invariants::MachineInfo;
     use runner::worker::Deed;
     let mut world = one_job("end 1.5\ncancel 40");
     let info = MachineInfo {
-        build: "small".to_owned(),
-        yard: "a".to_owned(),
+        machine_type: "small".to_owned(),
+        zone: "a".to_owned(),
         spot: true,
     };
     let all = std::collections::BTreeMap::from([(7, info.clone())]);
-    world.check.asks_abort(1);
+    world.checker.record_abort_request(1);
     world
-        .check
-        .told(2_000_000, 1_500_000, "submit", 1, 201, Some("queued"));
+        .checker
+        .record_reply(2_000_000, 1_500_000, "submit", 1, 201, Some("queued"));
     world
-        .check
-        .deed(3_000_000, 7, &info, &Deed::Started((1, 0)), &all);
-    assert_eq!(world.check.late_starts, 0);
+        .checker
+        .observe(3_000_000, 7, &info, &Deed::Started((1, 0)), &all);
+    assert_eq!(world.checker.starts_after_cancellation, 0);
     world
-        .check
-        .told(5_000_000, 4_000_000, "abort", 1, 200, Some("cancelled"));
+        .checker
+        .record_reply(5_000_000, 4_000_000, "abort", 1, 200, Some("cancelled"));
     world
-        .check
-        .deed(6_000_000, 7, &info, &Deed::Started((1, 1)), &all);
-    assert_eq!(world.check.late_starts, 1);
-    world.check.sweep(45_000_000);
-    assert!(world.check.broken.is_empty(), "{:?}", world.check.broken);
-    world.check.sweep(45_000_001);
+        .checker
+        .observe(6_000_000, 7, &info, &Deed::Started((1, 1)), &all);
+    assert_eq!(world.checker.starts_after_cancellation, 1);
+    world.checker.check_deadlines(45_000_000);
+    assert!(
+        world.checker.violations.is_empty(),
+        "{:?}",
+        world.checker.violations
+    );
+    world.checker.check_deadlines(45_000_001);
     for task in ["req-000001/0", "req-000001/1"] {
         assert!(
-            broken(&world, &format!("ran_cancelled: {task}")),
+            has_violation(&world, &format!("ran_cancelled: {task}")),
             "{:?}",
-            world.check.broken
+            world.checker.violations
         );
     }
 }
@@ -321,18 +345,22 @@
     let text = "end 140\nat 6 submit req-000002 pieces=40 cores=8 run=4\nat 8 crash nodes for=1000";
     let mut world = World::new(Script::parse(text).unwrap());
     // The crash is no trouble here but the fault itself.
-    world.check.calm = 10_000_000;
+    world.checker.last_fault_end = 10_000_000;
     world.run();
     assert!(
-        broken(&world, "left_waiting: req-000002"),
+        has_violation(&world, "left_waiting: req-000002"),
         "{:?}",
-        world.check.broken
+        world.checker.violations
     );
     // What its team's limit forbids does not count as waiting.
     let mut world = World::new(Script::parse(&format!("team free most=4\n{text}")).unwrap());
-    world.check.calm = 10_000_000;
+    world.checker.last_fault_end = 10_000_000;
     world.run();
-    assert!(!broken(&world, "left_waiting"), "{:?}", world.check.broken);
+    assert!(
+        !has_violation(&world, "left_waiting"),
+        "{:?}",
+        world.checker.violations
+    );
 }
 
 /// Planted fault: all polls for one job fail. That it stands while most others are answered is what makes it forgotten.
@@ -340,15 +368,21 @@
 fn polls_that_fail_for_one_job_alone_are_seen() {
     for (others_answered, forgotten) in [(true, true), (false, false)] {
         let mut world = one_job("end 1.5");
-        world.check.told(9, 8, "submit", 1, 201, Some("queued"));
+        world
+            .checker
+            .record_reply(9, 8, "submit", 1, 201, Some("queued"));
         for second in 0..100 {
             let now = second * 1_000_000;
-            world.check.polled(now, 1, false);
+            world.checker.record_poll(now, 1, false);
             world
-                .check
-                .polled(now, 2, others_answered || second % 3 == 0);
+                .checker
+                .record_poll(now, 2, others_answered || second % 3 == 0);
         }
-        assert_eq!(broken(&world, "forgotten"), forgotten, "{others_answered}");
+        assert_eq!(
+            has_violation(&world, "forgotten"),
+            forgotten,
+            "{others_answered}"
+        );
     }
 }
 
