--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -1,15 +1,15 @@
-//! What benchmarks have in common.
+//! Code that the benchmarks share.
 
 use cometlead::storage::catalog::{Catalog, MachineType};
 use cometlead::storage::resources::Amount;
 use cometlead::time::Micros;
 
-/// Most claims of a plan, as a controller's rounds have it.
-pub const CLAIMS: usize = 256;
+/// Largest number of claims in a plan, as in a controller's commit rounds.
+pub const MAX_CLAIMS_PER_PLAN: usize = 256;
 
-/// Two types of machines in two zones.
+/// A catalog of two machine types in two zones.
 pub fn catalog() -> Catalog {
-    let kind = |name: &str, cores: u64| MachineType {
+    let machine_type = |name: &str, cores: u64| MachineType {
         name: name.to_owned(),
         room: Amount {
             cores: cores * 1_000,
@@ -24,6 +24,6 @@
         zones: vec!["a".to_owned(), "b".to_owned()],
     };
     Catalog {
-        types: vec![kind("small", 8), kind("large", 32)],
+        types: vec![machine_type("small", 8), machine_type("large", 32)],
     }
 }
--- a/benches/rules.rs
+++ b/benches/rules.rs
@@ -1,5 +1,5 @@
-//! What rules cost a plan: 2,000 machines and 500 waiting jobs, a fifth of them with rules, against the same
-//! jobs without any. Run with `cargo bench --bench rules`; not part of the tests.
+//! Cost of placement rules in a plan: 2,000 machines and 500 waiting jobs, a fifth of them with rules, compared with the same
+//! jobs without rules. Run with `cargo bench --bench rules`; not part of the tests.
 
 mod common;
 
@@ -16,7 +16,7 @@
 use cometlead::storage::machine_classes::{Class, Classes};
 use cometlead::storage::resources::Amount;
 use cometlead_constraints::RuleSet;
-use common::{CLAIMS, catalog};
+use common::{MAX_CLAIMS_PER_PLAN, catalog};
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use std::collections::{BTreeMap, HashMap};
 use std::hint::black_box;
@@ -166,7 +166,7 @@
         let request = |id: &JobId| {
             let spec = self.jobs[id].spec();
             let constraints = self.job_constraints.get(id);
-            let rules = context.filter(|h| constraints.is_some() || h.colocated);
+            let rules = context.filter(|c| constraints.is_some() || c.colocated);
             PlacementRequest {
                 job: *id,
                 spec,
@@ -194,13 +194,13 @@
     }
 }
 
-fn planned(
+fn bench_plan(
     c: &mut Criterion,
     name: &str,
     cluster: &Cluster,
     context: Option<&PlacementContext<'_>>,
 ) {
-    let colocated = context.is_some_and(|h| h.colocated);
+    let colocated = context.is_some_and(|context| context.colocated);
     c.bench_function(name, |b| {
         b.iter_batched(
             || {
@@ -214,7 +214,12 @@
                 )
             },
             |(mut candidates, mut requests, mut groups)| {
-                black_box(plan(&mut candidates, &mut requests, &mut groups, CLAIMS))
+                black_box(plan(
+                    &mut candidates,
+                    &mut requests,
+                    &mut groups,
+                    MAX_CLAIMS_PER_PLAN,
+                ))
             },
             BatchSize::LargeInput,
         );
@@ -229,13 +234,13 @@
             job_constraints: &cluster.job_constraints,
             colocated,
         };
-        let what = if colocated {
+        let bench_name = if colocated {
             "a fifth with rules, some of them about what is beside"
         } else {
             "a fifth with rules"
         };
-        planned(c, "no rules", &cluster, None);
-        planned(c, what, &cluster, Some(&context));
+        bench_plan(c, "no rules", &cluster, None);
+        bench_plan(c, bench_name, &cluster, Some(&context));
     }
     let cluster = Cluster::new(true);
     c.bench_function("rules judged for 100 jobs, all classes", |b| {
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -1,5 +1,6 @@
-//! How the work of a controller grows with machines and with waiting jobs: a plan, a batch of the watch, and reading
-//! everything at a start. Run with `cargo bench --bench scale`; not part of the tests.
+//! How the work of a controller grows with the number of machines and waiting jobs: a plan, the choice of machines for a gang
+//! reservation, a batch of changes from the watch, reading all records at startup, and the usage of teams. Run with
+//! `cargo bench --bench scale`; not part of the tests.
 
 mod common;
 
@@ -16,24 +17,24 @@
 };
 use cometlead::storage::resources::Amount;
 use cometlead::time::Micros;
-use common::{CLAIMS, catalog};
+use common::{MAX_CLAIMS_PER_PLAN, catalog};
 use criterion::{BatchSize, BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 use std::hint::black_box;
 
-const SIZES: [u64; 4] = [1_000, 5_500, 10_000, 50_000];
-const WAITING: [u64; 2] = [1_000, 4_000];
-/// Machines of a group, slices, and tasks of a machine.
-const GROUP: u64 = 50;
+/// Cluster sizes in machines.
+const MACHINE_COUNTS: [u64; 4] = [1_000, 5_500, 10_000, 50_000];
+/// Numbers of waiting jobs.
+const WAITING_JOB_COUNTS: [u64; 2] = [1_000, 4_000];
+const MACHINES_PER_GROUP: u64 = 50;
 const SHARDS: u64 = 5;
-const TASKS: u64 = 4;
-/// Tasks of a job.
-const TASK_COUNT: u64 = 40;
+const TASKS_PER_MACHINE: u64 = 4;
+const TASKS_PER_JOB: u64 = 40;
 
 fn job(i: u64) -> JobRecord {
     let text = format!(
-        r#"{{"s":{{"l":"lane","w":"team","u":"2","n":{TASK_COUNT},"r":{{"c":{}000,"m":1000}},"i":"img-{}","s":true,"g":9000000}},"t":{i}}}"#,
+        r#"{{"s":{{"l":"lane","w":"team","u":"2","n":{TASKS_PER_JOB},"r":{{"c":{}000,"m":1000}},"i":"img-{}","s":true,"g":9000000}},"t":{i}}}"#,
         1 + i % 4,
         i % 40
     );
@@ -41,11 +42,11 @@
 }
 
 fn machine(m: u64) -> MachineRecord {
-    let tasks = (0..TASKS).map(|t| {
-        let n = m * TASKS + t;
+    let tasks = (0..TASKS_PER_MACHINE).map(|t| {
+        let n = m * TASKS_PER_MACHINE + t;
         let task = TaskId {
-            job: JobId(1_000_000 + n / TASK_COUNT),
-            index: (n % TASK_COUNT) as u32,
+            job: JobId(1_000_000 + n / TASKS_PER_JOB),
+            index: (n % TASKS_PER_JOB) as u32,
         };
         Assignment::of(Attempt {
             task,
@@ -70,7 +71,7 @@
     }
 }
 
-/// The records of a cluster, as the state service has them.
+/// The records of a cluster in the state service.
 fn records(machines: u64, waiting: u64) -> Vec<(Key, Content)> {
     let meta = MetaRecord {
         record_format: LATEST_FORMAT,
@@ -83,7 +84,7 @@
     ];
     let mut groups: BTreeMap<(u64, u64), GroupRecord> = BTreeMap::new();
     for m in 0..machines {
-        let at = (m % SHARDS, m / SHARDS / GROUP);
+        let at = (m % SHARDS, m / SHARDS / MACHINES_PER_GROUP);
         groups
             .entry(at)
             .or_default()
@@ -98,7 +99,7 @@
         (Key::Group(k as usize, n as u32), Content::Group(g))
     });
     all.extend(groups);
-    let running = (machines * TASKS).div_ceil(TASK_COUNT);
+    let running = (machines * TASKS_PER_MACHINE).div_ceil(TASKS_PER_JOB);
     let jobs = (0..running)
         .map(|i| 1_000_000 + i)
         .chain(2_000_000..2_000_000 + waiting);
@@ -106,7 +107,7 @@
     all
 }
 
-fn cell(records: &[(Key, Content)]) -> CellState {
+fn cell_state(records: &[(Key, Content)]) -> CellState {
     let mut cell = CellState::default();
     let changes = records.iter().map(|(k, c)| Change {
         key: k.clone(),
@@ -118,7 +119,7 @@
     cell
 }
 
-fn text(content: &Content) -> Box<RawValue> {
+fn encode_content(content: &Content) -> Box<RawValue> {
     let text = match content {
         Content::Meta(r) => encode(r),
         Content::Types(r) => encode(r),
@@ -129,13 +130,13 @@
     text.expect("a record")
 }
 
-/// The choice of the machines that are held for a set of a third of them.
-fn drains(c: &mut Criterion) {
-    const TASKS_ON_A_MACHINE: u64 = 11;
+/// The choice of machines for the gang reservation of a gang that needs a third of them.
+fn gang_reservations(c: &mut Criterion) {
+    const ENDING_TASKS_PER_MACHINE: u64 = 11;
     let mut group = c.benchmark_group("drain");
-    for machines in SIZES {
+    for machines in MACHINE_COUNTS {
         let ending = |machine: u64| {
-            (0..TASKS_ON_A_MACHINE)
+            (0..ENDING_TASKS_PER_MACHINE)
                 .map(|task| EndingTask {
                     estimated_runtime: Micros::secs(5 + (machine * 7 + task * 13) % 60),
                     need: Amount {
@@ -155,7 +156,7 @@
             .collect();
         let demand = DrainDemand {
             need: Amount {
-                cores: TASKS_ON_A_MACHINE * 1_000,
+                cores: ENDING_TASKS_PER_MACHINE * 1_000,
                 ..Amount::default()
             },
             tasks: machines / 3,
@@ -170,22 +171,22 @@
     group.finish();
 }
 
-/// A plan over all machines, half of which have no room, for jobs that wait; those beyond the first few find none.
+/// A plan over all machines, half of which have no room, for waiting jobs. Only the first few of them find room.
 fn plans(c: &mut Criterion) {
     let mut group = c.benchmark_group("plan");
-    for (machines, waiting) in SIZES
+    for (machines, waiting) in MACHINE_COUNTS
         .map(|m| (m, 100))
         .into_iter()
-        .chain(WAITING.map(|w| (1_000, w)))
+        .chain(WAITING_JOB_COUNTS.map(|w| (1_000, w)))
     {
-        let cell = cell(&records(machines, waiting));
+        let cell = cell_state(&records(machines, waiting));
         let candidates = || -> Vec<Candidate<'_>> {
-            let slot = |(k, m, r): (usize, MachineId, &'_ MachineRecord)| {
+            let candidate = |(k, m, r): (usize, MachineId, &'_ MachineRecord)| {
                 let r = cell.machine(m).unwrap_or_else(|| panic!("{r:?}"));
                 let t = cell.machine_type(&r.machine_type).expect("a type");
                 Candidate {
                     machine: m,
-                    group: (m.0 / GROUP) as usize,
+                    group: (m.0 / MACHINES_PER_GROUP) as usize,
                     owner: k,
                     machine_type: &r.machine_type,
                     zone: &r.zone,
@@ -207,7 +208,7 @@
                     residents: Vec::new(),
                 }
             };
-            cell.machines().map(slot).collect()
+            cell.machines().map(candidate).collect()
         };
         let requests = || -> Vec<PlacementRequest<'_>> {
             let ids = (0..waiting).map(|i| JobId(2_000_000 + i));
@@ -222,7 +223,7 @@
                     most: u64::MAX,
                     price_limit: u64::MAX,
                     owner: (id.0 % SHARDS) as usize,
-                    // One in five is this controller's; the others' take their turn.
+                    // A fifth of the jobs are placed by this controller; the plan follows those of other controllers as well.
                     is_local: id.0 % SHARDS == 0,
                     preempts: false,
                     guaranteed: false,
@@ -239,12 +240,19 @@
             BenchmarkId::from_parameter(format!("{machines} machines, {waiting} waiting")),
             |b| {
                 let groups = || GroupAllowance {
-                    open: vec![false; (machines / GROUP) as usize + 1],
+                    open: vec![false; (machines / MACHINES_PER_GROUP) as usize + 1],
                     left: 11,
                 };
                 b.iter_batched(
                     || (candidates(), requests(), groups()),
-                    |(mut s, mut a, mut g)| black_box(plan(&mut s, &mut a, &mut g, CLAIMS)),
+                    |(mut candidates, mut requests, mut groups)| {
+                        black_box(plan(
+                            &mut candidates,
+                            &mut requests,
+                            &mut groups,
+                            MAX_CLAIMS_PER_PLAN,
+                        ))
+                    },
                     BatchSize::LargeInput,
                 );
             },
@@ -253,12 +261,12 @@
     group.finish();
 }
 
-/// Ten groups change in one task each, whatever the size of the whole.
-fn batches(c: &mut Criterion) {
+/// A batch in which one task changes in each of ten machine groups, for different sizes of the cluster.
+fn watch_batches(c: &mut Criterion) {
     let mut group = c.benchmark_group("watch batch of ten groups");
-    for machines in SIZES {
+    for machines in MACHINE_COUNTS {
         let records = records(machines, 100);
-        let mut cell = cell(&records);
+        let mut cell = cell_state(&records);
         let mut mod_revision = 1;
         group.bench_function(
             BenchmarkId::from_parameter(format!("{machines} machines")),
@@ -275,8 +283,9 @@
                             if let Content::Group(g) = &mut content
                                 && let Some(r) = g.machines.values_mut().next()
                             {
-                                r.tasks
-                                    .truncate(TASKS as usize - (mod_revision % 2) as usize);
+                                r.tasks.truncate(
+                                    TASKS_PER_MACHINE as usize - (mod_revision % 2) as usize,
+                                );
                             }
                             Change {
                                 key: key.clone(),
@@ -304,10 +313,10 @@
 fn starts(c: &mut Criterion) {
     let mut group = c.benchmark_group("start");
     group.sample_size(10);
-    for machines in SIZES {
+    for machines in MACHINE_COUNTS {
         let texts: Vec<(Key, Box<RawValue>)> = records(machines, 1_000)
             .iter()
-            .map(|(k, content)| (k.clone(), text(content)))
+            .map(|(k, content)| (k.clone(), encode_content(content)))
             .collect();
         let bytes: usize = texts.iter().map(|(_, t)| t.get().len()).sum();
         group.throughput(Throughput::Bytes(bytes as u64));
@@ -318,7 +327,7 @@
                     let read = texts
                         .iter()
                         .map(|(k, t)| (k.clone(), decode(k, t).expect("a record")));
-                    black_box(cell(&read.collect::<Vec<_>>()).latest)
+                    black_box(cell_state(&read.collect::<Vec<_>>()).latest)
                 });
             },
         );
@@ -326,12 +335,12 @@
     group.finish();
 }
 
-/// What teams have booked is added up anew after each change.
+/// The usage of teams is summed up again after each change.
 fn usage(c: &mut Criterion) {
     let mut group = c.benchmark_group("usage after a change");
-    for machines in SIZES {
+    for machines in MACHINE_COUNTS {
         let records = records(machines, 100);
-        let mut cell = cell(&records);
+        let mut cell = cell_state(&records);
         let changed = records
             .iter()
             .find(|(k, _)| matches!(k, Key::Group(..)))
@@ -357,5 +366,12 @@
     group.finish();
 }
 
-criterion_group!(scale, plans, drains, batches, starts, usage);
+criterion_group!(
+    scale,
+    plans,
+    gang_reservations,
+    watch_batches,
+    starts,
+    usage
+);
 criterion_main!(scale);
--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -1,25 +1,31 @@
-//! The judgement of a run of the tests, where some are known to fail: `.ci/judge`.
+//! Evaluation of a test run in which some tests are known to fail: `.ci/judge`.
 
 use std::path::Path;
 use std::process::Command;
 
-/// What it says of a run whose tests came to these ends, and whether it passes. `targets`: how many failed.
-fn judge(name: &str, list: &str, ends: &[(&str, &str)], targets: usize) -> (bool, String) {
+/// Whether `.ci/judge` passes a run with these test results, and what it prints. `failed_targets` is the number of test
+/// targets that failed.
+fn judge(
+    name: &str,
+    list: &str,
+    results: &[(&str, &str)],
+    failed_targets: usize,
+) -> (bool, String) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).unwrap();
-    let mut out: String = ends
+    let mut out: String = results
         .iter()
-        .map(|(test, end)| format!("test {test} ... {end}\n"))
+        .map(|(test, result)| format!("test {test} ... {result}\n"))
         .collect();
-    let failed = ends.iter().any(|(_, end)| *end == "FAILED");
-    if !ends.is_empty() {
+    let failed = results.iter().any(|(_, result)| *result == "FAILED");
+    if !results.is_empty() {
         out += &format!(
             "\ntest result: {}. some passed\n",
             if failed { "FAILED" } else { "ok" }
         );
     }
-    let err = if targets > 0 {
-        format!("error: {targets} target failed:\n    `--test some`\n")
+    let err = if failed_targets > 0 {
+        format!("error: {failed_targets} target failed:\n    `--test some`\n")
     } else {
         String::new()
     };
@@ -30,7 +36,7 @@
     };
     let (list, out, err) = (file("list", list), file("out", &out), file("err", &err));
     let judge = Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/judge");
-    let status = if targets > 0 || ends.is_empty() {
+    let status = if failed_targets > 0 || results.is_empty() {
         "101"
     } else {
         "0"
@@ -47,43 +53,46 @@
     )
 }
 
-const ONE: &str = "# a comment\n\nsome::test | cargo test some::test, seed 3 | a fault that isn't \"mended\" | issue 7\n";
+const ONE_LISTED_TEST: &str = "# a comment\n\nsome::test | cargo test some::test, seed 3 | a fault that isn't \"mended\" | issue 7\n";
 
 #[test]
-fn a_run_without_failures_passes_with_an_empty_list() {
-    let (passes, said) = judge("empty", "# nothing\n", &[("some::test", "ok")], 0);
-    assert!(passes, "{said}");
+fn run_without_failures_passes_with_an_empty_list() {
+    let (passes, output) = judge("empty", "# nothing\n", &[("some::test", "ok")], 0);
+    assert!(passes, "{output}");
 }
 
 #[test]
-fn exactly_the_listed_tests_are_passed_over_and_printed() {
-    let (passes, said) = judge(
+fn failures_of_listed_tests_are_accepted_and_printed() {
+    let (passes, output) = judge(
         "listed",
-        ONE,
+        ONE_LISTED_TEST,
         &[("some::test", "FAILED"), ("other", "ok")],
         1,
     );
-    assert!(passes, "{said}");
+    assert!(passes, "{output}");
     assert!(
-        said.contains(
+        output.contains(
             "some::test (cargo test some::test, seed 3; a fault that isn't \"mended\"; issue 7)"
         ),
-        "{said}"
+        "{output}"
     );
 }
 
 #[test]
-fn whatever_else_fails_the_run() {
+fn other_failures_and_invalid_lists_fail_the_run() {
     let four: String = (1..=4)
         .map(|n| format!("t{n} | cargo test t{n} | a fault | issue {n}\n"))
         .collect();
     let failing: Vec<(String, &str)> = (1..=4).map(|n| (format!("t{n}"), "FAILED")).collect();
-    let failing: Vec<(&str, &str)> = failing.iter().map(|(t, end)| (t.as_str(), *end)).collect();
+    let failing: Vec<(&str, &str)> = failing
+        .iter()
+        .map(|(t, result)| (t.as_str(), *result))
+        .collect();
     type Run<'a> = (&'a str, &'a str, &'a [(&'a str, &'a str)], usize, &'a str);
-    let fails: [Run<'_>; 13] = [
+    let runs: [Run<'_>; 13] = [
         (
             "another",
-            ONE,
+            ONE_LISTED_TEST,
             &[("some::test", "FAILED"), ("other", "FAILED")],
             1,
             "failed: other",
@@ -104,14 +113,14 @@
         ),
         (
             "passes",
-            ONE,
+            ONE_LISTED_TEST,
             &[("some::test", "ok")],
             0,
             "it is listed, but passes",
         ),
         (
             "no-such",
-            ONE,
+            ONE_LISTED_TEST,
             &[("other", "ok")],
             0,
             "there is no such test",
@@ -154,15 +163,15 @@
         ),
         (
             "a-target-that-died",
-            ONE,
+            ONE_LISTED_TEST,
             &[("some::test", "FAILED")],
             2,
             "2 targets failed, and 1 told",
         ),
         ("not-compiled", "", &[], 0, "before its end"),
     ];
-    for (name, list, ends, targets, why) in fails {
-        let (passes, said) = judge(name, list, ends, targets);
-        assert!(!passes && said.contains(why), "{name}: {said}");
+    for (name, list, results, failed_targets, message) in runs {
+        let (passes, output) = judge(name, list, results, failed_targets);
+        assert!(!passes && output.contains(message), "{name}: {output}");
     }
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Admission of connections: many clients against the pure core, in simulated time.
+//! Admission of connections: many simulated clients against the connection table, in simulated time.
 
 use cometlead::coordination::api::connections::{
     Connections, OpenConnections, Request, SocketPlan, Verdict,
@@ -7,21 +7,22 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-const SERVED: usize = 1_600;
-/// What is reserved for connections whose class is not known, and for each of users and workers.
-const RESERVE: usize = SERVED / 8;
+/// Connections that a controller serves at once.
+const SERVED_CONNECTIONS: usize = 1_600;
+/// Connections reserved for clients whose class is not known yet, and for each of users and workers.
+const RESERVED_CONNECTIONS: usize = SERVED_CONNECTIONS / 8;
 
-/// Workers that report in turn to one controller, each by the connection that it was left with.
+/// Workers that send heartbeats to one controller in turn, each on the connection that it has kept.
 struct Workers {
     connections: Connections,
     now: Micros,
     next: u64,
-    held: BTreeMap<usize, u64>,
+    kept: BTreeMap<usize, u64>,
     opened: u64,
     refused: u64,
     most_open: usize,
-    /// Fewest connections held since the first one was given back.
-    least_held: usize,
+    /// Fewest connections kept since the controller first closed one.
+    fewest_kept: usize,
 }
 
 impl Workers {
@@ -30,11 +31,11 @@
             connections: Connections::new(served),
             now: Micros::ZERO,
             next: 1,
-            held: BTreeMap::new(),
+            kept: BTreeMap::new(),
             opened: 0,
             refused: 0,
             most_open: 0,
-            least_held: usize::MAX,
+            fewest_kept: usize::MAX,
         }
     }
 
@@ -46,11 +47,11 @@
         id
     }
 
-    /// One report; the answer comes at once.
-    fn report(&mut self, worker: usize) {
-        let id = match self.held.get(&worker) {
+    /// Sends one heartbeat, which is answered at once.
+    fn send_heartbeat(&mut self, worker: usize) {
+        let id = match self.kept.get(&worker) {
             Some(id) => *id,
-            None if self.connections.open().total >= SERVED => {
+            None if self.connections.open().total >= SERVED_CONNECTIONS => {
                 self.refused += 1;
                 return;
             }
@@ -59,64 +60,65 @@
                 self.open()
             }
         };
-        self.held.insert(worker, id);
+        self.kept.insert(worker, id);
         assert_eq!(
             self.connections.requested(self.now, id, Request::Heartbeat),
             Verdict::Serve
         );
         if self.connections.answered(self.now, id) {
             self.connections.closed(id);
-            self.held.remove(&worker);
-            self.least_held = self.least_held.min(self.held.len());
+            self.kept.remove(&worker);
+            self.fewest_kept = self.fewest_kept.min(self.kept.len());
         }
     }
 
-    /// All report once within a time, one after the other.
-    fn round(&mut self, count: usize, span: Micros) {
+    /// Each of `count` workers sends one heartbeat, evenly spread over `span`.
+    fn send_heartbeats(&mut self, count: usize, span: Micros) {
         for worker in 0..count {
             self.now += Micros(span.0 / count as u64);
-            self.report(worker);
+            self.send_heartbeat(worker);
         }
     }
 }
 
 #[test]
-fn at_ordinary_size_every_worker_keeps_its_connection() {
-    let mut workers = Workers::new(SERVED);
+fn every_worker_keeps_its_connection_below_the_limit() {
+    let mut workers = Workers::new(SERVED_CONNECTIONS);
     for _ in 0..10 {
-        workers.round(900, Micros::secs(8));
+        workers.send_heartbeats(900, Micros::secs(8));
     }
-    assert_eq!((workers.opened, workers.held.len()), (900, 900));
+    assert_eq!((workers.opened, workers.kept.len()), (900, 900));
     assert_eq!(workers.connections.counts().agents_closed, 0);
 }
 
-/// Three controllers' workers at one that is left: far more than all of its sockets.
+/// The workers of three controllers connect to the only one that is left: far more of them than it has sockets.
 #[test]
-fn workers_beyond_all_sockets_are_served_by_turns() {
-    let mut workers = Workers::new(SERVED);
-    workers.round(1_000, Micros::secs(8));
+fn more_workers_than_sockets_are_all_served() {
+    let mut workers = Workers::new(SERVED_CONNECTIONS);
+    workers.send_heartbeats(1_000, Micros::secs(8));
     for _ in 0..10 {
-        workers.round(5_216, Micros::secs(8));
+        workers.send_heartbeats(5_216, Micros::secs(8));
         let open = workers.connections.open();
         assert!(
-            open.total + RESERVE <= SERVED && open.agents < SERVED * 3 / 4,
+            open.total + RESERVED_CONNECTIONS <= SERVED_CONNECTIONS
+                && open.agents < SERVED_CONNECTIONS * 3 / 4,
             "{open:?}"
         );
     }
     assert_eq!(workers.refused, 0);
     assert!(
-        workers.most_open <= SERVED - RESERVE + 1,
+        workers.most_open <= SERVED_CONNECTIONS - RESERVED_CONNECTIONS + 1,
         "{}",
         workers.most_open
     );
 }
 
-/// All come within the same second, as after a restart.
+/// All workers connect within the same second, as after a restart.
 #[test]
-fn all_workers_at_once_leave_room_for_health_checks_and_users() {
-    let mut workers = Workers::new(SERVED);
+fn simultaneous_workers_leave_connections_for_health_checks_and_users() {
+    let mut workers = Workers::new(SERVED_CONNECTIONS);
     for _ in 0..3 {
-        workers.round(5_216, Micros::secs(1));
+        workers.send_heartbeats(5_216, Micros::secs(1));
         let id = workers.open();
         assert_eq!(
             workers
@@ -131,27 +133,27 @@
 }
 
 #[test]
-fn connections_are_given_back_with_hysteresis() {
-    let mut workers = Workers::new(SERVED);
+fn worker_connections_are_closed_with_hysteresis() {
+    let mut workers = Workers::new(SERVED_CONNECTIONS);
     for _ in 0..20 {
-        workers.round(1_300, Micros::secs(8));
+        workers.send_heartbeats(1_300, Micros::secs(8));
     }
-    // Between two times of shortage connections are kept: fewer than one in two reports opens one.
+    // Connections are kept between two shortages: fewer than half of the heartbeats open one.
     assert!(workers.opened < 20 * 1_300 / 2, "{}", workers.opened);
     assert!(workers.connections.counts().agents_closed > 0);
-    // Once begun it goes on until there is room for a while.
-    let ceiling = SERVED - SERVED / 4 - RESERVE;
+    // Once the controller has begun to close connections, it continues until it has free ones for a while.
+    let ceiling = SERVED_CONNECTIONS - SERVED_CONNECTIONS / 4 - RESERVED_CONNECTIONS;
     assert!(
-        workers.least_held <= ceiling * 3 / 4,
+        workers.fewest_kept <= ceiling * 3 / 4,
         "{} of {ceiling}",
-        workers.least_held
+        workers.fewest_kept
     );
 }
 
-/// Neither class is above its own bound, but together they leave less than the reserve.
+/// Neither users nor workers exceed their own limit, but together they leave less than the reserve.
 #[test]
-fn both_classes_give_back_before_the_reserve_is_gone() {
-    let mut connections = Connections::new(SERVED);
+fn connections_of_both_classes_are_closed_before_the_reserve_is_used_up() {
+    let mut connections = Connections::new(SERVED_CONNECTIONS);
     for id in 0..1_450 {
         connections.opened(Micros::ZERO, id);
         let request = if id % 2 == 0 {
@@ -170,8 +172,8 @@
 }
 
 #[test]
-fn who_reports_briskly_keeps_its_connection_longest() {
-    let mut connections = Connections::new(SERVED);
+fn worker_with_short_heartbeat_interval_keeps_its_connection_longest() {
+    let mut connections = Connections::new(SERVED_CONNECTIONS);
     let mut now = Micros::ZERO;
     for id in 0..1_100 {
         connections.opened(now, id);
@@ -189,26 +191,26 @@
     assert!(connections.answered(now, 2), "it was idle for nine seconds");
 }
 
-/// A flood of polls that wait for the state service: submissions and cancellations still come through, and those turned away
-/// do not come back together.
+/// While a flood of status queries waits for the state service, submissions and cancellations are still served, and rejected
+/// clients get different retry delays so that they do not come back together.
 #[test]
-fn a_flood_of_polls_leaves_room_for_submissions_and_cancellations() {
-    let mut connections = Connections::new(SERVED);
-    let mut pauses = BTreeMap::new();
-    for id in 0..SERVED as u64 {
+fn flood_of_status_queries_leaves_room_for_submissions_and_cancellations() {
+    let mut connections = Connections::new(SERVED_CONNECTIONS);
+    let mut retry_delays = BTreeMap::new();
+    for id in 0..SERVED_CONNECTIONS as u64 {
         connections.opened(Micros::ZERO, id);
         if let Verdict::Reject(seconds) = connections.requested(Micros::ZERO, id, Request::Query) {
-            *pauses.entry(seconds).or_insert(0) += 1;
+            *retry_delays.entry(seconds).or_insert(0) += 1;
             connections.answered(Micros::ZERO, id);
             connections.closed(id);
         }
     }
     assert!(
-        pauses.len() >= 3 && pauses.values().all(|n| *n > 100),
-        "{pauses:?}"
+        retry_delays.len() >= 3 && retry_delays.values().all(|n| *n > 100),
+        "{retry_delays:?}"
     );
     let refused = connections.counts().queries_refused;
-    assert_eq!(refused, pauses.values().sum::<u64>());
+    assert_eq!(refused, retry_delays.values().sum::<u64>());
     for (id, request) in [(10_001, Request::Submit), (10_002, Request::Abort)] {
         connections.opened(Micros::ZERO, id);
         assert_eq!(
@@ -219,21 +221,21 @@
     }
 }
 
-/// Where even submissions find no room a cancellation does.
+/// A cancellation is served even while submissions are rejected.
 #[test]
-fn cancellations_go_before_submissions() {
-    let mut connections = Connections::new(SERVED);
-    let mut turned_away = 0;
-    for id in 0..SERVED as u64 {
+fn cancellations_have_precedence_over_submissions() {
+    let mut connections = Connections::new(SERVED_CONNECTIONS);
+    let mut rejected = 0;
+    for id in 0..SERVED_CONNECTIONS as u64 {
         connections.opened(Micros::ZERO, id);
         let verdict = connections.requested(Micros::ZERO, id, Request::Submit);
         if verdict != Verdict::Serve {
-            turned_away += 1;
+            rejected += 1;
             connections.answered(Micros::ZERO, id);
             connections.closed(id);
         }
     }
-    assert!(turned_away > 0);
+    assert!(rejected > 0);
     connections.opened(Micros::ZERO, 10_000);
     assert_eq!(
         connections.requested(Micros::ZERO, 10_000, Request::Abort),
@@ -242,23 +244,23 @@
 }
 
 #[test]
-fn a_connection_without_a_request_holds_its_place_for_a_bounded_time() {
-    let mut connections = Connections::new(SERVED);
+fn connection_without_a_request_is_closed_after_a_timeout() {
+    let mut connections = Connections::new(SERVED_CONNECTIONS);
     connections.opened(Micros::ZERO, 1);
     connections.opened(Micros::ZERO, 2);
     connections.requested(Micros::ZERO, 2, Request::Query);
     assert!(connections.too_slow(Micros::secs(2)).is_empty());
     assert_eq!(connections.too_slow(Micros::millis(3_001)), [1]);
-    // Sooner where they take the places of others.
-    for id in 10..SERVED as u64 {
+    // The timeout is shorter while such connections take up places that other clients need.
+    for id in 10..SERVED_CONNECTIONS as u64 {
         connections.opened(Micros::secs(4), id);
     }
-    assert!(connections.too_slow(Micros::millis(4_501)).len() > SERVED / 2);
+    assert!(connections.too_slow(Micros::millis(4_501)).len() > SERVED_CONNECTIONS / 2);
 }
 
 #[test]
-fn idle_users_give_connections_back_too() {
-    let mut connections = Connections::new(SERVED);
+fn connections_of_idle_users_are_closed() {
+    let mut connections = Connections::new(SERVED_CONNECTIONS);
     for id in 0..1_100 {
         connections.opened(Micros::ZERO, id);
         connections.requested(Micros::ZERO, id, Request::Query);
@@ -269,7 +271,7 @@
 }
 
 #[test]
-fn sockets_are_divided_within_what_there_is() {
+fn socket_plan_stays_within_the_available_sockets() {
     for sockets in [32, 64, 600, 2_222, 2_887, 8_000] {
         for peers in [0, 2, 4] {
             let plan = SocketPlan::new(sockets, peers);
@@ -287,7 +289,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Open,
-    Ask(usize, Request),
+    Request(usize, Request),
     Answer(usize),
     Close(usize),
     Sweep,
@@ -303,7 +305,7 @@
     ];
     prop_oneof![
         3 => Just(Step::Open),
-        4 => (any::<usize>(), request).prop_map(|(i, r)| Step::Ask(i, r)),
+        4 => (any::<usize>(), request).prop_map(|(i, r)| Step::Request(i, r)),
         3 => any::<usize>().prop_map(Step::Answer),
         2 => any::<usize>().prop_map(Step::Close),
         1 => Just(Step::Sweep),
@@ -311,9 +313,9 @@
 }
 
 proptest! {
-    /// Whatever happens in whatever order: counters stay right, and nothing is left when all are gone.
+    /// Whatever the order of events, the counters stay correct, and they are zero once all connections are closed.
     #[test]
-    fn counters_survive_any_order(steps in prop::collection::vec(step(), 1..400)) {
+    fn counters_match_open_connections_for_any_order_of_events(steps in prop::collection::vec(step(), 1..400)) {
         let mut connections = Connections::new(16);
         let mut open: Vec<u64> = Vec::new();
         let mut busy: Vec<u64> = Vec::new();
@@ -324,7 +326,7 @@
                     connections.opened(now, at as u64);
                     open.push(at as u64);
                 }
-                Step::Ask(i, request) if !open.is_empty() => {
+                Step::Request(i, request) if !open.is_empty() => {
                     let id = open[i % open.len()];
                     if !busy.contains(&id) {
                         busy.push(id);
@@ -355,7 +357,7 @@
             connections.closed(id);
         }
         prop_assert_eq!(connections.open(), OpenConnections::default());
-        // Requests under way were all taken off: a poll is served again.
+        // No request counts as in progress any more, so a status query is served again.
         connections.opened(Micros::secs(100), u64::MAX);
         prop_assert_eq!(connections.requested(Micros::secs(100), u64::MAX, Request::Query), Verdict::Serve);
     }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Golden bytes: what is stored and sent, held in place by files. A change of any of these is a change of the wire.
+//! Golden files for stored records and messages. A difference from any of them is a change of the stored or wire format.
 //!
-//! Where a file differs, what was written instead is left in `target/tmp`.
+//! If a file differs, the actual output is written to `target/tmp`.
 
 use cometlead::protocol::cloud::{self, CloudReply, CloudRequest};
 use cometlead::protocol::operator::OperatorSettings;
@@ -25,15 +25,15 @@
 const RECORDS: &str = include_str!("golden/records.txt");
 const RULES: &[u8] = include_bytes!("../deploy/rules.example.json");
 
-/// Compares with a file of `tests/golden`.
-fn golden(name: &str, got: &str) {
+/// Compares output with a file in `tests/golden`.
+fn assert_golden(name: &str, actual: &str) {
     let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
-    let held = std::fs::read_to_string(&path).unwrap_or_default();
-    if held != got {
-        let other = format!("{}/{name}", env!("CARGO_TARGET_TMPDIR"));
-        std::fs::write(&other, got).unwrap();
-        let line = held.lines().zip(got.lines()).find(|(a, b)| a != b);
-        panic!("{name} differs from {other}, first at {line:?}");
+    let expected = std::fs::read_to_string(&path).unwrap_or_default();
+    if expected != actual {
+        let actual_path = format!("{}/{name}", env!("CARGO_TARGET_TMPDIR"));
+        std::fs::write(&actual_path, actual).unwrap();
+        let line = expected.lines().zip(actual.lines()).find(|(a, b)| a != b);
+        panic!("{name} differs from {actual_path}, first at {line:?}");
     }
 }
 
@@ -41,7 +41,7 @@
     RawValue::from_string(text.to_owned()).unwrap_or_else(|e| panic!("{text}: {e}"))
 }
 
-fn content(c: &Content) -> String {
+fn encode_content(c: &Content) -> String {
     let text = match c {
         Content::Meta(r) => state::encode(r),
         Content::Types(r) => state::encode(r),
@@ -57,31 +57,31 @@
     text.unwrap().get().to_owned()
 }
 
-/// A record, read and written again.
-fn again(key: &Key, text: &str) -> String {
+/// A record, decoded and encoded again.
+fn reencode(key: &Key, text: &str) -> String {
     if matches!(key, Key::Final(_)) {
         let end: FinalRecord = serde_json::from_str(text).unwrap();
         return state::encode(&end).unwrap().get().to_owned();
     }
-    content(&state::decode(key, &raw(text)).unwrap_or_else(|| panic!("{key} {text}")))
+    encode_content(&state::decode(key, &raw(text)).unwrap_or_else(|| panic!("{key} {text}")))
 }
 
 #[test]
-fn records_are_written_as_they_were_read() {
+fn records_are_unchanged_after_decoding_and_encoding() {
     let mut kinds = std::collections::HashSet::new();
     for line in RECORDS.lines() {
         let (name, text) = line.split_once(' ').unwrap();
         let key = Key::parse(name).unwrap_or_else(|| panic!("{name}"));
         assert_eq!(key.to_string(), name);
-        assert_eq!(again(&key, text), text, "{name}");
+        assert_eq!(reencode(&key, text), text, "{name}");
         kinds.insert(std::mem::discriminant(&key));
     }
     assert_eq!(kinds.len(), 10, "kinds of records");
 }
 
 #[test]
-fn groups_in_both_forms() {
-    let mut got = String::new();
+fn machine_groups_in_both_encodings() {
+    let mut output = String::new();
     for line in RECORDS.lines().filter(|l| l.starts_with("c/group/")) {
         let (name, text) = line.split_once(' ').unwrap();
         let key = Key::parse(name).unwrap();
@@ -90,43 +90,48 @@
         };
         group.compact_encoding = !group.compact_encoding;
         let other = state::encode(&group).unwrap();
-        assert_eq!(again(&key, other.get()), other.get());
-        writeln!(got, "{name} {other}").unwrap();
+        assert_eq!(reencode(&key, other.get()), other.get());
+        writeln!(output, "{name} {other}").unwrap();
     }
-    golden("groups.txt", &got);
+    assert_golden("groups.txt", &output);
 }
 
 #[test]
-fn records_with_fields_absent() {
-    let mut got = String::new();
+fn records_with_missing_fields() {
+    let mut output = String::new();
     for line in include_str!("golden/absent.txt").lines() {
         let (name, text) = line.split_once(' ').unwrap();
-        writeln!(got, "{name} {}", again(&Key::parse(name).unwrap(), text)).unwrap();
+        writeln!(
+            output,
+            "{name} {}",
+            reencode(&Key::parse(name).unwrap(), text)
+        )
+        .unwrap();
     }
-    golden("absent.out.txt", &got);
+    assert_golden("absent.out.txt", &output);
 }
 
 #[test]
-fn rules_and_their_schema() {
+fn rules_record() {
     let set = RuleSet::parse(RULES).unwrap();
     let text = state::encode(&set).unwrap();
-    assert_eq!(again(&Key::Rules(1), text.get()), text.get());
-    golden("rules.txt", &format!("{text}\n"));
+    assert_eq!(reencode(&Key::Rules(1), text.get()), text.get());
+    assert_golden("rules.txt", &format!("{text}\n"));
 }
 
 #[test]
-fn submissions() {
-    let mut got = String::new();
+fn parsed_submissions() {
+    let mut output = String::new();
     for line in include_str!("golden/submissions.txt").lines() {
         match parse_submission(line.as_bytes()) {
-            Ok((id, spec)) => writeln!(got, "{id} {}", state::encode(&spec).unwrap()).unwrap(),
-            Err(e) => writeln!(got, "{e}").unwrap(),
+            Ok((id, spec)) => writeln!(output, "{id} {}", state::encode(&spec).unwrap()).unwrap(),
+            Err(e) => writeln!(output, "{e}").unwrap(),
         }
     }
-    golden("submissions.out.txt", &got);
+    assert_golden("submissions.out.txt", &output);
 }
 
-/// A task's state by the names that the file holds.
+/// A task's state by its name in the golden file.
 fn task_state(state: TaskState) -> String {
     let reason = match state {
         TaskState::Fetching => return "Fetching".to_owned(),
@@ -147,21 +152,21 @@
 }
 
 #[test]
-fn what_workers_send_and_get() {
-    let mut got = String::new();
+fn heartbeats_and_worker_commands() {
+    let mut output = String::new();
     for line in include_str!("golden/reports.txt").lines() {
         let Some(r) = Heartbeat::parse(line.as_bytes()) else {
-            got += "malformed\n";
+            output += "malformed\n";
             continue;
         };
         write!(
-            got,
+            output,
             "{} {} {} {} {}",
             r.machine, r.endpoint, r.machine_type, r.zone, r.spot
         )
         .unwrap();
         write!(
-            got,
+            output,
             " {:?} {} {:?}",
             (r.id.incarnation, r.id.sequence),
             r.fencing_token,
@@ -169,10 +174,10 @@
         )
         .unwrap();
         for (a, s) in &r.tasks {
-            write!(got, " {}/{}={}", a.task, a.number, task_state(*s)).unwrap();
+            write!(output, " {}/{}={}", a.task, a.number, task_state(*s)).unwrap();
         }
-        got.push('\n');
-        let orders: Vec<Command> = r
+        output.push('\n');
+        let commands: Vec<Command> = r
             .tasks
             .iter()
             .flat_map(|(a, _)| {
@@ -184,28 +189,33 @@
             })
             .collect();
         for body in [
-            heartbeat_response_body(r.fencing_token, &orders),
-            command_body(r.fencing_token, r.incarnation(), &orders),
+            heartbeat_response_body(r.fencing_token, &commands),
+            command_body(r.fencing_token, r.incarnation(), &commands),
         ] {
-            got += &String::from_utf8(body).unwrap();
-            got.push('\n');
+            output += &String::from_utf8(body).unwrap();
+            output.push('\n');
         }
     }
     for body in [not_leader_body(None), not_leader_body(Some("n1"))] {
-        got += &String::from_utf8(body).unwrap();
-        got.push('\n');
+        output += &String::from_utf8(body).unwrap();
+        output.push('\n');
     }
-    golden("workers.out.txt", &got);
+    assert_golden("workers.out.txt", &output);
 }
 
-fn sent(got: &mut String, (method, path, body): (&str, String, Vec<u8>)) {
-    writeln!(got, "{method} {path} {}", String::from_utf8(body).unwrap()).unwrap();
+fn write_request(output: &mut String, (method, path, body): (&str, String, Vec<u8>)) {
+    writeln!(
+        output,
+        "{method} {path} {}",
+        String::from_utf8(body).unwrap()
+    )
+    .unwrap();
 }
 
 #[test]
-fn what_the_cloud_gets_and_sends() {
+fn cloud_requests_and_responses() {
     let machine = "i-000231".parse().unwrap();
-    let hire = |spot| CloudRequest::Provision {
+    let provision = |spot| CloudRequest::Provision {
         name: "n0-1".into(),
         machine_type: "small".into(),
         zone: "a".into(),
@@ -214,15 +224,15 @@
     };
     let requests = [
         CloudRequest::Catalog,
-        hire(true),
-        hire(false),
+        provision(true),
+        provision(false),
         CloudRequest::Release(vec![machine]),
         CloudRequest::List(None),
         CloudRequest::List(Some(machine)),
     ];
-    let mut got = String::new();
+    let mut output = String::new();
     for request in &requests {
-        sent(&mut got, cloud::http(request));
+        write_request(&mut output, cloud::http(request));
         for line in include_str!("golden/cloud.txt").lines() {
             let (status, body) = line.split_once(' ').unwrap();
             let read = match cloud::parse(request, status.parse().unwrap(), body.as_bytes()) {
@@ -240,14 +250,14 @@
                 Ok(CloudReply::Released) => "released".into(),
                 Err(e) => e.to_string(),
             };
-            writeln!(got, "  {status} {body}\n    {read}").unwrap();
+            writeln!(output, "  {status} {body}\n    {read}").unwrap();
         }
     }
-    golden("cloud.out.txt", &got);
+    assert_golden("cloud.out.txt", &output);
 }
 
 #[test]
-fn what_the_state_service_gets_and_sends() {
+fn state_service_requests_and_responses() {
     let key = Key::parse("c/own/1").unwrap();
     let put = |value: Option<&str>, lease_id| KeyChange {
         key: key.clone(),
@@ -277,9 +287,9 @@
             wait: Micros::millis(700),
         },
     ];
-    let mut got = String::new();
+    let mut output = String::new();
     for request in &requests {
-        sent(&mut got, state::http(request));
+        write_request(&mut output, state::http(request));
         for line in include_str!("golden/state.txt").lines() {
             let (status, body) = line.split_once(' ').unwrap();
             let changes = |all: &[cometlead::storage::cell_state::Change]| -> String {
@@ -289,7 +299,7 @@
                             " {} {} {:?};",
                             c.key,
                             c.mod_revision,
-                            c.content.as_ref().map(content)
+                            c.content.as_ref().map(encode_content)
                         )
                     })
                     .collect()
@@ -314,28 +324,29 @@
                 Ok(StateResponse::Compacted) => "too old".into(),
                 Err(e) => e.to_string(),
             };
-            writeln!(got, "  {status} {body}\n    {read}").unwrap();
+            writeln!(output, "  {status} {body}\n    {read}").unwrap();
         }
     }
-    golden("state.out.txt", &got);
+    assert_golden("state.out.txt", &output);
 }
 
 #[test]
-fn hints_of_peers() {
-    let mut got = String::new();
+fn peer_hints() {
+    let mut output = String::new();
     for line in include_str!("golden/hints.txt").lines() {
         let hint: PeerHint = serde_json::from_str(line).unwrap();
         let bytes = rmp_serde::to_vec(&hint).unwrap();
         assert_eq!(rmp_serde::from_slice::<PeerHint>(&bytes).unwrap(), hint);
         let hex: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
-        writeln!(got, "{hex} {}", serde_json::to_string(&hint).unwrap()).unwrap();
+        writeln!(output, "{hex} {}", serde_json::to_string(&hint).unwrap()).unwrap();
     }
-    golden("hints.out.txt", &got);
+    assert_golden("hints.out.txt", &output);
 }
 
-/// Each field of the deploy file is read by its name: without it the file is refused, or the field has no effect.
+/// Each field of the deploy file is read under its name: without the field, the file is refused or read without the field's
+/// effect.
 #[test]
-fn fields_of_the_deploy_file() {
+fn deploy_file_without_each_of_its_fields() {
     let whole: serde_json::Value =
         serde_json::from_str(include_str!("golden/deploy.json")).unwrap();
     let read =
@@ -346,10 +357,10 @@
                     .iter()
                     .map(|t| (&t.name, t.guarantee, t.cores_limit, t.accelerators_limit))
                     .collect();
-                let aims: Vec<_> = s.objectives.iter().map(|o| (&o.class, o.kind)).collect();
+                let objectives: Vec<_> = s.objectives.iter().map(|o| (&o.class, o.kind)).collect();
                 let (now, next) = (s.limits, s.next_limits);
                 format!(
-                    "read: {teams:?} {aims:?} {} {} {} {} {} {}",
+                    "read: {teams:?} {objectives:?} {} {} {} {} {} {}",
                     now.write_rps,
                     now.value_bytes,
                     now.txn_ops,
@@ -379,7 +390,7 @@
     }
     let mut all = Vec::new();
     paths(&whole, "", &mut all);
-    let mut got = format!("{}\n", read(&whole));
+    let mut output = format!("{}\n", read(&whole));
     for path in &all {
         let mut less = whole.clone();
         let (parent, field) = path.rsplit_once('/').unwrap();
@@ -388,31 +399,31 @@
             serde_json::Value::Array(a) => drop(a.remove(field.parse().unwrap())),
             _ => unreachable!(),
         }
-        writeln!(got, "without {path}: {}", read(&less)).unwrap();
+        writeln!(output, "without {path}: {}", read(&less)).unwrap();
     }
-    golden("deploy.out.txt", &got);
+    assert_golden("deploy.out.txt", &output);
 }
 
 #[test]
-fn operators_settings() {
-    let mut got = String::new();
+fn operator_settings() {
+    let mut output = String::new();
     for line in include_str!("golden/operator.txt").lines() {
         match OperatorSettings::parse(line.as_bytes()) {
             Ok(s) => writeln!(
-                got,
+                output,
                 "{:?} {} {} {:?} {:?}",
                 s.shards, s.round_ms, s.node_lease_ms, s.idle_s, s.rules
             ),
-            Err(e) => writeln!(got, "{e}"),
+            Err(e) => writeln!(output, "{e}"),
         }
         .unwrap();
     }
-    golden("operator.out.txt", &got);
+    assert_golden("operator.out.txt", &output);
 }
 
 #[test]
 fn command_line() {
-    let mut got = String::new();
+    let mut output = String::new();
     for line in include_str!("golden/commands.txt").lines() {
         let out = process::Command::new(env!("CARGO_BIN_EXE_cometlead"))
             .current_dir(env!("CARGO_MANIFEST_DIR"))
@@ -420,7 +431,7 @@
             .output()
             .unwrap();
         writeln!(
-            got,
+            output,
             "$ cometlead {line}\n{}{}= {:?}",
             String::from_utf8(out.stdout).unwrap(),
             String::from_utf8(out.stderr).unwrap(),
@@ -428,5 +439,5 @@
         )
         .unwrap();
     }
-    golden("commands.out.txt", &got);
+    assert_golden("commands.out.txt", &output);
 }
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -1,7 +1,8 @@
-//! The version in production before pipelines, and this one, side by side: each reads what the other writes.
+//! Compatibility of this version with the version in production before jobs had dependencies: each reads what the other
+//! writes.
 
 #[path = "production/frozen.rs"]
-#[rustfmt::skip] // The reader of the version in production stays as it was.
+#[rustfmt::skip] // The reader of the production version stays byte for byte.
 mod frozen;
 #[allow(dead_code)]
 mod runner;
@@ -20,28 +21,28 @@
 
 const RECORDS: &str = include_str!("production/records.json");
 
-/// What the frozen readers make of a record, written by the frozen writers.
-fn by_production(key: &Key, text: &str) -> Option<Value> {
-    fn pass<T: DeserializeOwned + Serialize>(text: &str) -> Option<Value> {
+/// A record, read and written again by the frozen code of the production version.
+fn rewritten_by_production(key: &Key, text: &str) -> Option<Value> {
+    fn rewrite<T: DeserializeOwned + Serialize>(text: &str) -> Option<Value> {
         serde_json::to_value(serde_json::from_str::<T>(text).ok()?).ok()
     }
     match key {
-        Key::Meta => pass::<frozen::MetaRecord>(text),
-        Key::Fleet => pass::<frozen::FleetRecord>(text),
-        Key::Node(_) => pass::<frozen::NodeRecord>(text),
-        Key::ShardLeader(_) => pass::<frozen::OwnRecord>(text),
-        Key::Group(..) => pass::<frozen::GroupRecord>(text),
-        Key::Usage(_) => pass::<frozen::UsageRecord>(text),
-        Key::Job(_) => pass::<frozen::JobRecord>(text),
-        Key::Chunk(..) => pass::<frozen::Finished>(text),
-        Key::Final(_) => pass::<frozen::FinalRecord>(text),
+        Key::Meta => rewrite::<frozen::MetaRecord>(text),
+        Key::Fleet => rewrite::<frozen::FleetRecord>(text),
+        Key::Node(_) => rewrite::<frozen::NodeRecord>(text),
+        Key::ShardLeader(_) => rewrite::<frozen::OwnRecord>(text),
+        Key::Group(..) => rewrite::<frozen::GroupRecord>(text),
+        Key::Usage(_) => rewrite::<frozen::UsageRecord>(text),
+        Key::Job(_) => rewrite::<frozen::JobRecord>(text),
+        Key::Chunk(..) => rewrite::<frozen::Finished>(text),
+        Key::Final(_) => rewrite::<frozen::FinalRecord>(text),
         Key::Types => serde_json::from_str(text).ok(),
         Key::Rules(_) => None,
     }
 }
 
-/// The same by this version.
-fn by_this(key: &Key, text: &str) -> Option<Value> {
+/// A record, read and written again by this version.
+fn rewritten_by_this_version(key: &Key, text: &str) -> Option<Value> {
     let raw = RawValue::from_string(text.to_owned()).ok()?;
     let written = match decode(key, &raw)? {
         Content::Meta(r) => encode(&r),
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn reads_what_production_wrote_and_loses_nothing() {
+fn records_of_production_are_read_without_loss() {
     let records: BTreeMap<String, Box<RawValue>> = serde_json::from_str(RECORDS).unwrap();
     let mut cell = CellState::default();
     for (i, (key, value)) in records.iter().enumerate() {
@@ -74,7 +75,11 @@
             continue;
         }
         let same: Value = serde_json::from_str(value.get()).unwrap();
-        assert_eq!(by_this(&key, value.get()), Some(same), "{key}");
+        assert_eq!(
+            rewritten_by_this_version(&key, value.get()),
+            Some(same),
+            "{key}"
+        );
         let content = decode(&key, value);
         cell.apply(
             [Change {
@@ -90,13 +95,13 @@
     assert!(cell.jobs.values().all(|j| j.ready() || j.cancelled()));
     assert!(
         cell.jobs.values().any(|j| !j.ends.is_empty()),
-        "ends of tasks in a usage record"
+        "no task ends were read from a usage record"
     );
 }
 
-/// Until every controller has this version, production reads rightly all that this one writes.
+/// Until every controller has this version, the production version correctly reads all that this version writes.
 #[test]
-fn production_reads_what_is_written_before_the_raise() {
+fn production_reads_records_written_before_the_format_is_raised() {
     let text = "seed 72\nold\nnext value_kb=2 txn_ops=4\nteam red cores=8 most=40\nend 40\n\
                 at 0.5 upgrade n0 for=1\nat 0.5 upgrade n1 for=1\n\
                 at 2 submit req-000001 pieces=90 cores=1 run=7 team=red due=90\n\
@@ -111,9 +116,11 @@
         for (key, value) in world.state.values(prefix) {
             let key = Key::parse(key).unwrap();
             let text = value.to_string();
-            let theirs = by_production(&key, &text).unwrap_or_else(|| panic!("{key}: {text}"));
-            let mut ours = by_this(&key, &text).unwrap_or_else(|| value.clone());
-            // What production does not know it drops from these, which nobody else writes again.
+            let theirs =
+                rewritten_by_production(&key, &text).unwrap_or_else(|| panic!("{key}: {text}"));
+            let mut ours = rewritten_by_this_version(&key, &text).unwrap_or_else(|| value.clone());
+            // The production version drops the fields that it does not know from these records, which no other controller writes
+            // again.
             let dropped: &[&str] = match key {
                 Key::Node(_) => &["v", "s"],
                 Key::Final(_) => &["t"],
@@ -126,11 +133,11 @@
             read += 1;
         }
     }
-    assert!(read > 12, "only {read} records");
+    assert!(read > 12, "only {read} records were read");
 }
 
 #[test]
-fn hints_are_the_same_for_both() {
+fn hints_are_encoded_alike_by_both_versions() {
     let hex = include_str!("production/hint.hex").trim();
     let bytes: Vec<u8> = (0..hex.len() / 2)
         .map(|i| u8::from_str_radix(&hex[2 * i..2 * i + 2], 16).unwrap())
@@ -147,7 +154,7 @@
 }
 
 #[test]
-fn says_what_it_understands_in_a_record_that_production_reads() {
+fn node_record_with_a_format_is_read_by_production() {
     let new: NodeRecord = serde_json::from_str(r#"{"run":7,"v":3}"#).unwrap();
     assert_eq!(new.record_format, Some(3));
     let old: frozen::NodeRecord = serde_json::from_str(r#"{"run":7,"v":3}"#).unwrap();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Rules beyond scenarios: the example of `deploy/`, what is explained, and plans that must forget what they drop.
+//! Tests of placement rules without a simulated run: the example in `deploy/`, the `explain` report, provisioning, and plans
+//! that drop a gang.
 
 use cometlead::explain::report;
 use cometlead::protocol::operator::OperatorSettings;
@@ -25,7 +26,7 @@
 const MACHINES: &[u8] = include_bytes!("rules/machines.json");
 
 #[test]
-fn the_example_passes_the_check() {
+fn example_rules_and_settings_are_valid() {
     let set = RuleSet::parse(EXAMPLE).unwrap();
     assert_eq!(set.rules.len(), 3);
     let settings =
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn explains_machine_by_machine_and_clause_by_clause() {
+fn report_lists_every_machine_and_the_clauses_of_a_rule() {
     let found = report(EXAMPLE, JOB.as_bytes(), MACHINES).unwrap();
     let allowed: Vec<(&str, bool, u32)> = found
         .machines
@@ -71,8 +72,8 @@
 }
 
 #[test]
-fn explains_the_other_direction_and_what_is_impossible() {
-    // Masters may not come to a machine with watermarks either.
+fn report_covers_rules_of_running_jobs_and_unsatisfiable_jobs() {
+    // The rule also keeps a job of class masters away from a machine that runs watermarks.
     let masters = JOB
         .replace("watermarks", "masters")
         .replace("oromo-render", "cut");
@@ -122,7 +123,7 @@
     }
 }
 
-fn kind(name: &str) -> MachineType {
+fn machine_type(name: &str) -> MachineType {
     MachineType {
         name: name.to_owned(),
         room: Amount {
@@ -139,10 +140,10 @@
     }
 }
 
-/// Machines of the second class and type only.
-struct SecondOnly;
+/// Allows only machines of the second class and type.
+struct SecondTypeOnly;
 
-impl PlacementFilter for SecondOnly {
+impl PlacementFilter for SecondTypeOnly {
     fn class(&self, class: usize) -> bool {
         class == 1
     }
@@ -154,12 +155,12 @@
     }
 }
 
-/// Machines that a job's rules bar do not count as working off what is ahead of it: they would seem to be
-/// done with it before any that it may use is up, and none would be hired.
+/// Machines that a job's rules exclude do not count as capacity for the work ahead of it. Otherwise they would seem to finish
+/// that work before any machine that the job may use is up, and no machine would be provisioned.
 #[test]
-fn machines_that_are_barred_work_nothing_off() {
+fn machines_excluded_by_rules_do_not_prevent_provisioning() {
     let catalog = Catalog {
-        types: vec![kind("first"), kind("second")],
+        types: vec![machine_type("first"), machine_type("second")],
     };
     let spec = spec("lane", 4, 8);
     let mut pools = MachinePools::default();
@@ -171,7 +172,7 @@
         Some((Amount::default(), None)),
         0,
     );
-    let placement_filter: Box<dyn PlacementFilter> = Box::new(SecondOnly);
+    let placement_filter: Box<dyn PlacementFilter> = Box::new(SecondTypeOnly);
     let demand = Demand {
         spec: &spec,
         count: 4,
@@ -180,30 +181,31 @@
         price_limit: u64::MAX,
         placement_filter: Some(placement_filter),
     };
-    let hires = provisioning::plan(&catalog, &[demand], &mut pools, &|_| true, &|o| {
+    let provisions = provisioning::plan(&catalog, &[demand], &mut pools, &|_| true, &|o| {
         Some(usize::from(o.machine_type == "second"))
     });
     assert!(
-        !hires.is_empty() && hires.iter().all(|(o, _)| o.machine_type == "second"),
-        "{hires:?}"
+        !provisions.is_empty() && provisions.iter().all(|(o, _)| o.machine_type == "second"),
+        "{provisions:?}"
     );
 }
 
-/// A set that is not placed whole leaves nothing behind: what may not be beside it still finds its room.
+/// A gang that a plan drops because it cannot be placed whole leaves no claims: a job that may not share a machine with it is
+/// still placed.
 #[test]
-fn a_set_that_is_dropped_keeps_nobody_away() {
+fn dropped_gang_does_not_exclude_other_jobs() {
     let set = RuleSet::parse(
         br#"{"rules": [{"name": "apart", "for": {"lanes": ["shy"]}, "require": "not beside lane gang"}]}"#,
     );
     let sets = [Arc::new(set.unwrap())];
-    let room = kind("small").room;
+    let room = machine_type("small").room;
     let catalog = Catalog {
-        types: vec![kind("small")],
+        types: vec![machine_type("small")],
     };
     let mut classes = Classes::default();
     classes.set_catalog(&catalog);
     let class = classes.of_offer("small", "a", false).unwrap();
-    let judged: Vec<_> = classes
+    let class_traits: Vec<_> = classes
         .all()
         .iter()
         .map(|c| traits(c, &sets, &catalog))
@@ -216,7 +218,7 @@
     .collect();
     let job_constraints: HashMap<JobId, JobConstraints> = jobs
         .iter()
-        .filter_map(|(id, j)| Some((*id, JobConstraints::of(j.spec(), &sets, &judged)?)))
+        .filter_map(|(id, j)| Some((*id, JobConstraints::of(j.spec(), &sets, &class_traits)?)))
         .collect();
     assert!(job_constraints.contains_key(&JobId(2)) && !job_constraints.contains_key(&JobId(1)));
     let context = PlacementContext {
@@ -224,7 +226,7 @@
         job_constraints: &job_constraints,
         colocated: true,
     };
-    let ask = |id: u64, gang: bool| {
+    let request = |id: u64, gang: bool| {
         let spec = jobs[&JobId(id)].spec();
         PlacementRequest {
             job: JobId(id),
@@ -275,7 +277,7 @@
         };
         let claims = plan(
             &mut candidates,
-            &mut [ask(1, gang), ask(2, false)],
+            &mut [request(1, gang), request(2, false)],
             &mut groups,
             100,
         );
@@ -284,11 +286,11 @@
     assert_eq!(
         placed(true),
         [2],
-        "two of three find room, so none is placed"
+        "only two of the three tasks of the gang fit, so none is placed"
     );
     assert_eq!(
         placed(false),
         [1, 1],
-        "and those that are placed keep it away"
+        "placed tasks keep the other job off the machine"
     );
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The deploy file's announcement of lower limits.
+//! Settings in the deploy file: announced limits of the state service, and the contact limit.
 
 use cometlead::protocol::settings::{Settings, StateLimits};
 use serde_json::{Value, json};
@@ -20,9 +20,10 @@
     Settings::parse("deploy.json", file.to_string().as_bytes()).map_err(|e| e.to_string())
 }
 
-/// Where `cancel_s` leaves no room beside the lease no worker can be answered: known at the start, and no underflow.
+/// The contact limit is what `cancel_s` leaves after the lease. If it leaves nothing, no worker can be answered: the limit is
+/// zero from the start, without an underflow.
 #[test]
-fn contact_may_be_as_old_as_cancellations_allow() {
+fn contact_limit_is_bounded_by_cancel_time_and_lease() {
     for (lease, cancel, most) in [
         (10.0, 35.0, 23_500),
         (15.25, 40.25, 23_500),
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn what_is_not_announced_stays() {
+fn limits_without_an_announced_change_stay_the_same() {
     for next in [json!(null), json!({}), json!({"write_rps": null})] {
         let (now, next) = parse(next).unwrap();
         assert_eq!(now, next);
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn what_is_out_of_range_is_refused_by_name() {
+fn announced_limits_out_of_range_are_refused_with_the_field_name() {
     for (next, field) in [
         (json!({"write_rps": 0.0}), "params.state.next.write_rps"),
         (json!({"value_kb": -1.0}), "params.state.next.value_kb"),
--- a/tests/smoke.rs
+++ b/tests/smoke.rs
@@ -1,11 +1,11 @@
-//! A short scale run: three real controllers beside sixty hollow workers. Judges results, not times.
+//! A short scale run with three real controllers and sixty fake workers. It checks results, not latencies.
 
 use cometlead_emulator::run::run;
 use cometlead_emulator::scenario::Scenario;
 use std::path::Path;
 
 #[test]
-fn sixty_workers_and_three_real_controllers() {
+fn three_controllers_run_tasks_on_sixty_fake_workers() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("crates/emulator/scenarios/smoke.toml");
     let scenario = Scenario::load(&file).unwrap();
     let binary = Path::new(env!("CARGO_BIN_EXE_cometlead"));
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -1,5 +1,5 @@
-//! Submissions with a field that is missing, null, of the wrong type, negative or too large are malformed, whatever the rest of them
-//! is; fields that may be null may be missing.
+//! A submission with a field that is missing, null, of the wrong type, negative or too large is malformed, whatever its other
+//! fields are. Optional fields may be null or missing.
 
 use cometlead::protocol::user::{TASK_COUNT_LIMIT, parse_submission};
 use cometlead::storage::ids::JobId;
@@ -7,9 +7,10 @@
 use proptest::test_runner::RngSeed;
 use serde_json::{Map, Value, json};
 
-/// Fields that every submission has.
-const TEXTS: [&str; 5] = ["lane", "crew", "shape", "urgency", "bundle"];
-const AMOUNTS: [&str; 7] = [
+/// Required fields with a text.
+const REQUIRED_TEXTS: [&str; 5] = ["lane", "crew", "shape", "urgency", "bundle"];
+/// Required fields with an amount.
+const REQUIRED_AMOUNTS: [&str; 7] = [
     "cores",
     "accelerators",
     "memGb",
@@ -18,12 +19,13 @@
     "bookmarkS",
     "stashS",
 ];
-const FLAGS: [&str; 3] = ["oneZone", "apart", "loaners"];
-/// Fields that may be null.
-const OPTIONS: [&str; 5] = ["builds", "yard", "dueS", "awaits", "rules"];
+/// Required fields with a flag.
+const REQUIRED_FLAGS: [&str; 3] = ["oneZone", "apart", "loaners"];
+/// Fields that may be null or missing.
+const OPTIONAL_FIELDS: [&str; 5] = ["builds", "yard", "dueS", "awaits", "rules"];
 
 prop_compose! {
-    fn good()(
+    fn valid_submission()(
         job in 0..1_000_000u64,
         shape in prop::sample::select(vec!["sweep", "standing", "group"]),
         priority in prop::sample::select(vec!["critical", "high", "standard", "low"]),
@@ -36,13 +38,13 @@
     ) -> Map<String, Value> {
         let mut body = json!({"nameId": format!("req-{job:06}"), "lane": "lane", "crew": "crew", "shape": shape,
             "urgency": priority, "pieces": task_count, "bundle": "img", "builds": machine_types, "yard": zone, "dueS": due});
-        AMOUNTS.iter().zip(amounts).for_each(|(f, n)| body[*f] = json!(n));
-        FLAGS.iter().zip(flags).for_each(|(f, b)| body[*f] = json!(b));
+        REQUIRED_AMOUNTS.iter().zip(amounts).for_each(|(f, n)| body[*f] = json!(n));
+        REQUIRED_FLAGS.iter().zip(flags).for_each(|(f, b)| body[*f] = json!(b));
         body.as_object().expect("an object").clone()
     }
 }
 
-fn reads(body: &Map<String, Value>) -> bool {
+fn is_valid(body: &Map<String, Value>) -> bool {
     parse_submission(Value::Object(body.clone()).to_string().as_bytes()).is_ok()
 }
 
@@ -58,12 +60,12 @@
     body
 }
 
-/// What a field can never be.
-fn wrong(field: &str) -> Vec<Value> {
+/// Values that are invalid for a field.
+fn invalid_values(field: &str) -> Vec<Value> {
     let mut all = vec![json!({}), json!([[]]), json!({"a": 1})];
-    if FLAGS.contains(&field) {
+    if REQUIRED_FLAGS.contains(&field) {
         all.extend([json!(0), json!(1), json!("true"), json!("")]);
-    } else if AMOUNTS.contains(&field) || field == "dueS" {
+    } else if REQUIRED_AMOUNTS.contains(&field) || field == "dueS" {
         all.extend([
             json!(-0.001),
             json!(-1),
@@ -101,40 +103,40 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_needed_must_be_there(body in good()) {
-        prop_assert!(reads(&body));
-        for field in TEXTS.iter().chain(&AMOUNTS).chain(&FLAGS).chain(&["nameId", "pieces"]) {
-            prop_assert!(!reads(&without(&body, field)), "without {field}");
-            prop_assert!(!reads(&with(&body, field, Value::Null)), "{field} null");
+    fn submission_without_a_required_field_is_malformed(body in valid_submission()) {
+        prop_assert!(is_valid(&body));
+        for field in REQUIRED_TEXTS.iter().chain(&REQUIRED_AMOUNTS).chain(&REQUIRED_FLAGS).chain(&["nameId", "pieces"]) {
+            prop_assert!(!is_valid(&without(&body, field)), "without {field}");
+            prop_assert!(!is_valid(&with(&body, field, Value::Null)), "{field} null");
         }
     }
 
     #[test]
-    fn what_may_be_null_may_be_missing(body in good(), more in "[a-z]{3,9}X") {
-        let read = |body: &Map<String, Value>| parse_submission(Value::Object(body.clone()).to_string().as_bytes());
-        for field in OPTIONS {
-            let (null, missing) = (read(&with(&body, field, Value::Null)), read(&without(&body, field)));
+    fn null_and_missing_optional_fields_are_equivalent(body in valid_submission(), unknown in "[a-z]{3,9}X") {
+        let parsed = |body: &Map<String, Value>| parse_submission(Value::Object(body.clone()).to_string().as_bytes());
+        for field in OPTIONAL_FIELDS {
+            let (null, missing) = (parsed(&with(&body, field, Value::Null)), parsed(&without(&body, field)));
             prop_assert!(null.is_ok(), "{field} null");
             prop_assert_eq!(format!("{null:?}"), format!("{missing:?}"));
         }
-        // Fields that are not known are passed over.
-        prop_assert!(reads(&with(&body, &more, json!([1]))));
+        // Unknown fields are ignored.
+        prop_assert!(is_valid(&with(&body, &unknown, json!([1]))));
     }
 
     #[test]
-    fn nothing_wrong_is_taken(body in good()) {
-        for field in TEXTS.iter().chain(&AMOUNTS).chain(&FLAGS).chain(&OPTIONS).chain(&["pieces"]) {
-            for value in wrong(field) {
-                prop_assert!(!reads(&with(&body, field, value.clone())), "{field}: {value}");
+    fn submission_with_an_invalid_value_is_malformed(body in valid_submission()) {
+        for field in REQUIRED_TEXTS.iter().chain(&REQUIRED_AMOUNTS).chain(&REQUIRED_FLAGS).chain(&OPTIONAL_FIELDS).chain(&["pieces"]) {
+            for value in invalid_values(field) {
+                prop_assert!(!is_valid(&with(&body, field, value.clone())), "{field}: {value}");
             }
         }
         for name in ["", "req-1", "req-0000001x", "job-000001", "req--00001"] {
-            prop_assert!(!reads(&with(&body, "nameId", json!(name))), "{name}");
+            prop_assert!(!is_valid(&with(&body, "nameId", json!(name))), "{name}");
         }
     }
 
     #[test]
-    fn the_name_is_kept(job in 0..1_000_000u64, body in good()) {
+    fn job_number_is_parsed_from_the_name(job in 0..1_000_000u64, body in valid_submission()) {
         let body = with(&body, "nameId", json!(format!("req-{job:06}")));
         let (id, _) = parse_submission(Value::Object(body).to_string().as_bytes()).expect("a submission");
         prop_assert_eq!(id, JobId(job));
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -1,4 +1,5 @@
-//! Real sockets: the server's answers before anything is known, the client's limits, the peer link.
+//! Tests on real sockets: the server's responses before the cell state is loaded, the client's limits, the connection between
+//! peers.
 
 use cometlead::coordination::Controller;
 use cometlead::protocol::operator::OperatorSettings;
@@ -37,8 +38,8 @@
     Arc::new(Settings::parse("test", file.to_string().as_bytes()).unwrap())
 }
 
-/// Sends one request as it is written and returns the status line.
-async fn status(at: SocketAddrV4, request: &str) -> String {
+/// Sends a raw request and returns the status line of the response.
+async fn status_line(at: SocketAddrV4, request: &str) -> String {
     let mut stream = loop {
         match TcpStream::connect(at).await {
             Ok(s) => break s,
@@ -46,9 +47,9 @@
         }
     };
     stream.write_all(request.as_bytes()).await.unwrap();
-    let mut answer = [0; 64];
-    let n = stream.read(&mut answer).await.unwrap();
-    String::from_utf8_lossy(&answer[..n])
+    let mut response = [0; 64];
+    let n = stream.read(&mut response).await.unwrap();
+    String::from_utf8_lossy(&response[..n])
         .lines()
         .next()
         .unwrap_or_default()
@@ -63,8 +64,8 @@
 }
 
 #[tokio::test]
-async fn answers_before_anything_is_known() {
-    // Nobody listens where the state service should be.
+async fn server_answers_before_the_cell_state_is_loaded() {
+    // Nothing listens at the address of the state service.
     let (bind, back) = (free_address().await, free_address().await);
     let s = settings("n0", bind, back, free_address().await, free_address().await);
     let node = Node::new(
@@ -87,19 +88,19 @@
         (post("/work", "[1]"), "400"),
         (post("/v1/report", "{}"), "400"),
         (post("/v1/report", report), "503"),
-        // Refused by what it declares: the body never comes.
+        // This request is refused because of its declared length; the body is never sent.
         (
             "POST /work HTTP/1.1\r\nhost: x\r\ncontent-length: 70000\r\n\r\n".to_owned(),
             "413",
         ),
     ] {
-        let line = status(bind, &request).await;
+        let line = status_line(bind, &request).await;
         assert!(line.contains(expected), "{request}: {line}");
     }
 }
 
-/// A controller without a state service that serves so many connections.
-async fn serve(connections: usize) -> SocketAddrV4 {
+/// Starts a controller without a state service that serves this many connections, and returns its address.
+async fn start_controller(connections: usize) -> SocketAddrV4 {
     let (bind, back) = (free_address().await, free_address().await);
     let s = settings("n0", bind, back, free_address().await, free_address().await);
     let node = Node::new(
@@ -120,73 +121,73 @@
     }
 }
 
-/// Sends a worker's report; whether the connection is closed with the answer.
-async fn report(stream: &mut TcpStream) -> bool {
+/// Sends a worker's heartbeat. Returns whether the server closes the connection with the response.
+async fn heartbeat_closes_connection(stream: &mut TcpStream) -> bool {
     let body = r#"{"host":"i-000001","endpoint":"127.0.0.1:1","build":"b","yard":"a","shift":1,"tally":1,"baton":0}"#;
     stream
         .write_all(post("/v1/report", body).as_bytes())
         .await
         .unwrap();
-    let mut answer = [0; 512];
-    let n = stream.read(&mut answer).await.unwrap();
-    String::from_utf8_lossy(&answer[..n])
+    let mut response = [0; 512];
+    let n = stream.read(&mut response).await.unwrap();
+    String::from_utf8_lossy(&response[..n])
         .to_lowercase()
         .contains("connection: close")
 }
 
-/// Workers beyond all sockets: those that are not kept are closed with their answers, health checks get in, and a
-/// connection that ends makes room again.
+/// More workers connect than there are sockets: the connections that are not kept are closed with their responses, health
+/// checks are still served, and a connection that ends frees its place.
 #[tokio::test]
-async fn workers_give_connections_back_and_health_checks_get_in() {
-    const SERVED: usize = 16;
-    let at = serve(SERVED).await;
+async fn excess_worker_connections_are_closed_and_health_checks_are_served() {
+    const MAX_CONNECTIONS: usize = 16;
+    let at = start_controller(MAX_CONNECTIONS).await;
     let mut kept = Vec::new();
     let mut closed = 0;
-    for _ in 0..SERVED * 3 {
+    for _ in 0..MAX_CONNECTIONS * 3 {
         let mut stream = connect(at).await;
-        if report(&mut stream).await {
+        if heartbeat_closes_connection(&mut stream).await {
             closed += 1;
         } else {
             kept.push(stream);
         }
     }
     assert!(
-        kept.len() >= SERVED / 4 && closed > SERVED,
+        kept.len() >= MAX_CONNECTIONS / 4 && closed > MAX_CONNECTIONS,
         "{} kept, {closed} closed",
         kept.len()
     );
-    let health = status(at, "GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n").await;
+    let health = status_line(at, "GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n").await;
     assert!(health.contains("503"), "{health}");
     drop(kept);
-    while report(&mut connect(at).await).await {
+    while heartbeat_closes_connection(&mut connect(at).await).await {
         tokio::task::yield_now().await;
     }
 }
 
-/// A client that sends half a request, or none, holds its place for a bounded time.
+/// A client that sends half a request, or none, is disconnected after a timeout.
 #[tokio::test]
-async fn connections_without_a_whole_request_are_ended() {
-    let at = serve(16).await;
+async fn connections_without_a_complete_request_are_closed() {
+    let at = start_controller(16).await;
     let mut silent = connect(at).await;
     let mut half = connect(at).await;
     half.write_all(b"POST /v1/report HTTP/1.1\r\nhost: x\r\nconte")
         .await
         .unwrap();
     for stream in [&mut silent, &mut half] {
-        // Ended with or without a reset.
+        // The server may close the connection with or without a reset.
         assert_eq!(stream.read(&mut [0; 8]).await.unwrap_or(0), 0);
     }
 }
 
 #[tokio::test]
-async fn every_call_has_a_limit() {
-    // A listener that accepts and says nothing.
+async fn calls_fail_at_the_timeout_or_the_connection_limit() {
+    // This listener accepts connections and never responds.
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap().to_string();
     let silent = tokio::spawn(async move { listener.accept().await });
     let client = HttpClient::new(1, 1, 1_000);
     let first = client.call(&at, "GET", "/", Vec::new(), Micros::millis(200));
-    // The one socket that it may use is taken: a further call fails at once.
+    // The client's only socket is in use, so a second call fails at once.
     let second = async {
         tokio::task::yield_now().await;
         client
@@ -200,31 +201,36 @@
     silent.abort();
 }
 
-/// An answer that is larger than is read must be told from none at all: asked for again it would only grow.
+/// A response above the size limit must be distinguished from a missing response: if it were requested again, it would only be
+/// larger.
 #[tokio::test]
-async fn too_large_an_answer_is_told_from_none() {
+async fn too_large_response_has_an_error_of_its_own() {
     let body = "x".repeat(450);
-    let told = format!("content-length: 900\r\n\r\n{body}{body}");
-    // Without a length beforehand it is found out on the way.
-    let untold =
+    let with_length = format!("content-length: 900\r\n\r\n{body}{body}");
+    // Without a declared length the size is only known while the body is read.
+    let chunked =
         format!("transfer-encoding: chunked\r\n\r\n1c2\r\n{body}\r\n1c2\r\n{body}\r\n0\r\n\r\n");
     for (rest, limit, expected) in [
-        (&told, 900, Ok((200, format!("{body}{body}").into_bytes()))),
-        (&told, 899, Err(HttpError::ResponseTooLarge)),
         (
-            &untold,
+            &with_length,
             900,
             Ok((200, format!("{body}{body}").into_bytes())),
         ),
-        (&untold, 899, Err(HttpError::ResponseTooLarge)),
+        (&with_length, 899, Err(HttpError::ResponseTooLarge)),
+        (
+            &chunked,
+            900,
+            Ok((200, format!("{body}{body}").into_bytes())),
+        ),
+        (&chunked, 899, Err(HttpError::ResponseTooLarge)),
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap().to_string();
-        let answer = format!("HTTP/1.1 200 OK\r\n{rest}");
+        let response = format!("HTTP/1.1 200 OK\r\n{rest}");
         let server = tokio::spawn(async move {
             let (mut stream, _) = listener.accept().await.unwrap();
             let _ = stream.read(&mut [0; 1024]).await;
-            let _ = stream.write_all(answer.as_bytes()).await;
+            let _ = stream.write_all(response.as_bytes()).await;
             stream
         });
         let got = HttpClient::new(1, 1, limit)
@@ -235,10 +241,10 @@
     }
 }
 
-/// A peer that gave a connection up while this process was away keeps it half open: without listening on it all further
-/// hints would be written into it, and the peer would go without them.
+/// A connection that the peer closed during a stall of this process is half open. If this process did not read from it, all
+/// further hints would be written into it and the peer would receive none.
 #[tokio::test]
-async fn a_connection_that_the_peer_has_given_up_is_made_anew() {
+async fn connection_closed_by_the_peer_is_opened_again() {
     let (back0, nowhere) = (free_address().await, free_address().await);
     let peer = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(at) = peer.local_addr().unwrap() else {
@@ -261,7 +267,7 @@
 }
 
 #[tokio::test]
-async fn peers_hear_of_each_other() {
+async fn peers_receive_hints() {
     let (back0, back1, nowhere) = (
         free_address().await,
         free_address().await,
