--- a/benches/rules.rs
+++ b/benches/rules.rs
@@ -35,7 +35,7 @@
     catalog: Catalog,
     classes: Classes,
     traits: Vec<ClassTraits>,
-    sets: Vec<Arc<RuleSet>>,
+    rule_sets: Vec<Arc<RuleSet>>,
     jobs: HashMap<JobId, Job>,
     job_constraints: HashMap<JobId, JobConstraints>,
     order: Vec<JobId>,
@@ -87,16 +87,16 @@
             };
             classes.add_to_class(MachineId(m), class);
         }
-        let sets = vec![Arc::new(RuleSet::parse(RULES).expect("rules"))];
+        let rule_sets = vec![Arc::new(RuleSet::parse(RULES).expect("rules"))];
         let traits: Vec<ClassTraits> = classes
             .all()
             .iter()
-            .map(|c| traits(c, &sets, &catalog))
+            .map(|c| traits(c, &rule_sets, &catalog))
             .collect();
         let jobs: HashMap<JobId, Job> = (0..JOBS).map(|i| (JobId(i), job(i, colocated))).collect();
         let job_constraints = jobs
             .iter()
-            .filter_map(|(id, j)| Some((*id, JobConstraints::of(j.spec(), &sets, &traits)?)))
+            .filter_map(|(id, j)| Some((*id, JobConstraints::of(j.spec(), &rule_sets, &traits)?)))
             .collect();
         let images = (0..MACHINES)
             .map(|m| vec![(format!("img-{}", m % 40).into(), 500)])
@@ -105,7 +105,7 @@
             catalog,
             classes,
             traits,
-            sets,
+            rule_sets,
             jobs,
             job_constraints,
             order: (0..JOBS).map(JobId).collect(),
@@ -246,7 +246,7 @@
     c.bench_function("rules judged for 100 jobs, all classes", |b| {
         b.iter(|| {
             let of = |id: &JobId| {
-                JobConstraints::of(cluster.jobs[id].spec(), &cluster.sets, &cluster.traits)
+                JobConstraints::of(cluster.jobs[id].spec(), &cluster.rule_sets, &cluster.traits)
             };
             cluster.order.iter().filter_map(of).count()
         });
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -392,14 +392,14 @@
     paths(&whole, "", &mut all);
     let mut output = format!("{}\n", read(&whole));
     for path in &all {
-        let mut less = whole.clone();
+        let mut reduced = whole.clone();
         let (parent, field) = path.rsplit_once('/').unwrap();
-        match less.pointer_mut(parent).unwrap() {
+        match reduced.pointer_mut(parent).unwrap() {
             serde_json::Value::Object(o) => drop(o.remove(field)),
             serde_json::Value::Array(a) => drop(a.remove(field.parse().unwrap())),
             _ => unreachable!(),
         }
-        writeln!(output, "without {path}: {}", read(&less)).unwrap();
+        writeln!(output, "without {path}: {}", read(&reduced)).unwrap();
     }
     assert_golden("deploy.out.txt", &output);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -197,7 +197,7 @@
     let set = RuleSet::parse(
         br#"{"rules": [{"name": "apart", "for": {"lanes": ["shy"]}, "require": "not beside lane gang"}]}"#,
     );
-    let sets = [Arc::new(set.unwrap())];
+    let rule_sets = [Arc::new(set.unwrap())];
     let room = machine_type("small").room;
     let catalog = Catalog {
         types: vec![machine_type("small")],
@@ -208,7 +208,7 @@
     let class_traits: Vec<_> = classes
         .all()
         .iter()
-        .map(|c| traits(c, &sets, &catalog))
+        .map(|c| traits(c, &rule_sets, &catalog))
         .collect();
     let jobs: HashMap<JobId, Job> = [
         (JobId(1), job(spec("gang", 3, 4))),
@@ -218,7 +218,12 @@
     .collect();
     let job_constraints: HashMap<JobId, JobConstraints> = jobs
         .iter()
-        .filter_map(|(id, j)| Some((*id, JobConstraints::of(j.spec(), &sets, &class_traits)?)))
+        .filter_map(|(id, j)| {
+            Some((
+                *id,
+                JobConstraints::of(j.spec(), &rule_sets, &class_traits)?,
+            ))
+        })
         .collect();
     assert!(job_constraints.contains_key(&JobId(2)) && !job_constraints.contains_key(&JobId(1)));
     let context = PlacementContext {
--- a/tests/runner/adversarial.rs
+++ b/tests/runner/adversarial.rs
@@ -271,11 +271,11 @@
         let pick = (self.random_fraction() * 1e6) as usize;
         match (self.random_fraction() * 6.0) as u64 {
             0 | 1 if !jobs.is_empty() => {
-                self.send_extra_request(jobs[pick % jobs.len()], "submit", None)
+                self.send_extra_request(jobs[pick % jobs.len()], "submit", None);
             }
             // This job was not cancelled while it ran, so it must stay done.
             2 if !done.is_empty() => {
-                self.send_once(done[pick % done.len()], "abort", Vec::new(), None)
+                self.send_once(done[pick % done.len()], "abort", Vec::new(), None);
             }
             kind => {
                 let job = self.next_invalid_job;
--- a/tests/runner/effects.rs
+++ b/tests/runner/effects.rs
@@ -70,7 +70,7 @@
             }
             Effect::User(call, response) => self.response(4, call.0, user_response(response)),
             Effect::Heartbeat(call, response) => {
-                self.response(5, call.0, heartbeat_response(response))
+                self.response(5, call.0, heartbeat_response(response));
             }
             Effect::Peers(hint) => {
                 self.digest.number(6);
--- a/tests/runner/invariants.rs
+++ b/tests/runner/invariants.rs
@@ -391,7 +391,7 @@
                 format!("ran_cancelled: {} is still there", task_name(t)),
             );
         }
-        // Once all faults are over this applies to each job, regardless of other jobs.
+        // Once all faults are over, this deadline applies to each job on its own, whatever happens to other jobs.
         for job in self.unfinished_jobs() {
             let since = self
                 .last_answered_at
@@ -520,10 +520,10 @@
                 }
             }
             404 if was_accepted => {
-                self.record_violation(now, format!("forgotten: req-{job:06} gets 404 to a {kind}"))
+                self.record_violation(now, format!("forgotten: req-{job:06} gets 404 to a {kind}"));
             }
             400 | 422 if was_accepted => {
-                self.record_violation(now, format!("forgotten: req-{job:06} gets {status}"))
+                self.record_violation(now, format!("forgotten: req-{job:06} gets {status}"));
             }
             _ => {}
         }
--- a/tests/runner/machines.rs
+++ b/tests/runner/machines.rs
@@ -22,13 +22,13 @@
             }
         }
         let now = self.now;
-        let gone: Vec<u64> = self
+        let terminated: Vec<u64> = self
             .workers
             .keys()
             .filter(|i| self.cloud.hosts[i].gone_at.is_some_and(|g| g <= now))
             .copied()
             .collect();
-        for i in gone {
+        for i in terminated {
             self.terminate_machine(i);
         }
     }
@@ -64,10 +64,10 @@
             self.schedule(until + 2_000, SimEvent::Deliver(Box::new(late)));
             return None;
         }
-        let answer = w.take_command(now, body, &self.jobs, task_events)?;
+        let response = w.take_command(now, body, &self.jobs, task_events)?;
         let next = w.next_deadline();
         self.schedule(next, SimEvent::WorkerDeadline(machine));
-        Some(answer)
+        Some(response)
     }
 
     pub(super) fn record_task_events(&mut self, machine: u64, task_events: Vec<Deed>) {
--- a/tests/runner/mod.rs
+++ b/tests/runner/mod.rs
@@ -286,8 +286,8 @@
 impl World {
     pub fn new(script: Script) -> World {
         let mut checker = InvariantChecker::new((script.cancel_s * 1e6) as u64);
-        for (name, _, most) in &script.teams {
-            checker.team_limits.insert(name.clone(), *most);
+        for (name, _, limit) in &script.teams {
+            checker.team_limits.insert(name.clone(), *limit);
         }
         let mut w = World {
             settings: (0..script.nodes).map(|n| settings(&script, n)).collect(),
@@ -384,7 +384,7 @@
                 .script
                 .teams
                 .iter()
-                .map(|(name, _, most)| (name.clone(), *most));
+                .map(|(name, _, limit)| (name.clone(), *limit));
             self.checker.next_team_limits = limits.collect();
         }
         self.last_incarnation += 1;
@@ -1092,9 +1092,9 @@
                     },
                 );
             }
-            Step::ChangeTeam { name, cores, most } => {
+            Step::ChangeTeam { name, cores, limit } => {
                 self.script.teams.retain(|t| t.0 != name);
-                self.script.teams.push((name, cores, most));
+                self.script.teams.push((name, cores, limit));
                 self.settings = (0..self.script.nodes)
                     .map(|n| settings(&self.script, n))
                     .collect();
@@ -1204,7 +1204,7 @@
                     }
                 }
                 SimEvent::ExtraRequest { job, kind, node } => {
-                    self.send_extra_request(job, kind, node)
+                    self.send_extra_request(job, kind, node);
                 }
                 SimEvent::UnusualRequest(until) => self.send_unusual_request(until),
                 SimEvent::UserRetry(u) => {
@@ -1239,14 +1239,14 @@
                 SimEvent::CheckDeadlines => {
                     self.checker.check_deadlines(self.now);
                     self.check_starvation();
-                    let format_has_rules = self.state.values("c/meta").any(|(_, v)| {
+                    let rules_enabled = self.state.values("c/meta").any(|(_, v)| {
                         v["layout"]
                             .as_u64()
                             .is_some_and(|l| format_has_rules(l as u32))
                     });
                     self.checker.rule_checker.observe_rules(
                         self.now,
-                        format_has_rules,
+                        rules_enabled,
                         &self.node_rules,
                     );
                     self.machines_with_records();
--- a/tests/runner/placement_rules.rs
+++ b/tests/runner/placement_rules.rs
@@ -140,14 +140,14 @@
     pub fn observe_rules(
         &mut self,
         now: u64,
-        format_has_rules: bool,
+        rules_enabled: bool,
         installed_rules: &[Option<String>],
     ) {
         self.in_force_since
             .retain(|name, _| installed_rules.iter().any(|h| h.as_ref() == Some(name)));
         if let Some(Some(name)) = installed_rules
             .first()
-            .filter(|first| format_has_rules && installed_rules.iter().all(|h| h == *first))
+            .filter(|first| rules_enabled && installed_rules.iter().all(|h| h == *first))
         {
             self.in_force_since.entry(name.clone()).or_insert(now);
         }
--- a/tests/runner/script.rs
+++ b/tests/runner/script.rs
@@ -209,7 +209,7 @@
     ChangeTeam {
         name: String,
         cores: f64,
-        most: f64,
+        limit: f64,
     },
 }
 
@@ -873,9 +873,9 @@
         "deaf" | "mute" => {
             let count = w.optional("count", |t| t.parse().ok())?.unwrap_or(1);
             let (machine, span) = (w.positional(3, machine)?, w.required("for", micros)?);
-            let deaf = kind == "deaf";
+            let drops_inbound = kind == "deaf";
             (
-                if deaf {
+                if drops_inbound {
                     Step::DropInbound {
                         machine,
                         count,
@@ -968,7 +968,7 @@
             let step = Step::ChangeTeam {
                 name: w.positional(3, |t| Some(t.to_owned()))?,
                 cores: w.optional("cores", parse_amount)?.unwrap_or(0.0),
-                most: w.optional("most", parse_amount)?.unwrap_or(0.0),
+                limit: w.optional("most", parse_amount)?.unwrap_or(0.0),
             };
             (step, 4)
         }
