--- a/tests/runner/expectations.rs
+++ b/tests/runner/expectations.rs
@@ -98,12 +98,16 @@
                     .get(j)
                     .is_some_and(|all| all.iter().any(|why| why.contains(name))),
                 Expect::RanOn { job, place, share } => {
-                    let all = self.checker.places.get(job).map_or(&[][..], |p| &p[..]);
-                    let met_count = all
+                    let all = self
+                        .checker
+                        .start_machines
+                        .get(job)
+                        .map_or(&[][..], |p| &p[..]);
+                    let matching = all
                         .iter()
                         .filter(|m| m.zone == *place || m.machine_type == *place)
                         .count();
-                    !all.is_empty() && met_count as f64 >= all.len() as f64 * share
+                    !all.is_empty() && matching as f64 >= all.len() as f64 * share
                 }
                 Expect::StartsBy(j, at) => self.checker.first_start.get(j).is_some_and(|t| t <= at),
                 Expect::StartsAfter(j, at) => {
--- a/tests/runner/invariants.rs
+++ b/tests/runner/invariants.rs
@@ -80,7 +80,7 @@
     /// Checker of the placement rules.
     pub rule_checker: PlacementRuleChecker,
     /// The machines on which each job's tasks were started.
-    pub places: BTreeMap<u64, Vec<MachineInfo>>,
+    pub start_machines: BTreeMap<u64, Vec<MachineInfo>>,
     /// Reasons for which jobs were refused.
     pub refusals: BTreeMap<u64, String>,
     /// Reasons for which jobs wait, as reported to users.
@@ -100,6 +100,7 @@
             .push(format!("{:.3}: {text}", now as f64 / 1e6));
     }
 
+    /// Checks a task start or end on a machine. `machines` has all machines by number.
     pub fn observe(
         &mut self,
         now: u64,
@@ -188,7 +189,10 @@
                     || request.single_zone && zones.len() > 1
                     || request.anti_affinity
                         && zones.values().any(|n| *n > request.task_count.div_ceil(2));
-                self.places.entry(t.0).or_default().push(info.clone());
+                self.start_machines
+                    .entry(t.0)
+                    .or_default()
+                    .push(info.clone());
                 let colocated: BTreeSet<u64> = self.tasks_on[&machine]
                     .iter()
                     .filter(|o| o.0 != t.0)
@@ -294,7 +298,7 @@
     pub fn is_within_team_limit(&self, team: &str, cores: f64) -> bool {
         self.team_limits
             .get(team)
-            .is_none_or(|most| *most == 0.0 || self.cores_used(team) + cores <= most + 1e-6)
+            .is_none_or(|limit| *limit == 0.0 || self.cores_used(team) + cores <= limit + 1e-6)
     }
 
     /// Whether a task was done on some machine.
@@ -337,13 +341,13 @@
                 .entry(*j)
                 .or_insert((now, started(j)));
         }
-        let late: Vec<u64> = self
+        let overdue: Vec<u64> = self
             .waiting_with_room
             .iter()
             .filter(|(_, (since, _))| now > since + MAX_WAIT_US)
             .map(|(j, _)| *j)
             .collect();
-        for j in late {
+        for j in overdue {
             self.waiting_with_room.remove(&j);
             self.record_violation(
                 now,
@@ -357,24 +361,27 @@
 
     /// Cores that a team's tasks use now.
     fn cores_used(&self, team: &str) -> f64 {
-        let request = self
+        let running_requests = self
             .machine_of
             .keys()
             .filter_map(|o| self.job_requests.get(&o.0));
-        request.filter(|a| a.team == team).map(|a| a.cores).sum()
+        running_requests
+            .filter(|a| a.team == team)
+            .map(|a| a.cores)
+            .sum()
     }
 
     /// Checks the deadlines: tasks of cancelled jobs that still run, and jobs about which no request was answered for too
     /// long. Applies team limits that have become effective.
     pub fn check_deadlines(&mut self, now: u64) {
-        for (team, most) in std::mem::take(&mut self.next_team_limits) {
-            if most == 0.0 || self.cores_used(&team) <= most {
-                self.team_limits.insert(team, most);
+        for (team, limit) in std::mem::take(&mut self.next_team_limits) {
+            if limit == 0.0 || self.cores_used(&team) <= limit {
+                self.team_limits.insert(team, limit);
             } else {
-                self.next_team_limits.insert(team, most);
+                self.next_team_limits.insert(team, limit);
             }
         }
-        let late: Vec<Task> = self
+        let overdue: Vec<Task> = self
             .machine_of
             .keys()
             .filter(|t| {
@@ -384,7 +391,7 @@
             })
             .copied()
             .collect();
-        for t in late {
+        for t in overdue {
             self.end_task(now, t);
             self.record_violation(
                 now,
--- a/tests/runner/mod.rs
+++ b/tests/runner/mod.rs
@@ -117,7 +117,7 @@
     Step(usize),
     StateTick,
     CheckDeadlines,
-    /// A transaction whose response was lost is carried out.
+    /// A transaction whose caller gets no response is carried out late.
     DelayedTransaction(Box<StateRequest>),
     /// A user sends an additional query, submission or cancellation.
     ExtraRequest {
@@ -447,8 +447,8 @@
         if self.random_fraction() < 0.01 {
             at += (self.random_fraction() * 300_000.0) as u64;
         }
-        let (mut twice, mut slow) = (false, false);
-        let command = matches!(
+        let (mut is_duplicated, mut is_slow) = (false, false);
+        let is_command = matches!(
             message,
             Message::Request {
                 outbound: Outbound::PushCommand(..),
@@ -456,11 +456,11 @@
             }
         );
         for f in &self.faults {
-            let between = match (&f.a, &f.b) {
+            let affects_message = match (&f.a, &f.b) {
                 (Party::Zone(z), Party::Outside) => self.is_in(&from, z) != self.is_in(&to, z),
                 (a, b) => a.covers(&from) && b.covers(&to) || a.covers(&to) && b.covers(&from),
             };
-            if !between || now < f.from || now >= f.until {
+            if !affects_message || now < f.from || now >= f.until {
                 continue;
             }
             match f.mode {
@@ -469,16 +469,16 @@
                 Mode::DropResponses => {}
                 Mode::Reset => return self.reset(message),
                 Mode::Hold => at = at.max(f.until + 1_000 + at - now),
-                Mode::Repeat => twice = !command,
-                Mode::LateCommands if command => at = at.max(f.until + 1_000),
+                Mode::Repeat => is_duplicated = !is_command,
+                Mode::LateCommands if is_command => at = at.max(f.until + 1_000),
                 Mode::LateCommands => {}
-                Mode::Slow => slow = true,
+                Mode::Slow => is_slow = true,
             }
         }
-        if slow {
+        if is_slow {
             at += (self.random_fraction() * 2e6) as u64;
         }
-        if twice {
+        if is_duplicated {
             let later = at + (self.random_fraction() * 8e6) as u64;
             self.schedule(later, SimEvent::Deliver(Box::new(message.clone())));
         }
