--- a/tests/runner/users.rs
+++ b/tests/runner/users.rs
@@ -1,23 +1,31 @@
-//! Users: what they submit, ask and cancel, and how they repeat it.
+//! Users: their submissions, queries and cancellations, and how they retry them.
 
-use super::check::Asked;
+use super::invariants::JobRequest;
 use super::worker::JobInfo;
-use super::{Happening, Message, User, World};
+use super::{Message, SimEvent, User, World};
 use cometlead_emulator::standins::submission::Submission;
 use std::collections::BTreeMap;
 
 impl World {
-    pub(super) fn submit(&mut self, job: u64, f: &BTreeMap<String, String>, node: Option<usize>) {
-        let text = |k: &str, default: &str| f.get(k).cloned().unwrap_or(default.to_owned());
-        let real =
-            |k: &str, default: f64| f.get(k).map_or(default, |v| v.parse().expect("a number"));
-        let flag = |k: &str, default: bool| f.get(k).map_or(default, |v| v == "yes");
+    pub(super) fn submit(
+        &mut self,
+        job: u64,
+        fields: &BTreeMap<String, String>,
+        node: Option<usize>,
+    ) {
+        let text = |k: &str, default: &str| fields.get(k).cloned().unwrap_or(default.to_owned());
+        let real = |k: &str, default: f64| {
+            fields
+                .get(k)
+                .map_or(default, |v| v.parse().expect("a number"))
+        };
+        let flag = |k: &str, default: bool| fields.get(k).map_or(default, |v| v == "yes");
         let run = real("run", 10.0);
         let pieces = real("pieces", 1.0) as u32;
-        let builds: Option<Vec<String>> = f
+        let builds: Option<Vec<String>> = fields
             .get("builds")
             .map(|b| b.split(',').map(str::to_owned).collect());
-        let awaits: Option<Vec<String>> = f
+        let awaits: Option<Vec<String>> = fields
             .get("awaits")
             .map(|a| a.split(',').map(str::to_owned).collect());
         let number = |name: &String| {
@@ -25,50 +33,54 @@
                 .and_then(|n| n.parse().ok())
                 .expect("a job")
         };
-        let asked = Asked {
-            awaits: awaits.iter().flatten().map(number).collect(),
+        let request = JobRequest {
+            dependencies: awaits.iter().flatten().map(number).collect(),
             team: text("team", "free"),
-            lane: text("lane", "lane"),
+            job_class: text("lane", "lane"),
             cores: real("cores", 1.0),
-            pieces,
-            builds: builds.clone(),
-            yard: f.get("yard").cloned(),
-            spot: flag("spot", true),
-            one_zone: flag("one_zone", false),
-            apart: flag("apart", false),
+            task_count: pieces,
+            machine_types: builds.clone(),
+            zone: fields.get("yard").cloned(),
+            spot_allowed: flag("spot", true),
+            single_zone: flag("one_zone", false),
+            anti_affinity: flag("apart", false),
             image: text("image", "img"),
-            urgency: text("urgency", "standard"),
-            rules: f.get("rules").map(|name| self.script.own[name].clone()),
+            priority: text("urgency", "standard"),
+            own_rules: fields
+                .get("rules")
+                .map(|name| self.script.job_rules[name].clone()),
         };
         let shape = text("shape", "sweep");
         let submission = Submission {
             job,
-            lane: asked.lane.clone(),
-            crew: asked.team.clone(),
+            lane: request.job_class.clone(),
+            crew: request.team.clone(),
             shape: shape.clone(),
-            urgency: asked.urgency.clone(),
+            urgency: request.priority.clone(),
             pieces,
-            cores: asked.cores,
+            cores: request.cores,
             mem: real("mem", 1.0),
             builds,
-            yard: asked.yard.clone(),
-            one_zone: asked.one_zone,
-            apart: asked.apart,
-            spot: asked.spot,
-            image: asked.image.clone(),
+            yard: request.zone.clone(),
+            one_zone: request.single_zone,
+            apart: request.anti_affinity,
+            spot: request.spot_allowed,
+            image: request.image.clone(),
             size: real("size", 0.5),
             guess: real("guess", run),
             bookmark: real("bookmark", 0.0),
             stash: real("stash", 0.0),
-            due: f.get("due").map(|d| d.parse::<f64>().expect("a number")),
+            due: fields
+                .get("due")
+                .map(|d| d.parse::<f64>().expect("a number")),
             awaits,
         };
         let mut body = submission.body();
-        if let Some(rules) = &asked.rules {
+        if let Some(rules) = &request.own_rules {
             body["rules"] = rules.clone();
         }
         let info = JobInfo {
-            cores: asked.cores,
+            cores: request.cores,
             mem: real("mem", 1.0),
             run: (run * 1e6) as u64,
             image: text("image", "img"),
@@ -81,14 +93,16 @@
             stash: real("stash", 0.0),
         };
         self.jobs.entry(job).or_insert(info);
-        self.check.submitted.entry(job).or_insert(self.now);
-        self.check.asked.entry(job).or_insert(asked);
+        self.checker.submitted_at.entry(job).or_insert(self.now);
+        self.checker.job_requests.entry(job).or_insert(request);
         let body = body.to_string().into_bytes();
-        self.bodies.entry(job).or_insert_with(|| body.clone());
-        self.user(job, "submit", body, node);
+        self.submission_bodies
+            .entry(job)
+            .or_insert_with(|| body.clone());
+        self.send_with_retries(job, "submit", body, node);
     }
 
-    pub(super) fn user(
+    pub(super) fn send_with_retries(
         &mut self,
         job: u64,
         kind: &'static str,
@@ -101,21 +115,21 @@
             body,
             node,
             attempt: 0,
-            asked: 0,
-            waiting: false,
-            repeats: true,
+            sent_at: 0,
+            awaiting_response: false,
+            retries: true,
         });
         let user = self.users.len() - 1;
-        self.try_user(user);
+        self.send_user_request(user);
     }
 
-    /// One poll of many.
+    /// Sends one status query of a series.
     pub(super) fn poll(&mut self, job: u64) {
-        self.once(job, "query", Vec::new(), None);
+        self.send_once(job, "query", Vec::new(), None);
     }
 
-    /// A request that is not repeated, whatever comes of it.
-    pub(super) fn once(
+    /// Sends a request that is not retried, whatever its outcome.
+    pub(super) fn send_once(
         &mut self,
         job: u64,
         kind: &'static str,
@@ -128,76 +142,76 @@
             body,
             node,
             attempt: 0,
-            asked: 0,
-            waiting: false,
-            repeats: false,
+            sent_at: 0,
+            awaiting_response: false,
+            retries: false,
         });
-        self.try_user(self.users.len() - 1);
+        self.send_user_request(self.users.len() - 1);
     }
 
-    /// A user has waited long enough for an answer.
-    pub(super) fn gave_up(&mut self, user: usize, attempt: u32) {
+    /// A user's request has timed out.
+    pub(super) fn handle_user_timeout(&mut self, user: usize, attempt: u32) {
         let u = &mut self.users[user];
-        if !u.waiting || u.attempt != attempt {
+        if !u.awaiting_response || u.attempt != attempt {
             return;
         }
-        u.waiting = false;
-        let (job, kind, repeats) = (u.job, u.kind, u.repeats);
+        u.awaiting_response = false;
+        let (job, kind, retries) = (u.job, u.kind, u.retries);
         if kind == "query" {
-            self.check.polled(self.now, job, false);
+            self.checker.record_poll(self.now, job, false);
         }
-        if repeats {
-            self.at(self.now + 1_000_000, Happening::UserAgain(user));
+        if retries {
+            self.schedule(self.now + 1_000_000, SimEvent::UserRetry(user));
         }
     }
 
-    pub(super) fn try_user(&mut self, user: usize) {
-        let alive: Vec<usize> = (0..self.script.nodes)
+    pub(super) fn send_user_request(&mut self, user: usize) {
+        let running_nodes: Vec<usize> = (0..self.script.nodes)
             .filter(|n| self.nodes[*n].is_some())
             .collect();
-        let pick = (self.dice() * alive.len() as f64) as usize;
+        let pick = (self.random_fraction() * running_nodes.len() as f64) as usize;
         let u = &mut self.users[user];
         u.attempt += 1;
-        u.asked = self.now;
-        u.waiting = true;
+        u.sent_at = self.now;
+        u.awaiting_response = true;
         let attempt = u.attempt;
         let limit = if u.kind == "query" {
             2_000_000
         } else {
             5_000_000
         };
-        let node = u.node.or_else(|| alive.get(pick).copied());
-        self.at(self.now + limit, Happening::UserTimeout(user, attempt));
+        let node = u.node.or_else(|| running_nodes.get(pick).copied());
+        self.schedule(self.now + limit, SimEvent::UserTimeout(user, attempt));
         if let Some(node) = node {
-            let m = Message::User { node, user };
-            self.at(self.now + 1_000, Happening::Deliver(Box::new(m)));
+            let m = Message::UserRequest { node, user };
+            self.schedule(self.now + 1_000, SimEvent::Deliver(Box::new(m)));
         }
     }
 
-    pub(super) fn told(&mut self, user: usize, status: u16, state: Option<&str>) {
-        let (job, kind, repeats) = (
+    pub(super) fn handle_user_reply(&mut self, user: usize, status: u16, state: Option<&str>) {
+        let (job, kind, retries) = (
             self.users[user].job,
             self.users[user].kind,
-            self.users[user].repeats,
+            self.users[user].retries,
         );
-        self.users[user].waiting = false;
+        self.users[user].awaiting_response = false;
         if kind == "query" {
-            self.check
-                .polled(self.now, job, matches!(status, 200 | 404));
+            self.checker
+                .record_poll(self.now, job, matches!(status, 200 | 404));
         }
-        self.check
-            .told(self.now, self.users[user].asked, kind, job, status, state);
-        self.look_closely(job);
-        let over = matches!(state, Some("done" | "cancelled"));
+        self.checker
+            .record_reply(self.now, self.users[user].sent_at, kind, job, status, state);
+        self.burst_after_state_change(job);
+        let is_final = matches!(state, Some("done" | "cancelled"));
         match kind {
-            "query" if !over && repeats => {
-                self.at(self.now + 3_000_000, Happening::UserAgain(user));
+            "query" if !is_final && retries => {
+                self.schedule(self.now + 3_000_000, SimEvent::UserRetry(user));
             }
-            "submit" if repeats && matches!(status, 200 | 201) => {
-                self.user(job, "query", Vec::new(), None);
+            "submit" if retries && matches!(status, 200 | 201) => {
+                self.send_with_retries(job, "query", Vec::new(), None);
             }
-            "submit" | "abort" if repeats && status == 503 => {
-                self.at(self.now + 1_000_000, Happening::UserAgain(user));
+            "submit" | "abort" if retries && status == 503 => {
+                self.schedule(self.now + 1_000_000, SimEvent::UserRetry(user));
             }
             _ => {}
         }
