--- a/crates/queues/tests/scenarios.rs
+++ b/crates/queues/tests/scenarios.rs
@@ -1,6 +1,6 @@
-//! Every message has one answer, whatever fails: plays the files of `scenarios` in simulated time.
+//! Runs the files of `scenarios` in simulated time, and checks that every message has one answer despite all faults.
 //!
-//! `SCENARIO=name` chooses a file, `SEED=n` a seed, `SEEDS=n` how many seeds.
+//! `SCENARIO=name` selects a file, `SEED=n` a single seed, `SEEDS=n` the number of seeds per file.
 
 mod fakes;
 mod simulation;
@@ -8,11 +8,11 @@
 use simulation::Scenario;
 use std::path::{Path, PathBuf};
 
-/// Which scenarios and seeds are played.
+/// The selected scenarios and seeds.
 struct Selection {
     scenario: Option<String>,
     seed: Option<u64>,
-    seeds: Option<u64>,
+    seed_count: Option<u64>,
 }
 
 impl Selection {
@@ -22,13 +22,13 @@
         Selection {
             scenario: text("SCENARIO"),
             seed: number("SEED"),
-            seeds: number("SEEDS"),
+            seed_count: number("SEEDS"),
         }
     }
 
     fn files(&self) -> Vec<PathBuf> {
-        let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
-        let files = std::fs::read_dir(folder).expect("the folder of scenarios");
+        let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
+        let files = std::fs::read_dir(directory).expect("a readable scenario directory");
         let files = files.map(|file| file.expect("a file").path());
         files.filter(|file| self.is_selected(file)).collect()
     }
@@ -38,21 +38,21 @@
         name.is_none_or(|name| file.file_stem().is_some_and(|stem| stem == name.as_str()))
     }
 
-    /// Plays one file and returns everything that is wrong.
-    fn play(&self, file: &Path) -> Vec<String> {
+    /// Runs one file and returns all violations.
+    fn run(&self, file: &Path) -> Vec<String> {
         let text = std::fs::read_to_string(file).expect("a readable scenario");
         let scenario = Scenario::parse(&text);
         let name = file.file_stem().unwrap_or_default().to_string_lossy();
         let seeds = match self.seed {
             Some(seed) => seed..=seed,
-            None => 1..=self.seeds.unwrap_or(scenario.seeds),
+            None => 1..=self.seed_count.unwrap_or(scenario.seed_count),
         };
-        let mut complaints = Vec::new();
+        let mut violations = Vec::new();
         for seed in seeds {
-            let of_seed = scenario.play(seed).into_iter();
-            complaints.extend(of_seed.map(|c| format!("{name}, seed {seed}: {c}")));
+            let violations_of_seed = scenario.run(seed).into_iter();
+            violations.extend(violations_of_seed.map(|v| format!("{name}, seed {seed}: {v}")));
         }
-        complaints
+        violations
     }
 }
 
@@ -60,15 +60,17 @@
 fn every_message_has_one_answer_in_all_scenarios() {
     let selection = Selection::from_environment();
     let files = selection.files();
-    assert!(!files.is_empty(), "no such scenario");
-    let complaints: Vec<String> = std::thread::scope(|scope| {
+    assert!(!files.is_empty(), "no scenario file is selected");
+    let violations: Vec<String> = std::thread::scope(|scope| {
         let selection = &selection;
         let files = files.iter();
         let threads: Vec<_> = files
-            .map(|file| scope.spawn(move || selection.play(file)))
+            .map(|file| scope.spawn(move || selection.run(file)))
             .collect();
-        let results = threads.into_iter().map(|t| t.join().expect("a scenario"));
+        let results = threads
+            .into_iter()
+            .map(|t| t.join().expect("no panic in a scenario"));
         results.flatten().collect()
     });
-    assert!(complaints.is_empty(), "{}", complaints.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
--- a/crates/queues/tests/simulation/broker_side.rs
+++ b/crates/queues/tests/simulation/broker.rs
@@ -1,4 +1,4 @@
-//! What the fake broker does with commands, connections and queued messages.
+//! The broker of a simulation: its handling of commands, connections and queued messages.
 
 use super::event::{ConnectionNumber, ProcessEvent, QueuedMessage, SimulationEvent};
 use super::{Simulation, WORK_QUEUE};
@@ -7,10 +7,10 @@
 use cometlead_queues::state_machine::{BrokerCommand, BrokerTransaction, ReceiptsResponse};
 use cometlead_queues::{ConsumerId, Event, Message, MessageKey};
 
-/// Most messages of the work queue that a process has in hand.
-const PREFETCH: usize = 6;
-/// Longest delay from the broker to a process.
-const DELIVERY_DELAY: u64 = 5_000;
+/// Maximum number of unacknowledged messages of the work queue per process.
+const WORK_QUEUE_PREFETCH: usize = 6;
+/// Upper limit of the random delay from the broker to a process.
+const MAX_DELIVERY_DELAY_MICROS: u64 = 5_000;
 
 fn receipt_queue(consumer: ConsumerId) -> String {
     format!("receipts.{consumer}")
@@ -26,30 +26,30 @@
     pub(super) fn restart_broker(&mut self) {
         let connections: Vec<ConnectionNumber> = self.connections.keys().copied().collect();
         for connection in connections {
-            for message in self.close(connection, self.config.restarts_lose_unacked) {
+            for message in self.close_connection(connection, self.config.restarts_lose_unacked) {
                 if let QueuedMessage::Work(message) = message {
-                    self.lost.insert(message.key());
+                    self.lost_keys.insert(message.key());
                 }
             }
         }
     }
 
-    /// A receipt queue is lost with everything in it, and its connection breaks.
+    /// Deletes a random receipt queue with its messages, and closes the connection that consumes it.
     pub(super) fn lose_receipt_queue(&mut self) {
         let open = self.connections.iter();
         let consumers: Vec<(ConnectionNumber, ConsumerId)> = open
             .filter_map(|(number, connection)| Some((*number, connection.consumer?)))
             .collect();
         if !consumers.is_empty() {
-            let n = self.below(consumers.len() as u64) as usize;
+            let n = self.random_below(consumers.len() as u64) as usize;
             let (connection, consumer) = consumers[n];
-            self.close(connection, false);
+            self.close_connection(connection, false);
             self.broker.delete(&receipt_queue(consumer));
         }
     }
 
-    /// Closes a connection. Returns the unacknowledged messages if they are lost, or requeues them.
-    pub(super) fn close(
+    /// Closes a connection. Unacknowledged messages are lost and returned, or they are requeued.
+    pub(super) fn close_connection(
         &mut self,
         number: ConnectionNumber,
         lose_unacked: bool,
@@ -108,35 +108,37 @@
         else {
             return;
         };
-        // Not before the process knows of its connection.
-        let at = self.soon(DELIVERY_DELAY).max(connected_at + 1);
+        // A delivery must not arrive before the process is notified of its connection.
+        let at = self
+            .random_time_within(MAX_DELIVERY_DELAY_MICROS)
+            .max(connected_at + 1);
         let event = ProcessEvent {
             slot,
             incarnation,
             connection: Some(number),
             event: Event::Delivered(tag, message),
         };
-        self.at(at, SimulationEvent::Deliver(event));
+        self.schedule(at, SimulationEvent::Deliver(event));
     }
 
-    fn reply(&mut self, number: ConnectionNumber, event: Event) {
+    fn send_broker_reply(&mut self, number: ConnectionNumber, event: Event) {
         let Some(slot) = self.connections.get(&number).map(|c| c.slot) else {
             return;
         };
         if let Some(incarnation) = self.processes[slot].as_ref().map(|p| p.incarnation) {
-            let at = self.soon(DELIVERY_DELAY);
+            let at = self.random_time_within(MAX_DELIVERY_DELAY_MICROS);
             let event = ProcessEvent {
                 slot,
                 incarnation,
                 connection: Some(number),
                 event,
             };
-            self.at(at, SimulationEvent::Deliver(event));
+            self.schedule(at, SimulationEvent::Deliver(event));
         }
     }
 
-    /// Carries out a command, if its connection still exists.
-    pub(super) fn carry_out(&mut self, number: ConnectionNumber, command: BrokerCommand) {
+    /// Executes a command if its connection still exists.
+    pub(super) fn execute_command(&mut self, number: ConnectionNumber, command: BrokerCommand) {
         if !self.connections.contains_key(&number) {
             return;
         }
@@ -144,10 +146,10 @@
             BrokerCommand::OpenReceiptQueue(consumer) => self.open_receipt_queue(number, consumer),
             BrokerCommand::StartConsuming => self
                 .broker
-                .consume((number, 1), WORK_QUEUE, "work", false, PREFETCH)
-                .expect("the work queue"),
+                .consume((number, 1), WORK_QUEUE, "work", false, WORK_QUEUE_PREFETCH)
+                .expect("the work queue exists"),
             BrokerCommand::Commit(transaction) => self.commit(number, transaction),
-            // A process that gives its connection up sends no command.
+            // A process that reconnects drops its connection instead of sending a command.
             BrokerCommand::Reconnect => {}
             BrokerCommand::ReadReceipts(consumer) => self.read_receipts(number, consumer),
             BrokerCommand::ReleaseReceipts {
@@ -167,16 +169,18 @@
             .broker
             .consume((number, 1), &queue, "receipts", true, 0);
         let succeeded = consumed.is_ok();
-        self.reply(number, Event::ReceiptQueueOpened { succeeded });
+        self.send_broker_reply(number, Event::ReceiptQueueOpened { succeeded });
     }
 
     fn commit(&mut self, number: ConnectionNumber, transaction: BrokerTransaction) {
         let channel = (number, 1);
         let publications = transaction.publications.iter();
-        let answered: Vec<MessageKey> = publications.map(Publication::message).collect();
+        let receipt_keys: Vec<MessageKey> = publications.map(Publication::message).collect();
         let connection = self.connections.get(&number);
-        let consumer = connection.and_then(|c| c.consumer).expect("a consumer");
-        let obsolete = self.obsolete_receipts(number, transaction.obsolete_receipts);
+        let consumer = connection
+            .and_then(|c| c.consumer)
+            .expect("the connection has a consumer");
+        let obsolete = self.remove_obsolete_receipts(number, transaction.obsolete_receipts);
         for tag in transaction.acks.into_iter().chain(obsolete) {
             self.broker.ack(channel, tag).expect("an open channel");
         }
@@ -187,24 +191,28 @@
                     .publish(channel, &queue, QueuedMessage::Answer(answer));
             }
         }
-        if !answered.is_empty() {
-            let receipt = QueuedMessage::Receipt(answered);
+        if !receipt_keys.is_empty() {
+            let receipt = QueuedMessage::Receipt(receipt_keys);
             self.broker
                 .publish(channel, &receipt_queue(consumer), receipt);
         }
         self.broker
             .commit(channel)
             .expect("unacknowledged deliveries");
-        self.reply(number, Event::Committed);
+        self.send_broker_reply(number, Event::Committed);
     }
 
-    /// Removes receipts that are needed for no message any more, and returns their deliveries.
-    fn obsolete_receipts(&mut self, number: ConnectionNumber, keys: Vec<MessageKey>) -> Vec<u64> {
+    /// Removes receipts that are no longer needed for any message, and returns their delivery tags.
+    fn remove_obsolete_receipts(
+        &mut self,
+        number: ConnectionNumber,
+        keys: Vec<MessageKey>,
+    ) -> Vec<u64> {
         let Some(connection) = self.connections.get_mut(&number) else {
             return Vec::new();
         };
-        connection.obsolete.extend(keys);
-        let obsolete = &connection.obsolete;
+        connection.obsolete_keys.extend(keys);
+        let obsolete = &connection.obsolete_keys;
         for (_, keys) in &mut connection.receipts {
             keys.retain(|key| !obsolete.contains(key));
         }
@@ -235,7 +243,7 @@
         if !matches!(response, ReceiptsResponse::Complete(_)) {
             self.broker.close(channel, false);
         }
-        self.reply(number, Event::ReceiptsRead(consumer, response));
+        self.send_broker_reply(number, Event::ReceiptsRead(consumer, response));
     }
 
     fn release_receipts(
@@ -249,7 +257,7 @@
         }
         self.broker.close(receipts_channel(number, consumer), false);
         if delete_queue {
-            self.reply(number, Event::ReceiptQueueDeleted(consumer));
+            self.send_broker_reply(number, Event::ReceiptQueueDeleted(consumer));
         }
     }
 }
--- a/crates/queues/tests/simulation/controllers.rs
+++ b/crates/queues/tests/simulation/controllers.rs
@@ -17,7 +17,7 @@
 }
 
 impl FakeControllers {
-    /// Submits a job that ends at this time, unless it exists already.
+    /// Submits a job that ends at `ends_at`, unless it exists already. Returns its status.
     pub fn submit(&mut self, now: Micros, body: &[u8], ends_at: Micros) -> ControllerResponse {
         let body: serde_json::Value = serde_json::from_slice(body).expect("a JSON body");
         let job = body["nameId"].as_str().expect("a job name");
@@ -41,11 +41,11 @@
     }
 
     pub fn cancel(&mut self, now: Micros, job: &str) -> ControllerResponse {
-        let Some(known) = self.jobs.get_mut(job) else {
+        let Some(existing) = self.jobs.get_mut(job) else {
             return ControllerResponse::Ended(Outcome::Refused("no such job".to_owned()));
         };
-        if known.ends_at > now {
-            known.cancelled_at.get_or_insert(now);
+        if existing.ends_at > now {
+            existing.cancelled_at.get_or_insert(now);
         }
         self.query(now, job)
     }
--- a/crates/queues/tests/simulation/event.rs
+++ b/crates/queues/tests/simulation/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a simulation.
+//! Events of a simulation, and the types that they refer to.
 
 use cometlead_queues::replicated_log::StateRequest;
 use cometlead_queues::reply::FinalAnswer;
@@ -7,10 +7,10 @@
 use cometlead_queues::{ConsumerId, Event, Message, MessageKey};
 use std::collections::BTreeSet;
 
-/// Place of a process; whoever is started there anew is another incarnation.
+/// Index of a process. A process that is restarted in a slot is a new incarnation.
 pub type Slot = usize;
 
-/// Number of a connection in the whole simulation.
+/// Number of a connection, unique in the whole simulation.
 pub type ConnectionNumber = u64;
 
 /// A message in a queue of the fake broker.
@@ -26,23 +26,23 @@
 pub struct ProcessEvent {
     pub slot: Slot,
     pub incarnation: u64,
-    /// The connection that it belongs to, if it does to one.
+    /// The connection that the event belongs to, if any.
     pub connection: Option<ConnectionNumber>,
     pub event: Event,
 }
 
-/// Something that happens at a certain time.
+/// An event that is scheduled at a certain time.
 #[derive(Clone, Debug)]
 pub enum SimulationEvent {
     Publish(Message),
-    /// The broker duplicates any message.
-    DuplicateAny,
+    /// The broker enqueues a random message once more.
+    EnqueueRandomDuplicate,
     RestartBroker,
     LoseReceiptQueue,
     Kill(Slot),
-    /// A process hangs; without a time for a random one.
+    /// A process hangs for the given time, or for a random time if none is given.
     Hang(Slot, Option<Micros>),
-    /// Controllers and state service are out for this time.
+    /// Controllers and state service are unavailable for this time.
     Outage(Micros),
     DropConnection(Slot),
     Start(Slot),
@@ -50,20 +50,21 @@
     Wake(Slot),
     /// A command reaches the broker.
     Command(ConnectionNumber, BrokerCommand),
-    /// The broker notices that a connection is gone.
+    /// The broker detects that a connection is closed.
     CloseConnection(ConnectionNumber),
     /// An event reaches a process.
     Deliver(ProcessEvent),
-    /// A request reaches the state service late, and nobody waits for the response.
+    /// A request reaches the state service late, and its response is discarded.
     LateRequest(StateRequest),
 }
 
-/// A connection as the broker knows it.
+/// The broker's state of a connection.
 pub struct SimulatedConnection {
     pub slot: Slot,
-    /// Known once the receipt queue is opened.
+    /// Present once the receipt queue is opened.
     pub consumer: Option<ConsumerId>,
-    /// Delivered own receipts, with the messages that they are still needed for.
+    /// Delivered receipts of the connection's own consumer, with the messages that they are still needed for.
     pub receipts: Vec<(DeliveryTag, Vec<MessageKey>)>,
-    pub obsolete: BTreeSet<MessageKey>,
+    /// Messages for which receipts are no longer needed.
+    pub obsolete_keys: BTreeSet<MessageKey>,
 }
--- a/crates/queues/tests/simulation/mod.rs
+++ b/crates/queues/tests/simulation/mod.rs
@@ -1,14 +1,14 @@
 //! Several state machines with fakes of broker, state service and controllers, in simulated time.
 //!
-//! All chance comes from a seed, so a failure can be replayed.
+//! All random decisions derive from a seed, so a failure can be replayed.
 
-mod broker_side;
+mod broker;
 mod config;
 mod controllers;
 mod event;
+mod invariants;
 mod process;
 mod scenario;
-mod verdict;
 
 pub use scenario::Scenario;
 
@@ -34,8 +34,9 @@
     rng: StdRng,
     now: Micros,
     last_event_number: u64,
-    /// Times and numbers of the events to come.
+    /// Times and numbers of the scheduled events, the earliest first.
     timeline: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// Scheduled events by number.
     events: BTreeMap<u64, SimulationEvent>,
     processes: Vec<Option<Process>>,
     last_incarnation: u64,
@@ -43,13 +44,13 @@
     broker: FakeBroker<QueuedMessage>,
     state_service: FakeStateService,
     controllers: FakeControllers,
-    /// When controllers and state service are out.
+    /// When the controllers and the state service are unavailable.
     outage: std::ops::Range<Micros>,
-    /// Every message that was ever queued, duplicates included.
-    queued: Vec<Message>,
-    published: BTreeSet<MessageKey>,
-    /// Messages that restarts of the broker have lost.
-    lost: BTreeSet<MessageKey>,
+    /// Every message that was ever enqueued, duplicates included.
+    enqueued_messages: Vec<Message>,
+    published_keys: BTreeSet<MessageKey>,
+    /// Keys of messages that were lost in restarts of the broker.
+    lost_keys: BTreeSet<MessageKey>,
     answers: Vec<FinalAnswer>,
 }
 
@@ -69,9 +70,9 @@
             state_service: FakeStateService::new(config.max_value_bytes),
             controllers: FakeControllers::default(),
             outage: 0..0,
-            queued: Vec::new(),
-            published: BTreeSet::new(),
-            lost: BTreeSet::new(),
+            enqueued_messages: Vec::new(),
+            published_keys: BTreeSet::new(),
+            lost_keys: BTreeSet::new(),
             answers: Vec::new(),
         };
         simulation.broker.declare(WORK_QUEUE);
@@ -83,19 +84,22 @@
 
     fn schedule_messages(&mut self) {
         for slot in 0..self.config.processes {
-            self.at(0, SimulationEvent::Start(slot));
+            self.schedule(0, SimulationEvent::Start(slot));
         }
         for n in 0..self.config.messages {
-            let at = self.below(100 * SECOND);
+            let at = self.random_below(100 * SECOND);
             let message = self.random_message(n);
-            self.at(at, SimulationEvent::Publish(message));
+            self.schedule(at, SimulationEvent::Publish(message));
         }
     }
 
-    /// Two messages may name one job, one may name none, and some are invalid.
+    /// Several messages may name the same job, others name none, and some are invalid.
     fn random_message(&mut self, n: u64) -> Message {
-        let body = match self.below(8) {
-            0 => format!(r#"{{"nameId":"req-{:06}","lane":"a"}}"#, self.below(4)),
+        let body = match self.random_below(8) {
+            0 => format!(
+                r#"{{"nameId":"req-{:06}","lane":"a"}}"#,
+                self.random_below(4)
+            ),
             1 => "[1]".to_owned(),
             _ => format!(r#"{{"lane":"a","n":{n}}}"#),
         };
@@ -104,7 +108,7 @@
             id: (!n.is_multiple_of(3)).then(|| format!("m{n}")),
             reply_to: Some(ANSWER_QUEUE.to_owned()),
             correlation_id: Some(format!("c{n}")),
-            cancel: self.below(12) == 0,
+            cancel: self.random_below(12) == 0,
             body: body.into_bytes(),
             ..Message::default()
         }
@@ -112,50 +116,54 @@
 
     fn schedule_faults(&mut self) {
         let config = self.config;
-        self.scatter(config.drops, SimulationEvent::DropConnection);
-        self.scatter(config.kills, SimulationEvent::Kill);
-        self.scatter(config.hangs, |slot| SimulationEvent::Hang(slot, None));
-        self.scatter(config.duplicates, |_| SimulationEvent::DuplicateAny);
-        self.scatter(config.restarts, |_| SimulationEvent::RestartBroker);
-        self.scatter(config.shutdowns, SimulationEvent::ShutDown);
-        self.scatter(config.lost_receipt_queues, |_| {
+        self.schedule_at_random(config.connection_drops, SimulationEvent::DropConnection);
+        self.schedule_at_random(config.process_kills, SimulationEvent::Kill);
+        self.schedule_at_random(config.process_hangs, |slot| {
+            SimulationEvent::Hang(slot, None)
+        });
+        self.schedule_at_random(config.duplicate_messages, |_| {
+            SimulationEvent::EnqueueRandomDuplicate
+        });
+        self.schedule_at_random(config.broker_restarts, |_| SimulationEvent::RestartBroker);
+        self.schedule_at_random(config.process_shutdowns, SimulationEvent::ShutDown);
+        self.schedule_at_random(config.lost_receipt_queues, |_| {
             SimulationEvent::LoseReceiptQueue
         });
-        if config.outages {
-            let from = self.below(100 * SECOND);
-            self.outage = from..from + self.below(40 * SECOND);
+        if config.has_faulty_services {
+            let from = self.random_below(100 * SECOND);
+            self.outage = from..from + self.random_below(40 * SECOND);
         }
     }
 
-    /// Schedules so many events at random times and processes.
-    fn scatter(&mut self, count: u64, event: impl Fn(Slot) -> SimulationEvent) {
+    /// Schedules `count` events at random times, each for a random process.
+    fn schedule_at_random(&mut self, count: u64, event: impl Fn(Slot) -> SimulationEvent) {
         for _ in 0..count {
-            let at = self.below(150 * SECOND);
-            let slot = self.below(self.config.processes as u64) as Slot;
-            self.at(at, event(slot));
+            let at = self.random_below(150 * SECOND);
+            let slot = self.random_below(self.config.processes as u64) as Slot;
+            self.schedule(at, event(slot));
         }
     }
 
     /// A random number below `limit`.
-    fn below(&mut self, limit: u64) -> u64 {
+    fn random_below(&mut self, limit: u64) -> u64 {
         self.rng.random_range(0..limit.max(1))
     }
 
-    fn chance(&mut self, probability: f64) -> bool {
+    fn random_bool(&mut self, probability: f64) -> bool {
         self.rng.random::<f64>() < probability
     }
 
-    /// A time after a random delay below `limit`.
-    fn soon(&mut self, limit: Micros) -> Micros {
+    /// The current time plus a minimum delay and a random delay below `limit`.
+    fn random_time_within(&mut self, limit: Micros) -> Micros {
         const MIN_DELAY: Micros = 200;
-        self.now + MIN_DELAY + self.below(limit)
+        self.now + MIN_DELAY + self.random_below(limit)
     }
 
     fn is_outage(&self) -> bool {
         self.outage.contains(&self.now)
     }
 
-    pub fn at(&mut self, at: Micros, event: SimulationEvent) {
+    pub fn schedule(&mut self, at: Micros, event: SimulationEvent) {
         self.last_event_number += 1;
         let number = self.last_event_number;
         self.timeline.push(Reverse((at.max(self.now), number)));
@@ -179,22 +187,24 @@
     fn handle(&mut self, event: SimulationEvent) {
         match event {
             SimulationEvent::Publish(message) => {
-                self.published.insert(message.key());
+                self.published_keys.insert(message.key());
                 self.enqueue(message);
             }
-            SimulationEvent::DuplicateAny => self.duplicate_any(),
+            SimulationEvent::EnqueueRandomDuplicate => self.enqueue_random_duplicate(),
             SimulationEvent::RestartBroker => self.restart_broker(),
             SimulationEvent::LoseReceiptQueue => self.lose_receipt_queue(),
-            SimulationEvent::Kill(slot) => self.kill(slot),
-            SimulationEvent::Hang(slot, span) => self.hang(slot, span),
+            SimulationEvent::Kill(slot) => self.kill_process(slot),
+            SimulationEvent::Hang(slot, span) => self.hang_process(slot, span),
             SimulationEvent::Outage(span) => self.outage = self.now..self.now + span,
             SimulationEvent::DropConnection(slot) => self.drop_connection(slot),
-            SimulationEvent::Start(slot) => self.start(slot),
-            SimulationEvent::ShutDown(slot) => self.shut_down(slot),
-            SimulationEvent::Wake(slot) => self.wake(slot),
-            SimulationEvent::Command(connection, command) => self.carry_out(connection, command),
+            SimulationEvent::Start(slot) => self.start_process(slot),
+            SimulationEvent::ShutDown(slot) => self.shut_down_process(slot),
+            SimulationEvent::Wake(slot) => self.wake_process(slot),
+            SimulationEvent::Command(connection, command) => {
+                self.execute_command(connection, command)
+            }
             SimulationEvent::CloseConnection(connection) => {
-                self.close(connection, false);
+                self.close_connection(connection, false);
             }
             SimulationEvent::Deliver(event) => self.deliver_to_process(event),
             SimulationEvent::LateRequest(request) => {
@@ -203,15 +213,15 @@
         }
     }
 
-    fn duplicate_any(&mut self) {
-        if !self.queued.is_empty() {
-            let n = self.below(self.queued.len() as u64) as usize;
-            self.enqueue(self.queued[n].clone());
+    fn enqueue_random_duplicate(&mut self) {
+        if !self.enqueued_messages.is_empty() {
+            let n = self.random_below(self.enqueued_messages.len() as u64) as usize;
+            self.enqueue(self.enqueued_messages[n].clone());
         }
     }
 
     fn enqueue(&mut self, message: Message) {
-        self.queued.push(message.clone());
+        self.enqueued_messages.push(message.clone());
         self.broker
             .enqueue(WORK_QUEUE, QueuedMessage::Work(message));
     }
--- a/crates/queues/tests/simulation/process.rs
+++ b/crates/queues/tests/simulation/process.rs
@@ -1,4 +1,4 @@
-//! The processes of a simulation: their lives, connections and effects.
+//! The processes of a simulation: their lifecycle, their connections and the effects of their state machines.
 
 use super::Simulation;
 use super::event::{ConnectionNumber, ProcessEvent, SimulatedConnection, SimulationEvent, Slot};
@@ -9,29 +9,29 @@
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Missing heartbeats for this long end a connection.
+/// Time without heartbeats after which a connection ends.
 const HEARTBEAT_TIMEOUT: Micros = 4 * SECOND;
 /// Longest delay between a process and the broker.
-const BROKER_DELAY: Micros = 5_000;
+const MAX_BROKER_DELAY: Micros = 5_000;
 /// Shortest time between two ticks.
-const MIN_TICK: Micros = 1_000;
+const MIN_TICK_INTERVAL: Micros = 1_000;
 
 pub struct Process {
     pub machine: DeliveryStateMachine,
     pub incarnation: u64,
-    /// How often it has connected.
-    attempts: u64,
+    /// Number of connections that the process has opened.
+    connect_attempts: u64,
     pub connection: Option<ConnectionNumber>,
-    hangs_until: Micros,
+    hanging_until: Micros,
     next_wake: Micros,
-    /// Events that arrived while it was hanging.
-    held_events: VecDeque<ProcessEvent>,
-    /// When its last command reaches the broker; commands keep their order.
+    /// Events that arrived while the process was hanging.
+    deferred_events: VecDeque<ProcessEvent>,
+    /// When the process's last command reaches the broker. Commands keep their order.
     pub last_command_at: Micros,
 }
 
 impl Simulation {
-    pub(super) fn start(&mut self, slot: Slot) {
+    pub(super) fn start_process(&mut self, slot: Slot) {
         if self.processes[slot].is_some() {
             return;
         }
@@ -52,82 +52,82 @@
         self.processes[slot] = Some(Process {
             machine: DeliveryStateMachine::new(self.rng.random(), limits),
             incarnation,
-            attempts: 0,
+            connect_attempts: 0,
             connection: None,
-            hangs_until: 0,
+            hanging_until: 0,
             next_wake: 0,
-            held_events: VecDeque::new(),
+            deferred_events: VecDeque::new(),
             last_command_at: 0,
         });
-        let at = self.soon(SECOND);
+        let at = self.random_time_within(SECOND);
         self.connect(slot, incarnation, at);
     }
 
-    pub(super) fn kill(&mut self, slot: Slot) {
+    pub(super) fn kill_process(&mut self, slot: Slot) {
         let Some(process) = self.processes[slot].take() else {
             return;
         };
         if let Some(connection) = process.connection {
-            let at = self.soon(2 * SECOND);
-            self.at(at, SimulationEvent::CloseConnection(connection));
+            let at = self.random_time_within(2 * SECOND);
+            self.schedule(at, SimulationEvent::CloseConnection(connection));
         }
-        let at = self.soon(5 * SECOND);
-        self.at(at, SimulationEvent::Start(slot));
+        let at = self.random_time_within(5 * SECOND);
+        self.schedule(at, SimulationEvent::Start(slot));
     }
 
-    pub(super) fn hang(&mut self, slot: Slot, span: Option<Micros>) {
-        let span = span.unwrap_or_else(|| 1 + self.below(15 * SECOND));
+    pub(super) fn hang_process(&mut self, slot: Slot, span: Option<Micros>) {
+        let span = span.unwrap_or_else(|| 1 + self.random_below(15 * SECOND));
         let now = self.now;
         let Some(process) = self.processes[slot].as_mut() else {
             return;
         };
-        process.hangs_until = now + span;
+        process.hanging_until = now + span;
         let connection = process.connection;
-        self.at(now + span, SimulationEvent::Wake(slot));
+        self.schedule(now + span, SimulationEvent::Wake(slot));
         if let Some(connection) = connection.filter(|_| span > HEARTBEAT_TIMEOUT) {
             let at = now + HEARTBEAT_TIMEOUT;
-            self.at(at, SimulationEvent::CloseConnection(connection));
-            self.at(at, SimulationEvent::DropConnection(slot));
+            self.schedule(at, SimulationEvent::CloseConnection(connection));
+            self.schedule(at, SimulationEvent::DropConnection(slot));
         }
     }
 
-    pub(super) fn shut_down(&mut self, slot: Slot) {
-        let is_running = |p: &Process| p.hangs_until <= self.now;
-        if self.processes[slot].as_ref().is_some_and(is_running) {
+    pub(super) fn shut_down_process(&mut self, slot: Slot) {
+        let is_responsive = |p: &Process| p.hanging_until <= self.now;
+        if self.processes[slot].as_ref().is_some_and(is_responsive) {
             self.handle_in_process(slot, Event::Stop);
         }
     }
 
-    pub(super) fn wake(&mut self, slot: Slot) {
+    pub(super) fn wake_process(&mut self, slot: Slot) {
         let now = self.now;
         let process = self.processes[slot].as_mut();
-        let Some(process) = process.filter(|p| p.hangs_until <= now) else {
+        let Some(process) = process.filter(|p| p.hanging_until <= now) else {
             return;
         };
-        for event in std::mem::take(&mut process.held_events) {
+        for event in std::mem::take(&mut process.deferred_events) {
             self.deliver_to_process(event);
         }
         self.handle_in_process(slot, Event::Tick);
     }
 
-    /// The connection exists at once; the process learns of it at the given time.
+    /// Opens a connection at once; the process is notified of it at the given time.
     fn connect(&mut self, slot: Slot, incarnation: u64, at: Micros) {
         self.last_event_number += 1;
         let number = self.last_event_number;
         let Some(process) = self.processes[slot].as_mut() else {
             return;
         };
-        process.attempts += 1;
+        process.connect_attempts += 1;
         process.connection = Some(number);
         process.last_command_at = at;
         let connected = Event::Connected {
-            connection: process.attempts,
+            connection: process.connect_attempts,
         };
         let connection = SimulatedConnection {
             slot,
             consumer: None,
             receipts: Vec::new(),
-            obsolete: BTreeSet::new(),
+            obsolete_keys: BTreeSet::new(),
         };
         self.connections.insert(number, connection);
         self.broker.open((number, 1));
@@ -138,10 +138,10 @@
             connection: Some(number),
             event: connected,
         };
-        self.at(at, SimulationEvent::Deliver(event));
+        self.schedule(at, SimulationEvent::Deliver(event));
     }
 
-    /// The process will learn that its connection is gone.
+    /// Notifies a process, after a delay, that its connection is closed.
     pub(super) fn report_disconnected(&mut self, slot: Slot, connection: ConnectionNumber) {
         let process = self.processes[slot].as_ref();
         let affected = process.filter(|p| p.connection == Some(connection));
@@ -152,18 +152,19 @@
                 connection: Some(connection),
                 event: Event::Disconnected,
             };
-            let at = self.soon(1_000);
-            self.at(at, SimulationEvent::Deliver(event));
+            let at = self.random_time_within(1_000);
+            self.schedule(at, SimulationEvent::Deliver(event));
         }
     }
 
-    /// A process loses its connection; the broker notices later, and carries out what arrives until then.
+    /// Drops the connection of a process. The broker detects this later, and until then executes the commands that
+    /// arrive.
     pub(super) fn drop_connection(&mut self, slot: Slot) {
         let process = self.processes[slot].as_ref();
         if let Some(connection) = process.and_then(|p| p.connection) {
             self.report_disconnected(slot, connection);
-            let at = self.soon(2 * SECOND);
-            self.at(at, SimulationEvent::CloseConnection(connection));
+            let at = self.random_time_within(2 * SECOND);
+            self.schedule(at, SimulationEvent::CloseConnection(connection));
         }
     }
 
@@ -173,8 +174,8 @@
         let Some(process) = process.filter(|p| p.incarnation == incarnation) else {
             return;
         };
-        if process.hangs_until > now {
-            process.held_events.push_back(delivered);
+        if process.hanging_until > now {
+            process.deferred_events.push_back(delivered);
             return;
         }
         if delivered.connection.is_some() && delivered.connection != process.connection {
@@ -186,7 +187,7 @@
         }
         self.handle_in_process(slot, delivered.event);
         if is_disconnected {
-            let at = self.soon(3 * SECOND);
+            let at = self.random_time_within(3 * SECOND);
             self.connect(slot, incarnation, at);
         }
     }
@@ -198,42 +199,43 @@
         };
         let effects = process.machine.handle(now, event);
         let incarnation = process.incarnation;
-        let wake = process.machine.next_wake().max(now + MIN_TICK);
+        let wake = process.machine.next_wake().max(now + MIN_TICK_INTERVAL);
         if wake < Micros::MAX && (wake < process.next_wake || process.next_wake <= now) {
             process.next_wake = wake;
-            self.at(wake, SimulationEvent::Wake(slot));
+            self.schedule(wake, SimulationEvent::Wake(slot));
         }
         for effect in effects {
-            self.carry_out_effect(slot, incarnation, effect);
+            self.execute_effect(slot, incarnation, effect);
         }
     }
 
-    fn carry_out_effect(&mut self, slot: Slot, incarnation: u64, effect: Effect) {
+    fn execute_effect(&mut self, slot: Slot, incarnation: u64, effect: Effect) {
         match effect {
-            // The process ends, and another one is started.
-            Effect::Finished => self.at(self.now, SimulationEvent::Kill(slot)),
-            Effect::StateRequest(request) => self.request_state(slot, incarnation, request),
+            // The process exits, and a new one is started in its slot.
+            Effect::Finished => self.schedule(self.now, SimulationEvent::Kill(slot)),
+            Effect::StateRequest(request) => self.send_state_request(slot, incarnation, request),
             Effect::Submit(request, body) => {
-                let response = self.submit(&body);
-                self.respond(slot, incarnation, request, response);
+                let response = self.submit_job(&body);
+                self.send_controller_response(slot, incarnation, request, response);
             }
             Effect::QueryStatus(request, job) => {
                 let response = self.controllers.query(self.now, &job);
-                self.respond(slot, incarnation, request, response);
+                self.send_controller_response(slot, incarnation, request, response);
             }
             Effect::Cancel(request, job) => {
                 let response = self.controllers.cancel(self.now, &job);
-                self.respond(slot, incarnation, request, response);
+                self.send_controller_response(slot, incarnation, request, response);
             }
             Effect::BrokerCommand(BrokerCommand::Reconnect) => self.drop_connection(slot),
-            Effect::BrokerCommand(command) => self.carry_out_command(slot, command),
+            Effect::BrokerCommand(command) => self.send_command_with_faults(slot, command),
         }
     }
 
-    fn carry_out_command(&mut self, slot: Slot, command: BrokerCommand) {
+    /// Sends a command to the broker. The connection may drop at a commit.
+    fn send_command_with_faults(&mut self, slot: Slot, command: BrokerCommand) {
         let is_commit = matches!(command, BrokerCommand::Commit(_));
         self.send_command(slot, command);
-        if is_commit && self.chance(self.config.drop_at_commit) {
+        if is_commit && self.random_bool(self.config.drop_probability_at_commit) {
             self.drop_connection(slot);
         }
     }
@@ -243,68 +245,68 @@
         let Some(connection) = process.and_then(|p| p.connection) else {
             return;
         };
-        let arrives = self.soon(BROKER_DELAY);
+        let arrives_at = self.random_time_within(MAX_BROKER_DELAY);
         let Some(process) = self.processes[slot].as_mut() else {
             return;
         };
-        process.last_command_at = arrives.max(process.last_command_at + 1);
+        process.last_command_at = arrives_at.max(process.last_command_at + 1);
         let at = process.last_command_at;
-        self.at(at, SimulationEvent::Command(connection, command));
+        self.schedule(at, SimulationEvent::Command(connection, command));
     }
 
-    /// Requests and responses may get lost; requests may also be carried out late.
-    fn request_state(&mut self, slot: Slot, incarnation: u64, request: StateRequest) {
+    /// Requests and responses may get lost; requests may also be executed late.
+    fn send_state_request(&mut self, slot: Slot, incarnation: u64, request: StateRequest) {
         let response = if self.is_outage() {
             StateResponse::NoResponse
-        } else if self.config.outages && self.chance(0.05) {
-            let at = self.soon(20 * SECOND);
-            self.at(at, SimulationEvent::LateRequest(request));
+        } else if self.config.has_faulty_services && self.random_bool(0.05) {
+            let at = self.random_time_within(20 * SECOND);
+            self.schedule(at, SimulationEvent::LateRequest(request));
             StateResponse::NoResponse
         } else {
             let response = self.state_service.respond(&request);
-            if self.chance(0.03) {
+            if self.random_bool(0.03) {
                 StateResponse::NoResponse
             } else {
                 response
             }
         };
-        let at = self.soon(30_000);
+        let at = self.random_time_within(30_000);
         let event = ProcessEvent {
             slot,
             incarnation,
             connection: None,
             event: Event::StateResponse(response),
         };
-        self.at(at, SimulationEvent::Deliver(event));
+        self.schedule(at, SimulationEvent::Deliver(event));
     }
 
-    fn submit(&mut self, body: &[u8]) -> ControllerResponse {
-        if self.is_outage() || self.chance(0.1) {
+    fn submit_job(&mut self, body: &[u8]) -> ControllerResponse {
+        if self.is_outage() || self.random_bool(0.1) {
             return ControllerResponse::RetryAfter(SECOND);
         }
-        let ends_at = self.now + SECOND + self.below(20 * SECOND);
+        let ends_at = self.now + SECOND + self.random_below(20 * SECOND);
         self.controllers.submit(self.now, body, ends_at)
     }
 
-    fn respond(
+    fn send_controller_response(
         &mut self,
         slot: Slot,
         incarnation: u64,
         request: RequestId,
         response: ControllerResponse,
     ) {
-        let response = if self.is_outage() || self.chance(0.03) {
+        let response = if self.is_outage() || self.random_bool(0.03) {
             ControllerResponse::NoResponse
         } else {
             response
         };
-        let at = self.soon(50_000);
+        let at = self.random_time_within(50_000);
         let event = ProcessEvent {
             slot,
             incarnation,
             connection: None,
             event: Event::ControllerResponse(request, response),
         };
-        self.at(at, SimulationEvent::Deliver(event));
+        self.schedule(at, SimulationEvent::Deliver(event));
     }
 }
--- a/crates/queues/tests/simulation/scenario.rs
+++ b/crates/queues/tests/simulation/scenario.rs
@@ -1,7 +1,8 @@
-//! Scenarios as small text files: what happens on a day, and what is expected of it.
+//! Scenarios as small text files: settings of the simulation, events at given times, and expected outcomes.
 //!
-//! `messages 40` and the like say how much happens at random; `at 10 drop 0` says what happens at a second;
-//! `at 10 send a req-000001` sends a message under a name, and `at 12 duplicate a` duplicates it.
+//! Settings such as `messages 40` give the number of random messages and faults. `at 10 drop 0` schedules an event at
+//! second 10. `at 10 send a req-000001` sends a message that later lines refer to as `a`, `at 12 duplicate a`
+//! duplicates it, and `expect a done` gives its expected outcome.
 
 use super::Simulation;
 use super::config::SimulationConfig;
@@ -12,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-const DEFAULT_SEEDS: u64 = 20;
+const DEFAULT_SEED_COUNT: u64 = 20;
 
 struct Expectation {
     message: String,
@@ -21,30 +22,30 @@
 }
 
 pub struct Scenario {
-    pub seeds: u64,
+    pub seed_count: u64,
     config: SimulationConfig,
     events: Vec<(Micros, SimulationEvent)>,
-    named: BTreeMap<String, Message>,
+    named_messages: BTreeMap<String, Message>,
     expectations: Vec<Expectation>,
 }
 
-fn number<T: FromStr>(line: &str, word: Option<&str>) -> T {
+fn parse_number<T: FromStr>(line: &str, word: Option<&str>) -> T {
     word.and_then(|w| w.parse().ok())
-        .unwrap_or_else(|| panic!("no number: {line}"))
+        .unwrap_or_else(|| panic!("missing or invalid number: {line}"))
 }
 
-fn seconds(line: &str, word: Option<&str>) -> Micros {
-    from_seconds(number(line, word))
+fn parse_seconds(line: &str, word: Option<&str>) -> Micros {
+    from_seconds(parse_number(line, word))
 }
 
 impl Scenario {
-    /// Parses a scenario; panics at a line that it does not understand.
+    /// Parses a scenario; panics at an invalid line.
     pub fn parse(text: &str) -> Scenario {
         let mut scenario = Scenario {
-            seeds: DEFAULT_SEEDS,
+            seed_count: DEFAULT_SEED_COUNT,
             config: SimulationConfig::default(),
             events: Vec::new(),
-            named: BTreeMap::new(),
+            named_messages: BTreeMap::new(),
             expectations: Vec::new(),
         };
         let lines = text.lines().map(str::trim);
@@ -58,9 +59,9 @@
         let mut words = line.split_whitespace();
         let first = words.next().unwrap_or_default();
         match first {
-            "seeds" => self.seeds = number(line, words.next()),
+            "seeds" => self.seed_count = parse_number(line, words.next()),
             "at" => {
-                let at = seconds(line, words.next());
+                let at = parse_seconds(line, words.next());
                 let event = self.parse_event(line, &words.collect::<Vec<_>>());
                 self.events.push((at, event));
             }
@@ -76,42 +77,44 @@
     fn parse_setting(&mut self, line: &str, setting: &str, value: Option<&str>) {
         let config = &mut self.config;
         match setting {
-            "messages" => config.messages = number(line, value),
-            "processes" => config.processes = number(line, value),
-            "drops" => config.drops = number(line, value),
-            "kills" => config.kills = number(line, value),
-            "hangs" => config.hangs = number(line, value),
-            "duplicates" => config.duplicates = number(line, value),
-            "restarts" => config.restarts = number(line, value),
+            "messages" => config.messages = parse_number(line, value),
+            "processes" => config.processes = parse_number(line, value),
+            "drops" => config.connection_drops = parse_number(line, value),
+            "kills" => config.process_kills = parse_number(line, value),
+            "hangs" => config.process_hangs = parse_number(line, value),
+            "duplicates" => config.duplicate_messages = parse_number(line, value),
+            "restarts" => config.broker_restarts = parse_number(line, value),
             "restarts-lose-unacked" => config.restarts_lose_unacked = true,
-            "outages" => config.outages = true,
-            "at-commits" => config.drop_at_commit = number(line, value),
-            "shutdowns" => config.shutdowns = number(line, value),
-            "lost-receipt-queues" => config.lost_receipt_queues = number(line, value),
-            "value-bytes" => config.max_value_bytes = number(line, value),
-            "end" => config.end = seconds(line, value),
-            _ => panic!("not understood: {line}"),
+            "outages" => config.has_faulty_services = true,
+            "at-commits" => config.drop_probability_at_commit = parse_number(line, value),
+            "shutdowns" => config.process_shutdowns = parse_number(line, value),
+            "lost-receipt-queues" => config.lost_receipt_queues = parse_number(line, value),
+            "value-bytes" => config.max_value_bytes = parse_number(line, value),
+            "end" => config.end = parse_seconds(line, value),
+            _ => panic!("unknown setting: {line}"),
         }
     }
 
     fn parse_event(&mut self, line: &str, words: &[&str]) -> SimulationEvent {
-        let slot = || number(line, words.get(1).copied());
+        let slot = || parse_number(line, words.get(1).copied());
         match words {
-            ["send", name, job, body @ ..] => self.named_message(name, job, body, false),
-            ["cancel", name, job, body @ ..] => self.named_message(name, job, body, true),
-            ["duplicate", name] => SimulationEvent::Publish(self.named[*name].clone()),
+            ["send", name, job, body @ ..] => self.define_named_message(name, job, body, false),
+            ["cancel", name, job, body @ ..] => self.define_named_message(name, job, body, true),
+            ["duplicate", name] => SimulationEvent::Publish(self.named_messages[*name].clone()),
             ["drop", _] => SimulationEvent::DropConnection(slot()),
             ["kill", _] => SimulationEvent::Kill(slot()),
             ["shutdown", _] => SimulationEvent::ShutDown(slot()),
-            ["hang", _, span] => SimulationEvent::Hang(slot(), Some(seconds(line, Some(span)))),
+            ["hang", _, span] => {
+                SimulationEvent::Hang(slot(), Some(parse_seconds(line, Some(span))))
+            }
             ["restart"] => SimulationEvent::RestartBroker,
             ["lose-receipt-queue"] => SimulationEvent::LoseReceiptQueue,
-            ["outage", span] => SimulationEvent::Outage(seconds(line, Some(span))),
-            _ => panic!("not understood: {line}"),
+            ["outage", span] => SimulationEvent::Outage(parse_seconds(line, Some(span))),
+            _ => panic!("unknown event: {line}"),
         }
     }
 
-    fn named_message(
+    fn define_named_message(
         &mut self,
         name: &str,
         job: &str,
@@ -131,34 +134,38 @@
             body: body.into_bytes(),
             ..Message::default()
         };
-        self.named.insert(name.to_owned(), message.clone());
+        self.named_messages.insert(name.to_owned(), message.clone());
         SimulationEvent::Publish(message)
     }
 
-    /// Plays the scenario and returns everything that is wrong.
-    pub fn play(&self, seed: u64) -> Vec<String> {
+    /// Runs the scenario with one seed and returns all violations.
+    pub fn run(&self, seed: u64) -> Vec<String> {
         let mut simulation = Simulation::new(seed, self.config);
         for (at, event) in &self.events {
-            simulation.at(*at, event.clone());
+            simulation.schedule(*at, event.clone());
         }
         simulation.run();
-        let mut complaints = simulation.complaints();
+        let mut violations = simulation.violations();
         for expectation in &self.expectations {
-            complaints.extend(self.check(expectation, &simulation));
+            violations.extend(self.check_expectation(expectation, &simulation));
         }
-        complaints
+        violations
     }
 
-    fn check(&self, expectation: &Expectation, simulation: &Simulation) -> Option<String> {
+    fn check_expectation(
+        &self,
+        expectation: &Expectation,
+        simulation: &Simulation,
+    ) -> Option<String> {
         let Expectation { message, outcomes } = expectation;
-        let key = self.named[message].key();
+        let key = self.named_messages[message].key();
         let answers = simulation.answers_to(key).into_iter();
         let received: Vec<&str> = answers.map(|a| outcome_name(&a.outcome)).collect();
         let is_expected = match received.as_slice() {
-            [one] => outcomes.split('|').any(|outcome| outcome == *one),
+            [actual] => outcomes.split('|').any(|permitted| permitted == *actual),
             _ => false,
         };
-        (!is_expected).then(|| format!("{message}: {received:?} instead of {outcomes}"))
+        (!is_expected).then(|| format!("{message}: outcomes {received:?}, expected {outcomes}"))
     }
 }
 
