--- a/crates/queues/tests/fakes/amqp_server/connection.rs
+++ b/crates/queues/tests/fakes/amqp_server/connection.rs
@@ -1,6 +1,6 @@
-//! The tasks of one connection.
+//! The reader and writer tasks of a connection.
 
-use super::frames::Incoming;
+use super::frames::IncomingMessage;
 use super::{AmqpServer, ConnectionNumber, DropPoint, State};
 use amq_protocol::frame::{AMQPFrame, WriteContext, gen_frame, parse_frame};
 use std::collections::BTreeMap;
@@ -10,12 +10,12 @@
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One connection as the server sees it.
-struct Client {
+/// The server's state of a connection.
+struct ClientConnection {
     number: ConnectionNumber,
     frames: mpsc::UnboundedSender<AMQPFrame>,
     /// Messages that are being published, by channel.
-    incoming: BTreeMap<u16, Incoming>,
+    incoming: BTreeMap<u16, IncomingMessage>,
     buffer: Vec<u8>,
 }
 
@@ -30,7 +30,7 @@
             number
         });
         let writer = tokio::spawn(write_frames(write, outgoing));
-        let mut client = Client {
+        let mut client = ClientConnection {
             number,
             frames,
             incoming: BTreeMap::new(),
@@ -39,20 +39,20 @@
         let mut heartbeat = tokio::time::interval(HEARTBEAT_INTERVAL);
         while self.handle_buffered(&mut client) {
             tokio::select! {
-                got = read.read_buf(&mut client.buffer) => if !matches!(got, Ok(1..)) { break },
+                read_result = read.read_buf(&mut client.buffer) => if !matches!(read_result, Ok(1..)) { break },
                 _ = heartbeat.tick() => if !self.send_heartbeat(&client) { break },
             }
         }
-        self.with_state(|state| state.end(number));
+        self.with_state(|state| state.end_connection(number));
         drop(client);
         writer.await.expect("a writer without panic");
     }
 
-    /// Handles all complete frames in the buffer. Returns whether the connection goes on.
-    fn handle_buffered(&self, client: &mut Client) -> bool {
+    /// Handles all complete frames in the buffer. Returns whether the connection stays open.
+    fn handle_buffered(&self, client: &mut ClientConnection) -> bool {
         while let Ok((rest, frame)) = parse_frame(&client.buffer[..]) {
-            let used = client.buffer.len() - rest.len();
-            client.buffer.drain(..used);
+            let parsed_bytes = client.buffer.len() - rest.len();
+            client.buffer.drain(..parsed_bytes);
             if !self.with_state(|state| state.handle_or_drop(client, frame)) {
                 return false;
             }
@@ -60,19 +60,21 @@
         true
     }
 
-    /// Returns whether the connection goes on.
-    fn send_heartbeat(&self, client: &Client) -> bool {
+    /// Sends a heartbeat, unless the connection is hanging or not established yet. Returns whether the connection stays
+    /// open.
+    fn send_heartbeat(&self, client: &ClientConnection) -> bool {
         self.with_state(|state| {
             let number = client.number;
-            let is_silent = state.hanging.contains(&number) || !state.open.contains(&number);
-            let is_known = state.connections.contains_key(&number);
-            is_known && (is_silent || client.frames.send(AMQPFrame::Heartbeat(0)).is_ok())
+            let is_silent = state.hanging.contains(&number) || !state.established.contains(&number);
+            let is_connected = state.connections.contains_key(&number);
+            is_connected && (is_silent || client.frames.send(AMQPFrame::Heartbeat(0)).is_ok())
         })
     }
 }
 
 impl State {
-    fn handle_or_drop(&mut self, client: &mut Client, frame: AMQPFrame) -> bool {
+    /// Handles a frame, or drops the connection at it. Returns whether the connection stays open.
+    fn handle_or_drop(&mut self, client: &mut ClientConnection, frame: AMQPFrame) -> bool {
         if !self.connections.contains_key(&client.number) {
             return false;
         }
@@ -83,9 +85,10 @@
         if drop_point == DropPoint::BeforeFrame {
             return false;
         }
-        let goes_on = self.handle_frame(client.number, frame, &client.frames, &mut client.incoming);
+        let stays_open =
+            self.handle_frame(client.number, frame, &client.frames, &mut client.incoming);
         self.send_deliveries();
-        goes_on && drop_point == DropPoint::Never
+        stays_open && drop_point == DropPoint::Never
     }
 }
 
--- a/crates/queues/tests/fakes/amqp_server/frames.rs
+++ b/crates/queues/tests/fakes/amqp_server/frames.rs
@@ -8,22 +8,23 @@
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
 
-/// The class of `basic` methods.
-const BASIC_CLASS: u16 = 60;
-/// Largest body in one frame.
+/// Class id of the `basic` methods.
+const BASIC_CLASS_ID: u16 = 60;
+/// Maximum size of the body in one frame.
 const MAX_BODY_FRAME_BYTES: usize = 100_000;
 
 /// A message that is being published on a channel.
-pub(super) struct Incoming {
+pub(super) struct IncomingMessage {
     queue: String,
+    /// Bytes of the body that have not arrived yet.
     missing_bytes: u64,
     /// Present from the content header on.
     message: Option<StoredMessage>,
 }
 
-impl Incoming {
-    pub fn new(queue: &str) -> Incoming {
-        Incoming {
+impl IncomingMessage {
+    pub fn new(queue: &str) -> IncomingMessage {
+        IncomingMessage {
             queue: queue.to_owned(),
             missing_bytes: 0,
             message: None,
@@ -32,13 +33,13 @@
 }
 
 impl State {
-    /// Handles a frame of a client. Returns whether the connection goes on.
+    /// Handles a frame of a client. Returns whether the connection stays open.
     pub(super) fn handle_frame(
         &mut self,
         connection: ConnectionNumber,
         frame: AMQPFrame,
         frames: &mpsc::UnboundedSender<AMQPFrame>,
-        incoming: &mut BTreeMap<u16, Incoming>,
+        incoming: &mut BTreeMap<u16, IncomingMessage>,
     ) -> bool {
         match frame {
             AMQPFrame::ProtocolHeader(_) => frames.send(start_frame()).is_ok(),
@@ -73,7 +74,7 @@
         }
     }
 
-    fn publish_if_complete(&mut self, channel: ChannelId, published: &mut Incoming) {
+    fn publish_if_complete(&mut self, channel: ChannelId, published: &mut IncomingMessage) {
         if published.missing_bytes == 0
             && let Some(message) = published.message.take()
         {
@@ -84,13 +85,13 @@
     /// Sends ready messages to their consumers.
     pub(super) fn send_deliveries(&mut self) {
         for delivery in self.broker.deliver() {
-            let (connection, _) = delivery.to;
+            let (connection, _) = delivery.channel;
             if self.hanging.contains(&connection) {
                 continue;
             }
             if let Some(frames) = self.connections.get(&connection) {
                 for frame in delivery_frames(delivery) {
-                    // A connection that is ending does not take frames any more.
+                    // Fails only for a connection that is ending and accepts no more frames.
                     let _ = frames.send(frame);
                 }
             }
@@ -111,7 +112,7 @@
 }
 
 fn delivery_frames(delivery: Delivery<StoredMessage>) -> Vec<AMQPFrame> {
-    let (_, channel) = delivery.to;
+    let (_, channel) = delivery.channel;
     let StoredMessage { properties, body } = delivery.message;
     let deliver = basic::Deliver {
         consumer_tag: delivery.consumer.as_str().into(),
@@ -121,14 +122,14 @@
         routing_key: delivery.queue.as_str().into(),
     };
     let header = AMQPContentHeader {
-        class_id: BASIC_CLASS,
+        class_id: BASIC_CLASS_ID,
         body_size: body.len() as u64,
         properties,
     };
     let method = AMQPClass::Basic(basic::AMQPMethod::Deliver(deliver));
     let mut frames = vec![
         AMQPFrame::Method(channel, method),
-        AMQPFrame::Header(channel, BASIC_CLASS, Box::new(header)),
+        AMQPFrame::Header(channel, BASIC_CLASS_ID, Box::new(header)),
     ];
     let parts = body.chunks(MAX_BODY_FRAME_BYTES);
     frames.extend(parts.map(|part| AMQPFrame::Body(channel, part.to_vec())));
--- a/crates/queues/tests/fakes/amqp_server/methods.rs
+++ b/crates/queues/tests/fakes/amqp_server/methods.rs
@@ -1,31 +1,31 @@
-//! AMQP methods.
+//! Handling of AMQP methods.
 
 use super::State;
-use super::frames::Incoming;
+use super::frames::IncomingMessage;
 use crate::fakes::broker::{ChannelId, Refusal};
 use amq_protocol::frame::AMQPFrame;
 use amq_protocol::protocol::{AMQPClass, basic, channel, connection, queue, tx};
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
 
-/// What the server does after a method.
-enum Reply {
-    Nothing,
+/// The server's reply to a method.
+enum MethodReply {
+    NoReply,
     Send(AMQPClass),
-    /// Close the channel for this reason.
-    Refuse(Refusal),
-    /// Confirm, and end the connection.
-    EndConnection(AMQPClass),
+    /// Closes the channel for this reason.
+    CloseChannel(Refusal),
+    /// Sends a confirmation and ends the connection.
+    CloseConnection(AMQPClass),
 }
 
 impl State {
-    /// Handles a method. Returns whether the connection goes on.
+    /// Handles a method. Returns whether the connection stays open.
     pub(super) fn handle_method(
         &mut self,
         channel: ChannelId,
         method: AMQPClass,
         frames: &mpsc::UnboundedSender<AMQPFrame>,
-        incoming: &mut BTreeMap<u16, Incoming>,
+        incoming: &mut BTreeMap<u16, IncomingMessage>,
     ) -> bool {
         let reply = match method {
             AMQPClass::Connection(method) => self.connection_method(channel, method),
@@ -33,18 +33,18 @@
             AMQPClass::Queue(method) => self.queue_method(method),
             AMQPClass::Basic(method) => self.basic_method(channel, method, incoming),
             AMQPClass::Tx(method) => self.transaction_method(channel, method),
-            _ => Reply::Nothing,
+            _ => MethodReply::NoReply,
         };
         let (_, id) = channel;
         match reply {
-            Reply::Nothing => true,
-            Reply::Send(method) => frames.send(AMQPFrame::Method(id, method)).is_ok(),
-            Reply::Refuse(refusal) => {
-                self.broker.close(channel, false);
-                let close = close_channel(refusal);
+            MethodReply::NoReply => true,
+            MethodReply::Send(method) => frames.send(AMQPFrame::Method(id, method)).is_ok(),
+            MethodReply::CloseChannel(refusal) => {
+                self.broker.close_channel(channel, false);
+                let close = channel_close_method(refusal);
                 frames.send(AMQPFrame::Method(id, close)).is_ok()
             }
-            Reply::EndConnection(method) => {
+            MethodReply::CloseConnection(method) => {
                 // The connection ends whether or not the client reads the confirmation.
                 let _ = frames.send(AMQPFrame::Method(0, method));
                 false
@@ -52,7 +52,11 @@
         }
     }
 
-    fn connection_method(&mut self, channel: ChannelId, method: connection::AMQPMethod) -> Reply {
+    fn connection_method(
+        &mut self,
+        channel: ChannelId,
+        method: connection::AMQPMethod,
+    ) -> MethodReply {
         use connection::AMQPMethod;
         let (number, _) = channel;
         match method {
@@ -62,128 +66,128 @@
                     frame_max: 131_072,
                     heartbeat: 1,
                 };
-                Reply::Send(AMQPClass::Connection(AMQPMethod::Tune(tune)))
+                MethodReply::Send(AMQPClass::Connection(AMQPMethod::Tune(tune)))
             }
             AMQPMethod::Open(_) => {
-                self.open.insert(number);
+                self.established.insert(number);
                 let ok = AMQPMethod::OpenOk(connection::OpenOk {});
-                Reply::Send(AMQPClass::Connection(ok))
+                MethodReply::Send(AMQPClass::Connection(ok))
             }
             AMQPMethod::Close(_) => {
                 let ok = AMQPMethod::CloseOk(connection::CloseOk {});
-                Reply::EndConnection(AMQPClass::Connection(ok))
+                MethodReply::CloseConnection(AMQPClass::Connection(ok))
             }
-            _ => Reply::Nothing,
+            _ => MethodReply::NoReply,
         }
     }
 
-    fn channel_method(&mut self, channel: ChannelId, method: channel::AMQPMethod) -> Reply {
+    fn channel_method(&mut self, channel: ChannelId, method: channel::AMQPMethod) -> MethodReply {
         use channel::AMQPMethod;
         match method {
             AMQPMethod::Open(_) => {
-                self.broker.open(channel);
+                self.broker.open_channel(channel);
                 let ok = AMQPMethod::OpenOk(channel::OpenOk {});
-                Reply::Send(AMQPClass::Channel(ok))
+                MethodReply::Send(AMQPClass::Channel(ok))
             }
             AMQPMethod::Close(_) => {
-                self.broker.close(channel, false);
+                self.broker.close_channel(channel, false);
                 let ok = AMQPMethod::CloseOk(channel::CloseOk {});
-                Reply::Send(AMQPClass::Channel(ok))
+                MethodReply::Send(AMQPClass::Channel(ok))
             }
-            _ => Reply::Nothing,
+            _ => MethodReply::NoReply,
         }
     }
 
-    fn queue_method(&mut self, method: queue::AMQPMethod) -> Reply {
+    fn queue_method(&mut self, method: queue::AMQPMethod) -> MethodReply {
         use queue::AMQPMethod;
         match method {
             AMQPMethod::Declare(declare) => self.declare_queue(declare),
             AMQPMethod::Delete(delete) => {
-                self.broker.delete(delete.queue.as_str());
+                self.broker.delete_queue(delete.queue.as_str());
                 let ok = queue::DeleteOk { message_count: 0 };
-                Reply::Send(AMQPClass::Queue(AMQPMethod::DeleteOk(ok)))
+                MethodReply::Send(AMQPClass::Queue(AMQPMethod::DeleteOk(ok)))
             }
-            _ => Reply::Nothing,
+            _ => MethodReply::NoReply,
         }
     }
 
-    fn declare_queue(&mut self, declare: queue::Declare) -> Reply {
+    fn declare_queue(&mut self, declare: queue::Declare) -> MethodReply {
         let name = declare.queue.as_str();
         if !declare.passive {
-            self.broker.declare(name);
+            self.broker.declare_queue(name);
         }
-        if !self.broker.exists(name) {
-            return Reply::Refuse(Refusal::NoSuchQueue);
+        if !self.broker.queue_exists(name) {
+            return MethodReply::CloseChannel(Refusal::NoSuchQueue);
         }
         let ok = queue::DeclareOk {
-            message_count: self.broker.ready(name) as u32,
+            message_count: self.broker.ready_count(name) as u32,
             queue: declare.queue,
             consumer_count: 0,
         };
-        Reply::Send(AMQPClass::Queue(queue::AMQPMethod::DeclareOk(ok)))
+        MethodReply::Send(AMQPClass::Queue(queue::AMQPMethod::DeclareOk(ok)))
     }
 
     fn basic_method(
         &mut self,
         channel: ChannelId,
         method: basic::AMQPMethod,
-        incoming: &mut BTreeMap<u16, Incoming>,
-    ) -> Reply {
+        incoming: &mut BTreeMap<u16, IncomingMessage>,
+    ) -> MethodReply {
         use basic::AMQPMethod;
         match method {
             AMQPMethod::Qos(qos) => {
-                self.broker.qos(channel, qos.prefetch_count.into());
-                Reply::Send(AMQPClass::Basic(AMQPMethod::QosOk(basic::QosOk {})))
+                self.broker.set_prefetch(channel, qos.prefetch_count.into());
+                MethodReply::Send(AMQPClass::Basic(AMQPMethod::QosOk(basic::QosOk {})))
             }
             AMQPMethod::Consume(consume) => self.consume(channel, consume),
             AMQPMethod::Publish(publish) => {
-                let published = Incoming::new(publish.routing_key.as_str());
+                let published = IncomingMessage::new(publish.routing_key.as_str());
                 incoming.insert(channel.1, published);
-                Reply::Nothing
+                MethodReply::NoReply
             }
             AMQPMethod::Ack(ack) => match self.broker.ack(channel, ack.delivery_tag) {
-                Ok(()) => Reply::Nothing,
-                Err(refusal) => Reply::Refuse(refusal),
+                Ok(()) => MethodReply::NoReply,
+                Err(refusal) => MethodReply::CloseChannel(refusal),
             },
-            _ => Reply::Nothing,
+            _ => MethodReply::NoReply,
         }
     }
 
-    fn consume(&mut self, channel: ChannelId, consume: basic::Consume) -> Reply {
+    fn consume(&mut self, channel: ChannelId, consume: basic::Consume) -> MethodReply {
         let queue = consume.queue.as_str();
         let tag = consume.consumer_tag.as_str();
-        let consumed = self
-            .broker
-            .consume_with_qos(channel, queue, tag, consume.exclusive);
+        let consumed =
+            self.broker
+                .consume_with_channel_prefetch(channel, queue, tag, consume.exclusive);
         if let Err(refusal) = consumed {
-            return Reply::Refuse(refusal);
+            return MethodReply::CloseChannel(refusal);
         }
         if consume.no_ack {
-            self.broker.without_acks(queue);
+            self.broker.set_no_ack_for_newest_consumer(queue);
         }
         let ok = basic::ConsumeOk {
             consumer_tag: consume.consumer_tag,
         };
-        Reply::Send(AMQPClass::Basic(basic::AMQPMethod::ConsumeOk(ok)))
+        MethodReply::Send(AMQPClass::Basic(basic::AMQPMethod::ConsumeOk(ok)))
     }
 
-    fn transaction_method(&mut self, channel: ChannelId, method: tx::AMQPMethod) -> Reply {
+    fn transaction_method(&mut self, channel: ChannelId, method: tx::AMQPMethod) -> MethodReply {
         use tx::AMQPMethod;
         match method {
             AMQPMethod::Select(_) => {
-                self.broker.select(channel);
-                Reply::Send(AMQPClass::Tx(AMQPMethod::SelectOk(tx::SelectOk {})))
+                self.broker.select_transactions(channel);
+                MethodReply::Send(AMQPClass::Tx(AMQPMethod::SelectOk(tx::SelectOk {})))
             }
             AMQPMethod::Commit(_) => match self.broker.commit(channel) {
-                Ok(()) => Reply::Send(AMQPClass::Tx(AMQPMethod::CommitOk(tx::CommitOk {}))),
-                Err(refusal) => Reply::Refuse(refusal),
+                Ok(()) => MethodReply::Send(AMQPClass::Tx(AMQPMethod::CommitOk(tx::CommitOk {}))),
+                Err(refusal) => MethodReply::CloseChannel(refusal),
             },
-            _ => Reply::Nothing,
+            _ => MethodReply::NoReply,
         }
     }
 }
 
-fn close_channel(refusal: Refusal) -> AMQPClass {
+fn channel_close_method(refusal: Refusal) -> AMQPClass {
     let (reply_code, text) = match refusal {
         Refusal::NoSuchQueue => (404, "NOT_FOUND"),
         Refusal::ExclusivelyConsumed => (403, "ACCESS_REFUSED"),
--- a/crates/queues/tests/fakes/amqp_server/mod.rs
+++ b/crates/queues/tests/fakes/amqp_server/mod.rs
@@ -25,7 +25,7 @@
     pub body: Vec<u8>,
 }
 
-/// What becomes of a connection at a frame.
+/// Whether a connection is dropped at a frame, and when.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum DropPoint {
     Never,
@@ -38,18 +38,18 @@
     connections: BTreeMap<ConnectionNumber, mpsc::UnboundedSender<AMQPFrame>>,
     last_connection: ConnectionNumber,
     rng: StdRng,
-    /// A connection is dropped at one frame out of so many; 0 for never.
-    drop_one_in: u32,
-    /// Connections that get no response and no heartbeat.
+    /// Average number of frames until a connection is dropped; 0 for no drops.
+    frames_per_drop: u32,
+    /// Connections that the server does not respond on and sends no heartbeats to.
     hanging: BTreeSet<ConnectionNumber>,
-    /// Connections whose handshake is complete. Clients take an earlier heartbeat for an error.
-    open: BTreeSet<ConnectionNumber>,
+    /// Connections whose handshake is complete. Clients treat an earlier heartbeat as an error.
+    established: BTreeSet<ConnectionNumber>,
     failed_tls_handshakes: usize,
 }
 
 impl State {
     fn next_drop_point(&mut self) -> DropPoint {
-        if self.drop_one_in == 0 || self.rng.random_range(0..self.drop_one_in) > 0 {
+        if self.frames_per_drop == 0 || self.rng.random_range(0..self.frames_per_drop) > 0 {
             DropPoint::Never
         } else if self.rng.random() {
             DropPoint::BeforeFrame
@@ -59,11 +59,11 @@
     }
 
     /// Ends a connection and requeues its unacknowledged messages.
-    fn end(&mut self, connection: ConnectionNumber) {
+    fn end_connection(&mut self, connection: ConnectionNumber) {
         self.connections.remove(&connection);
         self.hanging.remove(&connection);
-        self.open.remove(&connection);
-        self.broker.close_all(connection, false);
+        self.established.remove(&connection);
+        self.broker.close_connection(connection, false);
         self.send_deliveries();
     }
 }
@@ -75,16 +75,16 @@
 }
 
 impl AmqpServer {
-    pub async fn start(seed: u64, drop_one_in: u32, tls: Option<TlsAcceptor>) -> AmqpServer {
+    pub async fn start(seed: u64, frames_per_drop: u32, tls: Option<TlsAcceptor>) -> AmqpServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
         let state = State {
             broker: FakeBroker::new(),
             connections: BTreeMap::new(),
             last_connection: 0,
             rng: StdRng::seed_from_u64(seed),
-            drop_one_in,
+            frames_per_drop,
             hanging: BTreeSet::new(),
-            open: BTreeSet::new(),
+            established: BTreeSet::new(),
             failed_tls_handshakes: 0,
         };
         let server = AmqpServer {
@@ -102,7 +102,7 @@
     }
 
     async fn handshake(self, stream: TcpStream, tls: Option<TlsAcceptor>) {
-        // Fails only for a client that is gone already, which the handshake notices.
+        // This fails only if the client has disconnected already, which the handshake detects.
         let _ = stream.set_nodelay(true);
         let Some(tls) = tls else {
             return self.serve(stream).await;
@@ -114,14 +114,17 @@
     }
 
     fn with_state<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
-        f(&mut self.state.lock().expect("no panic while it was held"))
+        f(&mut self
+            .state
+            .lock()
+            .expect("no panic while the state was locked"))
     }
 
-    pub fn declare(&self, queue: &str) {
-        self.with_state(|state| state.broker.declare(queue));
+    pub fn declare_queue(&self, queue: &str) {
+        self.with_state(|state| state.broker.declare_queue(queue));
     }
 
-    /// Publishes like a client.
+    /// Publishes a message as a client would.
     pub fn publish(&self, queue: &str, properties: AMQPProperties, body: &[u8]) {
         let message = StoredMessage {
             properties,
@@ -134,40 +137,41 @@
     }
 
     /// Removes and returns all ready messages of a queue.
-    pub fn drain(&self, queue: &str) -> Vec<StoredMessage> {
-        self.with_state(|state| state.broker.drain(queue))
+    pub fn take_ready_messages(&self, queue: &str) -> Vec<StoredMessage> {
+        self.with_state(|state| state.broker.take_ready_messages(queue))
     }
 
     /// Number of ready messages in a queue.
-    pub fn ready(&self, queue: &str) -> usize {
-        self.with_state(|state| state.broker.ready(queue))
+    pub fn ready_count(&self, queue: &str) -> usize {
+        self.with_state(|state| state.broker.ready_count(queue))
     }
 
     /// Number of messages in a queue, unacknowledged ones included.
-    pub fn held(&self, queue: &str) -> usize {
-        self.with_state(|state| state.broker.held(queue))
+    pub fn message_count(&self, queue: &str) -> usize {
+        self.with_state(|state| state.broker.message_count(queue))
     }
 
-    pub fn queues(&self) -> Vec<String> {
-        self.with_state(|state| state.broker.names())
+    pub fn queue_names(&self) -> Vec<String> {
+        self.with_state(|state| state.broker.queue_names())
     }
 
-    pub fn drop_one_in(&self, frames: u32) {
-        self.with_state(|state| state.drop_one_in = frames);
+    /// Sets the average number of frames until a connection is dropped; 0 for no drops.
+    pub fn set_frames_per_drop(&self, frames_per_drop: u32) {
+        self.with_state(|state| state.frames_per_drop = frames_per_drop);
     }
 
-    /// Restarts: all connections end, and messages in queues stay.
+    /// Restarts the server: all connections end, and messages in queues are kept.
     pub fn restart(&self) {
         self.with_state(|state| {
             let connections: Vec<ConnectionNumber> = state.connections.keys().copied().collect();
             for connection in connections {
-                state.end(connection);
+                state.end_connection(connection);
             }
         });
     }
 
-    /// Hangs, as far as the present connections can tell.
-    pub fn hang(&self) {
+    /// Hangs on all current connections; new connections are served.
+    pub fn hang_connections(&self) {
         self.with_state(|state| state.hanging = state.connections.keys().copied().collect());
     }
 
@@ -175,7 +179,7 @@
         self.with_state(|state| state.failed_tls_handshakes)
     }
 
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.with_state(|state| state.connections.len())
     }
 }
--- a/crates/queues/tests/fakes/broker.rs
+++ b/crates/queues/tests/fakes/broker.rs
@@ -1,6 +1,6 @@
 //! A fake broker: queues, prefetch, acknowledgements, redelivery, exclusive consumers, transactions.
 //!
-//! It knows neither time nor network; simulations and the AMQP server both use it.
+//! It uses neither clock nor network; the simulation and the fake AMQP server are both built on it.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 
 /// A message on its way to a consumer.
 pub struct Delivery<M> {
-    pub to: ChannelId,
+    pub channel: ChannelId,
     pub consumer: String,
     pub queue: String,
     pub tag: DeliveryTag,
@@ -33,10 +33,10 @@
 struct Consumer {
     channel: ChannelId,
     tag: String,
-    /// Most unacknowledged messages; 0 for no limit.
+    /// Maximum number of unacknowledged messages; 0 for no limit.
     prefetch: usize,
     is_exclusive: bool,
-    /// Deliveries count as acknowledged.
+    /// Whether deliveries count as acknowledged at once.
     no_ack: bool,
 }
 
@@ -46,7 +46,7 @@
 }
 
 struct Queue<M> {
-    /// By position; requeued messages return to theirs.
+    /// Ready messages by position. Requeued messages return to their former position.
     ready: BTreeMap<u64, ReadyMessage<M>>,
     consumers: Vec<Consumer>,
     /// Index of the consumer that was served last.
@@ -64,11 +64,11 @@
 }
 
 impl<M> Queue<M> {
-    /// The next consumer with room for a message, in turn.
+    /// The next consumer, in round-robin order, whose prefetch permits another message.
     fn next_consumer(&mut self, channels: &BTreeMap<ChannelId, Channel<M>>) -> Option<Consumer> {
         let count = self.consumers.len();
-        let mut turns = (1..=count).map(|n| (self.last_served + n) % count);
-        let next = turns.find(|index| {
+        let mut indices = (1..=count).map(|n| (self.last_served + n) % count);
+        let next = indices.find(|index| {
             let consumer = &self.consumers[*index];
             let channel = channels.get(&consumer.channel);
             channel.is_some_and(|channel| channel.has_room_for(consumer))
@@ -101,7 +101,7 @@
 
 struct Channel<M> {
     next_tag: DeliveryTag,
-    /// For consumers that start from now on.
+    /// Prefetch of consumers that are started from now on.
     prefetch: usize,
     unacknowledged: BTreeMap<DeliveryTag, Unacknowledged<M>>,
     /// Present once the channel is transactional.
@@ -132,7 +132,7 @@
     }
 
     /// Opens a channel.
-    pub fn open(&mut self, channel: ChannelId) {
+    pub fn open_channel(&mut self, channel: ChannelId) {
         let opened = Channel {
             next_tag: 1,
             prefetch: 0,
@@ -142,36 +142,36 @@
         self.channels.insert(channel, opened);
     }
 
-    pub fn declare(&mut self, queue: &str) {
+    pub fn declare_queue(&mut self, queue: &str) {
         self.queues.entry(queue.to_owned()).or_default();
     }
 
-    pub fn exists(&self, queue: &str) -> bool {
+    pub fn queue_exists(&self, queue: &str) -> bool {
         self.queues.contains_key(queue)
     }
 
-    pub fn delete(&mut self, queue: &str) {
+    pub fn delete_queue(&mut self, queue: &str) {
         self.queues.remove(queue);
     }
 
-    pub fn names(&self) -> Vec<String> {
+    pub fn queue_names(&self) -> Vec<String> {
         self.queues.keys().cloned().collect()
     }
 
     /// Number of ready messages in a queue.
-    pub fn ready(&self, queue: &str) -> usize {
+    pub fn ready_count(&self, queue: &str) -> usize {
         self.queues.get(queue).map_or(0, |q| q.ready.len())
     }
 
     /// Number of messages in a queue, unacknowledged ones included.
-    pub fn held(&self, queue: &str) -> usize {
+    pub fn message_count(&self, queue: &str) -> usize {
         let channels = self.channels.values();
         let unacknowledged = channels.flat_map(|channel| channel.unacknowledged.values());
-        self.ready(queue) + unacknowledged.filter(|u| u.queue == queue).count()
+        self.ready_count(queue) + unacknowledged.filter(|u| u.queue == queue).count()
     }
 
     /// Removes and returns all ready messages.
-    pub fn drain(&mut self, queue: &str) -> Vec<M> {
+    pub fn take_ready_messages(&mut self, queue: &str) -> Vec<M> {
         let Some(queue) = self.queues.get_mut(queue) else {
             return Vec::new();
         };
@@ -189,8 +189,8 @@
         prefetch: usize,
     ) -> Result<(), Refusal> {
         let queue = self.queues.get_mut(queue).ok_or(Refusal::NoSuchQueue)?;
-        let is_taken = queue.consumers.iter().any(|c| c.is_exclusive);
-        if is_taken || is_exclusive && !queue.consumers.is_empty() {
+        let is_exclusively_consumed = queue.consumers.iter().any(|c| c.is_exclusive);
+        if is_exclusively_consumed || is_exclusive && !queue.consumers.is_empty() {
             return Err(Refusal::ExclusivelyConsumed);
         }
         queue.consumers.push(Consumer {
@@ -204,14 +204,14 @@
     }
 
     /// Sets the prefetch of consumers that the channel starts from now on.
-    pub fn qos(&mut self, channel: ChannelId, prefetch: usize) {
+    pub fn set_prefetch(&mut self, channel: ChannelId, prefetch: usize) {
         if let Some(channel) = self.channels.get_mut(&channel) {
             channel.prefetch = prefetch;
         }
     }
 
-    /// Starts a consumer with the prefetch that the channel was given last.
-    pub fn consume_with_qos(
+    /// Starts a consumer with the prefetch that was last set for the channel.
+    pub fn consume_with_channel_prefetch(
         &mut self,
         channel: ChannelId,
         queue: &str,
@@ -222,15 +222,15 @@
         self.consume(channel, queue, tag, is_exclusive, prefetch)
     }
 
-    /// The newest consumer of the queue acknowledges nothing.
-    pub fn without_acks(&mut self, queue: &str) {
+    /// Makes deliveries to the newest consumer of the queue count as acknowledged.
+    pub fn set_no_ack_for_newest_consumer(&mut self, queue: &str) {
         let queue = self.queues.get_mut(queue);
         if let Some(newest) = queue.and_then(|queue| queue.consumers.last_mut()) {
             newest.no_ack = true;
         }
     }
 
-    /// Publishes through the default exchange: into the queue of that name, or nowhere.
+    /// Publishes through the default exchange: into the queue of that name. The message is dropped if there is none.
     pub fn publish(&mut self, channel: ChannelId, queue: &str, message: M) {
         let channel = self.channels.get_mut(&channel);
         match channel.and_then(|channel| channel.transaction.as_mut()) {
@@ -262,13 +262,13 @@
     }
 
     /// Makes a channel transactional.
-    pub fn select(&mut self, channel: ChannelId) {
+    pub fn select_transactions(&mut self, channel: ChannelId) {
         if let Some(channel) = self.channels.get_mut(&channel) {
             channel.transaction = Some(Transaction::new());
         }
     }
 
-    /// Carries out the whole transaction, or nothing if it acknowledges an unknown delivery.
+    /// Applies the whole transaction, or nothing if it acknowledges an unknown delivery.
     pub fn commit(&mut self, channel: ChannelId) -> Result<(), Refusal> {
         let channel = self.channels.get_mut(&channel);
         let channel = channel.ok_or(Refusal::NoSuchDelivery)?;
@@ -287,8 +287,8 @@
         Ok(())
     }
 
-    /// Closes a channel: its consumers end, and unacknowledged messages are requeued, or lost and returned.
-    pub fn close(&mut self, id: ChannelId, lose_unacknowledged: bool) -> Vec<M> {
+    /// Closes a channel and ends its consumers. Unacknowledged messages are requeued, or lost and returned.
+    pub fn close_channel(&mut self, id: ChannelId, lose_unacknowledged: bool) -> Vec<M> {
         let Some(channel) = self.channels.remove(&id) else {
             return Vec::new();
         };
@@ -318,16 +318,20 @@
     }
 
     /// Closes all channels of a connection.
-    pub fn close_all(&mut self, connection: ConnectionNumber, lose_unacknowledged: bool) -> Vec<M> {
+    pub fn close_connection(
+        &mut self,
+        connection: ConnectionNumber,
+        lose_unacknowledged: bool,
+    ) -> Vec<M> {
         let open = self.channels.keys().copied();
         let channels: Vec<ChannelId> = open.filter(|(c, _)| *c == connection).collect();
         let lost = channels
             .into_iter()
-            .map(|channel| self.close(channel, lose_unacknowledged));
+            .map(|channel| self.close_channel(channel, lose_unacknowledged));
         lost.flatten().collect()
     }
 
-    /// Delivers what is ready, to the consumers of each queue in turn.
+    /// Delivers the ready messages of each queue to its consumers in round-robin order.
     pub fn deliver(&mut self) -> Vec<Delivery<M>> {
         let mut deliveries = Vec::new();
         for (name, queue) in &mut self.queues {
@@ -363,7 +367,7 @@
             self.unacknowledged.insert(tag, unacknowledged);
         }
         Delivery {
-            to: consumer.channel,
+            channel: consumer.channel,
             consumer: consumer.tag,
             queue: queue.to_owned(),
             tag,
--- a/crates/queues/tests/fakes/http_services/controllers.rs
+++ b/crates/queues/tests/fakes/http_services/controllers.rs
@@ -13,7 +13,7 @@
 }
 
 impl Job {
-    fn ended(&self) -> Option<&'static str> {
+    fn final_status(&self) -> Option<&'static str> {
         if self.is_cancelled {
             Some("cancelled")
         } else if self.ends_at <= Instant::now() {
@@ -27,7 +27,8 @@
 pub(super) struct FakeControllers {
     mean_run_time: Duration,
     jobs: BTreeMap<String, Job>,
-    submitted: Vec<String>,
+    /// Names of the jobs in the order of their first submissions.
+    submitted_jobs: Vec<String>,
 }
 
 impl FakeControllers {
@@ -35,16 +36,16 @@
         FakeControllers {
             mean_run_time,
             jobs: BTreeMap::new(),
-            submitted: Vec::new(),
+            submitted_jobs: Vec::new(),
         }
     }
 
-    pub fn submitted(&self) -> &[String] {
-        &self.submitted
+    pub fn submitted_jobs(&self) -> &[String] {
+        &self.submitted_jobs
     }
 
-    pub fn ended(&self, job: &str) -> Option<&'static str> {
-        self.jobs.get(job).and_then(Job::ended)
+    pub fn final_status(&self, job: &str) -> Option<&'static str> {
+        self.jobs.get(job).and_then(Job::final_status)
     }
 
     pub fn submit(&mut self, body: &[u8], rng: &mut StdRng) -> FakeResponse {
@@ -56,36 +57,36 @@
         }
         let name = body["nameId"].as_str().expect("a job name").to_owned();
         if self.jobs.contains_key(&name) {
-            return self.status(&name, 200);
+            return self.status_response(&name, 200);
         }
         let run_time = self.mean_run_time.mul_f64(0.5 + rng.random::<f64>());
         let job = Job {
             ends_at: Instant::now() + run_time,
             is_cancelled: false,
         };
-        self.submitted.push(name.clone());
+        self.submitted_jobs.push(name.clone());
         self.jobs.insert(name.clone(), job);
-        self.status(&name, 201)
+        self.status_response(&name, 201)
     }
 
     pub fn cancel(&mut self, job: &str) -> FakeResponse {
-        if let Some(known) = self.jobs.get_mut(job)
-            && known.ended().is_none()
+        if let Some(existing) = self.jobs.get_mut(job)
+            && existing.final_status().is_none()
         {
-            known.is_cancelled = true;
+            existing.is_cancelled = true;
         }
         self.query(job)
     }
 
     pub fn query(&self, job: &str) -> FakeResponse {
-        self.status(job, 200)
+        self.status_response(job, 200)
     }
 
-    fn status(&self, name: &str, code: u16) -> FakeResponse {
+    fn status_response(&self, name: &str, status_code: u16) -> FakeResponse {
         let Some(job) = self.jobs.get(name) else {
             return FakeResponse::not_found();
         };
-        let status = job.ended().unwrap_or("running");
-        FakeResponse::new(code, json!({ "nameId": name, "status": status }))
+        let status = job.final_status().unwrap_or("running");
+        FakeResponse::new(status_code, json!({ "nameId": name, "status": status }))
     }
 }
--- a/crates/queues/tests/fakes/http_services/mod.rs
+++ b/crates/queues/tests/fakes/http_services/mod.rs
@@ -1,4 +1,4 @@
-//! Fakes of the controllers' user interface and of the state service, over HTTP on loopback.
+//! Fakes of the controllers' API for users and of the state service, over HTTP on loopback.
 
 mod controllers;
 mod key_value_store;
@@ -13,10 +13,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long a lost response takes.
+/// Delay until the request of a lost response fails with status 502.
 const LOST_RESPONSE_DELAY: Duration = Duration::from_millis(300);
 
-/// A request as far as the fakes look at it.
+/// The parts of a request that the fakes evaluate.
 struct FakeRequest {
     is_post: bool,
     path: String,
@@ -39,49 +39,49 @@
     }
 }
 
-/// What goes wrong with a request.
+/// A fault that is injected into a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Fault {
+enum InjectedFault {
     None,
-    /// Refused for now.
+    /// The request is refused with status 503.
     Overload,
-    /// Carried out, but the response is lost.
+    /// The request is executed, but its response is lost.
     ResponseLost,
 }
 
 struct State {
     rng: StdRng,
-    /// One request out of so many meets a fault; 0 for none.
-    fault_one_in: u32,
-    /// Everything is refused for now.
+    /// Average number of requests per fault; 0 for no faults.
+    requests_per_fault: u32,
+    /// Whether all requests are refused with status 503.
     is_outage: bool,
     controllers: FakeControllers,
     store: KeyValueStore,
 }
 
 impl State {
-    fn next_fault(&mut self) -> Fault {
+    fn next_fault(&mut self) -> InjectedFault {
         if self.is_outage {
-            return Fault::Overload;
+            return InjectedFault::Overload;
         }
-        if self.fault_one_in == 0 {
-            return Fault::None;
+        if self.requests_per_fault == 0 {
+            return InjectedFault::None;
         }
-        match self.rng.random_range(0..self.fault_one_in * 2) {
-            0 => Fault::Overload,
-            1 => Fault::ResponseLost,
-            _ => Fault::None,
+        match self.rng.random_range(0..self.requests_per_fault * 2) {
+            0 => InjectedFault::Overload,
+            1 => InjectedFault::ResponseLost,
+            _ => InjectedFault::None,
         }
     }
 
-    /// `None` if the response is lost.
+    /// Handles a request. Returns `None` if the response is lost.
     fn handle(&mut self, request: &FakeRequest) -> Option<FakeResponse> {
         let fault = self.next_fault();
-        if fault == Fault::Overload {
+        if fault == InjectedFault::Overload {
             return Some(FakeResponse::new(503, json!({})));
         }
         let response = self.route(request);
-        (fault == Fault::None).then_some(response)
+        (fault == InjectedFault::None).then_some(response)
     }
 
     fn route(&mut self, request: &FakeRequest) -> FakeResponse {
@@ -132,12 +132,16 @@
 
 impl HttpServices {
     /// Starts the services. Jobs run for half to one and a half times `mean_run_time`.
-    pub async fn start(seed: u64, fault_one_in: u32, mean_run_time: Duration) -> HttpServices {
+    pub async fn start(
+        seed: u64,
+        requests_per_fault: u32,
+        mean_run_time: Duration,
+    ) -> HttpServices {
         let acceptor = TcpListener::new("127.0.0.1:0").bind().await;
         let address = acceptor.local_addr().expect("an address");
         let state = State {
             rng: StdRng::seed_from_u64(seed),
-            fault_one_in,
+            requests_per_fault,
             is_outage: false,
             controllers: FakeControllers::new(mean_run_time),
             store: KeyValueStore::default(),
@@ -152,29 +156,32 @@
     }
 
     fn with_state<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
-        f(&mut self.state.lock().expect("no panic while it was held"))
+        f(&mut self
+            .state
+            .lock()
+            .expect("no panic while the state was locked"))
     }
 
     pub fn set_outage(&self, is_outage: bool) {
         self.with_state(|state| state.is_outage = is_outage);
     }
 
-    pub fn stop_faults(&self) {
-        self.with_state(|state| state.fault_one_in = 0);
+    pub fn disable_faults(&self) {
+        self.with_state(|state| state.requests_per_fault = 0);
     }
 
     /// Names of the jobs in the order of their first submissions.
-    pub fn submitted(&self) -> Vec<String> {
-        self.with_state(|state| state.controllers.submitted().to_vec())
+    pub fn submitted_jobs(&self) -> Vec<String> {
+        self.with_state(|state| state.controllers.submitted_jobs().to_vec())
     }
 
-    /// Number of keys that were written or removed.
-    pub fn writes(&self) -> u64 {
-        self.with_state(|state| state.store.writes())
+    /// Number of keys that were written or removed so far.
+    pub fn change_count(&self) -> u64 {
+        self.with_state(|state| state.store.change_count())
     }
 
-    /// How a job ended, if it has.
-    pub fn ended(&self, job: &str) -> Option<&'static str> {
-        self.with_state(|state| state.controllers.ended(job))
+    /// Status of a job that has ended.
+    pub fn final_status(&self, job: &str) -> Option<&'static str> {
+        self.with_state(|state| state.controllers.final_status(job))
     }
 }
--- a/crates/queues/tests/fakes/mod.rs
+++ b/crates/queues/tests/fakes/mod.rs
@@ -1,4 +1,4 @@
-//! Fakes of everything that the queue service talks to.
+//! Fakes of the services that the queue service communicates with.
 
 #![allow(dead_code, reason = "each test program uses some of them")]
 
--- a/crates/queues/tests/loopback.rs
+++ b/crates/queues/tests/loopback.rs
@@ -13,7 +13,7 @@
 use fakes::amqp_server::AMQPProperties;
 use serde_json::{Value, json};
 use std::time::Duration;
-use test_bed::{Answers, TestBed, request_properties, wait_patiently, wait_until};
+use test_bed::{Answers, TestBed, request_properties, wait_until, wait_within_poll_limit};
 
 fn text(value: &str) -> AMQPValue {
     AMQPValue::LongString(value.into())
@@ -72,7 +72,7 @@
     assert_eq!(answers["c4"][0]["reason"], "due_s: invalid");
     service.stop().await;
     assert!(!bed.has_receipt_queues(), "shutdown leaves no queue behind");
-    assert_eq!(bed.broker.ready("work"), 0);
+    assert_eq!(bed.broker.ready_count("work"), 0);
 }
 
 /// One request at a time from two queues.
@@ -108,20 +108,26 @@
             .publish("urgent", without_reply(), urgent.as_bytes());
     }
     let service = bed.start_service(1, &two_queue_settings(&bed));
-    wait_until("all jobs", || bed.services.submitted().len() == 6).await;
-    let submitted = bed.services.submitted();
+    wait_until("all jobs", || bed.services.submitted_jobs().len() == 6).await;
+    let submitted = bed.services.submitted_jobs();
     // One may be submitted before the other queue is consumed from.
     assert!(
         submitted[1..3].iter().all(|j| j.starts_with("req-00002")),
         "{submitted:?}"
     );
-    wait_until("dead letters", || bed.broker.ready("dead") == invalid.len()).await;
-    let dead = bed.broker.drain("dead");
+    wait_until("dead letters", || {
+        bed.broker.ready_count("dead") == invalid.len()
+    })
+    .await;
+    let dead = bed.broker.take_ready_messages("dead");
     let has_reason = dead.iter().all(|m| m.properties.headers().is_some());
     assert!(has_reason, "with the reason");
     assert!(dead.iter().any(|m| m.body == [0xff, 0xfe]), "as they came");
     service.stop().await;
-    assert_eq!(bed.broker.ready("work") + bed.broker.ready("urgent"), 0);
+    assert_eq!(
+        bed.broker.ready_count("work") + bed.broker.ready_count("urgent"),
+        0
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -141,10 +147,10 @@
     let answers = bed.wait_for_answers(2).await;
     assert_eq!(answers["c1"][0]["reason"], "the headers cannot be read");
     assert_eq!(answers["c2"][0]["status"], "done");
-    wait_until("dead letters", || bed.broker.ready("dead") == 1).await;
+    wait_until("dead letters", || bed.broker.ready_count("dead") == 1).await;
     service.stop().await;
-    let submitted = bed.services.submitted().len();
-    assert_eq!((bed.broker.ready("work"), submitted), (0, 1));
+    let submitted = bed.services.submitted_jobs().len();
+    assert_eq!((bed.broker.ready_count("work"), submitted), (0, 1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -153,7 +159,7 @@
     let service = bed.start_service(1, &bed.settings());
     bed.send(1, "work", "{}");
     bed.wait_for_answers(1).await;
-    bed.broker.hang();
+    bed.broker.hang_connections();
     bed.send(2, "work", r#"{"lane":"b"}"#);
     bed.wait_for_answers(1).await;
     service.stop().await;
@@ -200,15 +206,15 @@
             bed.broker.failed_tls_handshakes() >= 2 * (n + 1)
         })
         .await;
-        assert_eq!(bed.broker.connections(), 0);
+        assert_eq!(bed.broker.connection_count(), 0);
         service.stop().await;
     }
     // Nor does a service without TLS get through to a broker with it.
     let service = bed.start_service(1, &bed.settings());
     wait_until("an attempt", || bed.broker.failed_tls_handshakes() >= 5).await;
     service.stop().await;
-    let submitted = bed.services.submitted().len();
-    assert_eq!((bed.broker.ready("work"), submitted), (1, 0));
+    let submitted = bed.services.submitted_jobs().len();
+    assert_eq!((bed.broker.ready_count("work"), submitted), (1, 0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -220,7 +226,7 @@
     for file in ["none.pem", "empty.pem", "bad.pem"] {
         let settings = with_tls_settings(&bed, json!({ "roots": file }));
         let settings = QueueSettings::parse(settings.to_string().as_bytes()).expect("settings");
-        let error = QueueService::new(settings, bed.base.path())
+        let error = QueueService::new(settings, bed.settings_dir.path())
             .expect_err(file)
             .to_string();
         assert!(
@@ -239,7 +245,7 @@
     let port = bed.broker.address.port();
     let login = OpenConnectionArguments::new("127.0.0.1", port, "a", "b");
     let job = br#"{"nameId":"req-000412"}"#;
-    let answer = wait_patiently(example::submit(&login, "work", job.to_vec()))
+    let answer = wait_within_poll_limit(example::submit(&login, "work", job.to_vec()))
         .await
         .expect("in time")
         .expect("an answer");
@@ -249,8 +255,11 @@
         .with_message_id("notice-1".into())
         .with_correlation_id("1".into());
     bed.broker.publish("work", repeated, job);
-    wait_until("its acknowledgement", || bed.broker.held("work") == 0).await;
+    wait_until("its acknowledgement", || {
+        bed.broker.message_count("work") == 0
+    })
+    .await;
     service.stop().await;
-    assert_eq!(bed.services.submitted(), ["req-000412"]);
-    assert_eq!(bed.broker.ready("my.answers"), 0);
+    assert_eq!(bed.services.submitted_jobs(), ["req-000412"]);
+    assert_eq!(bed.broker.ready_count("my.answers"), 0);
 }
--- a/crates/queues/tests/measurement.rs
+++ b/crates/queues/tests/measurement.rs
@@ -33,19 +33,19 @@
     for n in 0..JOBS {
         bed.send(n, "work", &format!(r#"{{"lane":"a","n":{n}}}"#));
     }
-    let (start, writes) = (Instant::now(), bed.services.writes());
+    let (start, writes) = (Instant::now(), bed.services.change_count());
     let mut service = start_program(&binary, &bed);
-    wait_until("all answers", || bed.broker.ready("answers") == JOBS).await;
+    wait_until("all answers", || bed.broker.ready_count("answers") == JOBS).await;
     let by_queue = JOBS as f64 / start.elapsed().as_secs_f64();
     let ratio = by_queue / by_http;
     println!("by HTTP {by_http:.0} a second, by the queue {by_queue:.0}: {ratio:.2}");
-    let writes = (bed.services.writes() - writes) as f64 / JOBS as f64;
+    let writes = (bed.services.change_count() - writes) as f64 / JOBS as f64;
     println!("{writes:.3} changes at the state service a message");
     println!("memory after {JOBS}: {}", peak_memory(service.id()));
 
     publish_waiting(&bed);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let waiting = bed.broker.ready("work");
+    let waiting = bed.broker.ready_count("work");
     println!(
         "memory with {waiting} waiting: {}",
         peak_memory(service.id())
@@ -53,8 +53,11 @@
     for _ in 0..RESTARTS {
         measure_recovery(&bed).await;
     }
-    wait_until("half of them", || bed.broker.ready("answers") > WAITING / 4).await;
-    let answered = bed.broker.ready("answers");
+    wait_until("half of them", || {
+        bed.broker.ready_count("answers") > WAITING / 4
+    })
+    .await;
+    let answered = bed.broker.ready_count("answers");
     println!(
         "memory with {answered} answered: {}",
         peak_memory(service.id())
@@ -104,7 +107,7 @@
 }
 
 fn start_program(binary: &str, bed: &TestBed) -> Child {
-    let file = bed.base.path().join("queues.json");
+    let file = bed.settings_dir.path().join("queues.json");
     std::fs::write(&file, measured_settings(bed).to_string()).expect("a writable file");
     Command::new(binary)
         .args(["queues", "--settings"])
@@ -144,9 +147,9 @@
 
 async fn measure_recovery(bed: &TestBed) {
     bed.broker.restart();
-    let answers = bed.broker.ready("answers");
+    let answers = bed.broker.ready_count("answers");
     let start = Instant::now();
-    wait_until("an answer", || bed.broker.ready("answers") > answers).await;
+    wait_until("an answer", || bed.broker.ready_count("answers") > answers).await;
     let seconds = start.elapsed().as_secs_f64();
     println!("first answer {seconds:.2} s after a restart of the broker");
     tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/queues/tests/properties.rs
+++ b/crates/queues/tests/properties.rs
@@ -298,7 +298,7 @@
     reader.refresh();
     exchange(&mut reader, &mut service, SECOND..3 * SECOND);
     assert_eq!((writer.len(), reader.len()), (200, 200));
-    let closed = service.closed.len();
+    let closed = service.closed_segments.len();
     assert!(closed > 5, "{closed} closed segments");
 
     exchange(&mut writer, &mut service, 3 * SECOND..100 * SECOND);
@@ -307,7 +307,10 @@
     writer.change_consumer(consumer(1), Some(ConsumerState::Active), None);
     exchange(&mut writer, &mut service, 100 * SECOND..200 * SECOND);
     let left = writer.len();
-    assert!(service.closed.is_empty() && left < 30, "{left} are left");
+    assert!(
+        service.closed_segments.is_empty() && left < 30,
+        "{left} are left"
+    );
     reader.refresh();
     exchange(&mut reader, &mut service, 200 * SECOND..201 * SECOND);
     assert_eq!(writer.len(), reader.len());
--- a/crates/queues/tests/random_faults.rs
+++ b/crates/queues/tests/random_faults.rs
@@ -1,5 +1,5 @@
 //! Random faults over real connections. `SEEDS=5000 cargo test -p cometlead-queues --release --test random_faults`
-//! plays more seeds; `SEED=n` plays one.
+//! runs more seeds; `SEED=n` runs a single one.
 
 mod fakes;
 mod test_bed;
@@ -13,31 +13,31 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
-const DEFAULT_SEEDS: u64 = 200;
+const DEFAULT_SEED_COUNT: u64 = 200;
 const MESSAGES: usize = 12;
-/// Seeds that are played at the same time.
-const CONCURRENT_SEEDS: usize = 24;
+/// Number of seeds that run at the same time.
+const MAX_CONCURRENT_SEEDS: usize = 24;
 
-/// Two services, connections that break at any frame, requests that fail, kills and restarts.
-struct Play {
+/// One run: two services, connections that drop at any frame, requests that fail, kills and restarts.
+struct FaultRun {
     rng: StdRng,
     bed: TestBed,
     settings: Value,
-    running: Vec<RunningService>,
+    running_services: Vec<RunningService>,
 }
 
-impl Play {
-    async fn new(seed: u64) -> Play {
+impl FaultRun {
+    async fn new(seed: u64) -> FaultRun {
         let mut rng = StdRng::seed_from_u64(seed);
         let bed = TestBed::new(seed, 60, 12).await;
         let settings = bed.settings();
         let start = |_| bed.start_service(rng.random(), &settings);
-        let running = (0..2).map(start).collect();
-        Play {
+        let running_services = (0..2).map(start).collect();
+        FaultRun {
             rng,
             bed,
             settings,
-            running,
+            running_services,
         }
     }
 
@@ -45,6 +45,7 @@
         self.bed.start_service(self.rng.random(), &self.settings)
     }
 
+    /// Sleeps for a random time below `max_ms`.
     async fn pause(&mut self, max_ms: u64) {
         let pause = Duration::from_millis(self.rng.random_range(0..max_ms));
         tokio::time::sleep(pause).await;
@@ -65,61 +66,64 @@
     fn random_fault(&mut self) {
         match self.rng.random_range(0..10) {
             0 => {
-                let killed = self.rng.random_range(0..self.running.len());
-                self.running[killed].kill();
-                self.running[killed] = self.start_service();
+                let killed = self.rng.random_range(0..self.running_services.len());
+                self.running_services[killed].kill();
+                self.running_services[killed] = self.start_service();
             }
             1 => self.bed.broker.restart(),
-            2 => self.running[0].request_stop(),
+            2 => self.running_services[0].request_stop(),
             _ => {}
         }
     }
 
-    /// Waits for all answers without further faults, and stops all services.
-    async fn finish(&mut self, complaints: &mut Vec<String>) -> Answers {
-        self.bed.broker.drop_one_in(0);
-        self.bed.services.stop_faults();
-        let last = self.start_service();
+    /// Disables all faults, waits for all answers, and stops all services.
+    async fn finish(&mut self, violations: &mut Vec<String>) -> Answers {
+        self.bed.broker.set_frames_per_drop(0);
+        self.bed.services.disable_faults();
+        let last_service = self.start_service();
         let mut answers = self.bed.wait_for_answers(MESSAGES).await;
-        for service in &self.running {
+        for service in &self.running_services {
             service.request_stop();
             service.kill();
         }
-        if !last.stop_patiently().await {
-            complaints.push("the last service does not end".to_owned());
+        if !last_service.stop_within_poll_limit().await {
+            violations.push("the last service does not stop".to_owned());
         }
         wait_until("the end of all connections", || {
-            self.bed.broker.connections() == 0
+            self.bed.broker.connection_count() == 0
         })
         .await;
         self.bed.collect_answers(&mut answers);
-        self.settle_returned(&mut answers).await;
+        self.acknowledge_requeued_duplicates(&mut answers).await;
         answers
     }
 
-    /// A duplicate or two may have gone back to the queue. Another service acknowledges them without an answer.
-    async fn settle_returned(&mut self, answers: &mut Answers) {
-        if self.bed.broker.ready("work") == 0 {
+    /// Duplicates may have been requeued. Another service acknowledges them without an answer.
+    async fn acknowledge_requeued_duplicates(&mut self, answers: &mut Answers) {
+        if self.bed.broker.ready_count("work") == 0 {
             return;
         }
         let service = self.start_service();
-        wait_until("the rest", || self.bed.broker.ready("work") == 0).await;
+        wait_until("the requeued messages", || {
+            self.bed.broker.ready_count("work") == 0
+        })
+        .await;
         tokio::time::sleep(Duration::from_millis(300)).await;
-        service.stop_patiently().await;
+        service.stop_within_poll_limit().await;
         self.bed.collect_answers(answers);
     }
 
-    fn check_answers(&self, answers: &Answers, complaints: &mut Vec<String>) {
+    fn check_answers(&self, answers: &Answers, violations: &mut Vec<String>) {
         for n in 0..MESSAGES {
-            let of_message = answers.get(&format!("c{n}"));
-            let of_message = of_message.map_or(&[][..], Vec::as_slice);
-            if of_message.len() != 1 || of_message[0]["status"] != expected_status(n) {
-                complaints.push(format!("message {n}: {of_message:?}"));
+            let message_answers = answers.get(&format!("c{n}"));
+            let message_answers = message_answers.map_or(&[][..], Vec::as_slice);
+            if message_answers.len() != 1 || message_answers[0]["status"] != expected_status(n) {
+                violations.push(format!("message {n}: {message_answers:?}"));
             }
-            for answer in of_message.iter().filter(|a| a["status"] == "done") {
+            for answer in message_answers.iter().filter(|a| a["status"] == "done") {
                 let job = answer["nameId"].as_str().unwrap_or_default();
-                if self.bed.services.ended(job) != Some("done") {
-                    complaints.push(format!("message {n}: {job} is not done"));
+                if self.bed.services.final_status(job) != Some("done") {
+                    violations.push(format!("message {n}: {job} is not done"));
                 }
             }
         }
@@ -143,16 +147,16 @@
     }
 }
 
-/// Plays one seed and returns everything that is wrong.
-async fn play(seed: u64) -> Vec<String> {
-    let mut complaints = Vec::new();
-    let mut play = Play::new(seed).await;
-    play.send_with_faults().await;
-    play.pause(300).await;
-    let answers = play.finish(&mut complaints).await;
-    play.check_answers(&answers, &mut complaints);
-    let of_seed = complaints.into_iter();
-    of_seed.map(|c| format!("seed {seed}: {c}")).collect()
+/// Runs one seed and returns all violations.
+async fn run_seed(seed: u64) -> Vec<String> {
+    let mut violations = Vec::new();
+    let mut run = FaultRun::new(seed).await;
+    run.send_with_faults().await;
+    run.pause(300).await;
+    let answers = run.finish(&mut violations).await;
+    run.check_answers(&answers, &mut violations);
+    let violations = violations.into_iter();
+    violations.map(|v| format!("seed {seed}: {v}")).collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -163,17 +167,17 @@
     };
     let seeds = match number("SEED") {
         Some(seed) => seed..=seed,
-        None => 1..=number("SEEDS").unwrap_or(DEFAULT_SEEDS),
+        None => 1..=number("SEEDS").unwrap_or(DEFAULT_SEED_COUNT),
     };
-    let permits = Arc::new(Semaphore::new(CONCURRENT_SEEDS));
-    let mut plays = JoinSet::new();
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_SEEDS));
+    let mut runs = JoinSet::new();
     for seed in seeds {
         let permits = Arc::clone(&permits);
-        plays.spawn(async move {
+        runs.spawn(async move {
             let _permit = permits.acquire().await;
-            play(seed).await
+            run_seed(seed).await
         });
     }
-    let complaints: Vec<String> = plays.join_all().await.into_iter().flatten().collect();
-    assert!(complaints.is_empty(), "{}", complaints.join("\n"));
+    let violations: Vec<String> = runs.join_all().await.into_iter().flatten().collect();
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
--- a/crates/queues/tests/simulation/broker.rs
+++ b/crates/queues/tests/simulation/broker.rs
@@ -44,7 +44,7 @@
             let n = self.random_below(consumers.len() as u64) as usize;
             let (connection, consumer) = consumers[n];
             self.close_connection(connection, false);
-            self.broker.delete(&receipt_queue(consumer));
+            self.broker.delete_queue(&receipt_queue(consumer));
         }
     }
 
@@ -57,7 +57,7 @@
         let Some(connection) = self.connections.remove(&number) else {
             return Vec::new();
         };
-        let lost = self.broker.close_all(number, lose_unacked);
+        let lost = self.broker.close_connection(number, lose_unacked);
         // Receipts are durable: only messages of the work queue are lost.
         if let Some(consumer) = connection.consumer.filter(|_| lose_unacked) {
             for (_, keys) in connection.receipts {
@@ -72,7 +72,7 @@
     /// Sends queued messages to their consumers.
     pub(super) fn deliver_queued(&mut self) {
         for delivery in self.broker.deliver() {
-            let (number, _) = delivery.to;
+            let (number, _) = delivery.channel;
             let Some(connection) = self.connections.get_mut(&number) else {
                 continue;
             };
@@ -94,7 +94,7 @@
                 QueuedMessage::Receipt(_) | QueuedMessage::Answer(_) => {}
             }
         }
-        for message in self.broker.drain(super::ANSWER_QUEUE) {
+        for message in self.broker.take_ready_messages(super::ANSWER_QUEUE) {
             if let QueuedMessage::Answer(answer) = message {
                 self.answers.push(answer);
             }
@@ -164,7 +164,7 @@
         if let Some(connection) = self.connections.get_mut(&number) {
             connection.consumer = Some(consumer);
         }
-        self.broker.declare(&queue);
+        self.broker.declare_queue(&queue);
         let consumed = self
             .broker
             .consume((number, 1), &queue, "receipts", true, 0);
@@ -224,7 +224,7 @@
 
     fn read_receipts(&mut self, number: ConnectionNumber, consumer: ConsumerId) {
         let channel = receipts_channel(number, consumer);
-        self.broker.open(channel);
+        self.broker.open_channel(channel);
         let queue = receipt_queue(consumer);
         let consumed = self.broker.consume(channel, &queue, "inquiry", true, 0);
         let response = match consumed {
@@ -232,7 +232,7 @@
             Err(_) => ReceiptsResponse::Lost,
             Ok(()) => {
                 let delivered = self.broker.deliver().into_iter();
-                let receipts = delivered.filter(|d| d.to == channel);
+                let receipts = delivered.filter(|d| d.channel == channel);
                 let keys = receipts.filter_map(|d| match d.message {
                     QueuedMessage::Receipt(keys) => Some(keys),
                     _ => None,
@@ -241,7 +241,7 @@
             }
         };
         if !matches!(response, ReceiptsResponse::Complete(_)) {
-            self.broker.close(channel, false);
+            self.broker.close_channel(channel, false);
         }
         self.send_broker_reply(number, Event::ReceiptsRead(consumer, response));
     }
@@ -253,9 +253,10 @@
         delete_queue: bool,
     ) {
         if delete_queue {
-            self.broker.delete(&receipt_queue(consumer));
+            self.broker.delete_queue(&receipt_queue(consumer));
         }
-        self.broker.close(receipts_channel(number, consumer), false);
+        self.broker
+            .close_channel(receipts_channel(number, consumer), false);
         if delete_queue {
             self.send_broker_reply(number, Event::ReceiptQueueDeleted(consumer));
         }
--- a/crates/queues/tests/simulation/mod.rs
+++ b/crates/queues/tests/simulation/mod.rs
@@ -75,8 +75,8 @@
             lost_keys: BTreeSet::new(),
             answers: Vec::new(),
         };
-        simulation.broker.declare(WORK_QUEUE);
-        simulation.broker.declare(ANSWER_QUEUE);
+        simulation.broker.declare_queue(WORK_QUEUE);
+        simulation.broker.declare_queue(ANSWER_QUEUE);
         simulation.schedule_messages();
         simulation.schedule_faults();
         simulation
--- a/crates/queues/tests/simulation/process.rs
+++ b/crates/queues/tests/simulation/process.rs
@@ -130,8 +130,8 @@
             obsolete_keys: BTreeSet::new(),
         };
         self.connections.insert(number, connection);
-        self.broker.open((number, 1));
-        self.broker.select((number, 1));
+        self.broker.open_channel((number, 1));
+        self.broker.select_transactions((number, 1));
         let event = ProcessEvent {
             slot,
             incarnation,
--- a/crates/queues/tests/test_bed/mod.rs
+++ b/crates/queues/tests/test_bed/mod.rs
@@ -1,4 +1,5 @@
-//! The whole queue service over real connections on loopback, between fakes of broker, controllers and state service.
+//! Runs the whole queue service over real connections on loopback, with a fake broker, fake controllers and a fake
+//! state service.
 
 #![allow(dead_code, reason = "each test program uses some of it")]
 
@@ -16,18 +17,18 @@
 use tokio_rustls::rustls::ServerConfig;
 use tokio_rustls::rustls::pki_types::{PrivateKeyDer, PrivatePkcs8KeyDer};
 
-/// How often a test looks for what it waits for before it gives up.
+/// Number of polls after which a test stops waiting.
 const MAX_POLLS: usize = 12_000;
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Mean run time of jobs.
-const JOB_RUN_TIME: Duration = Duration::from_millis(60);
+const MEAN_JOB_RUN_TIME: Duration = Duration::from_millis(60);
 
 /// Answers by their correlation ids.
 pub type Answers = BTreeMap<String, Vec<Value>>;
 
-/// Waits for a future for so many turns of this process. A time limit would judge the machine: beside other load each
-/// turn takes longer, and so does what is waited for.
-pub async fn wait_patiently<T>(future: impl Future<Output = T>) -> Option<T> {
+/// Waits for a future until `MAX_POLLS` polls have passed. A limit in wall-clock time would fail on a busy machine,
+/// where the awaited work takes longer; each poll takes longer there, too.
+pub async fn wait_within_poll_limit<T>(future: impl Future<Output = T>) -> Option<T> {
     tokio::pin!(future);
     for _ in 0..MAX_POLLS {
         tokio::select! {
@@ -40,15 +41,15 @@
 
 /// Waits until a condition holds; panics if it never does.
 pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let holds = wait_patiently(async {
+    let outcome = wait_within_poll_limit(async {
         while !condition() {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     });
-    assert!(holds.await.is_some(), "waited for {what} in vain");
+    assert!(outcome.await.is_some(), "gave up waiting for {what}");
 }
 
-/// Properties of request number `n`; every third has no message id.
+/// Properties of request number `n`. Every third request has no message id.
 pub fn request_properties(n: usize) -> AMQPProperties {
     let properties = AMQPProperties::default()
         .with_reply_to("answers".into())
@@ -67,23 +68,23 @@
 }
 
 impl RunningService {
-    /// Shuts down in an orderly way; panics if the service did.
+    /// Shuts the service down gracefully; panics if the service has panicked.
     pub async fn stop(self) {
         self.request_stop();
         self.task.await.expect("no panic");
     }
 
-    /// Shuts down in an orderly way. Returns whether that ended in time.
-    pub async fn stop_patiently(self) -> bool {
+    /// Shuts the service down gracefully. Returns whether it stopped within the poll limit.
+    pub async fn stop_within_poll_limit(self) -> bool {
         self.request_stop();
-        wait_patiently(self.task).await.is_some()
+        wait_within_poll_limit(self.task).await.is_some()
     }
 
     pub fn request_stop(&self) {
         self.stop.notify_one();
     }
 
-    /// Ends the service without any shutdown.
+    /// Ends the service without a shutdown.
     pub fn kill(&self) {
         self.task.abort();
     }
@@ -92,49 +93,53 @@
 pub struct TestBed {
     pub broker: AmqpServer,
     pub services: HttpServices,
-    /// Folder of the files that settings name.
-    pub base: tempfile::TempDir,
+    /// Directory of the files that the settings refer to.
+    pub settings_dir: tempfile::TempDir,
 }
 
 impl TestBed {
-    pub async fn new(seed: u64, drop_one_in: u32, fault_one_in: u32) -> TestBed {
-        let broker = AmqpServer::start(seed, drop_one_in, None).await;
-        TestBed::with_broker(broker, seed, fault_one_in).await
+    pub async fn new(seed: u64, frames_per_drop: u32, requests_per_fault: u32) -> TestBed {
+        let broker = AmqpServer::start(seed, frames_per_drop, None).await;
+        TestBed::with_broker(broker, seed, requests_per_fault).await
     }
 
-    /// A broker with a certificate for these names, in the file `roots.pem`.
+    /// A test bed whose broker has a certificate for these host names. The certificate is written to `roots.pem`.
     pub async fn with_tls(names: &[&str]) -> TestBed {
         const SEED: u64 = 4;
         let names: Vec<String> = names.iter().map(|name| (*name).to_owned()).collect();
-        let own = rcgen::generate_simple_self_signed(names).expect("a certificate");
-        let key = PrivateKeyDer::from(PrivatePkcs8KeyDer::from(own.signing_key.serialize_der()));
+        let certificate = rcgen::generate_simple_self_signed(names).expect("a certificate");
+        let key = PrivateKeyDer::from(PrivatePkcs8KeyDer::from(
+            certificate.signing_key.serialize_der(),
+        ));
         let config = ServerConfig::builder()
             .with_no_client_auth()
-            .with_single_cert(vec![own.cert.der().clone()], key);
-        let acceptor = TlsAcceptor::from(Arc::new(config.expect("a key that fits")));
+            .with_single_cert(vec![certificate.cert.der().clone()], key);
+        let acceptor = TlsAcceptor::from(Arc::new(
+            config.expect("a key that matches the certificate"),
+        ));
         let broker = AmqpServer::start(SEED, 0, Some(acceptor)).await;
         let bed = TestBed::with_broker(broker, SEED, 0).await;
-        bed.write_file("roots.pem", &own.cert.pem());
+        bed.write_file("roots.pem", &certificate.cert.pem());
         bed
     }
 
-    async fn with_broker(broker: AmqpServer, seed: u64, fault_one_in: u32) -> TestBed {
-        let services = HttpServices::start(seed, fault_one_in, JOB_RUN_TIME).await;
+    async fn with_broker(broker: AmqpServer, seed: u64, requests_per_fault: u32) -> TestBed {
+        let services = HttpServices::start(seed, requests_per_fault, MEAN_JOB_RUN_TIME).await;
         for queue in ["work", "urgent", "answers", "dead"] {
-            broker.declare(queue);
+            broker.declare_queue(queue);
         }
         let bed = TestBed {
             broker,
             services,
-            base: tempfile::tempdir().expect("a folder"),
+            settings_dir: tempfile::tempdir().expect("a temporary directory"),
         };
         bed.write_file("login", "clerk\nnotices\n");
         bed
     }
 
-    /// Writes a file beside the settings.
+    /// Writes a file that the settings can refer to.
     pub fn write_file(&self, name: &str, text: &str) {
-        std::fs::write(self.base.path().join(name), text).expect("a writable file");
+        std::fs::write(self.settings_dir.path().join(name), text).expect("a writable file");
     }
 
     pub fn settings(&self) -> Value {
@@ -158,7 +163,8 @@
 
     pub fn start_service(&self, process: u64, settings: &Value) -> RunningService {
         let settings = QueueSettings::parse(settings.to_string().as_bytes()).expect("settings");
-        let service = QueueService::new(settings, self.base.path()).expect("a login");
+        let service =
+            QueueService::new(settings, self.settings_dir.path()).expect("valid credentials");
         let stop = Arc::new(Notify::new());
         let stopped = Arc::clone(&stop);
         let task = tokio::spawn(async move {
@@ -176,7 +182,7 @@
 
     /// Adds all answers that have arrived.
     pub fn collect_answers(&self, answers: &mut Answers) {
-        for message in self.broker.drain("answers") {
+        for message in self.broker.take_ready_messages("answers") {
             let id = message.properties.correlation_id().as_ref();
             let id = id.expect("a correlation id").as_str().to_owned();
             let answer = serde_json::from_slice(&message.body).expect("JSON");
@@ -184,20 +190,21 @@
         }
     }
 
-    /// Waits until so many requests have a final answer.
+    /// Waits until `requests` requests have a final answer.
     pub async fn wait_for_answers(&self, requests: usize) -> Answers {
         let mut answers = Answers::new();
-        let is_answered = |of: &&Vec<Value>| of.iter().any(|answer| answer["final"] == true);
-        wait_until("answers", || {
+        let has_final_answer =
+            |answers: &&Vec<Value>| answers.iter().any(|answer| answer["final"] == true);
+        wait_until("the final answers", || {
             self.collect_answers(&mut answers);
-            answers.values().filter(is_answered).count() >= requests
+            answers.values().filter(has_final_answer).count() >= requests
         })
         .await;
         answers
     }
 
     pub fn has_receipt_queues(&self) -> bool {
-        let queues = self.broker.queues();
+        let queues = self.broker.queue_names();
         queues.iter().any(|q| q.starts_with("cometlead.receipts."))
     }
 }
