--- a/crates/queues/tests/golden.rs
+++ b/crates/queues/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Golden bytes: every form that is stored or sent must stay exactly as the files under `tests/golden` have it.
+//! Golden tests: every stored or transmitted format must match the files under `tests/golden` byte for byte.
 //!
-//! `UPDATE_GOLDEN=1 cargo test -p cometlead-queues --test golden` writes the files anew. A difference in a file that
-//! exists already is a change of the protocol, and needs a new version beside the old one.
+//! `UPDATE_GOLDEN=1 cargo test -p cometlead-queues --test golden` rewrites the files. A difference in an existing file
+//! is a change of the protocol, and needs a new version next to the old one.
 
-mod golden_forms;
+mod golden_formats;
--- a/crates/queues/tests/golden_forms/amqp.rs
+++ b/crates/queues/tests/golden_formats/amqp.rs
@@ -1,6 +1,6 @@
-//! AMQP messages.
+//! Formats of AMQP messages.
 
-use super::{assert_golden, consumer, golden, golden_path};
+use super::{assert_golden, consumer, golden_path, read_golden};
 use amqp_serde::{from_bytes, to_bytes};
 use amqprs::{BasicProperties, FieldTable, FieldValue};
 use cometlead_queues::reply::{DeadLetter, FinalAnswer, Outcome, Progress, StatusUpdate};
@@ -11,7 +11,7 @@
 fn assert_golden_properties(name: &str, properties: &BasicProperties) {
     let bytes = to_bytes(properties).expect("properties that can be encoded");
     assert_golden(name, &bytes);
-    let decoded: BasicProperties = from_bytes(&golden(name)).expect("properties");
+    let decoded: BasicProperties = from_bytes(&read_golden(name)).expect("properties");
     assert_eq!(to_bytes(&decoded).expect("properties"), bytes, "{name}");
 }
 
@@ -27,8 +27,9 @@
 }
 
 #[test]
-fn final_answers_are_encoded_as_golden() {
-    let body = |outcome, repeated| amqp::final_answer_body(&final_answer(outcome, repeated));
+fn encoded_final_answers_match_golden_files() {
+    let body =
+        |outcome, maybe_duplicate| amqp::final_answer_body(&final_answer(outcome, maybe_duplicate));
     assert_golden("amqp-answer-done.json", &body(Outcome::Done, false));
     assert_golden(
         "amqp-answer-cancelled.json",
@@ -37,18 +38,18 @@
     let refused = || Outcome::Refused("nameId: invalid".to_owned());
     assert_golden("amqp-answer-refused.json", &body(refused(), false));
     assert_golden("amqp-answer-refused-repeated.json", &body(refused(), true));
-    let nameless = FinalAnswer {
+    let without_job = FinalAnswer {
         job: None,
         ..final_answer(refused(), false)
     };
     assert_golden(
         "amqp-answer-without-job.json",
-        &amqp::final_answer_body(&nameless),
+        &amqp::final_answer_body(&without_job),
     );
 }
 
 #[test]
-fn status_updates_are_encoded_as_golden() {
+fn encoded_status_updates_match_golden_files() {
     let update = |progress| StatusUpdate {
         reply_to: "answers".to_owned(),
         correlation_id: None,
@@ -63,31 +64,31 @@
 }
 
 #[test]
-fn message_properties_are_encoded_as_golden() {
+fn encoded_message_properties_match_golden_files() {
     let reply = amqp::reply_properties(MessageKey(0xabc), Some("c1"));
     assert_golden_properties("amqp-reply-properties.bin", &reply);
     let uncorrelated = amqp::reply_properties(MessageKey(0xabc), None);
     assert_golden_properties("amqp-reply-properties-uncorrelated.bin", &uncorrelated);
-    let dead = amqp::dead_letter_properties(&DeadLetter {
+    let dead_letter = amqp::dead_letter_properties(&DeadLetter {
         queue: "dead".to_owned(),
         message: MessageKey(0xabc),
         reason: "the body is not a JSON object".to_owned(),
         body: b"[1]".to_vec(),
     });
-    assert_golden_properties("amqp-dead-letter-properties.bin", &dead);
+    assert_golden_properties("amqp-dead-letter-properties.bin", &dead_letter);
     assert_golden_properties("amqp-receipt-properties.bin", &amqp::receipt_properties());
 }
 
 #[test]
-fn receipts_are_encoded_and_read_as_golden() {
+fn encoded_and_decoded_receipts_match_golden_files() {
     let keys = [MessageKey(0xabc), MessageKey(u128::MAX)];
     assert_golden("amqp-receipt.txt", &receipts::encode(&keys));
-    assert_eq!(receipts::decode(&golden("amqp-receipt.txt")), keys);
+    assert_eq!(receipts::decode(&read_golden("amqp-receipt.txt")), keys);
     let queue = receipts::queue_name(consumer(12));
     assert_golden("amqp-receipt-queue-name.txt", queue.as_bytes());
 }
 
-/// Properties with every header.
+/// Request properties with all headers.
 fn request_properties() -> BasicProperties {
     let mut headers = FieldTable::new();
     let mut set = |name: &str, value: FieldValue| {
@@ -128,15 +129,15 @@
 }
 
 #[test]
-fn request_of_golden_is_read_and_submitted_as_golden() {
+fn decoded_request_and_its_submission_match_golden_files() {
     let name = "amqp-request-properties.bin";
     if std::env::var_os("UPDATE_GOLDEN").is_some() {
-        // Headers have no order when written, so this file is only read in an ordinary run.
+        // The order of encoded headers is undefined, so an ordinary run only reads this file.
         let bytes = to_bytes(&request_properties()).expect("properties");
         std::fs::write(golden_path(name), bytes).expect("a writable golden file");
     }
-    let properties: BasicProperties = from_bytes(&golden(name)).expect("properties");
-    let body = golden("amqp-request.json");
+    let properties: BasicProperties = from_bytes(&read_golden(name)).expect("properties");
+    let body = read_golden("amqp-request.json");
     let message = amqp::decode_message("work", &properties, body.clone(), true);
     assert_eq!(message, message_with_all_headers(body));
     let key = message.key().to_string();
@@ -157,7 +158,7 @@
 }
 
 #[test]
-fn request_without_id_or_job_name_is_identified_as_golden() {
+fn generated_key_and_job_name_of_request_match_golden_files() {
     let message = Message {
         queue: "work".to_owned(),
         body: b"{}".to_vec(),
--- a/crates/queues/tests/golden_forms/http.rs
+++ b/crates/queues/tests/golden_formats/http.rs
@@ -1,6 +1,6 @@
-//! HTTP paths, requests and responses.
+//! Formats of HTTP paths, requests and responses.
 
-use super::{assert_golden, closed_segment, golden};
+use super::{assert_golden, closed_segment, read_golden};
 use cometlead_queues::replicated_log::{CompareAndSwap, OpenSegment};
 use cometlead_queues::reply::Outcome;
 use cometlead_queues::state_machine::ControllerResponse;
@@ -14,7 +14,7 @@
 use serde_json::Value;
 
 #[test]
-fn controller_paths_are_as_golden() {
+fn controller_paths_match_golden_file() {
     let paths = [
         SUBMIT_PATH.to_owned(),
         status_path("req-000041"),
@@ -24,9 +24,9 @@
 }
 
 #[test]
-fn controller_responses_of_golden_are_read() {
+fn decoded_controller_responses_match_golden_file() {
     let cases: Vec<Value> =
-        serde_json::from_slice(&golden("http-controller-responses.json")).expect("JSON");
+        serde_json::from_slice(&read_golden("http-controller-responses.json")).expect("JSON");
     assert_eq!(cases.len(), 14);
     for case in cases {
         let kind = match case["request"].as_str() {
@@ -39,7 +39,7 @@
             retry_after_s: case["retry_after"].as_f64(),
             body: body.as_bytes(),
         };
-        let reply = match decode_response(kind, response) {
+        let decoded = match decode_response(kind, response) {
             ControllerResponse::Live => "live".to_owned(),
             ControllerResponse::Ended(Outcome::Done) => "done".to_owned(),
             ControllerResponse::Ended(Outcome::Cancelled) => "cancelled".to_owned(),
@@ -48,12 +48,12 @@
             ControllerResponse::RetryAfter(micros) => format!("retry after {micros} us"),
             ControllerResponse::NoResponse => "no answer".to_owned(),
         };
-        assert_eq!(case["reply"], reply, "{case}");
+        assert_eq!(case["reply"], decoded, "{case}");
     }
 }
 
 #[test]
-fn state_service_requests_are_encoded_as_golden() {
+fn encoded_state_service_requests_match_golden_files() {
     let keys = LogKeys::new("q/");
     let paths = [
         TRANSACTION_PATH.to_owned(),
@@ -62,7 +62,7 @@
         keys.closed_page_path(12),
     ];
     assert_golden("http-state-paths.txt", paths.join("\n").as_bytes());
-    let cas = |expected_revision, open: &str, close, remove| {
+    let encode_cas = |expected_revision, open: &str, close, remove| {
         let open = open.to_owned();
         let request = CompareAndSwap {
             expected_revision,
@@ -72,21 +72,22 @@
         };
         compare_and_swap_body(&keys, &request)
     };
-    let first = cas(0, r#"{"v":1}"#, None, None);
+    let first = encode_cas(0, r#"{"v":1}"#, None, None);
     assert_golden("http-state-cas-first.json", &first.expect("a body"));
-    let full = cas(
+    let full = encode_cas(
         41,
         r#"{"v":1}"#,
         Some(closed_segment(7, r#"{"v":2}"#)),
         Some(3),
     );
     assert_golden("http-state-cas-close-remove.json", &full.expect("a body"));
-    assert!(cas(0, "{", None, None).is_err());
+    assert!(encode_cas(0, "{", None, None).is_err());
 }
 
 #[test]
-fn state_service_responses_of_golden_are_read() {
-    let open = decode_open_segment(&golden("http-state-key-response.json")).expect("a segment");
+fn state_service_responses_of_golden_files_are_decoded() {
+    let open =
+        decode_open_segment(&read_golden("http-state-key-response.json")).expect("a segment");
     assert_eq!(
         open,
         OpenSegment {
@@ -94,13 +95,13 @@
             revision: 41
         }
     );
-    let page = decode_page(&golden("http-state-page-response.json")).expect("a page");
+    let page = decode_page(&read_golden("http-state-page-response.json")).expect("a page");
     let segments = vec![
         closed_segment(7, r#"{"v":1}"#),
         closed_segment(8, r#"{"v":2}"#),
     ];
     assert_eq!((page.segments, page.has_more), (segments, true));
-    let applied = decode_applied_revision(&golden("http-state-cas-response.json"));
+    let applied = decode_applied_revision(&read_golden("http-state-cas-response.json"));
     assert_eq!(applied.expect("a revision"), 42);
     assert!(decode_open_segment(b"{}").is_err() && decode_page(b"{}").is_err());
 }
--- a/crates/queues/tests/golden_forms/log.rs
+++ b/crates/queues/tests/golden_formats/log.rs
@@ -1,6 +1,6 @@
-//! Segments of the replicated log.
+//! Formats of the segments of the replicated log.
 
-use super::{assert_golden, closed_segment, consumer, golden_text};
+use super::{assert_golden, closed_segment, consumer, read_golden_text};
 use cometlead_queues::progress::{ConsumerState, VersionedEntry};
 use cometlead_queues::replicated_log::{
     ClosedSegment, CompareAndSwap, LogLimits, OpenSegment, ReplicatedLog, StateRequest,
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn open_segment_with_every_entry_kind_is_encoded_as_golden() {
+fn encoded_open_segment_with_all_entry_kinds_matches_golden_file() {
     let mut log = empty_log();
     let states = [
         ConsumerState::Registered,
@@ -68,8 +68,8 @@
 }
 
 #[test]
-fn open_segment_of_golden_is_read_with_every_entry_kind() {
-    let log = log_with_open_segment(golden_text("log-open-segment-v1.json"), 7);
+fn open_segment_of_golden_file_is_decoded_with_all_entry_kinds() {
+    let log = log_with_open_segment(read_golden_text("log-open-segment-v1.json"), 7);
     let states = [
         (consumer(1), ConsumerState::Registered),
         (consumer(2), ConsumerState::Active),
@@ -93,7 +93,7 @@
     );
 }
 
-/// A log that has read this open segment.
+/// A log that has read an open segment with the given text and revision.
 fn log_with_open_segment(text: String, revision: u64) -> ReplicatedLog {
     let mut log = ReplicatedLog::new(LIMITS);
     assert_eq!(log.next_request(0), Some(StateRequest::ReadOpenSegment));
@@ -102,13 +102,13 @@
     log
 }
 
-/// Claim number `n` of two consumers in turn.
+/// Claim number `n`; two consumers claim in turn.
 fn alternating_claim(n: u128) -> ProgressEntry {
     claim(1 + n as u64 % 2, 1_700_000_000)
 }
 
 #[test]
-fn segment_that_is_closed_is_encoded_as_golden() {
+fn encoded_closed_segment_matches_golden_file() {
     let mut log = empty_log();
     for n in 0..30 {
         log.write_entry(MessageKey(n), 0, alternating_claim(n));
@@ -130,21 +130,21 @@
 }
 
 #[test]
-fn closed_segment_of_golden_is_read() {
-    let open = golden_text("log-open-segment-after-close-v1.json");
+fn closed_segment_of_golden_file_is_decoded() {
+    let open = read_golden_text("log-open-segment-after-close-v1.json");
     let mut reader = log_with_open_segment(open, 2);
     assert_eq!(
         reader.next_request(1),
         Some(StateRequest::ReadClosedSegments { from: 0 })
     );
-    let closed = golden_text("log-closed-segment-v1.json");
+    let closed = read_golden_text("log-closed-segment-v1.json");
     let response = StateResponse::ClosedSegments {
         segments: vec![closed_segment(0, &closed)],
         has_more: false,
     };
     reader.handle_response(1, response);
     let mut keys = 0..reader.len() as u128;
-    let is_read = |n| reader.entry(MessageKey(n)) == first_version(alternating_claim(n));
-    assert!(keys.all(is_read));
+    let is_decoded = |n| reader.entry(MessageKey(n)) == first_version(alternating_claim(n));
+    assert!(keys.all(is_decoded));
     assert!(reader.len() > 20, "{} entries", reader.len());
 }
--- a/crates/queues/tests/golden_forms/mod.rs
+++ b/crates/queues/tests/golden_formats/mod.rs
@@ -1,4 +1,4 @@
-//! The forms, and the comparison with golden files.
+//! Tests by format, and the comparison with golden files.
 
 mod amqp;
 mod http;
@@ -15,21 +15,21 @@
         .join(name)
 }
 
-fn golden(name: &str) -> Vec<u8> {
+fn read_golden(name: &str) -> Vec<u8> {
     let path = golden_path(name);
     std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-fn golden_text(name: &str) -> String {
-    String::from_utf8(golden(name)).expect("a golden file in UTF-8")
+fn read_golden_text(name: &str) -> String {
+    String::from_utf8(read_golden(name)).expect("a golden file in UTF-8")
 }
 
-/// Compares with the golden file, or writes it where that is asked for.
+/// Compares `actual` with the golden file. Writes the file first if `UPDATE_GOLDEN` is set.
 fn assert_golden(name: &str, actual: &[u8]) {
     if std::env::var_os("UPDATE_GOLDEN").is_some() {
         std::fs::write(golden_path(name), actual).expect("a writable golden file");
     }
-    let expected = golden(name);
+    let expected = read_golden(name);
     assert!(
         expected == actual,
         "{name} changed:\n  golden: {}\n  actual: {}",
--- a/crates/queues/tests/golden_forms/settings_and_metrics.rs
+++ b/crates/queues/tests/golden_formats/settings_and_metrics.rs
@@ -1,30 +1,30 @@
-//! Settings, their schema, and the metrics page.
+//! Formats of the settings, their schema and the metrics page.
 
-use super::{assert_golden, golden};
+use super::{assert_golden, read_golden};
 use cometlead_queues::counters::Counters;
 use cometlead_queues::runtime::metrics::{SharedMetrics, Snapshot, render};
 use cometlead_queues::settings::QueueSettings;
 
 #[test]
-fn settings_schema_is_as_golden() {
+fn settings_schema_matches_golden_file() {
     assert_golden("settings-schema.json", QueueSettings::schema().as_bytes());
 }
 
 #[test]
-fn settings_of_golden_are_read_field_by_field() {
-    let parsed = |name| QueueSettings::parse(&golden(name)).expect(name);
+fn parsed_settings_match_golden_files_field_by_field() {
+    let parsed = |name| QueueSettings::parse(&read_golden(name)).expect(name);
     assert_golden(
         "settings-full.debug.txt",
-        plain_debug(&parsed("settings-full.json")).as_bytes(),
+        debug_without_names(&parsed("settings-full.json")).as_bytes(),
     );
     assert_golden(
         "settings-defaults.debug.txt",
-        plain_debug(&parsed("settings-defaults.json")).as_bytes(),
+        debug_without_names(&parsed("settings-defaults.json")).as_bytes(),
     );
 }
 
-/// The values in their order, without the names that the source code gives them.
-fn plain_debug(settings: &QueueSettings) -> String {
+/// Debug output of the settings without the names of types and fields, so that it holds only the values in their order.
+fn debug_without_names(settings: &QueueSettings) -> String {
     let lines = format!("{settings:#?}");
     let value = |line: &str| {
         let line = line.trim();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn metrics_page_is_as_golden() {
+fn metrics_page_matches_golden_file() {
     let counters = Counters {
         received: 1,
         redelivered: 2,
--- a/crates/queues/tests/job_requests.rs
+++ b/crates/queues/tests/job_requests.rs
@@ -1,9 +1,9 @@
-//! What messages ask for, and how they are told apart.
+//! Decoding of job requests from messages, and the keys that identify messages.
 
 use cometlead_queues::message::InvalidRequest;
 use cometlead_queues::{JobRequest, Message};
 
-fn message(body: &str) -> Message {
+fn message_with_body(body: &str) -> Message {
     Message {
         queue: "q".into(),
         body: body.into(),
@@ -11,7 +11,7 @@
     }
 }
 
-fn request_of(body: Vec<u8>) -> Result<JobRequest, InvalidRequest> {
+fn decode_request(body: Vec<u8>) -> Result<JobRequest, InvalidRequest> {
     let message = Message {
         body,
         ..Message::default()
@@ -23,25 +23,30 @@
 fn job_without_name_gets_the_same_name_for_every_delivery() {
     let body = r#"{"lane":"a"}"#;
     let Ok(JobRequest::Submit {
-        job, body: sent, ..
-    }) = message(body).job_request()
+        job,
+        body: submitted_body,
+        ..
+    }) = message_with_body(body).job_request()
     else {
         panic!("no submission")
     };
-    let is_sent = String::from_utf8_lossy(&sent).contains(&job);
-    assert!(job.len() == 22 && is_sent, "{job}");
-    assert_eq!(message(body).job_request(), message(body).job_request());
+    let is_submitted = String::from_utf8_lossy(&submitted_body).contains(&job);
+    assert!(job.len() == 22 && is_submitted, "{job}");
+    assert_eq!(
+        message_with_body(body).job_request(),
+        message_with_body(body).job_request()
+    );
 }
 
 #[test]
-fn messages_without_id_differ_by_body_and_messages_with_id_do_not() {
+fn message_key_depends_on_the_body_unless_the_message_has_an_id() {
     assert_ne!(
-        message(r#"{"lane":"a"}"#).key(),
-        message(r#"{"lane":"b"}"#).key()
+        message_with_body(r#"{"lane":"a"}"#).key(),
+        message_with_body(r#"{"lane":"b"}"#).key()
     );
     let with_id = |body: &str| Message {
         id: Some("x".into()),
-        ..message(body)
+        ..message_with_body(body)
     };
     assert_eq!(with_id("1").key(), with_id("2").key());
 }
@@ -50,7 +55,7 @@
 fn urgency_header_takes_precedence_over_the_body() {
     let low_priority = Message {
         priority: Some("low".into()),
-        ..message(r#"{"urgency":"high"}"#)
+        ..message_with_body(r#"{"urgency":"high"}"#)
     };
     assert!(
         matches!(low_priority.job_request(), Ok(JobRequest::Submit { body, .. }) if String::from_utf8_lossy(&body).contains(r#""urgency":"low""#))
@@ -58,10 +63,10 @@
 }
 
 #[test]
-fn cancellation_needs_a_job_name() {
+fn cancellation_without_job_name_is_refused() {
     let cancel = |body: &str| Message {
         cancel: true,
-        ..message(body)
+        ..message_with_body(body)
     };
     let job = "req-000041".to_owned();
     assert_eq!(
@@ -76,25 +81,25 @@
 
 #[test]
 fn invalid_bodies_are_refused_with_their_reason() {
-    let deep = format!("{{\"a\":{}", "[".repeat(60_000));
-    let not_objects = ["", "[1]", "\"x\"", deep.as_str()];
+    let deeply_nested = format!("{{\"a\":{}", "[".repeat(60_000));
+    let not_objects = ["", "[1]", "\"x\"", deeply_nested.as_str()];
     for body in not_objects {
-        let request = message(body).job_request();
+        let request = message_with_body(body).job_request();
         assert_eq!(request, Err(InvalidRequest::NotAnObject), "{body:.20}");
     }
     for body in ["{\"nameId\":7}", "{\"nameId\":\"req-41\"}"] {
-        let request = message(body).job_request();
+        let request = message_with_body(body).job_request();
         assert_eq!(request, Err(InvalidRequest::InvalidJobName), "{body}");
     }
-    let not_utf8 = request_of(vec![b'{', 0xff, b'}']);
-    assert!(not_utf8.is_err(), "no UTF-8");
+    let not_utf8 = decode_request(vec![b'{', 0xff, b'}']);
+    assert!(not_utf8.is_err(), "invalid UTF-8 is refused");
 }
 
 #[test]
 fn body_above_the_limit_is_refused() {
-    let large = format!(r#"{{"lane":"a","note":"{}"}}"#, "x".repeat(1 << 20));
+    let large_body = format!(r#"{{"lane":"a","note":"{}"}}"#, "x".repeat(1 << 20));
     assert_eq!(
-        request_of(large.into_bytes()),
+        decode_request(large_body.into_bytes()),
         Err(InvalidRequest::BodyTooLarge)
     );
 }
--- a/crates/queues/tests/loopback.rs
+++ b/crates/queues/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! The whole service over real connections on loopback: AMQP to a fake broker, HTTP to fakes of the controllers and the
-//! state service.
+//! Tests of the whole service over real connections on loopback: AMQP to a fake broker, HTTP to fake controllers and
+//! a fake state service.
 
 #[path = "../examples/submit.rs"]
 mod example;
@@ -27,8 +27,9 @@
     request_properties(n).with_headers(table)
 }
 
-/// Without the state service nothing begins.
-async fn connect_after_outage(bed: &TestBed) {
+/// Ends an outage and waits until the queue service has opened its receipt queue. It does not begin its work without
+/// the state service.
+async fn wait_for_connection_after_outage(bed: &TestBed) {
     tokio::time::sleep(Duration::from_millis(200)).await;
     bed.services.set_outage(false);
     wait_until("the connection", || bed.has_receipt_queues()).await;
@@ -40,10 +41,10 @@
     let bed = TestBed::new(1, 0, 0).await;
     bed.services.set_outage(true);
     let service = bed.start_service(1, &bed.settings());
-    connect_after_outage(&bed).await;
+    wait_for_connection_after_outage(&bed).await;
     bed.services.set_outage(true);
-    let yes = AMQPValue::Boolean(true);
-    let headers = [("interim", yes.clone()), ("urgency", text("high"))];
+    let enabled = AMQPValue::Boolean(true);
+    let headers = [("interim", enabled.clone()), ("urgency", text("high"))];
     let long_job = br#"{"nameId":"req-000001","guessS":600}"#;
     bed.broker
         .publish("work", properties_with(1, &headers), long_job);
@@ -56,16 +57,19 @@
     assert_eq!(answers["c1"][0]["status"], "delayed");
 
     bed.services.set_outage(false);
-    let cancellation = properties_with(2, &[("cancel", yes)]);
+    let cancellation = properties_with(2, &[("cancel", enabled)]);
     let unknown_job = br#"{"nameId":"req-999999"}"#;
     bed.broker.publish("work", cancellation, unknown_job);
     let invalid = properties_with(4, &[("due_s", text("soon"))]);
     bed.broker.publish("work", invalid, b"{}");
     let answers = bed.wait_for_answers(3).await;
-    let of_long_job = &answers["c1"];
-    assert_eq!(of_long_job.last().expect("an answer")["status"], "done");
+    let long_job_answers = &answers["c1"];
+    assert_eq!(
+        long_job_answers.last().expect("an answer")["status"],
+        "done"
+    );
     assert!(
-        of_long_job.iter().any(|a| a["status"] == "accepted"),
+        long_job_answers.iter().any(|a| a["status"] == "accepted"),
         "{answers:?}"
     );
     assert_eq!(answers["c2"][0]["reason"], "no such job");
@@ -75,7 +79,7 @@
     assert_eq!(bed.broker.ready_count("work"), 0);
 }
 
-/// One request at a time from two queues.
+/// Settings with two queues and one request at a time.
 fn two_queue_settings(bed: &TestBed) -> Value {
     let mut settings = bed.settings();
     settings["queues"] = json!([
@@ -88,7 +92,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn lower_ranks_go_first_and_invalid_messages_without_reply_become_dead_letters() {
+async fn lower_ranks_are_submitted_first_and_invalid_messages_without_reply_become_dead_letters() {
     let bed = TestBed::new(2, 0, 0).await;
     let without_reply = AMQPProperties::default;
     let invalid = [
@@ -110,7 +114,7 @@
     let service = bed.start_service(1, &two_queue_settings(&bed));
     wait_until("all jobs", || bed.services.submitted_jobs().len() == 6).await;
     let submitted = bed.services.submitted_jobs();
-    // One may be submitted before the other queue is consumed from.
+    // One job of `work` may be submitted before the service consumes from `urgent`.
     assert!(
         submitted[1..3].iter().all(|j| j.starts_with("req-00002")),
         "{submitted:?}"
@@ -119,10 +123,15 @@
         bed.broker.ready_count("dead") == invalid.len()
     })
     .await;
-    let dead = bed.broker.take_ready_messages("dead");
-    let has_reason = dead.iter().all(|m| m.properties.headers().is_some());
-    assert!(has_reason, "with the reason");
-    assert!(dead.iter().any(|m| m.body == [0xff, 0xfe]), "as they came");
+    let dead_letters = bed.broker.take_ready_messages("dead");
+    let have_reasons = dead_letters
+        .iter()
+        .all(|m| m.properties.headers().is_some());
+    assert!(have_reasons, "dead letters have a reason");
+    assert!(
+        dead_letters.iter().any(|m| m.body == [0xff, 0xfe]),
+        "bodies are unchanged"
+    );
     service.stop().await;
     assert_eq!(
         bed.broker.ready_count("work") + bed.broker.ready_count("urgent"),
@@ -154,7 +163,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn hanging_broker_is_noticed_by_its_heartbeat_and_reconnected() {
+async fn service_reconnects_after_missed_heartbeats_of_a_hanging_broker() {
     let bed = TestBed::new(3, 0, 0).await;
     let service = bed.start_service(1, &bed.settings());
     bed.send(1, "work", "{}");
@@ -172,7 +181,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn trusted_broker_is_served_over_tls_and_after_its_restart() {
+async fn service_connects_to_trusted_broker_over_tls_and_reconnects_after_its_restart() {
     let bed = TestBed::with_tls(&["mq.example.org"]).await;
     let tls = json!({ "roots": "roots.pem", "name": "mq.example.org" });
     let service = bed.start_service(1, &with_tls_settings(&bed, tls));
@@ -181,7 +190,7 @@
         bed.send(n, "work", &body);
     }
     let answers = bed.wait_for_answers(20).await;
-    let is_done = |of: &Vec<Value>| of.len() == 1 && of[0]["status"] == "done";
+    let is_done = |answers: &Vec<Value>| answers.len() == 1 && answers[0]["status"] == "done";
     assert!(answers.values().all(is_done), "{answers:?}");
     bed.broker.restart();
     bed.send(20, "work", "{}");
@@ -193,25 +202,31 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn untrusted_broker_gets_neither_credentials_nor_acknowledgements() {
     let bed = TestBed::with_tls(&["mq.example.org"]).await;
-    let other = rcgen::generate_simple_self_signed(vec!["mq.example.org".to_owned()]);
-    bed.write_file("other.pem", &other.expect("a certificate").cert.pem());
+    let other_certificate = rcgen::generate_simple_self_signed(vec!["mq.example.org".to_owned()]);
+    bed.write_file(
+        "other.pem",
+        &other_certificate.expect("a certificate").cert.pem(),
+    );
     bed.send(1, "work", "{}");
-    let mistrusting = [
+    let untrusting_settings = [
         json!({ "roots": "other.pem", "name": "mq.example.org" }),
         json!({ "roots": "roots.pem", "name": "x.org" }),
     ];
-    for (n, tls) in mistrusting.into_iter().enumerate() {
+    for (n, tls) in untrusting_settings.into_iter().enumerate() {
         let service = bed.start_service(1, &with_tls_settings(&bed, tls));
-        wait_until("two attempts", || {
+        wait_until("two failed handshakes", || {
             bed.broker.failed_tls_handshakes() >= 2 * (n + 1)
         })
         .await;
         assert_eq!(bed.broker.connection_count(), 0);
         service.stop().await;
     }
-    // Nor does a service without TLS get through to a broker with it.
+    // A service without TLS cannot connect to a broker that requires TLS.
     let service = bed.start_service(1, &bed.settings());
-    wait_until("an attempt", || bed.broker.failed_tls_handshakes() >= 5).await;
+    wait_until("a failed handshake", || {
+        bed.broker.failed_tls_handshakes() >= 5
+    })
+    .await;
     service.stop().await;
     let submitted = bed.services.submitted_jobs().len();
     assert_eq!((bed.broker.ready_count("work"), submitted), (1, 0));
@@ -243,19 +258,20 @@
     let bed = TestBed::new(4, 0, 0).await;
     let service = bed.start_service(1, &bed.settings());
     let port = bed.broker.address.port();
-    let login = OpenConnectionArguments::new("127.0.0.1", port, "a", "b");
+    let connection_arguments = OpenConnectionArguments::new("127.0.0.1", port, "a", "b");
     let job = br#"{"nameId":"req-000412"}"#;
-    let answer = wait_within_poll_limit(example::submit(&login, "work", job.to_vec()))
-        .await
-        .expect("in time")
-        .expect("an answer");
+    let answer =
+        wait_within_poll_limit(example::submit(&connection_arguments, "work", job.to_vec()))
+            .await
+            .expect("an end within the poll limit")
+            .expect("an answer");
     assert!(answer.contains(r#""nameId":"req-000412","status":"done""#));
     let repeated = AMQPProperties::default()
         .with_reply_to("my.answers".into())
         .with_message_id("notice-1".into())
         .with_correlation_id("1".into());
     bed.broker.publish("work", repeated, job);
-    wait_until("its acknowledgement", || {
+    wait_until("the acknowledgement of the repeated message", || {
         bed.broker.message_count("work") == 0
     })
     .await;
--- a/crates/queues/tests/properties.rs
+++ b/crates/queues/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold whatever happens: versions are granted once, rates are kept, and no input causes a panic.
+//! Property tests: a version is granted once, request rates are kept, and no input causes a panic.
 
 mod fakes;
 
@@ -14,8 +14,8 @@
 use proptest::test_runner::{RngSeed, TestCaseError};
 use std::collections::BTreeMap;
 
-const REPLICAS: usize = 3;
-const KEYS: u8 = 40;
+const REPLICA_COUNT: usize = 3;
+const KEY_COUNT: u8 = 40;
 const LIMITS: LogLimits = LogLimits {
     max_value_bytes: 800,
     batches_per_s: 1_000,
@@ -29,27 +29,27 @@
     }
 }
 
-/// What becomes of a request.
+/// What the network does with a request.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    /// Carried out later, without a response.
-    Late,
-    /// Carried out, and the response is lost.
+enum RequestDelivery {
+    /// The request is executed later, and there is no response.
+    Delayed,
+    /// The request is executed, and the response is lost.
     ResponseLost,
-    /// Never carried out.
+    /// The request is lost and never executed.
     RequestLost,
-    /// Carried out; after it, the oldest late request.
-    ServedWithLate,
+    /// The request is executed; after it, the oldest delayed request.
+    ServedBeforeDelayed,
     Served,
 }
 
-fn any_fate() -> impl Strategy<Value = Fate> {
+fn any_delivery() -> impl Strategy<Value = RequestDelivery> {
     prop_oneof![
-        1 => Just(Fate::Late),
-        1 => Just(Fate::ResponseLost),
-        1 => Just(Fate::RequestLost),
-        1 => Just(Fate::ServedWithLate),
-        6 => Just(Fate::Served),
+        1 => Just(RequestDelivery::Delayed),
+        1 => Just(RequestDelivery::ResponseLost),
+        1 => Just(RequestDelivery::RequestLost),
+        1 => Just(RequestDelivery::ServedBeforeDelayed),
+        6 => Just(RequestDelivery::Served),
     ]
 }
 
@@ -58,23 +58,27 @@
 struct Step {
     replica: usize,
     key: u8,
-    fate: Fate,
+    delivery: RequestDelivery,
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
-    (0..REPLICAS, 0..KEYS, any_fate()).prop_map(|(replica, key, fate)| Step { replica, key, fate })
+    (0..REPLICA_COUNT, 0..KEY_COUNT, any_delivery()).prop_map(|(replica, key, delivery)| Step {
+        replica,
+        key,
+        delivery,
+    })
 }
 
-/// Replicas that write beside one another, over a network that loses and delays.
+/// Replicas that write concurrently over a network that loses and delays messages.
 struct Cluster {
     now: Micros,
     service: FakeStateService,
     replicas: Vec<ReplicatedLog>,
-    late: Vec<StateRequest>,
-    /// Who was granted a version of an entry.
-    granted: BTreeMap<(MessageKey, u16), usize>,
-    /// Changes without an outcome.
-    open_changes: usize,
+    delayed_requests: Vec<StateRequest>,
+    /// The replica that was granted a version of an entry.
+    granted_versions: BTreeMap<(MessageKey, u16), usize>,
+    /// Number of changes that have no outcome yet.
+    pending_changes: usize,
 }
 
 impl Cluster {
@@ -82,10 +86,12 @@
         Cluster {
             now: 0,
             service: FakeStateService::new(LIMITS.max_value_bytes),
-            replicas: (0..REPLICAS).map(|_| ReplicatedLog::new(LIMITS)).collect(),
-            late: Vec::new(),
-            granted: BTreeMap::new(),
-            open_changes: 0,
+            replicas: (0..REPLICA_COUNT)
+                .map(|_| ReplicatedLog::new(LIMITS))
+                .collect(),
+            delayed_requests: Vec::new(),
+            granted_versions: BTreeMap::new(),
+            pending_changes: 0,
         }
     }
 
@@ -94,18 +100,20 @@
         entry.is_some_and(|e| e.entry.claimant() == Some(consumer(replica)))
     }
 
-    fn take(&mut self, step: Step) -> Result<(), TestCaseError> {
+    fn apply_step(&mut self, step: Step) -> Result<(), TestCaseError> {
         self.now += 50_000;
         let key = MessageKey(u128::from(step.key));
         if !self.has_claim(step.replica, key) {
             self.claim(step.replica, key);
         }
         if let Some(request) = self.replicas[step.replica].next_request(self.now) {
-            let response = self.exchange(request, step.fate);
+            let response = self.deliver(request, step.delivery);
             self.replicas[step.replica].handle_response(self.now, response);
         }
-        if matches!(step.fate, Fate::ServedWithLate) && !self.late.is_empty() {
-            let request = self.late.remove(0);
+        if matches!(step.delivery, RequestDelivery::ServedBeforeDelayed)
+            && !self.delayed_requests.is_empty()
+        {
+            let request = self.delayed_requests.remove(0);
             self.service.respond(&request);
         }
         self.check_outcomes(step.replica)
@@ -119,25 +127,27 @@
             at_s: self.now / SECOND,
         };
         log.write_entry(key, version, claim);
-        self.open_changes += 1;
+        self.pending_changes += 1;
     }
 
-    fn exchange(&mut self, request: StateRequest, fate: Fate) -> StateResponse {
-        match fate {
-            Fate::Late => self.late.push(request),
-            Fate::RequestLost => {}
-            Fate::ResponseLost => {
+    fn deliver(&mut self, request: StateRequest, delivery: RequestDelivery) -> StateResponse {
+        match delivery {
+            RequestDelivery::Delayed => self.delayed_requests.push(request),
+            RequestDelivery::RequestLost => {}
+            RequestDelivery::ResponseLost => {
                 self.service.respond(&request);
             }
-            Fate::Served | Fate::ServedWithLate => return self.service.respond(&request),
+            RequestDelivery::Served | RequestDelivery::ServedBeforeDelayed => {
+                return self.service.respond(&request);
+            }
         }
         StateResponse::NoResponse
     }
 
-    /// A version is granted to the replica whose claim stands there, and to no other.
+    /// A version of an entry is granted to the replica whose claim it holds, and to no other replica.
     fn check_outcomes(&mut self, replica: usize) -> Result<(), TestCaseError> {
         for outcome in self.replicas[replica].take_outcomes() {
-            self.open_changes -= 1;
+            self.pending_changes -= 1;
             let ChangeOutcome::Entry {
                 key,
                 written_version: Some(version),
@@ -147,15 +157,18 @@
             };
             let entry = self.replicas[replica].entry(key);
             if self.has_claim(replica, key) && entry.is_some_and(|e| e.version == version) {
-                let first = *self.granted.entry((key, version)).or_insert(replica);
+                let first = *self
+                    .granted_versions
+                    .entry((key, version))
+                    .or_insert(replica);
                 prop_assert_eq!(first, replica, "{} {} was granted twice", key, version);
             }
         }
         Ok(())
     }
 
-    /// Without faults, everything gets an outcome.
-    fn settle(&mut self, replica: usize) -> Result<(), TestCaseError> {
+    /// Exchanges requests without faults, so that all pending changes of the replica get an outcome.
+    fn sync_without_faults(&mut self, replica: usize) -> Result<(), TestCaseError> {
         self.replicas[replica].refresh();
         for _ in 0..2_000 {
             self.now += 10_000;
@@ -175,7 +188,7 @@
 }
 
 proptest! {
-    // The same cases every time; `PROPTEST_CASES` plays more of them.
+    // The seed is fixed, so every run has the same cases; `PROPTEST_CASES` sets how many.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(17), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
@@ -184,20 +197,20 @@
     ) {
         let mut cluster = Cluster::new();
         for step in steps {
-            cluster.take(step)?;
+            cluster.apply_step(step)?;
         }
-        for replica in (0..REPLICAS).chain(0..REPLICAS) {
-            cluster.settle(replica)?;
+        for replica in (0..REPLICA_COUNT).chain(0..REPLICA_COUNT) {
+            cluster.sync_without_faults(replica)?;
         }
-        prop_assert_eq!(cluster.open_changes, 0, "a change never got an outcome");
-        for key in 0..KEYS {
+        prop_assert_eq!(cluster.pending_changes, 0, "some changes never got an outcome");
+        for key in 0..KEY_COUNT {
             let versions = cluster.versions(MessageKey(u128::from(key)));
             prop_assert!(versions[1..].iter().all(|v| *v == versions[0]), "{key}: {versions:?}");
         }
     }
 
     #[test]
-    fn submissions_keep_the_rate_and_the_order_of_ranks(
+    fn submissions_stay_within_the_rate_and_follow_rank_order(
         ranks in prop::collection::vec(0..4u8, 1..200),
         rate in 1..50u32,
     ) {
@@ -208,11 +221,11 @@
         }
         let (mut now, mut taken) = (0, Vec::new());
         while taken.len() < ranks.len() {
-            prop_assert!(schedule.next_wake() < Micros::MAX, "something waits");
+            prop_assert!(schedule.next_wake() < Micros::MAX, "a wake-up is scheduled while requests wait");
             now = now.max(schedule.next_wake());
-            let before = taken.len();
+            let taken_before = taken.len();
             taken.extend(schedule.take(now, usize::MAX));
-            prop_assert!(taken.len() > before, "it wakes for something");
+            prop_assert!(taken.len() > taken_before, "a wake-up takes at least one request");
             let permitted = (now * u64::from(rate)).div_ceil(SECOND) + u64::from(rate);
             prop_assert!(taken.len() as u64 <= permitted);
         }
@@ -221,7 +234,7 @@
     }
 
     #[test]
-    fn any_message_is_read_or_refused_the_same_way_every_time(
+    fn decoding_of_any_message_is_deterministic(
         body in prop::collection::vec(any::<u8>(), 0..200),
         deadline_s in any::<f64>(),
         text in ".*",
@@ -263,8 +276,8 @@
     }
 }
 
-/// Lets a replica exchange requests without faults during a span of time.
-fn exchange(
+/// Exchanges requests and responses between a replica and the service, without faults, for a span of time.
+fn exchange_without_faults(
     log: &mut ReplicatedLog,
     service: &mut FakeStateService,
     span: std::ops::Range<Micros>,
@@ -279,7 +292,7 @@
 }
 
 #[test]
-fn expired_segments_are_removed_unless_a_registered_consumer_has_claims_there() {
+fn expired_segments_are_removed_unless_they_hold_claims_of_a_registered_consumer() {
     let limits = LogLimits {
         retention: 5 * SECOND,
         ..LIMITS
@@ -294,24 +307,24 @@
     for n in 0..200 {
         writer.write_entry(MessageKey(n), 0, claim);
     }
-    exchange(&mut writer, &mut service, SECOND..3 * SECOND);
+    exchange_without_faults(&mut writer, &mut service, SECOND..3 * SECOND);
     reader.refresh();
-    exchange(&mut reader, &mut service, SECOND..3 * SECOND);
+    exchange_without_faults(&mut reader, &mut service, SECOND..3 * SECOND);
     assert_eq!((writer.len(), reader.len()), (200, 200));
-    let closed = service.closed_segments.len();
-    assert!(closed > 5, "{closed} closed segments");
+    let closed_count = service.closed_segments.len();
+    assert!(closed_count > 5, "{closed_count} closed segments");
 
-    exchange(&mut writer, &mut service, 3 * SECOND..100 * SECOND);
+    exchange_without_faults(&mut writer, &mut service, 3 * SECOND..100 * SECOND);
     assert_eq!(writer.len(), 200, "receipts may still settle the claims");
 
     writer.change_consumer(consumer(1), Some(ConsumerState::Active), None);
-    exchange(&mut writer, &mut service, 100 * SECOND..200 * SECOND);
-    let left = writer.len();
+    exchange_without_faults(&mut writer, &mut service, 100 * SECOND..200 * SECOND);
+    let remaining = writer.len();
     assert!(
-        service.closed_segments.is_empty() && left < 30,
-        "{left} are left"
+        service.closed_segments.is_empty() && remaining < 30,
+        "{remaining} entries remain"
     );
     reader.refresh();
-    exchange(&mut reader, &mut service, 200 * SECOND..201 * SECOND);
+    exchange_without_faults(&mut reader, &mut service, 200 * SECOND..201 * SECOND);
     assert_eq!(writer.len(), reader.len());
 }
--- a/crates/queues/tests/settings.rs
+++ b/crates/queues/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that cannot be used are refused in one line that names the field.
+//! Invalid settings are refused with a one-line error that names the field.
 
 use cometlead_queues::runtime::QueueService;
 use cometlead_queues::settings::{QueueSettings, SettingsError};
@@ -19,13 +19,13 @@
 }
 
 #[test]
-fn minimal_settings_have_defaults_for_the_rest() {
-    parse(&minimal_settings()).expect("defaults for the rest");
+fn minimal_settings_are_accepted_with_defaults() {
+    parse(&minimal_settings()).expect("valid settings");
 }
 
 #[test]
 fn invalid_value_is_refused_with_the_name_of_its_field() {
-    let invalid: [(&str, Value, &str); 12] = [
+    let invalid_values: [(&str, Value, &str); 12] = [
         ("/calls", json!(0), "calls"),
         ("/pol_s", json!(1), "pol_s"),
         ("/poll_s", json!(0.01), "poll_s"),
@@ -47,7 +47,7 @@
             "queues.dead_letter",
         ),
     ];
-    for (pointer, value, field) in invalid {
+    for (pointer, value, field) in invalid_values {
         let mut settings = minimal_settings();
         let (parent, name) = pointer.rsplit_once('/').expect("a path");
         settings.pointer_mut(parent).expect("a parent")[name] = value;
