--- a/crates/queues/tests/simulation/mod.rs
+++ b/crates/queues/tests/simulation/mod.rs
@@ -201,7 +201,7 @@
             SimulationEvent::ShutDown(slot) => self.shut_down_process(slot),
             SimulationEvent::Wake(slot) => self.wake_process(slot),
             SimulationEvent::Command(connection, command) => {
-                self.execute_command(connection, command)
+                self.execute_command(connection, command);
             }
             SimulationEvent::CloseConnection(connection) => {
                 self.close_connection(connection, false);
