--- a/crates/queues/tests/random_faults.rs
+++ b/crates/queues/tests/random_faults.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinSet;
 
 const DEFAULT_SEED_COUNT: u64 = 200;
-const MESSAGES: usize = 12;
+const MESSAGE_COUNT: usize = 12;
 /// Number of seeds that run at the same time.
 const MAX_CONCURRENT_SEEDS: usize = 24;
 
@@ -52,7 +52,7 @@
     }
 
     async fn send_with_faults(&mut self) {
-        for n in 0..MESSAGES {
+        for n in 0..MESSAGE_COUNT {
             let body = body(n);
             self.bed.send(n, "work", &body);
             if self.rng.random_range(0..4) == 0 {
@@ -81,7 +81,7 @@
         self.bed.broker.set_frames_per_drop(0);
         self.bed.services.disable_faults();
         let last_service = self.start_service();
-        let mut answers = self.bed.wait_for_answers(MESSAGES).await;
+        let mut answers = self.bed.wait_for_answers(MESSAGE_COUNT).await;
         for service in &self.running_services {
             service.request_stop();
             service.kill();
@@ -114,7 +114,7 @@
     }
 
     fn check_answers(&self, answers: &Answers, violations: &mut Vec<String>) {
-        for n in 0..MESSAGES {
+        for n in 0..MESSAGE_COUNT {
             let message_answers = answers.get(&format!("c{n}"));
             let message_answers = message_answers.map_or(&[][..], Vec::as_slice);
             if message_answers.len() != 1 || message_answers[0]["status"] != expected_status(n) {
