--- a/crates/emulator/src/fakes/cloud.rs
+++ b/crates/emulator/src/fakes/cloud.rs
@@ -15,19 +15,19 @@
     /// Cores.
     pub cores: f64,
     /// Memory in GB.
-    pub mem: f64,
+    pub memory_gb: f64,
     /// Nominal boot time in seconds.
-    pub boot: f64,
+    pub boot_s: f64,
     /// Price per hour.
     pub price: f64,
     /// Price per hour of a spot machine.
     pub spot_price: f64,
     /// On-demand machines in each zone.
-    pub count: u32,
+    pub on_demand_per_zone: u32,
     /// Spot machines in each zone.
-    pub spot: u32,
+    pub spot_per_zone: u32,
     /// Fraction of the machines whose boot never completes.
-    pub stuck: f64,
+    pub stuck_boot_fraction: f64,
     /// Zones that have this type.
     pub zones: Vec<String>,
 }
@@ -37,7 +37,7 @@
     /// Index of its type among the cloud's types.
     pub type_index: usize,
     /// Zone.
-    pub yard: String,
+    pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
     /// When it was provisioned, in microseconds.
@@ -45,11 +45,11 @@
     /// When its boot completes, in microseconds; `None` if never.
     pub up_at: Option<u64>,
     /// When it was released or taken away, in microseconds.
-    pub gone_at: Option<u64>,
+    pub released_at: Option<u64>,
     /// Whether it was released while its zone was partitioned from the controllers.
-    pub in_vain: bool,
+    pub released_while_partitioned: bool,
     /// Whether it was provisioned while its zone was partitioned from the controllers.
-    pub hired_in_vain: bool,
+    pub provisioned_while_partitioned: bool,
 }
 
 /// The fake cloud.
@@ -64,11 +64,11 @@
     /// End of the outage of the cloud interface, in microseconds.
     pub out_until: u64,
     /// Zones without power, where no machine can be provisioned, each with the end of the outage in microseconds.
-    pub dark: Vec<(String, u64)>,
+    pub zones_without_power: Vec<(String, u64)>,
     /// Zones that are partitioned from the controllers but keep working, each with the end of the partition in microseconds.
-    pub cut: Vec<(String, u64)>,
+    pub partitioned_zones: Vec<(String, u64)>,
     /// Factor by which boots are slower, and until when, in microseconds.
-    pub slow: (f64, u64),
+    pub boot_slowdown: (f64, u64),
 }
 
 /// Returns the name of a machine.
@@ -81,8 +81,8 @@
 }
 
 /// Whether a zone is in a list of zones with end times, before its end time.
-fn is_affected(zones: &[(String, u64)], yard: &str, now: u64) -> bool {
-    zones.iter().any(|(z, until)| z == yard && now < *until)
+fn is_affected(zones: &[(String, u64)], zone: &str, now: u64) -> bool {
+    zones.iter().any(|(z, until)| z == zone && now < *until)
 }
 
 impl Cloud {
@@ -94,9 +94,9 @@
             provision_answers: BTreeMap::new(),
             list_lag,
             out_until: 0,
-            dark: Vec::new(),
-            cut: Vec::new(),
-            slow: (1.0, 0),
+            zones_without_power: Vec::new(),
+            partitioned_zones: Vec::new(),
+            boot_slowdown: (1.0, 0),
         }
     }
 
@@ -124,8 +124,8 @@
                     .types
                     .iter()
                     .map(|t| {
-                        json!({"name": t.name, "cores": t.cores, "accelerators": 0, "memGb": t.mem, "localGb": 50,
-                            "fetchGbPerS": 1.0, "rate": t.price, "spotPrice": t.spot_price, "startupS": t.boot,
+                        json!({"name": t.name, "cores": t.cores, "accelerators": 0, "memGb": t.memory_gb, "localGb": 50,
+                            "fetchGbPerS": 1.0, "rate": t.price, "spotPrice": t.spot_price, "startupS": t.boot_s,
                             "yards": t.zones})
                     })
                     .collect();
@@ -139,9 +139,10 @@
                         .and_then(parse_name)
                         .and_then(|i| self.hosts.get_mut(&i))
                     {
-                        host.in_vain |=
-                            is_affected(&self.cut, &host.yard, now) && host.gone_at.is_none();
-                        host.gone_at.get_or_insert(now);
+                        host.released_while_partitioned |=
+                            is_affected(&self.partitioned_zones, &host.zone, now)
+                                && host.released_at.is_none();
+                        host.released_at.get_or_insert(now);
                     }
                 }
                 (200, json!({}))
@@ -163,14 +164,15 @@
 
     /// Lists the machines with numbers above `after`, as they were at the time `as_of`.
     fn list(&self, as_of: u64, after: u64, limit: usize) -> (u16, Value) {
-        let existed = |h: &Host| h.provisioned_at <= as_of && h.gone_at.is_none_or(|g| g > as_of);
+        let existed =
+            |h: &Host| h.provisioned_at <= as_of && h.released_at.is_none_or(|g| g > as_of);
         let mut listed = self.hosts.range(after + 1..).filter(|(_, h)| existed(h));
         let hosts: Vec<Value> = listed
             .by_ref()
             .take(limit)
             .map(|(i, h)| {
                 let up = h.up_at.is_some_and(|u| u <= as_of);
-                json!({"nameId": name(*i), "endpoint": "", "build": self.types[h.type_index].name, "yard": h.yard,
+                json!({"nameId": name(*i), "endpoint": "", "build": self.types[h.type_index].name, "yard": h.zone,
                     "loaners": h.spot, "status": if up { "running" } else { "starting" },
                     "ageS": (as_of - h.provisioned_at) as f64 / 1e6})
             })
@@ -199,22 +201,22 @@
             return (400, json!({}));
         };
         let spot = body["loaners"].as_bool().unwrap_or(false);
-        let yard = body["yard"].as_str().unwrap_or_default().to_owned();
-        let capacity = if is_affected(&self.dark, &yard, now) {
+        let zone = body["yard"].as_str().unwrap_or_default().to_owned();
+        let capacity = if is_affected(&self.zones_without_power, &zone, now) {
             0
         } else if spot {
-            self.types[type_index].spot
+            self.types[type_index].spot_per_zone
         } else {
-            self.types[type_index].count
+            self.types[type_index].on_demand_per_zone
         };
         let occupied = self
             .hosts
             .values()
             .filter(|h| {
-                h.gone_at.is_none()
+                h.released_at.is_none()
                     && h.type_index == type_index
                     && h.spot == spot
-                    && h.yard == yard
+                    && h.zone == zone
             })
             .count() as u64;
         let granted = body["howMany"]
@@ -227,21 +229,25 @@
         let mut names = Vec::new();
         for _ in 0..granted {
             let i = self.hosts.keys().last().map_or(1, |l| l + 1);
-            let stuck = random_fraction() < self.types[type_index].stuck;
-            let factor = if now < self.slow.1 { self.slow.0 } else { 1.0 };
-            let boot = self.types[type_index].boot * (0.6 + 0.9 * random_fraction()) * factor;
+            let stuck = random_fraction() < self.types[type_index].stuck_boot_fraction;
+            let factor = if now < self.boot_slowdown.1 {
+                self.boot_slowdown.0
+            } else {
+                1.0
+            };
+            let boot = self.types[type_index].boot_s * (0.6 + 0.9 * random_fraction()) * factor;
             let up_at = (!stuck).then_some(now + (boot * 1e6) as u64);
-            let hired_in_vain = is_affected(&self.cut, &yard, now);
-            let yard = yard.clone();
+            let provisioned_while_partitioned = is_affected(&self.partitioned_zones, &zone, now);
+            let zone = zone.clone();
             let host = Host {
                 type_index,
-                yard,
+                zone,
                 spot,
                 provisioned_at: now,
                 up_at,
-                gone_at: None,
-                in_vain: false,
-                hired_in_vain,
+                released_at: None,
+                released_while_partitioned: false,
+                provisioned_while_partitioned,
             };
             self.hosts.insert(i, host);
             names.push(name(i));
--- a/crates/emulator/src/fakes/state.rs
+++ b/crates/emulator/src/fakes/state.rs
@@ -45,7 +45,7 @@
     /// Most changes per second.
     pub write_rps: f64,
     /// Most items on a page.
-    pub page: usize,
+    pub page_size: usize,
 }
 
 /// The fake state service.
@@ -76,7 +76,7 @@
     pub refused: u64,
     limits_lowered: bool,
     /// Received requests, and the changes in them.
-    pub came: (u64, u64),
+    pub received: (u64, u64),
 }
 
 /// A token bucket that limits a rate and allows bursts of the amount of one second.
@@ -122,19 +122,19 @@
             commits: 0,
             txn_ops: config.txn_ops,
             value_bytes: config.value_bytes,
-            page_size: config.page,
+            page_size: config.page_size,
             violations: Vec::new(),
             request_bucket: TokenBucket::new(config.rps),
             change_bucket: TokenBucket::new(config.write_rps),
             throttled: 0,
             refused: 0,
             limits_lowered: false,
-            came: (0, 0),
+            received: (0, 0),
         }
     }
 
     /// Stores a record, for use before the controllers start.
-    pub fn put(&mut self, key: &str, value: Value) {
+    pub fn insert_record(&mut self, key: &str, value: Value) {
         self.revision += 1;
         self.items.insert(
             key.to_owned(),
@@ -156,13 +156,13 @@
     }
 
     /// Changes the limits of changes per second, bytes of a value, and changes of a transaction.
-    pub fn lower(&mut self, rate: f64, value_bytes: usize, txn_ops: usize) {
+    pub fn lower_limits(&mut self, rate: f64, value_bytes: usize, txn_ops: usize) {
         self.change_bucket.rate = rate;
         (self.value_bytes, self.txn_ops, self.limits_lowered) = (value_bytes, txn_ops, true);
     }
 
     /// Returns the key of the largest stored value, and the size of the value.
-    pub fn largest(&self) -> (&str, usize) {
+    pub fn largest_value(&self) -> (&str, usize) {
         let sizes = self
             .items
             .iter()
@@ -285,8 +285,8 @@
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let route = path.split('?').next().unwrap_or_default();
         let changes = body["then"].as_array().map_or(0, Vec::len);
-        self.came.0 += 1;
-        self.came.1 += changes as u64;
+        self.received.0 += 1;
+        self.received.1 += changes as u64;
         if !self.request_bucket.try_take(now, 1.0)
             || changes > 0 && !self.change_bucket.try_take(now, changes as f64)
         {
--- a/crates/emulator/src/invariants.rs
+++ b/crates/emulator/src/invariants.rs
@@ -2,7 +2,7 @@
 //!
 //! Performs no I/O and reads no clock: the caller passes events and times in microseconds, the checker collects violations.
 
-use crate::fakes::worker::{Deed, Task, task_name};
+use crate::fakes::worker::{Task, TaskEvent, task_name};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -142,10 +142,10 @@
     }
 
     /// Records a task event of a worker.
-    pub fn task_event(&mut self, now: u64, machine: Machine, task_event: &Deed) {
+    pub fn task_event(&mut self, now: u64, machine: Machine, task_event: &TaskEvent) {
         match task_event {
-            Deed::Started(task) => self.task_started(now, machine, *task),
-            Deed::Ended(task, cause) => self.task_ended(machine, *task, cause),
+            TaskEvent::Started(task) => self.task_started(now, machine, *task),
+            TaskEvent::Ended(task, cause) => self.task_ended(machine, *task, cause),
         }
     }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -56,6 +56,3 @@
 pub mod slopes;
 pub mod users;
 pub mod workers;
-
-/// Former name of [`fakes`], still used by the scenario tests.
-pub use fakes as standins;
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -62,7 +62,7 @@
         })?;
         result.write(out)?;
         spinner.suspend(|| println!("{}\n{}\n", result.name, result.table()));
-        success &= result.broken.is_empty() && result.ended_by_themselves == 0;
+        success &= result.violation_counts.is_empty() && result.exited_controllers == 0;
         results.push(result);
     }
     spinner.finish_and_clear();
--- a/crates/emulator/src/region.rs
+++ b/crates/emulator/src/region.rs
@@ -101,13 +101,13 @@
         let machine = TypeSpec {
             name: MACHINE_TYPE.to_owned(),
             cores: MACHINE_CORES,
-            mem: MACHINE_MEMORY_GB,
-            boot: scenario.cloud.boot_s,
+            memory_gb: MACHINE_MEMORY_GB,
+            boot_s: scenario.cloud.boot_s,
             price: 1.0,
             spot_price: 0.9,
-            count: on_demand,
-            spot: machines_per_zone - on_demand,
-            stuck: 0.0,
+            on_demand_per_zone: on_demand,
+            spot_per_zone: machines_per_zone - on_demand,
+            stuck_boot_fraction: 0.0,
             zones: (0..spec.zones)
                 .map(|z| RunContext::zone(index, z))
                 .collect(),
@@ -117,7 +117,7 @@
             value_bytes: (scenario.state.value_kb * KIB) as usize,
             rps: scenario.state.rps,
             write_rps: scenario.state.write_rps,
-            page: STATE_PAGE_SIZE,
+            page_size: STATE_PAGE_SIZE,
         };
         Arc::new(Region {
             context: Arc::clone(context),
@@ -290,7 +290,7 @@
                 cloud
                     .hosts
                     .get(i)
-                    .is_some_and(|h| h.gone_at.is_some_and(|g| g <= now))
+                    .is_some_and(|h| h.released_at.is_some_and(|g| g <= now))
             };
             let released_machines: Vec<u64> = fleet.keys().copied().filter(is_released).collect();
             released_machines
@@ -325,13 +325,17 @@
         };
         let worker = {
             let cloud = self.cloud.lock();
-            let Some(host) = cloud.hosts.get(&machine).filter(|h| h.gone_at.is_none()) else {
+            let Some(host) = cloud
+                .hosts
+                .get(&machine)
+                .filter(|h| h.released_at.is_none())
+            else {
                 return;
             };
             let lease = (self.context.scenario.workers.lease_s * 1e6) as u64;
             let first_node =
                 machine as usize % self.context.scenario.regions[self.index].controllers;
-            let zone_and_kind = (host.yard.clone(), host.spot);
+            let zone_and_kind = (host.zone.clone(), host.spot);
             let kind = cloud.type_of(machine);
             Worker::new(
                 machine,
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -151,7 +151,8 @@
     /// Leases that expired while tasks were on the machine.
     pub lost_leases: u64,
     /// Controllers that exited without being killed by the run.
-    pub ended_by_themselves: usize,
+    #[serde(rename = "ended_by_themselves")]
+    pub exited_controllers: usize,
     /// Longest delay of this process's timers, in seconds; the fakes were late by up to this time.
     #[serde(rename = "hollow_delay_s")]
     pub max_timer_delay_s: f64,
@@ -160,7 +161,8 @@
     /// Results by region.
     pub regions: Vec<RegionResult>,
     /// Number of violations of each rule.
-    pub broken: BTreeMap<Rule, u64>,
+    #[serde(rename = "broken")]
+    pub violation_counts: BTreeMap<Rule, u64>,
     /// The first violations.
     pub violations: Vec<Violation>,
     /// Running tasks and starts in each second of the whole run.
@@ -276,7 +278,7 @@
         row(
             "rules broken",
             "none".to_owned(),
-            format!("{:?}", self.broken),
+            format!("{:?}", self.violation_counts),
         );
         table.to_string()
     }
--- a/crates/emulator/src/run/snapshot.rs
+++ b/crates/emulator/src/run/snapshot.rs
@@ -30,8 +30,8 @@
     fn of(region: &Region, balancer: &LoadBalancer) -> RegionCounters {
         let state = region.state.lock();
         RegionCounters {
-            requests: state.came.0,
-            changes: state.came.1,
+            requests: state.received.0,
+            changes: state.received.1,
             commits: state.commits,
             throttled: state.throttled,
             bytes_in: load(&region.state_traffic.read),
@@ -165,7 +165,7 @@
             .iter()
             .map(|(s, n)| (*s, n - before.statuses.get(s).copied().unwrap_or(0)));
         let accepted_s = Distribution::of(&self.user_stats.accept_times.lock(), 1e6);
-        let (broken, violations) = {
+        let (violation_counts, violations) = {
             let checker = self.context.checker.lock();
             (checker.counts().clone(), checker.violations().to_vec())
         };
@@ -201,11 +201,11 @@
             machine_busy: after.machine.busy_since(&before.machine),
             reports_failed: sum_over_workers(|w| w.reports_failed),
             lost_leases: self.lost_leases(),
-            ended_by_themselves: self.ended_by_themselves(),
+            exited_controllers: self.ended_by_themselves(),
             max_timer_delay_s: self.max_timer_delay_us.load(Ordering::Relaxed) as f64 / 1e6,
             controllers: self.controller_results(before, after, duration_s),
             regions: self.region_results(before, after, duration_s),
-            broken,
+            violation_counts,
             violations,
             samples,
         }
--- a/crates/emulator/src/workers.rs
+++ b/crates/emulator/src/workers.rs
@@ -1,6 +1,6 @@
 //! Fake workers over real connections: each has its own connection, fencing token, session, lease, tasks and report interval.
 
-use crate::fakes::worker::{ANSWER_LIMIT, Deed, NEXT_NODE_PAUSE, Redirect, Worker};
+use crate::fakes::worker::{NEXT_NODE_DELAY_US, REPORT_TIMEOUT_US, Redirect, TaskEvent, Worker};
 use crate::http::{Answer, Connection, IncomingRequest, NoAnswer, Traffic, serve};
 use crate::region::Region;
 use bytes::Bytes;
@@ -50,7 +50,7 @@
         Arc::new(FakeWorker {
             region: Arc::downgrade(region),
             machine: worker.id,
-            zone: worker.yard.clone(),
+            zone: worker.zone.clone(),
             worker: Mutex::new(worker),
             stopped: AtomicBool::new(false),
             wake: Notify::new(),
@@ -78,7 +78,7 @@
         self.worker.lock().lost_leases
     }
 
-    fn record_events(&self, region: &Region, events: &[Deed]) {
+    fn record_events(&self, region: &Region, events: &[TaskEvent]) {
         if events.is_empty() {
             return;
         }
@@ -185,7 +185,7 @@
                 let answer = connection.call("POST", "/v1/report", body).await?;
                 Ok::<_, NoAnswer>((connection, answer))
             };
-            match tokio::time::timeout(Duration::from_micros(ANSWER_LIMIT), exchange).await {
+            match tokio::time::timeout(Duration::from_micros(REPORT_TIMEOUT_US), exchange).await {
                 Ok(Ok((connection, answer))) => (Some(connection), Ok(answer)),
                 _ => (None, Err(NoAnswer)),
             }
@@ -214,12 +214,18 @@
             let redirect = match result {
                 Ok(answer) => {
                     let message = (answer.status, &answer.body[..]);
-                    worker.take_answer(now, (due.sent_at, due.session), message, &jobs, &mut events)
+                    worker.handle_answer(
+                        now,
+                        (due.sent_at, due.session),
+                        message,
+                        &jobs,
+                        &mut events,
+                    )
                 }
                 Err(NoAnswer) => Redirect::Next,
             };
             if redirect == Redirect::Next {
-                worker.try_next_node(now, nodes, NEXT_NODE_PAUSE);
+                worker.try_next_node(now, nodes, NEXT_NODE_DELAY_US);
             }
         }
         self.record_events(region, &events);
@@ -240,7 +246,7 @@
             }
             match (request.method.as_str(), request.path.as_str()) {
                 ("POST", "/commands") => {
-                    worker.take_command(now, &request.body, &jobs, &mut events)
+                    worker.handle_command(now, &request.body, &jobs, &mut events)
                 }
                 ("GET", "/show") => Some((200, worker.report(now))),
                 _ => None,
--- a/crates/emulator/tests/invariants.rs
+++ b/crates/emulator/tests/invariants.rs
@@ -1,6 +1,6 @@
 //! The invariant checker reports each kind of violation, and reports none without a violation.
 
-use cometlead_emulator::fakes::worker::Deed;
+use cometlead_emulator::fakes::worker::TaskEvent;
 use cometlead_emulator::invariants::{InvariantChecker, ReportedState, Rule, UNANSWERED_LIMIT_US};
 
 const CANCEL_LIMIT_US: u64 = 40_000_000;
@@ -23,8 +23,12 @@
 fn run_without_faults_has_no_violations() {
     let mut checker = new_checker();
     for task in 0..2 {
-        checker.task_event(10, FIRST_REGION_MACHINE, &Deed::Started((1, task)));
-        checker.task_event(20, FIRST_REGION_MACHINE, &Deed::Ended((1, task), "done"));
+        checker.task_event(10, FIRST_REGION_MACHINE, &TaskEvent::Started((1, task)));
+        checker.task_event(
+            20,
+            FIRST_REGION_MACHINE,
+            &TaskEvent::Ended((1, task), "done"),
+        );
     }
     checker.state_reported(30, 25, 1, ReportedState::Done);
     checker.check_timeouts(UNANSWERED_LIMIT_US * 3);
@@ -39,8 +43,8 @@
 fn task_running_on_two_workers_is_a_violation() {
     for (other, expected) in [(SECOND_REGION_MACHINE, 1), (FIRST_REGION_MACHINE, 0)] {
         let mut checker = new_checker();
-        checker.task_event(10, FIRST_REGION_MACHINE, &Deed::Started((1, 0)));
-        checker.task_event(11, other, &Deed::Started((1, 0)));
+        checker.task_event(10, FIRST_REGION_MACHINE, &TaskEvent::Started((1, 0)));
+        checker.task_event(11, other, &TaskEvent::Started((1, 0)));
         assert_eq!(count(&checker, Rule::RanTwice), expected, "{other:?}");
     }
 }
@@ -49,10 +53,10 @@
 fn team_above_its_quota_over_all_regions_is_a_violation() {
     let mut checker = new_checker();
     checker.job_submitted(2, 0, 2.0, 1);
-    checker.task_event(10, FIRST_REGION_MACHINE, &Deed::Started((1, 0)));
-    checker.task_event(10, FIRST_REGION_MACHINE, &Deed::Started((1, 1)));
+    checker.task_event(10, FIRST_REGION_MACHINE, &TaskEvent::Started((1, 0)));
+    checker.task_event(10, FIRST_REGION_MACHINE, &TaskEvent::Started((1, 1)));
     assert_eq!(count(&checker, Rule::Quota), 0);
-    checker.task_event(11, SECOND_REGION_MACHINE, &Deed::Started((2, 0)));
+    checker.task_event(11, SECOND_REGION_MACHINE, &TaskEvent::Started((2, 0)));
     assert_eq!(count(&checker, Rule::Quota), 1);
 }
 
@@ -60,17 +64,21 @@
 fn ended_tasks_do_not_count_toward_the_quota() {
     let mut checker = new_checker();
     checker.job_submitted(2, 0, 2.0, 1);
-    checker.task_event(10, FIRST_REGION_MACHINE, &Deed::Started((1, 0)));
-    checker.task_event(10, FIRST_REGION_MACHINE, &Deed::Started((1, 1)));
-    checker.task_event(11, FIRST_REGION_MACHINE, &Deed::Ended((1, 1), "killed"));
-    checker.task_event(12, SECOND_REGION_MACHINE, &Deed::Started((2, 0)));
+    checker.task_event(10, FIRST_REGION_MACHINE, &TaskEvent::Started((1, 0)));
+    checker.task_event(10, FIRST_REGION_MACHINE, &TaskEvent::Started((1, 1)));
+    checker.task_event(
+        11,
+        FIRST_REGION_MACHINE,
+        &TaskEvent::Ended((1, 1), "killed"),
+    );
+    checker.task_event(12, SECOND_REGION_MACHINE, &TaskEvent::Started((2, 0)));
     assert!(checker.counts().is_empty(), "{:?}", checker.violations());
 }
 
 #[test]
 fn task_running_or_starting_after_the_cancellation_limit_is_a_violation() {
     let mut checker = new_checker();
-    checker.task_event(10, FIRST_REGION_MACHINE, &Deed::Started((1, 0)));
+    checker.task_event(10, FIRST_REGION_MACHINE, &TaskEvent::Started((1, 0)));
     checker.state_reported(1_000, 900, 1, ReportedState::Cancelled);
     checker.check_timeouts(1_000 + CANCEL_LIMIT_US);
     assert!(checker.counts().is_empty(), "it may run until then");
@@ -79,7 +87,7 @@
     checker.task_event(
         1_002 + CANCEL_LIMIT_US,
         FIRST_REGION_MACHINE,
-        &Deed::Started((1, 1)),
+        &TaskEvent::Started((1, 1)),
     );
     assert_eq!(count(&checker, Rule::RanCancelled), 2, "it starts");
 }
@@ -110,8 +118,8 @@
 #[test]
 fn job_reported_done_before_its_tasks_is_a_violation() {
     let mut checker = new_checker();
-    checker.task_event(10, FIRST_REGION_MACHINE, &Deed::Started((1, 0)));
-    checker.task_event(20, FIRST_REGION_MACHINE, &Deed::Ended((1, 0), "done"));
+    checker.task_event(10, FIRST_REGION_MACHINE, &TaskEvent::Started((1, 0)));
+    checker.task_event(20, FIRST_REGION_MACHINE, &TaskEvent::Ended((1, 0), "done"));
     checker.state_reported(30, 25, 1, ReportedState::Done);
     assert_eq!(count(&checker, Rule::NotDone), 1);
 }
--- a/tests/runner/expectations.rs
+++ b/tests/runner/expectations.rs
@@ -57,7 +57,7 @@
         let unrecorded = self
             .workers
             .values()
-            .filter(|w| w.tally > 12 && !recorded.contains(&w.id))
+            .filter(|w| w.heartbeat_sequence > 12 && !recorded.contains(&w.id))
             .count();
         let mut failures = self.checker.violations.clone();
         for e in &self.script.expects {
@@ -65,7 +65,7 @@
                 Expect::Done(j) => self.checker.is_done(*j),
                 Expect::RefusedAtMost(n) => self.state.refused <= *n,
                 Expect::ValuesWithinNextLimits => {
-                    self.state.largest().1
+                    self.state.largest_value().1
                         <= self
                             .script
                             .next_limits
@@ -136,8 +136,8 @@
                     .checker
                     .completion_reported_at(*j)
                     .is_some_and(|t| t <= *at),
-                Expect::StateRequestsAtMost(n) => self.state.came.0 <= *n,
-                Expect::StateChangesAtMost(n) => self.state.came.1 <= *n,
+                Expect::StateRequestsAtMost(n) => self.state.received.0 <= *n,
+                Expect::StateChangesAtMost(n) => self.state.received.1 <= *n,
                 Expect::ShardLeadersAtLeast(n) => {
                     let all: BTreeSet<&str> = self
                         .state
@@ -151,7 +151,7 @@
                     self.cloud
                         .hosts
                         .values()
-                        .filter(|h| h.yard == *zone && h.in_vain)
+                        .filter(|h| h.zone == *zone && h.released_while_partitioned)
                         .count() as u64
                         <= *n
                 }
@@ -159,7 +159,7 @@
                     let up = self
                         .workers
                         .keys()
-                        .filter(|m| self.cloud.hosts[*m].yard == *zone);
+                        .filter(|m| self.cloud.hosts[*m].zone == *zone);
                     up.count() as u64 >= *n
                 }
                 Expect::LostWithZonesAtLeast(n) => self.counters.lost_with_zones >= *n,
@@ -168,7 +168,7 @@
                     self.cloud
                         .hosts
                         .values()
-                        .filter(|h| h.yard == *zone && h.hired_in_vain)
+                        .filter(|h| h.zone == *zone && h.provisioned_while_partitioned)
                         .count() as u64
                         <= *n
                 }
@@ -222,8 +222,8 @@
                     self.counters.lost_with_zones,
                     (self.counters.stalls, self.counters.silenced, self.counters.unneeded),
                     self.state.refused,
-                    self.state.largest(),
-                    self.state.came,
+                    self.state.largest_value(),
+                    self.state.received,
                     self.checker.polls,
                     self.checker.start_counts.iter().take(12).collect::<Vec<_>>(),
                     self.fraction_started_within("urgent", 2_000_000),
@@ -277,8 +277,13 @@
     /// Number of machines that were released while their zone was cut off, by zone.
     fn released_while_cut_off(&self) -> BTreeMap<&str, usize> {
         let mut by_zone = BTreeMap::new();
-        for h in self.cloud.hosts.values().filter(|h| h.in_vain) {
-            *by_zone.entry(&*h.yard).or_default() += 1;
+        for h in self
+            .cloud
+            .hosts
+            .values()
+            .filter(|h| h.released_while_partitioned)
+        {
+            *by_zone.entry(&*h.zone).or_default() += 1;
         }
         by_zone
     }
--- a/tests/runner/invariants.rs
+++ b/tests/runner/invariants.rs
@@ -1,7 +1,7 @@
 //! Checks what workers do and what users are told against the protocol's rules, independently of the scheduler's code.
 
 use super::placement_rules::PlacementRuleChecker;
-use super::worker::{Deed, Task, task_name};
+use super::worker::{Task, TaskEvent, task_name};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -106,11 +106,11 @@
         now: u64,
         machine: u64,
         info: &MachineInfo,
-        deed: &Deed,
+        event: &TaskEvent,
         machines: &BTreeMap<u64, MachineInfo>,
     ) {
-        match deed {
-            Deed::Ended(t, why) => {
+        match event {
+            TaskEvent::Ended(t, why) => {
                 if self.machine_of.get(t) == Some(&machine) {
                     self.end_task(now, *t);
                 }
@@ -119,7 +119,7 @@
                     self.last_end.insert(t.0, now);
                 }
             }
-            Deed::Started(t) => {
+            TaskEvent::Started(t) => {
                 self.started_tasks += 1;
                 self.starts_after_cancellation += u64::from(
                     self.cancellation_reported_at
--- a/tests/runner/machines.rs
+++ b/tests/runner/machines.rs
@@ -2,7 +2,7 @@
 
 use super::invariants::MachineInfo;
 use super::script::Party;
-use super::worker::{ANSWER_LIMIT, Deed, NEXT_NODE_PAUSE, Redirect, Worker};
+use super::worker::{NEXT_NODE_DELAY_US, REPORT_TIMEOUT_US, Redirect, TaskEvent, Worker};
 use super::{Message, Outbound, SimEvent, World};
 use cometlead::coordination::CallId;
 use serde_json::Value;
@@ -25,7 +25,7 @@
         let terminated: Vec<u64> = self
             .workers
             .keys()
-            .filter(|i| self.cloud.hosts[i].gone_at.is_some_and(|g| g <= now))
+            .filter(|i| self.cloud.hosts[i].released_at.is_some_and(|g| g <= now))
             .copied()
             .collect();
         for i in terminated {
@@ -46,14 +46,14 @@
         &mut self,
         machine: u64,
         body: &[u8],
-        task_events: &mut Vec<Deed>,
+        task_events: &mut Vec<TaskEvent>,
     ) -> Option<(u16, Value)> {
         let now = self.now;
         let w = self.workers.get_mut(&machine)?;
-        if now < w.hung_until {
+        if now < w.stalled_until {
             // The command is carried out when the machine continues, if fencing token and incarnation still match.
             let body = body.to_vec();
-            let until = w.hung_until;
+            let until = w.stalled_until;
             let outbound = Outbound::PushCommand(machine, body);
             let late = Message::Request {
                 node: usize::MAX,
@@ -64,19 +64,19 @@
             self.schedule(until + 2_000, SimEvent::Deliver(Box::new(late)));
             return None;
         }
-        let response = w.take_command(now, body, &self.jobs, task_events)?;
+        let response = w.handle_command(now, body, &self.jobs, task_events)?;
         let next = w.next_deadline();
         self.schedule(next, SimEvent::WorkerDeadline(machine));
         Some(response)
     }
 
-    pub(super) fn record_task_events(&mut self, machine: u64, task_events: Vec<Deed>) {
+    pub(super) fn record_task_events(&mut self, machine: u64, task_events: Vec<TaskEvent>) {
         let info = self.machine_infos[&machine].clone();
         for d in task_events {
             tracing::debug!(machine, deed = ?d, "worker");
             self.checker
                 .observe(self.now, machine, &info, &d, &self.machine_infos);
-            if let Deed::Ended(t, "done") = d {
+            if let TaskEvent::Ended(t, "done") = d {
                 self.handle_task_completed(t.0);
             }
         }
@@ -86,7 +86,7 @@
     pub(super) fn hang_machine(&mut self, m: u64, span: u64) {
         let until = self.now + span;
         if let Some(w) = self.workers.get_mut(&m) {
-            w.hung_until = until;
+            w.stalled_until = until;
             self.schedule(until, SimEvent::WorkerDeadline(m));
         }
     }
@@ -102,7 +102,7 @@
         };
         let mut task_events = Vec::new();
         w.check_lease(now, &mut task_events);
-        if now < w.hung_until {
+        if now < w.stalled_until {
             // The tasks of a hanging machine do not run, but its lease still expires.
             let next = w.next_deadline();
             self.schedule(next.max(now + 1_000), SimEvent::WorkerDeadline(machine));
@@ -126,7 +126,10 @@
         self.schedule(next.max(now + 1_000), SimEvent::WorkerDeadline(machine));
         self.record_task_events(machine, task_events);
         if let Some((node, m)) = message {
-            self.schedule(now + ANSWER_LIMIT, SimEvent::WorkerTimeout(machine, now));
+            self.schedule(
+                now + REPORT_TIMEOUT_US,
+                SimEvent::WorkerTimeout(machine, now),
+            );
             if self.draws_fault(|w| &w.late_reports) {
                 let after =
                     2_000_000 + (self.random_fraction() * self.script.lease_s * 2.5e6) as u64;
@@ -161,14 +164,14 @@
             return;
         };
         // A hanging machine reads responses only when it continues, when they are too old.
-        if now < w.hung_until
-            || w.waiting.is_none_or(|(_, s, _)| s != sent)
-            || now > sent + ANSWER_LIMIT
+        if now < w.stalled_until
+            || w.pending_report.is_none_or(|(_, s, _)| s != sent)
+            || now > sent + REPORT_TIMEOUT_US
         {
             return;
         }
         let mut task_events = Vec::new();
-        let redirect = w.take_answer(
+        let redirect = w.handle_answer(
             now,
             (sent, incarnation),
             (status, body),
@@ -178,7 +181,7 @@
         let next = w.next_deadline();
         if redirect == Redirect::Next {
             self.record_task_events(machine, task_events);
-            return self.switch_node(machine, NEXT_NODE_PAUSE);
+            return self.switch_node(machine, NEXT_NODE_DELAY_US);
         }
         self.schedule(next, SimEvent::WorkerDeadline(machine));
         self.record_task_events(machine, task_events);
@@ -186,11 +189,11 @@
 
     pub(super) fn boot_machine(&mut self, i: u64) {
         let host = &self.cloud.hosts[&i];
-        if host.gone_at.is_some() {
+        if host.released_at.is_some() {
             return;
         }
         let t = self.cloud.type_of(i);
-        let (zone, spot) = (host.yard.clone(), host.spot);
+        let (zone, spot) = (host.zone.clone(), host.spot);
         let info = MachineInfo {
             machine_type: t.name.clone(),
             zone: zone.clone(),
--- a/tests/runner/mod.rs
+++ b/tests/runner/mod.rs
@@ -28,7 +28,7 @@
 use cometlead::storage::records::{INITIAL_FORMAT, LATEST_FORMAT, format_has_rules};
 use cometlead::time::Micros;
 use cometlead_constraints::RuleSet;
-pub use cometlead_emulator::standins::{cloud, state, worker};
+pub use cometlead_emulator::fakes::{cloud, state, worker};
 use invariants::{InvariantChecker, MachineInfo};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -304,7 +304,7 @@
                 rps: script.state_rates.0,
                 write_rps: script.state_rates.1,
                 // Pages are small so that ordinary scenarios have several of them.
-                page: 40,
+                page_size: 40,
             }),
             cloud: cloud::Cloud::new(script.types.clone(), (script.list_lag_s * 1e6) as u64),
             workers: BTreeMap::new(),
@@ -353,7 +353,7 @@
                 serde_json::from_slice(&std::fs::read(path).expect("records")).expect("records");
             records
                 .into_iter()
-                .for_each(|(key, value)| w.state.put(&key, value));
+                .for_each(|(key, value)| w.state.insert_record(&key, value));
         }
         for n in 0..w.script.nodes {
             w.start(n);
@@ -489,7 +489,7 @@
     fn is_in(&self, party: &Party, zone: &str) -> bool {
         match party {
             Party::Node(n) => zone_of(&self.script, *n) == zone,
-            Party::Machine(m) => self.cloud.hosts.get(m).is_some_and(|h| h.yard == zone),
+            Party::Machine(m) => self.cloud.hosts.get(m).is_some_and(|h| h.zone == zone),
             _ => false,
         }
     }
@@ -978,7 +978,9 @@
                 (0..self.script.nodes).for_each(|n| self.crash(n, down));
             }
             Step::FailZone { zone, down } => {
-                self.cloud.dark.push((zone.clone(), now + down));
+                self.cloud
+                    .zones_without_power
+                    .push((zone.clone(), now + down));
                 let in_zone = |m: &&u64| self.is_in(&Party::Machine(**m), &zone);
                 let machines: Vec<u64> = self.workers.keys().filter(in_zone).copied().collect();
                 machines
@@ -992,7 +994,7 @@
             }
             Step::Cut { a, b, mode, span } => {
                 if let Party::Zone(z) = &a {
-                    self.cloud.cut.push((z.clone(), now + span));
+                    self.cloud.partitioned_zones.push((z.clone(), now + span));
                 }
                 self.faults.push(Fault {
                     a,
@@ -1066,15 +1068,17 @@
             } => {
                 for machine in machine..machine + count {
                     if let Some(w) = self.workers.get_mut(&machine).filter(|_| notice > 0) {
-                        w.recall_at = Some(now + notice);
-                        w.changed = true;
+                        w.preempted_at = Some(now + notice);
+                        w.changed_since_report = true;
                         let next = w.next_deadline();
                         self.schedule(next, SimEvent::WorkerDeadline(machine));
                     }
                     self.schedule(now + notice, SimEvent::MachineTerminated(machine));
                 }
             }
-            Step::ScaleBootTimes { factor, span } => self.cloud.slow = (factor, now + span),
+            Step::ScaleBootTimes { factor, span } => {
+                self.cloud.boot_slowdown = (factor, now + span)
+            }
             Step::Polls {
                 job,
                 count,
@@ -1102,7 +1106,7 @@
             }
             Step::ApplyNextLimits => {
                 let (rate, size, ops) = self.script.next_limits.expect("next limits");
-                self.state.lower(rate, (size * 1024.0) as usize, ops);
+                self.state.lower_limits(rate, (size * 1024.0) as usize, ops);
             }
             Step::ChangeRules { node, name, down } => {
                 self.node_rules[node] = name;
@@ -1118,7 +1122,7 @@
             }
             Step::Faulty { machine } => {
                 if let Some(w) = self.workers.get_mut(&machine) {
-                    w.faulty = true;
+                    w.all_tasks_fail = true;
                 }
             }
         }
@@ -1177,7 +1181,7 @@
                     let timed_out = self
                         .workers
                         .get(&m)
-                        .is_some_and(|w| w.waiting.is_some_and(|(_, s, _)| s == sent));
+                        .is_some_and(|w| w.pending_report.is_some_and(|(_, s, _)| s == sent));
                     if timed_out {
                         self.switch_node(m, 1_000_000);
                     }
@@ -1215,7 +1219,7 @@
                 SimEvent::MachineBoot(i) => self.boot_machine(i),
                 SimEvent::MachineTerminated(i) => {
                     if let Some(h) = self.cloud.hosts.get_mut(&i) {
-                        h.gone_at.get_or_insert(self.now);
+                        h.released_at.get_or_insert(self.now);
                     }
                     self.terminate_machine(i);
                 }
--- a/tests/runner/placement_rules.rs
+++ b/tests/runner/placement_rules.rs
@@ -170,9 +170,9 @@
             ("zone", json!(info.zone)),
             ("spot", json!(info.spot)),
             ("cores", json!(t.cores)),
-            ("memory", json!(t.mem)),
+            ("memory", json!(t.memory_gb)),
             ("price", json!(price)),
-            ("boot", json!(t.boot)),
+            ("boot", json!(t.boot_s)),
         ]
         .map(|(k, v)| (k.to_owned(), v))
         .into();
--- a/tests/runner/script.rs
+++ b/tests/runner/script.rs
@@ -1,6 +1,6 @@
 //! Scenario files: one statement per line. A line that cannot be parsed is an error with its line number.
 
-pub use cometlead_emulator::standins::cloud::TypeSpec;
+pub use cometlead_emulator::fakes::cloud::TypeSpec;
 use std::collections::BTreeMap;
 
 /// A party that a fault can affect.
@@ -571,13 +571,13 @@
                 let t = TypeSpec {
                     name: w.positional(1, |t| Some(t.to_owned()))?,
                     cores: w.required("cores", parse_amount)?,
-                    mem: w.required("mem", parse_amount)?,
-                    boot: w.required("boot", parse_amount)?,
+                    memory_gb: w.required("mem", parse_amount)?,
+                    boot_s: w.required("boot", parse_amount)?,
                     price: w.required("price", parse_amount)?,
                     spot_price: w.required("spot_price", parse_amount)?,
-                    count: w.required("count", parse_count)? as u32,
-                    spot: w.required("spot", parse_count)? as u32,
-                    stuck: w.optional("stuck", parse_amount)?.unwrap_or(0.0),
+                    on_demand_per_zone: w.required("count", parse_count)? as u32,
+                    spot_per_zone: w.required("spot", parse_count)? as u32,
+                    stuck_boot_fraction: w.optional("stuck", parse_amount)?.unwrap_or(0.0),
                     zones: w
                         .optional("zones", |t| Some(t.split(',').map(str::to_owned).collect()))?
                         .unwrap_or_else(|| vec!["a".to_owned()]),
--- a/tests/runner/starvation.rs
+++ b/tests/runner/starvation.rs
@@ -15,7 +15,7 @@
         let mut running_tasks = BTreeSet::new();
         for w in self.workers.values() {
             running_tasks.extend(
-                w.pieces
+                w.attempts
                     .iter()
                     .filter(|(_, p)| !matches!(p.phase, Phase::Exited(_)))
                     .map(|((t, _), _)| *t),
@@ -27,7 +27,7 @@
             let depends_on_other_machines =
                 request.single_zone || request.anti_affinity || request.own_rules.is_some();
             // When a gang has lost a task, its other tasks end first; then the whole gang is placed anew.
-            let has_running_part = info.together
+            let has_running_part = info.gang
                 && running_tasks
                     .range((job, 0)..=(job, u32::MAX))
                     .next()
@@ -39,17 +39,13 @@
             {
                 continue;
             }
-            let pending = (0..info.pieces)
+            let pending = (0..info.task_count)
                 .filter(|i| {
                     !running_tasks.contains(&(job, *i))
                         && !self.checker.is_task_completed((job, *i))
                 })
                 .count();
-            let tasks_at_once = if info.together {
-                pending
-            } else {
-                pending.min(1)
-            };
+            let tasks_at_once = if info.gang { pending } else { pending.min(1) };
             if tasks_at_once > 0
                 && self
                     .checker
@@ -66,26 +62,26 @@
     fn machine_with_room(&self, job: u64, tasks: usize) -> Option<u64> {
         let (request, info) = (&self.checker.job_requests[&job], &self.jobs[&job]);
         let fitting_workers = self.workers.values().filter(|w| {
-            self.now >= w.hung_until
-                && w.recall_at.is_none()
-                && !w.faulty
+            self.now >= w.stalled_until
+                && w.preempted_at.is_none()
+                && !w.all_tasks_fail
                 && (!w.spot || request.spot_allowed)
                 && request
                     .machine_types
                     .as_ref()
-                    .is_none_or(|b| b.contains(&w.build))
-                && request.zone.as_ref().is_none_or(|y| *y == w.yard)
+                    .is_none_or(|b| b.contains(&w.machine_type))
+                && request.zone.as_ref().is_none_or(|y| *y == w.zone)
         });
         let mut room = 0;
         for w in fitting_workers {
-            let (cores, mem) = w.free(&self.jobs);
+            let (cores, mem) = w.free_resources(&self.jobs);
             let by_cores = if info.cores > 0.0 {
                 cores / info.cores
             } else {
                 f64::MAX
             };
-            let by_mem = if info.mem > 0.0 {
-                mem / info.mem
+            let by_mem = if info.memory_gb > 0.0 {
+                mem / info.memory_gb
             } else {
                 f64::MAX
             };
--- a/tests/runner/users.rs
+++ b/tests/runner/users.rs
@@ -3,7 +3,7 @@
 use super::invariants::JobRequest;
 use super::worker::JobInfo;
 use super::{Message, SimEvent, User, World};
-use cometlead_emulator::standins::submission::Submission;
+use cometlead_emulator::fakes::submission::Submission;
 use std::collections::BTreeMap;
 
 impl World {
@@ -53,27 +53,27 @@
         let shape = text("shape", "sweep");
         let submission = Submission {
             job,
-            lane: request.job_class.clone(),
-            crew: request.team.clone(),
+            job_class: request.job_class.clone(),
+            team: request.team.clone(),
             shape: shape.clone(),
             urgency: request.priority.clone(),
-            pieces,
+            task_count: pieces,
             cores: request.cores,
-            mem: real("mem", 1.0),
-            builds,
-            yard: request.zone.clone(),
+            memory_gb: real("mem", 1.0),
+            machine_types: builds,
+            zone: request.zone.clone(),
             one_zone: request.single_zone,
-            apart: request.anti_affinity,
+            anti_affinity: request.anti_affinity,
             spot: request.spot_allowed,
             image: request.image.clone(),
-            size: real("size", 0.5),
-            guess: real("guess", run),
-            bookmark: real("bookmark", 0.0),
-            stash: real("stash", 0.0),
-            due: fields
+            image_size_gb: real("size", 0.5),
+            estimated_run_s: real("guess", run),
+            checkpoint_interval_s: real("bookmark", 0.0),
+            checkpoint_duration_s: real("stash", 0.0),
+            deadline_s: fields
                 .get("due")
                 .map(|d| d.parse::<f64>().expect("a number")),
-            awaits,
+            dependencies: awaits,
         };
         let mut body = submission.body();
         if let Some(rules) = &request.own_rules {
@@ -81,16 +81,16 @@
         }
         let info = JobInfo {
             cores: request.cores,
-            mem: real("mem", 1.0),
-            run: (run * 1e6) as u64,
+            memory_gb: real("mem", 1.0),
+            run_us: (run * 1e6) as u64,
             image: text("image", "img"),
-            size: real("size", 0.5),
-            pieces,
-            standing: shape == "standing",
-            together: shape != "sweep",
+            image_fetch_s: real("size", 0.5),
+            task_count: pieces,
+            runs_until_cancelled: shape == "standing",
+            gang: shape != "sweep",
             fails: flag("fails", false),
-            saves: real("bookmark", 0.0) > 0.0,
-            stash: real("stash", 0.0),
+            saves_checkpoint: real("bookmark", 0.0) > 0.0,
+            checkpoint_duration_s: real("stash", 0.0),
         };
         self.jobs.entry(job).or_insert(info);
         self.checker.submitted_at.entry(job).or_insert(self.now);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -147,12 +147,12 @@
         "seed 1\nend 60\nat 0 crash n2 for=100\nat 2 submit req-000002 pieces=2 cores=1 run=2\n";
     for (rule, starts) in [("spot or not spot", true), ("spot unless later", false)] {
         let mut world = World::new(Script::parse(text).unwrap());
-        world.state.put(
+        world.state.insert_record(
             "c/meta",
             serde_json::json!({"layout": 4, "slices": 3, "teams": {}}),
         );
         let rules = serde_json::json!({"rules": [{"name": "later", "require": rule}]});
-        world.state.put("c/rules/0123456789abcdef", rules);
+        world.state.insert_record("c/rules/0123456789abcdef", rules);
         world.run();
         assert_eq!(world.started_tasks() > 0, starts, "{rule}");
     }
@@ -165,8 +165,8 @@
     let mut world = World::new(Script::parse(text).unwrap());
     world
         .state
-        .put("c/meta", serde_json::json!({"slices": 6, "teams": {}}));
-    world.state.put(
+        .insert_record("c/meta", serde_json::json!({"slices": 6, "teams": {}}));
+    world.state.insert_record(
         "c/group/0",
         serde_json::json!({"m": {"6": {"b": "small", "y": "a", "e": "10.1.0.6:9000"}}}),
     );
@@ -305,7 +305,7 @@
 #[test]
 fn checker_reports_tasks_of_cancelled_jobs() {
     use runner::invariants::MachineInfo;
-    use runner::worker::Deed;
+    use runner::worker::TaskEvent;
     let mut world = world_with_one_job("end 1.5\ncancel 40");
     let info = MachineInfo {
         machine_type: "small".to_owned(),
@@ -319,14 +319,14 @@
         .record_reply(2_000_000, 1_500_000, "submit", 1, 201, Some("queued"));
     world
         .checker
-        .observe(3_000_000, 7, &info, &Deed::Started((1, 0)), &all);
+        .observe(3_000_000, 7, &info, &TaskEvent::Started((1, 0)), &all);
     assert_eq!(world.checker.starts_after_cancellation, 0);
     world
         .checker
         .record_reply(5_000_000, 4_000_000, "abort", 1, 200, Some("cancelled"));
     world
         .checker
-        .observe(6_000_000, 7, &info, &Deed::Started((1, 1)), &all);
+        .observe(6_000_000, 7, &info, &TaskEvent::Started((1, 1)), &all);
     assert_eq!(world.checker.starts_after_cancellation, 1);
     world.checker.check_deadlines(45_000_000);
     assert!(
--- a/tests/smoke.rs
+++ b/tests/smoke.rs
@@ -11,8 +11,12 @@
     let binary = Path::new(env!("CARGO_BIN_EXE_cometlead"));
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let result = run(&scenario, binary, folder, &|_| {}).unwrap();
-    assert!(result.broken.is_empty(), "{:?}", result.violations);
-    assert_eq!(result.ended_by_themselves, 0);
+    assert!(
+        result.violation_counts.is_empty(),
+        "{:?}",
+        result.violations
+    );
+    assert_eq!(result.exited_controllers, 0);
     assert!(result.workers >= 30, "{} workers", result.workers);
     assert!(
         result.most_running >= 100,
