--- a/tests/runner/mod.rs
+++ b/tests/runner/mod.rs
@@ -1077,7 +1077,7 @@
                 }
             }
             Step::ScaleBootTimes { factor, span } => {
-                self.cloud.boot_slowdown = (factor, now + span)
+                self.cloud.boot_slowdown = (factor, now + span);
             }
             Step::Polls {
                 job,
