--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -11,16 +11,16 @@
 pub fn catalog() -> Catalog {
     let machine_type = |name: &str, cores: u64| MachineType {
         name: name.to_owned(),
-        room: Amount {
+        capacity: Amount {
             cores: cores * 1_000,
             accelerators: 0,
             memory: cores * 4_000,
         },
-        cache: 50_000,
-        fetch: 1_000,
+        cache_size: 50_000,
+        fetch_rate: 1_000,
         price: cores * 100,
         spot_price: cores * 40,
-        boot: Micros::secs(30),
+        boot_time: Micros::secs(30),
         zones: vec!["a".to_owned(), "b".to_owned()],
     };
     Catalog {
--- a/benches/rules.rs
+++ b/benches/rules.rs
@@ -5,7 +5,7 @@
 
 use cometlead::scheduler::constraints::{ClassTraits, JobConstraints, PlacementContext, traits};
 use cometlead::scheduler::placement::{
-    Candidate, GroupAllowance, PlacementRequest, PlacementRules, plan,
+    Candidate, GroupWriteLimit, PlacementRequest, PlacementRules, plan,
 };
 use cometlead::storage::catalog::Catalog;
 use cometlead::storage::cell_state::Job;
@@ -116,14 +116,17 @@
     fn candidates(&self, colocated: bool) -> Vec<Candidate<'_>> {
         (0..MACHINES)
             .map(|m| {
-                let class = self.classes.of(MachineId(m)).expect("a class");
+                let class = self
+                    .classes
+                    .class_of_machine(MachineId(m))
+                    .expect("a class");
                 let c = &self.classes.all()[class];
                 let t = self.catalog.get(&c.machine_type).expect("a type");
                 // Half of the machines are full.
                 let left = if m % 2 == 0 {
                     0
                 } else {
-                    t.room.cores / (1 + m % 4)
+                    t.capacity.cores / (1 + m % 4)
                 };
                 Candidate {
                     machine: MachineId(m),
@@ -133,16 +136,16 @@
                     zone: &c.zone,
                     spot: c.spot,
                     price: t.price_of(c.spot),
-                    capacity: t.room,
+                    capacity: t.capacity,
                     free: Amount {
                         cores: left,
-                        ..t.room
+                        ..t.capacity
                     },
-                    reserved: false,
-                    held: false,
+                    reserved_in_plan: false,
+                    in_gang_reservation: false,
                     images: &self.images[m as usize],
                     fetching_image: None,
-                    running: Vec::new(),
+                    preemptible_tasks: Vec::new(),
                     class,
                     restricts_colocation: colocated
                         && self
@@ -166,23 +169,23 @@
         let request = |id: &JobId| {
             let spec = self.jobs[id].spec();
             let constraints = self.job_constraints.get(id);
-            let rules = context.filter(|c| constraints.is_some() || c.colocated);
+            let rules = context.filter(|c| constraints.is_some() || c.rules_test_colocation);
             PlacementRequest {
                 job: *id,
                 spec,
                 priority: spec.priority,
                 tasks: (0..spec.task_count).collect(),
                 zones: BTreeMap::new(),
-                most: u64::MAX,
+                remaining_task_quota: u64::MAX,
                 price_limit: u64::MAX,
                 owner: (id.0 % 3) as usize,
                 is_local: true,
-                preempts: false,
+                may_preempt: false,
                 guaranteed: false,
                 never_reserves: false,
-                uses_held_machines: true,
+                may_use_gang_reservations: true,
                 gang: false,
-                avoid: &[],
+                avoided_machines: &[],
                 rules: rules.map(|context| PlacementRules {
                     context,
                     constraints,
@@ -200,16 +203,16 @@
     cluster: &Cluster,
     context: Option<&PlacementContext<'_>>,
 ) {
-    let colocated = context.is_some_and(|context| context.colocated);
+    let colocated = context.is_some_and(|context| context.rules_test_colocation);
     c.bench_function(name, |b| {
         b.iter_batched(
             || {
                 (
                     cluster.candidates(colocated),
                     cluster.requests(context),
-                    GroupAllowance {
-                        open: vec![false; 40],
-                        left: 11,
+                    GroupWriteLimit {
+                        written: vec![false; 40],
+                        remaining: 11,
                     },
                 )
             },
@@ -232,7 +235,7 @@
         let context = PlacementContext {
             jobs: &cluster.jobs,
             job_constraints: &cluster.job_constraints,
-            colocated,
+            rules_test_colocation: colocated,
         };
         let bench_name = if colocated {
             "a fifth with rules, some of them about what is beside"
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -6,8 +6,8 @@
 
 use cometlead::protocol::state::{decode, encode};
 use cometlead::scheduler::placement::{
-    Candidate, DrainCandidate, DrainDemand, EndingTask, GroupAllowance, PlacementRequest, drain,
-    plan,
+    Candidate, EndingTask, GangDemand, GroupWriteLimit, PlacementRequest, ReservationCandidate,
+    plan, select_reserved_machines,
 };
 use cometlead::storage::cell_state::{CellChanges, CellState, Change, Content};
 use cometlead::storage::ids::{Attempt, JobId, MachineId, TaskId};
@@ -146,15 +146,15 @@
                 })
                 .collect()
         };
-        let candidates: Vec<DrainCandidate<'_>> = (0..machines)
-            .map(|machine| DrainCandidate {
+        let candidates: Vec<ReservationCandidate<'_>> = (0..machines)
+            .map(|machine| ReservationCandidate {
                 machine: MachineId(machine),
                 zone: "a",
                 free: Amount::default(),
-                ending: ending(machine),
+                ending_tasks: ending(machine),
             })
             .collect();
-        let demand = DrainDemand {
+        let demand = GangDemand {
             need: Amount {
                 cores: ENDING_TASKS_PER_MACHINE * 1_000,
                 ..Amount::default()
@@ -165,7 +165,7 @@
         };
         group.bench_function(
             BenchmarkId::from_parameter(format!("{machines} machines")),
-            |b| b.iter(|| black_box(drain(&candidates, &demand))),
+            |b| b.iter(|| black_box(select_reserved_machines(&candidates, &demand))),
         );
     }
     group.finish();
@@ -192,17 +192,17 @@
                     zone: &r.zone,
                     spot: r.spot,
                     price: t.price_of(r.spot),
-                    capacity: t.room,
+                    capacity: t.capacity,
                     free: if m.0 % 2 == 0 {
                         Amount::default()
                     } else {
-                        cell.free(r)
+                        cell.free_resources(r)
                     },
-                    reserved: false,
-                    held: false,
+                    reserved_in_plan: false,
+                    in_gang_reservation: false,
                     images: &r.images,
                     fetching_image: None,
-                    running: Vec::new(),
+                    preemptible_tasks: Vec::new(),
                     class: 0,
                     restricts_colocation: false,
                     residents: Vec::new(),
@@ -220,17 +220,17 @@
                     priority: spec.priority,
                     tasks: (0..spec.task_count).collect(),
                     zones: BTreeMap::new(),
-                    most: u64::MAX,
+                    remaining_task_quota: u64::MAX,
                     price_limit: u64::MAX,
                     owner: (id.0 % SHARDS) as usize,
                     // A fifth of the jobs are placed by this controller; the plan follows those of other controllers as well.
                     is_local: id.0 % SHARDS == 0,
-                    preempts: false,
+                    may_preempt: false,
                     guaranteed: false,
                     never_reserves: false,
-                    uses_held_machines: true,
+                    may_use_gang_reservations: true,
                     gang: false,
-                    avoid: &[],
+                    avoided_machines: &[],
                     rules: None,
                 }
             })
@@ -239,9 +239,9 @@
         group.bench_function(
             BenchmarkId::from_parameter(format!("{machines} machines, {waiting} waiting")),
             |b| {
-                let groups = || GroupAllowance {
-                    open: vec![false; (machines / MACHINES_PER_GROUP) as usize + 1],
-                    left: 11,
+                let groups = || GroupWriteLimit {
+                    written: vec![false; (machines / MACHINES_PER_GROUP) as usize + 1],
+                    remaining: 11,
                 };
                 b.iter_batched(
                     || (candidates(), requests(), groups()),
@@ -358,7 +358,7 @@
                         mod_revision,
                     };
                     cell.apply([change], &mut CellChanges::default());
-                    black_box(cell.used(0, "team"))
+                    black_box(cell.assigned_to_team(0, "team"))
                 });
             },
         );
--- a/crates/constraints/src/clash.rs
+++ b/crates/constraints/src/conflict.rs
@@ -16,7 +16,7 @@
 /// empty.
 ///
 /// `excluded_by`: for each class, the rules that it does not meet.
-pub fn smallest(excluded_by: &[RuleMask]) -> Option<RuleMask> {
+pub fn smallest_conflict(excluded_by: &[RuleMask]) -> Option<RuleMask> {
     if excluded_by.contains(&0) {
         return None;
     }
--- a/crates/constraints/src/evaluation.rs
+++ b/crates/constraints/src/evaluation.rs
@@ -131,8 +131,8 @@
             Expr::And(operands) => operands.iter().all(|operand| operand.holds(traits, state)),
             Expr::Not(negated) => !negated.holds(traits, state),
             Expr::Trait(name, test, _) => test.holds(traits.get(name)),
-            Expr::HoldsOwn => state.has_own_image(),
-            Expr::Holds(images) => state.has_any_image(images),
+            Expr::HasOwnImage => state.has_own_image(),
+            Expr::HasAnyImage(images) => state.has_any_image(images),
             Expr::Colocated(field, words) => state.has_colocated(*field, words),
         }
     }
--- a/crates/constraints/src/explain.rs
+++ b/crates/constraints/src/explain.rs
@@ -2,7 +2,7 @@
 
 use super::evaluation::{MachineState, Traits};
 use super::expr::Expr;
-use super::rules::{Kind, Rule};
+use super::rules::{Rule, RuleKind};
 use serde::Serialize;
 
 /// A part of a rule. The rule holds if all its clauses hold.
@@ -75,8 +75,8 @@
             })
             .collect();
         let weight = match rule.kind {
-            Kind::Require => None,
-            Kind::Prefer { weight, .. } => Some(weight),
+            RuleKind::Require => None,
+            RuleKind::Prefer { weight, .. } => Some(weight),
         };
         Finding {
             rule: rule.name.clone(),
--- a/crates/constraints/src/expr.rs
+++ b/crates/constraints/src/expr.rs
@@ -168,21 +168,23 @@
     /// A test of a trait.
     Trait(String, Test, Position),
     /// The machine has the job's own image in its cache or downloads it.
-    HoldsOwn,
+    HasOwnImage,
     /// The machine has one of these images in its cache or downloads it.
-    Holds(Words),
+    HasAnyImage(Words),
     /// A task of another job, whose field has one of these words, is assigned to the machine.
     Colocated(Field, Words),
 }
 
 impl Expr {
     /// Calls `visit` with each test in the expression.
-    pub fn tests<'a>(&'a self, visit: &mut dyn FnMut(&'a Expr)) {
+    pub fn visit_tests<'a>(&'a self, visit: &mut dyn FnMut(&'a Expr)) {
         match self {
             Expr::Or(operands) | Expr::And(operands) => {
-                operands.iter().for_each(|operand| operand.tests(visit));
+                operands
+                    .iter()
+                    .for_each(|operand| operand.visit_tests(visit));
             }
-            Expr::Not(negated) => negated.tests(visit),
+            Expr::Not(negated) => negated.visit_tests(visit),
             test => visit(test),
         }
     }
@@ -190,7 +192,7 @@
     /// Whether the expression tests which other jobs are on the machine.
     pub fn tests_colocation(&self) -> bool {
         let mut found = false;
-        self.tests(&mut |test| found |= matches!(test, Expr::Colocated(..)));
+        self.visit_tests(&mut |test| found |= matches!(test, Expr::Colocated(..)));
         found
     }
 }
@@ -312,8 +314,8 @@
                 f.write_str("not ")?;
                 negated.write_operand(f, Precedence::Not)
             }
-            Expr::HoldsOwn => f.write_str("holds own"),
-            Expr::Holds(images) => {
+            Expr::HasOwnImage => f.write_str("holds own"),
+            Expr::HasAnyImage(images) => {
                 f.write_str("holds ")?;
                 write_words(f, images)
             }
--- a/crates/constraints/src/lib.rs
+++ b/crates/constraints/src/lib.rs
@@ -45,7 +45,7 @@
     )
 )]
 
-pub mod clash;
+pub mod conflict;
 pub mod evaluation;
 pub mod explain;
 pub mod expr;
@@ -56,5 +56,5 @@
 pub use evaluation::{Evaluation, MachineState, Traits};
 pub use expr::{Expr, Field};
 pub use parse::ParseError;
-pub use rules::{Kind, Rule, RuleSet, RulesError, RulesFile, Subject};
+pub use rules::{Rule, RuleKind, RuleSet, RulesError, RulesFile, Subject};
 pub use value::{Dimension, Quantity, Value};
--- a/crates/constraints/src/parse.rs
+++ b/crates/constraints/src/parse.rs
@@ -281,8 +281,8 @@
 
     fn into_expr(self, rule: Rule, at: Position) -> Result<Expr, ParseError> {
         let test = match rule {
-            Rule::holds_own => return Ok(Expr::HoldsOwn),
-            Rule::holds => return Ok(Expr::Holds(self.words)),
+            Rule::holds_own => return Ok(Expr::HasOwnImage),
+            Rule::holds => return Ok(Expr::HasAnyImage(self.words)),
             Rule::beside => {
                 let field = self
                     .field
--- a/crates/constraints/src/rules.rs
+++ b/crates/constraints/src/rules.rs
@@ -115,7 +115,7 @@
 
 /// Whether a rule is hard or soft.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RuleKind {
     /// Hard: a machine must meet it.
     Require,
     /// Soft: a machine that meets it is preferred.
@@ -135,7 +135,7 @@
     /// The jobs that it concerns.
     pub scope: Scope,
     /// Whether it is hard or soft.
-    pub kind: Kind,
+    pub kind: RuleKind,
     /// The expression that a machine has to meet.
     pub expr: Expr,
 }
@@ -156,7 +156,7 @@
 impl Rule {
     /// Whether the rule is hard.
     pub fn is_hard(&self) -> bool {
-        self.kind == Kind::Require
+        self.kind == RuleKind::Require
     }
 
     /// Whether the rule concerns a job.
@@ -176,7 +176,7 @@
     /// The first test of an unknown trait, or of a trait of another sort.
     pub fn check(&self, vocabulary: &Vocabulary) -> Result<(), RulesError> {
         let mut first_mismatch = None;
-        self.expr.tests(&mut |test| {
+        self.expr.visit_tests(&mut |test| {
             if first_mismatch.is_none() {
                 first_mismatch = vocabulary.mismatch(test);
             }
@@ -236,8 +236,8 @@
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let (name, text) = (self.name.as_str().into(), self.expr.to_string());
         let stored = match self.kind {
-            Kind::Require => StoredRule::Hard(name, text),
-            Kind::Prefer { weight, wait } => StoredRule::Soft(name, text, weight, wait),
+            RuleKind::Require => StoredRule::Hard(name, text),
+            RuleKind::Prefer { weight, wait } => StoredRule::Soft(name, text, weight, wait),
         };
         stored.serialize(serializer)
     }
@@ -246,9 +246,9 @@
 impl<'de> Deserialize<'de> for Rule {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Rule, D::Error> {
         let (name, text, kind) = match StoredRule::deserialize(deserializer)? {
-            StoredRule::Hard(name, text) => (name, text, Kind::Require),
+            StoredRule::Hard(name, text) => (name, text, RuleKind::Require),
             StoredRule::Soft(name, text, weight, wait) => {
-                (name, text, Kind::Prefer { weight, wait })
+                (name, text, RuleKind::Prefer { weight, wait })
             }
         };
         let expr = text.parse().map_err(serde::de::Error::custom)?;
--- a/crates/constraints/src/rules/file.rs
+++ b/crates/constraints/src/rules/file.rs
@@ -2,7 +2,7 @@
 //!
 //! The doc comments of the types are part of the published JSON schema, so changing them changes the schema.
 
-use super::{Kind, LabelProblem, Rule, RuleProblem, RulesError};
+use super::{LabelProblem, Rule, RuleKind, RuleProblem, RulesError};
 use crate::value::{Dimension, Quantity, Value};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -192,14 +192,14 @@
         (1..=NAME_BYTES_LIMIT).contains(&self.name.len()) && self.name.chars().all(is_allowed)
     }
 
-    fn requirement(&self) -> Result<Kind, RuleProblem> {
+    fn requirement(&self) -> Result<RuleKind, RuleProblem> {
         if self.weight.is_some() || self.wait_s.is_some() {
             return Err(RuleProblem::PreferenceFields);
         }
-        Ok(Kind::Require)
+        Ok(RuleKind::Require)
     }
 
-    fn preference(&self) -> Result<Kind, RuleProblem> {
+    fn preference(&self) -> Result<RuleKind, RuleProblem> {
         let weight = self.weight.unwrap_or(1);
         let wait = self.wait_s.unwrap_or(0.0);
         if !(1..=WEIGHT_LIMIT).contains(&weight) {
@@ -208,7 +208,7 @@
         if !(0.0..=WAIT_SECONDS_LIMIT).contains(&wait) {
             return Err(RuleProblem::Wait);
         }
-        Ok(Kind::Prefer {
+        Ok(RuleKind::Prefer {
             weight,
             wait: (wait * MICROS_PER_SECOND) as u64,
         })
--- a/crates/constraints/src/rules/rule_set.rs
+++ b/crates/constraints/src/rules/rule_set.rs
@@ -68,7 +68,7 @@
 
     /// Adds the labels of a machine of this type and zone to its traits. `machine` is the machine's name, if it has
     /// one.
-    pub fn label(
+    pub fn add_labels(
         &self,
         traits: &mut Traits,
         machine_type: &str,
--- a/crates/constraints/tests/language.rs
+++ b/crates/constraints/tests/language.rs
@@ -1,6 +1,6 @@
 //! Tests of the language: parsing, errors, printing, evaluation by class, and conflicting rules.
 
-use cometlead_constraints::clash::smallest;
+use cometlead_constraints::conflict::smallest_conflict;
 use cometlead_constraints::evaluation::{EmptyMachine, MachineState, Traits};
 use cometlead_constraints::expr::{Comparison, Expr, Field, Operand, Test, Words};
 use cometlead_constraints::parse::{DEPTH_LIMIT, TESTS_LIMIT, TEXT_LIMIT};
@@ -96,7 +96,7 @@
 fn labels_of_machine_type_and_zone_are_merged() {
     let set = RuleSet::parse(FILE.as_bytes()).unwrap();
     let mut traits = Traits::new();
-    set.label(&mut traits, "kiosk-box", "merkato", Some("i-000007"));
+    set.add_labels(&mut traits, "kiosk-box", "merkato", Some("i-000007"));
     assert_eq!(
         traits["floor"],
         Value::Number(Quantity::parse("3", "").unwrap()),
@@ -270,8 +270,8 @@
     let field = (0..Field::ALL.len()).prop_map(|i| Field::ALL[i].0);
     let leaf = prop_oneof![
         4 => test_of_a_trait(),
-        1 => Just(Expr::HoldsOwn),
-        1 => words().prop_map(Expr::Holds),
+        1 => Just(Expr::HasOwnImage),
+        1 => words().prop_map(Expr::HasAnyImage),
         1 => (field, words()).prop_map(|(f, w)| Expr::Colocated(f, w)),
     ];
     leaf.prop_recursive(5, 24, 4, |inner| {
@@ -333,7 +333,7 @@
     #[test]
     fn smallest_conflict_excludes_every_class(classes in prop::collection::vec(0..256u128, 0..9)) {
         let excludes_all = |set: u128| classes.iter().all(|p| p & set != 0);
-        match smallest(&classes) {
+        match smallest_conflict(&classes) {
             None => prop_assert!(classes.contains(&0)),
             Some(set) => {
                 prop_assert!(excludes_all(set));
--- a/src/cli/config.rs
+++ b/src/cli/config.rs
@@ -84,9 +84,9 @@
 fn check_rules_size(rules: &RuleSet, settings: &Settings) -> Result<(), CliError> {
     let bytes = serde_json::to_vec(rules).map_or(usize::MAX, |value| value.len());
     let limit = settings
-        .limits
+        .state_limits
         .value_bytes
-        .min(settings.next_limits.value_bytes);
+        .min(settings.announced_state_limits.value_bytes);
     if bytes > limit {
         return Err(CliError::RulesTooLarge { bytes, limit });
     }
--- a/src/cli/controller.rs
+++ b/src/cli/controller.rs
@@ -46,7 +46,7 @@
         run = format!("{incarnation:016x}"),
         "starting"
     );
-    if settings.contact_limit() == Micros::ZERO {
+    if settings.max_contact_age() == Micros::ZERO {
         tracing::error!(
             "params.workers.cancel_s leaves no time after lease_s: agent leases cannot be renewed"
         );
@@ -60,18 +60,18 @@
 
 /// Starts the server for users and agents, and the links to and from all peers.
 fn spawn_listeners(node: &Arc<Node>, settings: &Settings) {
-    let sockets = SocketPlan::new(settings.max_connections, settings.others.len());
+    let sockets = SocketPlan::new(settings.max_connections, settings.peers.len());
     tokio::spawn(server::serve(
         Arc::clone(node),
         settings.bind,
-        sockets.served,
+        sockets.server_connections,
     ));
     tokio::spawn(peers::listen(
         Arc::clone(node),
         settings.peer_bind,
-        settings.others.len(),
+        settings.peers.len(),
     ));
-    for peer in &settings.others {
+    for peer in &settings.peers {
         tokio::spawn(peers::send_hints(Arc::clone(node), peer.address));
     }
 }
--- a/src/cli/rules.rs
+++ b/src/cli/rules.rs
@@ -64,7 +64,7 @@
         .set_header(["machine", "may run", "worth", "rule", "met", "clause"]);
     for machine in &report.machines {
         let mut rows: Vec<[String; 3]> = Vec::new();
-        for finding in &machine.verdict.findings {
+        for finding in &machine.explanation.findings {
             let mut rule = match finding.weight {
                 None => finding.rule.clone(),
                 Some(weight) => format!("{} (prefers, {weight})", finding.rule),
@@ -75,7 +75,7 @@
                 rows.push([rule, yes_or_no(clause.met), clause.text.clone()]);
             }
         }
-        for rule in &machine.against {
+        for rule in &machine.exclusions {
             rows.push([rule.clone(), yes_or_no(false), String::new()]);
         }
         if rows.is_empty() {
@@ -84,7 +84,7 @@
         let mut machine_columns = [
             machine.host.clone(),
             yes_or_no(machine.allowed),
-            machine.verdict.total_weight.to_string(),
+            machine.explanation.total_weight.to_string(),
         ];
         for row in rows {
             table.add_row(std::mem::take(&mut machine_columns).into_iter().chain(row));
@@ -99,7 +99,7 @@
     }
     format!(
         "impossible: no machine that could be had meets all of: {}",
-        report.clash.join(", ")
+        report.conflicting_rules.join(", ")
     )
 }
 
--- a/src/coordination/agents/agent.rs
+++ b/src/coordination/agents/agent.rs
@@ -30,7 +30,7 @@
     pub(super) fn from_settings(settings: &Settings) -> HeartbeatLossLimits {
         HeartbeatLossLimits {
             after_heartbeat: longest_expected_silence(settings),
-            before_first: settings.lease,
+            before_first: settings.agent_lease,
         }
     }
 }
--- a/src/coordination/agents/cancellations.rs
+++ b/src/coordination/agents/cancellations.rs
@@ -1,6 +1,6 @@
 //! Cancelled jobs whose launches may still reach a machine, and the deadline by which their tasks must have ended.
 //!
-//! A leader that cannot know of a cancellation stops acknowledging heartbeats in time (`Settings::contact_limit`). A leader that
+//! A leader that cannot know of a cancellation stops acknowledging heartbeats in time (`Settings::max_contact_age`). A leader that
 //! knows of it stops the tasks that agents report. But the network may delay a pushed launch that got no response, and deliver it
 //! much later. Only the agent's next incarnation or a higher fencing token makes the agent refuse it, and a higher token needs
 //! the state store. While the store is unavailable, the age of the last contact with it is the age of the outage, which may have
@@ -53,12 +53,12 @@
 
     /// Whether the last contact with the state store is too old to acknowledge heartbeats.
     pub(in crate::coordination) fn is_state_contact_too_old(&mut self) -> bool {
-        let (now, contact) = (self.now.steady, self.contact_age());
-        let too_old = contact > self.settings.contact_limit();
-        if too_old && self.cancelled.contact_too_old_since.is_none() {
+        let (now, contact) = (self.now.monotonic, self.contact_age());
+        let too_old = contact > self.settings.max_contact_age();
+        if too_old && self.cancellations.contact_too_old_since.is_none() {
             tracing::info!(%contact, "heartbeats not acknowledged: no contact with the state store");
-            self.cancelled.contact_too_old_since = Some(now);
-        } else if !too_old && let Some(since) = self.cancelled.contact_too_old_since.take() {
+            self.cancellations.contact_too_old_since = Some(now);
+        } else if !too_old && let Some(since) = self.cancellations.contact_too_old_since.take() {
             tracing::info!(after = %now.since(since), "heartbeats acknowledged again");
         }
         too_old
@@ -71,14 +71,16 @@
         &self,
         reported_at: Option<Micros>,
     ) -> bool {
-        reported_at.is_some_and(|at| self.now.steady.since(at) > self.settings.contact_limit())
+        reported_at.is_some_and(|at| self.now.monotonic.since(at) > self.settings.max_contact_age())
     }
 
     /// Forgets cancellations that are past the retention time.
     pub(in crate::coordination) fn tick_cancellations(&mut self) {
-        let retention = (self.settings.cancel + self.settings.lease) * Self::RETENTION_FACTOR;
-        if self.now.steady > retention {
-            self.cancelled.forget_before(self.now.steady - retention);
+        let retention = (self.settings.cancellation_timeout + self.settings.agent_lease)
+            * Self::RETENTION_FACTOR;
+        if self.now.monotonic > retention {
+            self.cancellations
+                .forget_before(self.now.monotonic - retention);
         }
     }
 }
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -2,7 +2,7 @@
 //!
 //! Releases of assignments that are proved to have ended are passed to the next commit round.
 
-use super::Outcome;
+use super::AssignmentOutcome;
 use super::agent::Agent;
 use super::launch_policy::{PreemptionWindow, exceeds_quota, grace_period, has_room};
 use crate::coordination::Controller;
@@ -87,9 +87,9 @@
             return;
         }
         let outcome = match ended {
-            ExitReason::Completed => Outcome::Done,
-            ExitReason::Failed => Outcome::Failed,
-            _ => Outcome::Reassign,
+            ExitReason::Completed => AssignmentOutcome::Done,
+            ExitReason::Failed => AssignmentOutcome::Failed,
+            _ => AssignmentOutcome::Reassign,
         };
         if self
             .rounds
@@ -102,18 +102,18 @@
 
     /// Records what the end of a task shows about the machine: a failure may quarantine it, a completed task clears earlier
     /// failures.
-    fn record_outcome_for_machine(&mut self, attempt: Attempt, outcome: Outcome) {
+    fn record_outcome_for_machine(&mut self, attempt: Attempt, outcome: AssignmentOutcome) {
         let job = attempt.task.job;
         match outcome {
             // The failure of a suspect job is no evidence against the machine.
-            Outcome::Failed if self.rounds.is_suspect(job) => {}
-            Outcome::Failed => {
+            AssignmentOutcome::Failed if self.rounds.is_suspect(job) => {}
+            AssignmentOutcome::Failed => {
                 if self.agent.on_task_failed(job) {
                     tracing::info!(machine = %self.machine, "machine quarantined");
                 }
             }
-            Outcome::Done => self.agent.on_task_done(),
-            Outcome::Reassign => {}
+            AssignmentOutcome::Done => self.agent.on_task_done(),
+            AssignmentOutcome::Reassign => {}
         }
     }
 
@@ -127,7 +127,7 @@
     /// The grace period for saving a checkpoint, if the task has to be stopped.
     fn stop_grace_period(&self, attempt: Attempt, state: TaskState) -> Option<Micros> {
         let id = attempt.task.job;
-        let Some(job) = self.cell.jobs.get(&id).filter(|job| !job.cancelled()) else {
+        let Some(job) = self.cell.jobs.get(&id).filter(|job| !job.is_cancelled()) else {
             return Some(Micros::ZERO);
         };
         if self.is_preempted(&attempt) {
@@ -207,7 +207,7 @@
         if exceeds_quota(self.cell, self.settings, id) {
             return Some(LaunchRefusal::OverQuota);
         }
-        let unwanted = self.cell.jobs.get(&id).is_none_or(Job::cancelled)
+        let unwanted = self.cell.jobs.get(&id).is_none_or(Job::is_cancelled)
             || self.health() != MachineHealth::Schedulable
             || self.agent.reclaimed_at().is_some()
             || record.preempted.contains(assignment);
@@ -243,7 +243,7 @@
         }
         if !self
             .rounds
-            .release(self.machine, attempt, Outcome::Reassign, self.now)
+            .release(self.machine, attempt, AssignmentOutcome::Reassign, self.now)
         {
             return;
         }
@@ -275,7 +275,7 @@
             rounds: &mut self.rounds,
             leadership: &mut self.leadership,
             agent,
-            now: self.now.steady,
+            now: self.now.monotonic,
             shard,
             machine,
             record: self.cell.machine(machine),
--- a/src/coordination/agents/heartbeats.rs
+++ b/src/coordination/agents/heartbeats.rs
@@ -38,7 +38,7 @@
             return HeartbeatResponse::Unavailable;
         }
         if let Some(agent) = self.agents.get_mut(&machine) {
-            agent.acknowledge(self.now.steady, heartbeat.id);
+            agent.acknowledge(self.now.monotonic, heartbeat.id);
         }
         let delivery = if newer {
             Delivery::InResponse
@@ -62,7 +62,7 @@
                     .cell
                     .nodes
                     .get(&leader.node)
-                    .is_some_and(|node| node.value.run == leader.run)
+                    .is_some_and(|node| node.value.incarnation == leader.incarnation)
         });
         match leader {
             Some(leader) => HeartbeatResponse::NotLeader(Some(leader.node.clone())),
@@ -107,7 +107,7 @@
     /// not show that the agent is alive. But the agent may also have sent it before it responded to a pushed command, so it gets
     /// a response all the same.
     fn apply_if_newer(&mut self, shard: ShardId, heartbeat: &Heartbeat) -> bool {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let Some(agent) = self.agents.get_mut(&heartbeat.machine) else {
             return false;
         };
@@ -117,8 +117,8 @@
         let first_term = self
             .leadership
             .leader_term(shard)
-            .map_or(u64::MAX, |term| term.first);
-        let only_controller = self.settings.others.is_empty();
+            .map_or(u64::MAX, |term| term.first_token);
+        let only_controller = self.settings.peers.is_empty();
         agent.on_new_heartbeat(now, heartbeat, first_term, only_controller);
         self.apply_heartbeat(shard, heartbeat);
         true
@@ -130,8 +130,10 @@
         let Some(agent) = self.agents.get(&machine) else {
             return false;
         };
-        let due = self
-            .requires_lease_expiry(self.cancelled.earliest_report(agent.launches().in_flight()));
+        let due = self.requires_lease_expiry(
+            self.cancellations
+                .earliest_report(agent.launches().in_flight()),
+        );
         if due {
             tracing::info!(%machine, "heartbeat not acknowledged: a launch of a cancelled job may still be in flight");
         }
@@ -156,14 +158,14 @@
 
     /// Applies a newer heartbeat, whether the agent sent it by itself or in the response to a pushed command.
     pub(super) fn apply_heartbeat(&mut self, shard: ShardId, heartbeat: &Heartbeat) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let Some(leader_term) = self.leadership.leader_term(shard) else {
             return;
         };
         let Some(agent) = self.agents.get_mut(&heartbeat.machine) else {
             return;
         };
-        agent.update_from_heartbeat(now, heartbeat, leader_term.first);
+        agent.update_from_heartbeat(now, heartbeat, leader_term.first_token);
         let heartbeats_lost = agent.heartbeats_are_lost(
             now,
             leader_term.since.max(self.stall.resumed_at()),
@@ -173,7 +175,7 @@
             None => {
                 let term_age = now.since(leader_term.since);
                 if agent.has_current_token()
-                    || term_age >= self.settings.lease * Self::DUPLICATE_HEARTBEAT_LEASES
+                    || term_age >= self.settings.agent_lease * Self::DUPLICATE_HEARTBEAT_LEASES
                 {
                     self.rounds.add_machine(heartbeat.machine);
                 }
--- a/src/coordination/agents/launch_policy.rs
+++ b/src/coordination/agents/launch_policy.rs
@@ -28,7 +28,7 @@
     if team.cores_limit.is_none() && team.accelerators_limit.is_none() {
         return false;
     }
-    let used = cell.used(cell.shard_of_job(job, spec), &spec.team);
+    let used = cell.assigned_to_team(cell.shard_of_job(job, spec), &spec.team);
     team.cores_limit.is_some_and(|limit| used.0 > limit)
         || team.accelerators_limit.is_some_and(|limit| used.1 > limit)
 }
@@ -45,7 +45,7 @@
     };
     let mut room = cell
         .machine_type(&record.machine_type)
-        .map(|t| t.room)
+        .map(|t| t.capacity)
         .unwrap_or_default();
     for (reported, state) in agent.reported_tasks() {
         if reported != attempt && !matches!(state, TaskState::Exited(_)) {
--- a/src/coordination/agents/liveness.rs
+++ b/src/coordination/agents/liveness.rs
@@ -2,7 +2,7 @@
 
 use super::agent::{Agent, HeartbeatLossLimits};
 use super::cancellations::Cancellations;
-use super::{HealthChange, Outcome};
+use super::{AssignmentOutcome, HealthChange};
 use crate::coordination::commit::Rounds;
 use crate::coordination::leadership::Leadership;
 use crate::coordination::{Controller, Counters};
@@ -44,7 +44,7 @@
         SilenceLimits {
             heartbeat_due: heartbeat_due(settings),
             longest_expected_silence: longest_expected_silence(settings),
-            lease_expiry: settings.lease.with_drift() + LEASE_EXPIRY_MARGIN,
+            lease_expiry: settings.agent_lease.with_drift() + LEASE_EXPIRY_MARGIN,
             heartbeat_loss: HeartbeatLossLimits::from_settings(settings),
         }
     }
@@ -150,7 +150,7 @@
         if agent.fenced_incarnation() < incarnation {
             tracing::info!(%machine, incarnation, %unrenewed, "agent lease expired");
             agent.fence(incarnation);
-            self.counters.silenced += 1;
+            self.counters.expired_agents += 1;
         }
         if record.fenced_incarnation < agent.fenced_incarnation() {
             let change = HealthChange {
@@ -160,8 +160,12 @@
             self.rounds.set_health(machine, change);
         }
         for assignment in &record.tasks {
-            self.rounds
-                .release(machine, assignment.attempt(), Outcome::Reassign, self.now);
+            self.rounds.release(
+                machine,
+                assignment.attempt(),
+                AssignmentOutcome::Reassign,
+                self.now,
+            );
         }
     }
 
@@ -194,18 +198,18 @@
 impl Controller {
     /// Periodically checks which agents are silent.
     pub(in crate::coordination) fn tick_agents(&mut self) {
-        if self.rounds.has_suspects() {
+        if self.rounds.has_suspect_jobs() {
             self.rounds.request();
         }
         let is_isolated_from_agents = self.is_isolated_from_agents();
         let mut check = LivenessCheck {
             cell: &self.cell,
-            cancelled: &self.cancelled,
+            cancelled: &self.cancellations,
             leadership: &mut self.leadership,
             rounds: &mut self.rounds,
             counters: &mut self.counters,
             limits: SilenceLimits::from_settings(&self.settings),
-            now: self.now.steady,
+            now: self.now.monotonic,
             stall_end: self.stall.resumed_at(),
             is_isolated_from_agents,
             probes: Vec::new(),
--- a/src/coordination/agents/mod.rs
+++ b/src/coordination/agents/mod.rs
@@ -20,7 +20,7 @@
 
 /// Why an assignment is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AssignmentOutcome {
     /// The task completed.
     Done,
     /// The task failed on its machine.
@@ -48,21 +48,21 @@
     /// How many removed machines are remembered.
     fn max_remembered_removed_machines(&self) -> usize {
         Self::MIN_REMEMBERED_REMOVED_MACHINES
-            .max(self.largest_fleet * Self::REMEMBERED_REMOVALS_PER_MACHINE)
+            .max(self.max_agents_served * Self::REMEMBERED_REMOVALS_PER_MACHINE)
     }
 
     /// Begins a term as the leader of a shard: nothing is proved about its agents yet.
-    pub(super) fn begin_agents(&mut self, shard: ShardId) {
-        self.end_agents(shard);
+    pub(super) fn register_agents_of_shard(&mut self, shard: ShardId) {
+        self.drop_agents_of_shard(shard);
         let agents = self
             .cell
-            .machines_of(shard)
+            .machines_of_shard(shard)
             .map(|(machine, record)| (machine, Agent::from_record(record)));
         self.agents.extend(agents);
     }
 
     /// Ends the term as the leader of a shard: its agents and the requests for its machines are dropped.
-    pub(super) fn end_agents(&mut self, shard: ShardId) {
+    pub(super) fn drop_agents_of_shard(&mut self, shard: ShardId) {
         let cell = &self.cell;
         let is_of_shard = |machine: MachineId| cell.shard_of_machine(machine) == shard;
         self.agents.retain(|machine, _| !is_of_shard(*machine));
@@ -96,7 +96,7 @@
 
     /// Drops a removed machine's agent, and remembers the machine: a late heartbeat must not add it again.
     fn forget_removed_machine(&mut self, machine: MachineId) {
-        self.largest_fleet = self.largest_fleet.max(self.agents.len());
+        self.max_agents_served = self.max_agents_served.max(self.agents.len());
         self.agents.remove(&machine);
         self.removed_machines.insert(machine);
         if self.removed_machines.len() > self.max_remembered_removed_machines() {
@@ -110,11 +110,12 @@
             self.rounds.clear_suspect(id);
             return;
         };
-        let cancelled = job.cancelled();
+        let cancelled = job.is_cancelled();
         if cancelled {
-            self.cancelled.record(id, self.replica.previous_contact());
+            self.cancellations
+                .record(id, self.replica.previous_contact());
         }
-        let (suspect, errors) = (job.is_suspect(), job.record.errors);
+        let (suspect, errors) = (job.is_suspect(), job.record.failures);
         self.update_suspicion(id, suspect, errors);
         if cancelled {
             self.command_machines_of(id);
@@ -124,7 +125,7 @@
     /// Updates whether a job is suspect. It is suspect while its tasks fail on several machines and none completes.
     fn update_suspicion(&mut self, id: JobId, suspect: bool, errors: u32) {
         if suspect {
-            if self.rounds.suspect(id, errors, self.now.steady) {
+            if self.rounds.mark_suspect(id, errors, self.now.monotonic) {
                 tracing::info!(job = %id, errors, "job suspect");
                 self.lift_quarantine(id);
             }
--- a/src/coordination/agents/push.rs
+++ b/src/coordination/agents/push.rs
@@ -38,7 +38,7 @@
     fn add_commands_for(&mut self, assignment: &Assignment) {
         let attempt = assignment.attempt();
         let job = self.cell.jobs.get(&attempt.task.job);
-        let cancelled = job.is_none_or(Job::cancelled);
+        let cancelled = job.is_none_or(Job::is_cancelled);
         let preempted = self.record.preempted.contains(assignment);
         match self.agent.reported_state(&attempt) {
             Some(TaskState::Exited(_)) => {}
@@ -110,7 +110,7 @@
         let Some(record) = self.cell.machine(machine) else {
             return;
         };
-        let may_launch = may_push_launches(&self.settings, agent, record, self.now.steady);
+        let may_launch = may_push_launches(&self.settings, agent, record, self.now.monotonic);
         let mut builder = PushBuilder {
             cell: &self.cell,
             settings: &self.settings,
@@ -134,13 +134,13 @@
 
     /// Handles the response to a pushed command: whether the command was executed, and a heartbeat. There is no result if the
     /// response did not arrive in time.
-    pub(in crate::coordination) fn on_pushed_command(
+    pub(in crate::coordination) fn on_push_result(
         &mut self,
         call: CallId,
         machine: MachineId,
         result: Option<(bool, Heartbeat)>,
     ) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let Some(agent) = self.agents.get_mut(&machine) else {
             return;
         };
@@ -184,7 +184,7 @@
         };
         let (endpoint, incarnation) = (agent.endpoint().to_owned(), agent.incarnation());
         let body = command_body(fencing_token, incarnation, &commands);
-        let call = self.call(Purpose::PushCommand(machine));
+        let call = self.register_call(Purpose::PushCommand(machine));
         if let Some(agent) = self.agents.get_mut(&machine) {
             agent.launches_mut().begin_push(PushedCommand {
                 call,
@@ -197,7 +197,7 @@
             call,
             endpoint,
             body,
-            limit: Self::PUSH_TIMEOUT,
+            timeout: Self::PUSH_TIMEOUT,
         });
     }
 }
--- a/src/coordination/api/cancellations.rs
+++ b/src/coordination/api/cancellations.rs
@@ -30,7 +30,10 @@
     pub(super) fn drive_cancellations(&mut self) -> Result<(), Micros> {
         let max_changes = self.limits.max_changes();
         while let Some(request) = self.users.pop_cancellation() {
-            if let Err(at) = self.budget.spend_for_users(self.now.steady, 1, max_changes) {
+            if let Err(at) = self
+                .budget
+                .spend_for_users(self.now.monotonic, 1, max_changes)
+            {
                 self.users.push_cancellation(request);
                 return Err(at);
             }
@@ -52,14 +55,14 @@
         };
         let key = Key::Job(request.job);
         let txn = Transaction {
-            when: vec![(key.clone(), job.mod_revision)],
+            conditions: vec![(key.clone(), job.mod_revision)],
             changes: vec![KeyChange {
                 key,
                 value: encode(&record),
                 lease_id: None,
             }],
         };
-        self.ask_state(Purpose::Cancel(request), StateRequest::Transaction(txn));
+        self.send_state_request(Purpose::Cancel(request), StateRequest::Transaction(txn));
     }
 
     pub(in crate::coordination) fn on_cancellation_result(
@@ -97,7 +100,7 @@
         let Some(job) = self.cell.jobs.get(&id) else {
             return 0;
         };
-        let done = job.done();
+        let done = job.finished_count();
         let record = JobRecord {
             cancelled: true,
             ..job.record.clone()
--- a/src/coordination/api/connections/mod.rs
+++ b/src/coordination/api/connections/mod.rs
@@ -59,7 +59,7 @@
 
 /// Whether a request is served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RequestDecision {
     /// The request is served.
     Serve,
     /// The request is rejected at once; its client retries after this many seconds.
@@ -229,13 +229,13 @@
     }
 
     /// A connection was accepted.
-    pub fn opened(&mut self, now: Micros, id: ConnectionId) {
+    pub fn on_opened(&mut self, now: Micros, id: ConnectionId) {
         self.open.insert(id, Connection::new(now));
         self.update_shedding();
     }
 
     /// A connection is closed.
-    pub fn closed(&mut self, id: ConnectionId) {
+    pub fn on_closed(&mut self, id: ConnectionId) {
         let Some(connection) = self.open.remove(&id) else {
             return;
         };
@@ -249,10 +249,15 @@
     }
 
     /// The head of a request has arrived.
-    pub fn requested(&mut self, now: Micros, id: ConnectionId, request: Request) -> Verdict {
+    pub fn on_request(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+        request: Request,
+    ) -> RequestDecision {
         let class = request.class();
         let Some(connection) = self.open.get_mut(&id) else {
-            return Verdict::Serve;
+            return RequestDecision::Serve;
         };
         let previous_class = connection.on_request(now, class);
         if previous_class != Some(class) {
@@ -271,23 +276,23 @@
     /// Decides whether a request is served. Heartbeats and health checks are answered at once, so none is rejected.
     /// Users' requests may have to wait for the state store, so their number is limited. The limit is higher for requests
     /// that protect more: it is highest for cancellations and lowest for queries.
-    fn decide(&mut self, request: Request) -> Verdict {
+    fn decide(&mut self, request: Request) -> RequestDecision {
         let max_requests = self.user_request_limit();
         let (limit, rejected) = match request {
-            Request::Health | Request::Heartbeat => return Verdict::Serve,
+            Request::Health | Request::Heartbeat => return RequestDecision::Serve,
             Request::Abort => (max_requests, &mut self.rejected.aborts),
             Request::Submit => (max_requests * 7 / 8, &mut self.rejected.submits),
             Request::Query => (max_requests / 2, &mut self.rejected.queries),
         };
         if self.user_requests <= limit.max(1) {
-            return Verdict::Serve;
+            return RequestDecision::Serve;
         }
         *rejected += 1;
-        Verdict::Reject(1 + (self.rejected.total() % Self::MAX_RETRY_AFTER_S) as u32)
+        RequestDecision::Reject(1 + (self.rejected.total() % Self::MAX_RETRY_AFTER_S) as u32)
     }
 
     /// The response to a request is about to be sent. Returns whether the connection is to be closed with it.
-    pub fn answered(&mut self, now: Micros, id: ConnectionId) -> bool {
+    pub fn on_response(&mut self, now: Micros, id: ConnectionId) -> bool {
         let full = self.is_full();
         let Some(connection) = self.open.get_mut(&id) else {
             return false;
@@ -306,7 +311,7 @@
     }
 
     /// Connections that are to be closed since no complete request arrived in time.
-    pub fn too_slow(&mut self, now: Micros) -> Vec<ConnectionId> {
+    pub fn take_slow_connections(&mut self, now: Micros) -> Vec<ConnectionId> {
         let timeout = if self.is_full() {
             Self::FIRST_REQUEST_TIMEOUT_IF_FULL
         } else {
--- a/src/coordination/api/connections/sockets.rs
+++ b/src/coordination/api/connections/sockets.rs
@@ -6,9 +6,9 @@
     /// Maximum number of concurrent outgoing calls.
     pub calls: usize,
     /// Idle connections to agents that are kept for further commands.
-    pub kept_calls: usize,
+    pub idle_agent_connections: usize,
     /// Incoming connections of the server.
-    pub served: usize,
+    pub server_connections: usize,
 }
 
 impl SocketPlan {
@@ -24,8 +24,8 @@
         let others = calls + kept_calls + Self::OWN_SOCKETS + peers * Self::SOCKETS_PER_PEER;
         SocketPlan {
             calls,
-            kept_calls,
-            served: sockets.saturating_sub(others).max(sockets / 2),
+            idle_agent_connections: kept_calls,
+            server_connections: sockets.saturating_sub(others).max(sockets / 2),
         }
     }
 }
--- a/src/coordination/api/dependencies.rs
+++ b/src/coordination/api/dependencies.rs
@@ -59,12 +59,12 @@
         if !self.replica.is_ready() {
             return;
         }
-        let unknown = self.cell.dependencies.unknown();
+        let unknown = self.cell.dependencies.jobs_with_unknown_end();
         if unknown.is_empty() {
             return self.dependency_lookups.clear();
         }
         self.dependency_lookups.retain(unknown);
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let due: Vec<JobId> = unknown
             .iter()
             .filter(|job| self.dependency_lookups.is_due(**job, now))
@@ -79,7 +79,7 @@
         let known: Vec<(JobId, FinalRecord)> = self
             .cell
             .dependencies
-            .unknown()
+            .jobs_with_unknown_end()
             .iter()
             .filter_map(|job| Some((*job, self.users.end_of(*job)?)))
             .collect();
@@ -94,9 +94,14 @@
     }
 
     fn send_dependency_lookups(&mut self, due: Vec<JobId>) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         for job in due {
-            if !self.cell.dependencies.unknown().contains(&job) {
+            if !self
+                .cell
+                .dependencies
+                .jobs_with_unknown_end()
+                .contains(&job)
+            {
                 continue;
             }
             if let Err(at) = self.budget.spend(now, 0, 0.0) {
@@ -104,7 +109,7 @@
             }
             self.dependency_lookups.on_sent(job, now);
             let request = StateRequest::Get(Key::Final(job));
-            self.ask_state(Purpose::DependencyLookup(job), request);
+            self.send_state_request(Purpose::DependencyLookup(job), request);
         }
     }
 
@@ -115,13 +120,13 @@
     ) {
         let Ok(StateResponse::Value(Some(value))) = result else {
             // An accepted job has a live record or a final one. The replica shows neither, so it is behind.
-            return self.dependency_lookups.on_missing(job, self.now.steady);
+            return self.dependency_lookups.on_missing(job, self.now.monotonic);
         };
         let Ok(end) = serde_json::from_str::<FinalRecord>(value.get()) else {
             return;
         };
         tracing::debug!(%job, cancelled = end.cancelled, "dependency end known");
-        self.users.remember(job, end);
+        self.users.record_end(job, end);
         let mut changes_seen = CellChanges::default();
         self.cell.on_end_learned(job, end, &mut changes_seen);
         self.on_cell_changed(&changes_seen);
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -53,12 +53,12 @@
 
     /// Maximum number of queued lookups of final records: about as many as can be sent before their users give up.
     fn final_lookup_limit(&self) -> usize {
-        let per_second = self.settings.state_rps / self.settings.controllers() as f64;
+        let per_second = self.settings.state_rps / self.settings.controller_count() as f64;
         per_second as usize + Self::FINAL_LOOKUP_MARGIN
     }
 
     fn respond(&mut self, request: &PendingRequest, response: UserResponse) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let retry = matches!(response, UserResponse::RetryAfter(_));
         if request.is_query() {
             self.users.count_query(request, retry, now);
@@ -77,7 +77,7 @@
             return None;
         }
         let running = self.cell.assigned_count(id);
-        let status = match (job.cancelled(), running) {
+        let status = match (job.is_cancelled(), running) {
             (true, _) => JobStatus::Cancelled,
             (false, 0) => JobStatus::Queued,
             _ => JobStatus::Running,
@@ -85,7 +85,7 @@
         Some(JobStatusResponse {
             id,
             status,
-            done: job.done(),
+            done: job.finished_count(),
             running,
             reason: self.rules.reason(id),
         })
@@ -104,7 +104,7 @@
         let id = request.job();
         let kind = match request {
             UserRequest::Query(_) => RequestKind::Query,
-            UserRequest::Abort(_) => RequestKind::Cancel,
+            UserRequest::Cancel(_) => RequestKind::Cancel,
             UserRequest::Submit(_, spec) => RequestKind::Submit(spec),
         };
         self.admit(call, id, kind);
@@ -116,8 +116,8 @@
             call,
             job,
             kind,
-            arrived: self.now.steady,
-            arrived_day: self.now.day,
+            arrived: self.now.monotonic,
+            arrived_day: self.now.time_of_day,
             read_after: self.next_call,
             attempts: 0,
         };
@@ -188,7 +188,7 @@
 
     /// Sends the queued requests that the rates of the state store allow.
     pub(super) fn drive_users(&mut self) {
-        let sent = match self.users.pause_end(self.now.steady) {
+        let sent = match self.users.pause_end(self.now.monotonic) {
             Some(until) => Err(until),
             None => self.send_due_requests(),
         };
@@ -206,7 +206,7 @@
     }
 
     fn drive_final_lookups(&mut self) -> Result<(), Micros> {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         while let Some(lookup) = self.users.pop_final_lookup() {
             let reserve = if lookup.request.is_query() {
                 Self::QUERY_RESERVE_FRACTION
@@ -219,14 +219,14 @@
             }
             let key = Key::Final(lookup.job);
             let purpose = Purpose::FinalLookup(lookup.request, lookup.job);
-            self.ask_state(purpose, StateRequest::Get(key));
+            self.send_state_request(purpose, StateRequest::Get(key));
         }
         Ok(())
     }
 
     /// Asks the users of requests that have waited too long to retry.
     pub(super) fn tick_users(&mut self) {
-        for request in self.users.take_expired(self.now.steady) {
+        for request in self.users.take_expired(self.now.monotonic) {
             self.respond(&request, Self::RETRY_AFTER);
         }
     }
--- a/src/coordination/api/reads.rs
+++ b/src/coordination/api/reads.rs
@@ -164,7 +164,7 @@
     }
 
     fn on_final_record(&mut self, request: PendingRequest, job: JobId, end: FinalRecord) {
-        self.users.remember(job, end);
+        self.users.record_end(job, end);
         if job == request.job {
             self.respond(&request, UserResponse::Status(final_status(job, end)));
         } else {
@@ -174,7 +174,7 @@
 
     fn on_no_final_record(&mut self, request: PendingRequest, job: JobId) {
         if !self.cell.jobs.contains_key(&job) {
-            self.users.remember_absent(job);
+            self.users.record_absent(job);
         }
         if job == request.job {
             self.resolve_absent(request);
--- a/src/coordination/api/requests.rs
+++ b/src/coordination/api/requests.rs
@@ -100,7 +100,7 @@
     const MAX_PENDING: usize = 512;
 
     /// Remembers how a job ended.
-    pub fn remember(&mut self, job: JobId, end: FinalRecord) {
+    pub fn record_end(&mut self, job: JobId, end: FinalRecord) {
         self.history.record_end(job, end);
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Remembers that a job is neither live nor ended.
-    pub(super) fn remember_absent(&mut self, job: JobId) {
+    pub(super) fn record_absent(&mut self, job: JobId) {
         self.history.record_absent(job);
     }
 
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -31,7 +31,7 @@
         while self.users.submission_count() > 0 {
             let count = self.users.submission_count().min(limit);
             self.budget
-                .spend_for_users(self.now.steady, count, max_changes)?;
+                .spend_for_users(self.now.monotonic, count, max_changes)?;
             let batch = self.users.take_submissions(count);
             self.send_distinct(batch);
         }
@@ -76,8 +76,8 @@
                 continue;
             }
             bytes += size;
-            txn.when.push((Key::Job(request.job), 0));
-            txn.when.push((Key::Final(request.job), 0));
+            txn.conditions.push((Key::Job(request.job), 0));
+            txn.conditions.push((Key::Final(request.job), 0));
             txn.changes.push(KeyChange {
                 key: Key::Job(request.job),
                 value,
@@ -86,7 +86,7 @@
             sent.push(request);
         }
         if !sent.is_empty() {
-            self.ask_state(Purpose::Submit(sent), StateRequest::Transaction(txn));
+            self.send_state_request(Purpose::Submit(sent), StateRequest::Transaction(txn));
         }
     }
 
@@ -104,7 +104,7 @@
             finished: Default::default(),
             finished_in_chunks: 0,
             complete_chunks: 0,
-            errors: 0,
+            failures: 0,
             failed_machines: Vec::new(),
         }
     }
@@ -168,7 +168,7 @@
         else {
             return self.await_read(request);
         };
-        let status = if job.cancelled() {
+        let status = if job.is_cancelled() {
             JobStatus::Cancelled
         } else {
             JobStatus::Queued
@@ -196,7 +196,7 @@
 
     /// Queues a request again after its transaction was rejected because of the rate, and so took no effect.
     pub(super) fn retry_after_backoff(&mut self, request: PendingRequest) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         if now.since(request.arrived) > Self::RATE_LIMIT_RETRY_TIMEOUT {
             return self.respond(&request, Self::RETRY_AFTER);
         }
--- a/src/coordination/autoscaler/boots.rs
+++ b/src/coordination/autoscaler/boots.rs
@@ -63,7 +63,8 @@
             if machine.is_booting() && cell.machine(*id).is_some() {
                 let took = machine.on_boot_completed(now);
                 tracing::debug!(machine = %id, %took, "machine up");
-                self.boot_times.ended(machine.machine_type(), now, took);
+                self.boot_times
+                    .record_boot(machine.machine_type(), now, took);
             }
         }
     }
@@ -75,23 +76,24 @@
         self.cell.machine(id).is_none()
             && !machine.has_failed()
             && !self.autoscaler.releases.was_sent(id)
-            && machine.age(self.now.steady) < self.boot_timeout(machine.machine_type())
+            && machine.age(self.now.monotonic) < self.boot_timeout(machine.machine_type())
     }
 
     /// Records which machines have come up, and updates the expected boot times of their types.
     pub(super) fn update_boot_times(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let cell = &self.cell;
         let autoscaler = &mut self.autoscaler;
         autoscaler.record_finished_boots(cell, now);
         let mut ages = ages_of_booting(&autoscaler.provisioned_machines, &autoscaler.releases, now);
         for machine_type in cell.machine_types() {
             let name = machine_type.name.as_str();
-            let nominal = machine_type.boot;
+            let nominal = machine_type.boot_time;
             let waiting = ages.remove(name).unwrap_or_default();
-            let expected = autoscaler
-                .boot_times
-                .expected(name, nominal, now, waiting.into_iter());
+            let expected =
+                autoscaler
+                    .boot_times
+                    .expected_boot_time(name, nominal, now, waiting.into_iter());
             let changed = autoscaler
                 .expected_boots
                 .entry(name.to_owned())
@@ -107,11 +109,11 @@
     pub(super) fn nominal_boot_time(&self, machine_type: &str) -> Micros {
         self.cell
             .machine_type(machine_type)
-            .map_or(UNKNOWN_TYPE_BOOT_TIME, |t| t.boot)
+            .map_or(UNKNOWN_TYPE_BOOT_TIME, |t| t.boot_time)
     }
 
     /// How long a machine of this type is currently expected to take to come up.
-    pub(in crate::coordination) fn expected_boot(&self, machine_type: &str) -> Micros {
+    pub(in crate::coordination) fn expected_boot_time(&self, machine_type: &str) -> Micros {
         self.autoscaler
             .expected_boots
             .get(machine_type)
@@ -122,7 +124,7 @@
     /// current boot time, limited to between one and a half and five times the nominal time, plus a margin.
     pub(super) fn boot_timeout(&self, machine_type: &str) -> Micros {
         let nominal = self.nominal_boot_time(machine_type);
-        let expected = self.expected_boot(machine_type);
+        let expected = self.expected_boot_time(machine_type);
         let timeout = Micros(expected.0 / 2 * 3);
         timeout.clamp(Micros(nominal.0 / 2 * 3), nominal * 5) + BOOT_TIMEOUT_MARGIN
     }
--- a/src/coordination/autoscaler/catalog.rs
+++ b/src/coordination/autoscaler/catalog.rs
@@ -32,7 +32,7 @@
 impl Controller {
     /// Handles the result of reading the catalog.
     pub(super) fn on_catalog_read(&mut self, result: Result<CloudReply, CallError>) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         match result {
             Ok(CloudReply::Catalog(catalog)) => {
                 self.autoscaler.catalog.end(now + READ_INTERVAL);
@@ -51,7 +51,7 @@
             return;
         }
         let mod_revision = self.cell.types.mod_revision;
-        self.write_as_fleet_leader(Key::Types, mod_revision, value, Purpose::Types(catalog));
+        self.write_as_fleet_leader(Key::Types, mod_revision, value, Purpose::Catalog(catalog));
     }
 
     /// Handles the result of writing the catalog to the state store.
@@ -72,7 +72,7 @@
                 self.on_cell_changed(&changes);
             }
             _ => {
-                self.autoscaler.catalog.next = self.now.steady + RETRY_INTERVAL;
+                self.autoscaler.catalog.next = self.now.monotonic + RETRY_INTERVAL;
                 self.replica.request_barrier();
             }
         }
--- a/src/coordination/autoscaler/cloud_responses.rs
+++ b/src/coordination/autoscaler/cloud_responses.rs
@@ -16,13 +16,13 @@
 
 impl Controller {
     pub(super) fn send_cloud_request(&mut self, purpose: CloudPurpose, request: CloudRequest) {
-        let id = self.call(Purpose::Cloud(purpose));
+        let id = self.register_call(Purpose::Cloud(purpose));
         self.effects
             .push(Effect::Cloud(id, request, REQUEST_TIMEOUT));
     }
 
     /// Handles the result of a request to the cloud.
-    pub(in crate::coordination) fn on_cloud(
+    pub(in crate::coordination) fn on_cloud_response(
         &mut self,
         id: CallId,
         result: Result<CloudReply, CallError>,
@@ -41,7 +41,7 @@
             result,
             Err(CallError::Unavailable | CallError::RateLimited | CallError::OutcomeUnknown)
         ) {
-            self.autoscaler.cloud_backoff_until = self.now.steady + OVERLOAD_BACKOFF;
+            self.autoscaler.cloud_backoff_until = self.now.monotonic + OVERLOAD_BACKOFF;
         }
         match purpose {
             CloudPurpose::Catalog => self.on_catalog_read(result),
@@ -70,7 +70,7 @@
     }
 
     fn add_provisioned(&mut self, request: &ProvisionRecord, machines: Vec<MachineId>) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let offer = offer_of(request);
         tracing::info!(
             provision = request.name,
@@ -94,7 +94,7 @@
     }
 
     fn on_no_capacity(&mut self, request: &ProvisionRecord) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let pause = self.autoscaler.exhausted.on_refused(offer_of(request), now);
         tracing::info!(machine_type = request.machine_type, spot = request.spot, %pause, "no cloud capacity");
         self.forget_provision_request(&request.name);
--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -56,8 +56,8 @@
     ) -> Option<WaitingJob<'a>> {
         let lost_tasks = lost_tasks.get(&id).copied().unwrap_or_default();
         let tasks = u64::from(self.cell.pending_count(id, job)) + lost_tasks;
-        let counts =
-            tasks > 0 && (job.ready() || self.is_nearly_ready(job) && self.lacks_machines(id, job));
+        let counts = tasks > 0
+            && (job.is_ready() || self.is_nearly_ready(job) && self.lacks_machines(id, job));
         counts.then_some(WaitingJob { id, job, tasks })
     }
 
@@ -68,7 +68,7 @@
         let used = usage
             .0
             .entry(&spec.team)
-            .or_insert_with(|| self.cell.used(shard, &spec.team).0);
+            .or_insert_with(|| self.cell.assigned_to_team(shard, &spec.team).0);
         let mut count = waiting.tasks;
         if let Some(limit) = self.settings.team(&spec.team).and_then(|t| t.cores_limit) {
             let left = limit.saturating_sub(*used).checked_div(spec.need.cores);
@@ -85,9 +85,9 @@
         let placement_filter = self.placement_filter_for(waiting.id, job).ok()?;
         Some(Demand {
             spec,
-            count,
-            slack: self.latest_start(job).since(self.now.day),
-            run: spec.estimated_runtime,
+            task_count: count,
+            slack: self.latest_start(job).since(self.now.time_of_day),
+            estimated_runtime: spec.estimated_runtime,
             price_limit: self.price_limit(job),
             placement_filter,
         })
@@ -97,12 +97,12 @@
     fn is_nearly_ready(&self, job: &Job) -> bool {
         let has_started = |id: &JobId| {
             self.cell.jobs.get(id).is_none_or(|dependency| {
-                dependency.ready()
+                dependency.is_ready()
                     && !self.rounds.is_suspect(*id)
                     && self.cell.pending_count(*id, dependency) == 0
             })
         };
-        !job.cancelled()
+        !job.is_cancelled()
             && !job.dependency_state.cancellation_unknown
             && job.spec().dependencies.iter().all(has_started)
     }
@@ -121,7 +121,7 @@
                 && self.rules_allow_machine(id, machine)
                 && let Some(machine_type) = self.cell.machine_type(&record.machine_type)
             {
-                left -= spec.need.times_in(&machine_type.room, left);
+                left -= spec.need.count_fitting_in(&machine_type.capacity, left);
             }
         }
         left > 0
--- a/src/coordination/autoscaler/fleet_record.rs
+++ b/src/coordination/autoscaler/fleet_record.rs
@@ -20,10 +20,10 @@
     /// The fleet record without old provision requests and without confirmed releases.
     pub(super) fn fleet_record(&self) -> FleetRecord {
         let mut record = self.cell.fleet.value.clone();
-        let settled = self.settings.list_lag * 4 + SETTLED_PROVISION_MARGIN;
+        let settled = self.settings.max_list_lag * 4 + SETTLED_PROVISION_MARGIN;
         record
             .provision_requests
-            .retain(|request| self.now.day.since(request.at) < settled);
+            .retain(|request| self.now.time_of_day.since(request.requested_at) < settled);
         record
             .releasing
             .retain(|machine| !self.autoscaler.releases.is_confirmed(*machine));
@@ -58,15 +58,15 @@
         let leader = Key::ShardLeader(FLEET_SHARD);
         let leader_revision = self.cell.mod_revision(&leader);
         let txn = Transaction {
-            when: vec![(leader, leader_revision), (key.clone(), mod_revision)],
+            conditions: vec![(leader, leader_revision), (key.clone(), mod_revision)],
             changes: vec![KeyChange {
                 key,
                 value,
                 lease_id: None,
             }],
         };
-        self.budget.charge(self.now.steady, 1);
-        self.ask_state(purpose, StateRequest::Transaction(txn));
+        self.budget.charge(self.now.monotonic, 1);
+        self.send_state_request(purpose, StateRequest::Transaction(txn));
     }
 
     /// Handles the result of writing the fleet record. The new provision requests in it are passed along with the write rather
--- a/src/coordination/autoscaler/machine_list.rs
+++ b/src/coordination/autoscaler/machine_list.rs
@@ -26,7 +26,7 @@
         mut machines: Vec<CloudMachine>,
         result: Result<CloudReply, CallError>,
     ) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let Ok(CloudReply::Machines(page, more)) = result else {
             self.autoscaler.lists.poll.end(now + RETRY_INTERVAL);
             return;
@@ -45,7 +45,7 @@
 
     fn on_list_read(&mut self, machines: Vec<CloudMachine>) {
         let lists = &mut self.autoscaler.lists;
-        lists.poll.end(self.now.steady + LIST_INTERVAL);
+        lists.poll.end(self.now.monotonic + LIST_INTERVAL);
         lists.completed += 1;
         lists.last_requested_at = lists.requested_at;
         for machine in machines {
@@ -55,7 +55,7 @@
     }
 
     fn on_machine_listed(&mut self, machine: &CloudMachine) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         if machine.status == CloudMachineState::Failed && self.cell.machine(machine.id).is_some() {
             tracing::info!(machine = %machine.id, "machine failed according to the cloud");
             self.rounds.remove_machine(machine.id);
@@ -70,9 +70,9 @@
     }
 
     fn forget_unlisted_machines(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let cell = &self.cell;
-        let limit = self.settings.list_lag * 3 + FORGET_MARGIN;
+        let limit = self.settings.max_list_lag * 3 + FORGET_MARGIN;
         self.autoscaler.provisioned_machines.retain(|id, machine| {
             cell.machine(*id).is_some() || now.since(machine.last_known_at()) < limit
         });
@@ -81,7 +81,7 @@
     /// Whether the last list shows that a machine no longer exists.
     pub(super) fn is_missing_from_list(&self, id: MachineId) -> bool {
         let lists = &self.autoscaler.lists;
-        let limit = self.settings.list_lag * 2 + MISSING_MARGIN;
+        let limit = self.settings.max_list_lag * 2 + MISSING_MARGIN;
         lists.completed > 0
             && self
                 .autoscaler
@@ -89,7 +89,7 @@
                 .get(&id)
                 .is_none_or(|machine| {
                     machine.is_missing_since(lists.last_requested_at)
-                        && machine.age(self.now.steady) > limit
+                        && machine.age(self.now.monotonic) > limit
                 })
     }
 }
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -139,7 +139,7 @@
 
 impl Controller {
     /// Ends the term as the leader of the fleet. The counter of provision requests is kept, so that their names are never reused.
-    pub(super) fn end_autoscaler(&mut self) {
+    pub(super) fn reset_autoscaler(&mut self) {
         let provision_counter = self.autoscaler.provision_counter;
         self.autoscaler = Autoscaler {
             provision_counter,
@@ -150,7 +150,7 @@
 
     /// Runs the autoscaler if a run is due.
     pub(super) fn drive_autoscaler(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         if !self.leads(FLEET_SHARD) || !self.replica.is_ready() {
             return;
         }
@@ -177,7 +177,7 @@
     }
 
     fn poll_cloud(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         if self.autoscaler.catalog.begin_if_due(now) {
             self.send_cloud_request(CloudPurpose::Catalog, CloudRequest::Catalog);
         }
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -40,7 +40,7 @@
             return Vec::new();
         }
         let catalog = self.with_expected_boots(catalog);
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let is_offered = |offer: &MachineOffer| {
             !self.zones.is_lost(&offer.zone)
                 && self.autoscaler.exhausted.may_be_requested(offer, now)
@@ -55,8 +55,8 @@
     fn with_expected_boots(&self, catalog: &Catalog) -> Catalog {
         let mut catalog = catalog.clone();
         for machine_type in &mut catalog.types {
-            let expected = self.expected_boot(&machine_type.name);
-            machine_type.boot = expected.min(machine_type.boot * 2);
+            let expected = self.expected_boot_time(&machine_type.name);
+            machine_type.boot_time = expected.min(machine_type.boot_time * 2);
         }
         catalog
     }
@@ -69,7 +69,7 @@
     fn class_of_machine_kind(&self, machine_type: &str, zone: &str, spot: bool) -> Option<ClassId> {
         self.rules
             .active()
-            .then(|| self.cell.classes.of_offer(machine_type, zone, spot))
+            .then(|| self.cell.classes.class_of_offer(machine_type, zone, spot))
             .flatten()
     }
 
@@ -84,9 +84,11 @@
 
     fn add_machines_up<'a>(&'a self, pools: &mut MachinePools<'a>, catalog: &Catalog) {
         let has_rules = self.rules.active();
-        for (machine, record) in self.cell.machines_up() {
-            let class = has_rules.then(|| self.cell.classes.of(machine)).flatten();
-            let free = Some((self.cell.free(record), Some(machine)));
+        for (machine, record) in self.cell.schedulable_machines() {
+            let class = has_rules
+                .then(|| self.cell.classes.class_of_machine(machine))
+                .flatten();
+            let free = Some((self.cell.free_resources(record), Some(machine)));
             let kind = (&*record.machine_type, &*record.zone, record.spot);
             pools.add(kind, catalog, class, 1, free, self.remaining_work(record));
         }
@@ -118,9 +120,9 @@
 
     /// Adds the machines of recorded provision requests, such as an earlier leader's, that no list contains yet.
     fn add_unlisted_provisions<'a>(&'a self, pools: &mut MachinePools<'a>, catalog: &Catalog) {
-        let limit = self.settings.list_lag * 2 + UNLISTED_PROVISION_MARGIN;
+        let limit = self.settings.max_list_lag * 2 + UNLISTED_PROVISION_MARGIN;
         for request in &self.cell.fleet.value.provision_requests {
-            if self.now.day.since(request.at) < limit {
+            if self.now.time_of_day.since(request.requested_at) < limit {
                 let kind = (&*request.machine_type, &*request.zone, request.spot);
                 let class = self.class_of_machine_kind(kind.0, kind.1, kind.2);
                 pools.add(kind, catalog, class, request.count.into(), None, 0);
@@ -166,7 +168,7 @@
             zone: offer.zone.clone(),
             spot: offer.spot,
             count,
-            at: self.now.day,
+            requested_at: self.now.time_of_day,
         }
     }
 }
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -88,7 +88,7 @@
 
     fn survey_fleet(&self) -> FleetSurvey {
         let urgent_in_lost_zones = self.lost_machines_to_release();
-        let reserved = self.machines_held_for_set();
+        let reserved = self.machines_reserved_for_gang();
         let mut survey = FleetSurvey {
             reserved_for_gang: reserved.cloned().unwrap_or_default(),
             ..FleetSurvey::default()
@@ -106,7 +106,7 @@
         id: MachineId,
         record: &MachineRecord,
     ) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let is_idle = record.tasks.is_empty() && !survey.reserved_for_gang.contains(&id);
         let idle_since = is_idle.then(|| *self.autoscaler.idle_since.get(&id).unwrap_or(&now));
         if let Some(since) = idle_since {
@@ -158,7 +158,7 @@
             Some(ReleaseReason::Unlisted)
         } else if is_urgent() {
             Some(ReleaseReason::Urgent)
-        } else if self.now.steady.since(since) > self.settings.lease + grace {
+        } else if self.now.monotonic.since(since) > self.settings.agent_lease + grace {
             Some(ReleaseReason::Unreachable)
         } else {
             None
@@ -172,7 +172,7 @@
         record: &MachineRecord,
         since: Micros,
     ) -> Option<ReleaseReason> {
-        if self.now.steady.since(since) > self.idle_limit(&record.machine_type, record.spot) {
+        if self.now.monotonic.since(since) > self.idle_limit(&record.machine_type, record.spot) {
             return Some(ReleaseReason::Idle);
         }
         let offer = MachineOffer {
@@ -197,8 +197,8 @@
             None => UNKNOWN_TYPE_IDLE_LIMIT,
             Some(t) if core_price(t, spot) > cheapest * 3 / 2 => EXPENSIVE_IDLE_LIMIT,
             Some(t) => self
-                .expected_boot(machine_type)
-                .clamp(MIN_IDLE_LIMIT, t.boot * 2),
+                .expected_boot_time(machine_type)
+                .clamp(MIN_IDLE_LIMIT, t.boot_time * 2),
         };
         self.operator_settings
             .idle_s
@@ -207,7 +207,7 @@
 
     /// Adds the surplus machines of each offer: those that have been idle the longest.
     fn add_surplus(&mut self, survey: &mut FleetSurvey) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let mut idle_by_offer = std::mem::take(&mut survey.idle_by_offer);
         for offer in self.autoscaler.idle_windows.keys() {
             idle_by_offer.entry(offer.clone()).or_default();
@@ -229,7 +229,7 @@
         for (machine, reason) in machines {
             if self.rounds.decommission(machine) {
                 let unneeded = matches!(reason, ReleaseReason::Idle | ReleaseReason::Surplus);
-                self.counters.unneeded += u64::from(unneeded);
+                self.counters.idle_machines_scaled_in += u64::from(unneeded);
                 tracing::info!(%machine, %reason, "machine decommissioning");
             }
         }
@@ -237,15 +237,15 @@
 
     /// Machines that should have come up long ago but have not, with their ages.
     fn overdue_boots(&self) -> Vec<(MachineId, Micros)> {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let mut overdue = Vec::new();
         for (id, machine) in &self.autoscaler.provisioned_machines {
             let age = machine.age(now);
             let is_late = || {
                 let name = machine.machine_type();
-                self.cell
-                    .machine_type(name)
-                    .is_none_or(|t| age > self.boot_timeout(name).max(t.boot * 3) + ABANDON_MARGIN)
+                self.cell.machine_type(name).is_none_or(|t| {
+                    age > self.boot_timeout(name).max(t.boot_time * 3) + ABANDON_MARGIN
+                })
             };
             let is_released = || {
                 self.autoscaler.releases.was_sent(*id)
@@ -292,10 +292,10 @@
     pub(in crate::coordination) fn needs_immediate_restart(&self, id: JobId) -> bool {
         self.cell.jobs.get(&id).is_some_and(|job| {
             let latest = self.latest_start(job);
-            !job.cancelled()
+            !job.is_cancelled()
                 && !self.rounds.is_suspect(id)
-                && latest >= self.now.day
-                && latest < self.now.day + self.settings.lease
+                && latest >= self.now.time_of_day
+                && latest < self.now.time_of_day + self.settings.agent_lease
         })
     }
 }
--- a/src/coordination/calls.rs
+++ b/src/coordination/calls.rs
@@ -40,9 +40,9 @@
     /// A read of how a dependency ended.
     DependencyLookup(JobId),
     /// A commit round.
-    Round(Box<commit::InFlight>),
+    Round(Box<commit::InFlightRound>),
     /// A write of the machine types.
-    Types(Catalog),
+    Catalog(Catalog),
     /// A write of a rule set.
     Rules,
     /// A write of the fleet record, with the provision requests that it adds.
@@ -73,12 +73,12 @@
 
 impl Controller {
     /// Registers a call and returns its id.
-    pub(super) fn call(&mut self, purpose: Purpose) -> CallId {
+    pub(super) fn register_call(&mut self, purpose: Purpose) -> CallId {
         let id = CallId(self.next_call);
         self.next_call += 1;
         let call = Call {
             purpose,
-            sent: self.now.steady,
+            sent: self.now.monotonic,
             size: None,
         };
         self.calls.insert(id, call);
@@ -86,16 +86,16 @@
     }
 
     /// Sends a request to the state store. The caller has charged it to the rate budget.
-    pub(super) fn ask_state(&mut self, purpose: Purpose, request: StateRequest) -> CallId {
+    pub(super) fn send_state_request(&mut self, purpose: Purpose, request: StateRequest) -> CallId {
         let timeout = match &request {
             StateRequest::Changes { wait, .. } => *wait + STATE_TIMEOUT,
             _ => STATE_TIMEOUT,
         };
-        let id = self.call(purpose);
+        let id = self.register_call(purpose);
         if let (StateRequest::Transaction(txn), Some(call)) = (&request, self.calls.get_mut(&id)) {
             call.size = Some(TransactionSize {
                 changes: txn.changes.len(),
-                largest_value: txn.largest(),
+                largest_value: txn.largest_value_bytes(),
             });
         }
         self.effects.push(Effect::State(id, request, timeout));
@@ -137,7 +137,7 @@
             Purpose::DependencyLookup(job) => self.on_dependency_lookup(job, result),
             Purpose::Round(round) => self.on_round_result(*round, result),
             Purpose::Rules => self.on_rules_written(),
-            Purpose::Types(types) => self.on_types_written(types, result),
+            Purpose::Catalog(types) => self.on_types_written(types, result),
             Purpose::Fleet(record) => self.on_fleet_written(*record, result),
             Purpose::Cloud(_) | Purpose::PushCommand(_) | Purpose::Probe => {}
         }
@@ -146,8 +146,8 @@
     /// The state store refused a request because of its rate.
     fn on_state_rate_limited(&mut self) {
         self.counters.refused += 1;
-        self.budget.on_refused(self.now.steady);
-        if self.limits.on_throttled(self.now.steady) {
+        self.budget.on_refused(self.now.monotonic);
+        if self.limits.on_throttled(self.now.monotonic) {
             self.on_limits_lowered("rate refused");
         }
     }
@@ -177,7 +177,7 @@
             "state store limits lowered"
         );
         self.budget
-            .set_write_rate(rate / self.settings.controllers() as f64);
+            .set_write_rate(rate / self.settings.controller_count() as f64);
         self.rounds.request();
     }
 }
--- a/src/coordination/commit/assignment.rs
+++ b/src/coordination/commit/assignment.rs
@@ -9,7 +9,7 @@
 use crate::coordination::commit::transaction::{MachineAttempt, TransactionBuilder};
 use crate::scheduler::constraints::PlacementContext;
 use crate::scheduler::placement::{
-    Claim, GroupAllowance, PlacementRequest, PreemptibleTask, Preemption, plan, preempt,
+    Claim, GroupWriteLimit, PlacementRequest, PreemptibleTask, Preemption, plan, preempt,
 };
 use crate::storage::cell_state::Job;
 use crate::storage::ids::{JobId, MachineId};
@@ -22,7 +22,7 @@
 /// The plan of one round: the machines, and the claims on them so far.
 struct AssignmentPlan<'a> {
     candidates: Candidates<'a>,
-    groups: GroupAllowance,
+    groups: GroupWriteLimit,
     /// Claims of free capacity.
     claims: Vec<Claim>,
     /// All claims, including those of capacity that preempted tasks release.
@@ -46,7 +46,7 @@
 }
 
 impl<'a> AssignmentPlan<'a> {
-    fn new(candidates: Candidates<'a>, groups: GroupAllowance) -> AssignmentPlan<'a> {
+    fn new(candidates: Candidates<'a>, groups: GroupWriteLimit) -> AssignmentPlan<'a> {
         AssignmentPlan {
             candidates,
             groups,
@@ -120,9 +120,9 @@
             self.limit_to_urgent(&mut requests);
         }
         let owners = self.owner_numbers();
-        let mut groups = GroupAllowance::default();
+        let mut groups = GroupWriteLimit::default();
         let candidates = self.candidates(transaction, context, &owners, &mut groups, &starved);
-        groups.left = self.group_allowance(transaction, &requests);
+        groups.remaining = self.group_allowance(transaction, &requests);
         let mut plan = AssignmentPlan::new(candidates, groups);
         set_owner_numbers(&mut requests, &owners);
         plan.place(&mut requests);
@@ -153,7 +153,7 @@
     ) -> Vec<PlannedAssignment> {
         if !requests
             .iter()
-            .any(|request| request.is_local && request.preempts)
+            .any(|request| request.is_local && request.may_preempt)
         {
             return Vec::new();
         }
--- a/src/coordination/commit/budget.rs
+++ b/src/coordination/commit/budget.rs
@@ -2,7 +2,7 @@
 
 use crate::time::Micros;
 
-/// Fraction of the share that is used: the steady clocks of controllers and store differ a little.
+/// Fraction of the share that is used: the monotonic clocks of controllers and store differ a little.
 const USED_SHARE_FRACTION: f64 = 0.97;
 
 /// Requests and changes that must be available before a full round is sent.
--- a/src/coordination/commit/candidates.rs
+++ b/src/coordination/commit/candidates.rs
@@ -4,7 +4,7 @@
 use crate::coordination::commit::transaction::TransactionBuilder;
 use crate::coordination::constraints::distinct_jobs;
 use crate::scheduler::constraints::PlacementContext;
-use crate::scheduler::placement::{Candidate, GroupAllowance, PlacementRequest};
+use crate::scheduler::placement::{Candidate, GroupWriteLimit, PlacementRequest};
 use crate::scheduler::provisioning::core_price;
 use crate::storage::cell_state::Job;
 use crate::storage::ids::{GroupIndex, JobId, MachineId, ShardId};
@@ -27,7 +27,10 @@
 impl Candidates<'_> {
     /// Machines that are reserved in this plan for requests that could not be placed.
     pub fn reserved_machines(&self) -> BTreeSet<MachineId> {
-        let reserved = self.usable.iter().filter(|candidate| candidate.reserved);
+        let reserved = self
+            .usable
+            .iter()
+            .filter(|candidate| candidate.reserved_in_plan);
         reserved.map(|candidate| candidate.machine).collect()
     }
 
@@ -36,7 +39,7 @@
     pub fn open_all_to_starved_jobs(&mut self) {
         self.usable.append(&mut self.recovering);
         for candidate in &mut self.usable {
-            candidate.reserved = false;
+            candidate.reserved_in_plan = false;
         }
     }
 }
@@ -46,7 +49,7 @@
 struct FreeMachine {
     machine: MachineId,
     shard: ShardId,
-    /// Number of its group in the [`GroupAllowance`].
+    /// Number of its group in the [`GroupWriteLimit`].
     group: usize,
     free: Amount,
 }
@@ -59,20 +62,20 @@
         transaction: &TransactionBuilder<'_>,
         context: Option<&'a PlacementContext<'a>>,
         owners: &[usize],
-        groups: &mut GroupAllowance,
+        groups: &mut GroupWriteLimit,
         starved: &[(JobId, &Job)],
     ) -> Candidates<'a> {
         let mut candidates = Candidates {
             usable: Vec::new(),
             recovering: Vec::new(),
         };
-        let gang_reserved = self.machines_held_for_set();
+        let gang_reserved = self.machines_reserved_for_gang();
         for machine in self.free_machines(transaction, groups) {
             // A machine that this transaction adds is used from the next round on.
             let Some(record) = self.cell.machine(machine.machine) else {
                 continue;
             };
-            let now = self.now.steady;
+            let now = self.now.monotonic;
             let accepts_tasks = self.zones.accepts_tasks(&record.zone, machine.machine, now);
             if !accepts_tasks && starved.is_empty() {
                 continue;
@@ -80,7 +83,7 @@
             let Some(mut candidate) = self.candidate(machine, transaction, context, owners) else {
                 continue;
             };
-            candidate.held =
+            candidate.in_gang_reservation =
                 gang_reserved.is_some_and(|gang_reserved| gang_reserved.contains(&machine.machine));
             if accepts_tasks {
                 candidates.usable.push(candidate);
@@ -94,7 +97,7 @@
     fn free_machines(
         &self,
         transaction: &TransactionBuilder<'_>,
-        groups: &mut GroupAllowance,
+        groups: &mut GroupWriteLimit,
     ) -> Vec<FreeMachine> {
         let mut numbers: BTreeMap<(ShardId, GroupIndex), usize> = BTreeMap::new();
         transaction
@@ -104,10 +107,10 @@
                 machine,
                 shard: group.0,
                 group: *numbers.entry(group).or_insert_with(|| {
-                    groups.open.push(transaction.writes_group(group));
-                    groups.open.len() - 1
+                    groups.written.push(transaction.writes_group(group));
+                    groups.written.len() - 1
                 }),
-                free: self.cell.free(record),
+                free: self.cell.free_resources(record),
             })
             .collect()
     }
@@ -122,7 +125,7 @@
         let record = self.cell.machine(machine.machine)?;
         let machine_type = self.cell.machine_type(&record.machine_type)?;
         let residents = match context {
-            Some(context) if context.colocated => transaction
+            Some(context) if context.rules_test_colocation => transaction
                 .machine(machine.machine)
                 .map_or(Vec::new(), |record| distinct_jobs(&record.tasks)),
             _ => Vec::new(),
@@ -140,15 +143,15 @@
             zone: &record.zone,
             spot: record.spot,
             price: core_price(machine_type, record.spot),
-            capacity: machine_type.room,
+            capacity: machine_type.capacity,
             free: machine.free,
-            reserved: false,
-            held: false,
+            reserved_in_plan: false,
+            in_gang_reservation: false,
             images: &record.images,
             fetching_image: None,
-            running: Vec::new(),
+            preemptible_tasks: Vec::new(),
             class: context
-                .and_then(|_| self.cell.classes.of(machine.machine))
+                .and_then(|_| self.cell.classes.class_of_machine(machine.machine))
                 .unwrap_or_default(),
             residents,
             restricts_colocation,
--- a/src/coordination/commit/fair_shares.rs
+++ b/src/coordination/commit/fair_shares.rs
@@ -72,7 +72,7 @@
         ShareOwner::of(job).iter().any(|owner| {
             self.deficits
                 .get(owner)
-                .is_some_and(|deficit| deficit.protected)
+                .is_some_and(|deficit| deficit.protected_from_preemption)
         })
     }
 
@@ -86,14 +86,16 @@
         let cores_ahead = ShareOwner::of(job)
             .iter()
             .filter_map(|owner| self.deficits.get(owner))
-            .map(|deficit| deficit.ahead)
+            .map(|deficit| deficit.cores_ahead_of_order)
             .max()
             .unwrap_or(0);
         // Rounded up, otherwise a deficit smaller than a task would never be made up.
         let tasks_ahead = tasks.min(cores_ahead.div_ceil(cores_per_task));
         for owner in ShareOwner::of(job) {
             if let Some(deficit) = self.deficits.get_mut(&owner) {
-                deficit.ahead = deficit.ahead.saturating_sub(tasks_ahead * cores_per_task);
+                deficit.cores_ahead_of_order = deficit
+                    .cores_ahead_of_order
+                    .saturating_sub(tasks_ahead * cores_per_task);
             }
         }
         tasks_ahead
@@ -108,15 +110,15 @@
 impl Controller {
     /// Classes and teams that are behind their fair share, with the number of whole cores that they are
     /// short of half of it.
-    pub(in crate::coordination) fn starved_classes_and_teams(&self) -> Vec<(String, u64)> {
+    pub(in crate::coordination) fn classes_and_teams_with_deficit(&self) -> Vec<(String, u64)> {
         self.jobs_in_order()
             .fair_shares
             .deficits
             .iter()
-            .filter(|(_, deficit)| deficit.ahead > 0)
+            .filter(|(_, deficit)| deficit.cores_ahead_of_order > 0)
             .map(|(owner, deficit)| {
                 let (ShareOwner::Class(name) | ShareOwner::Team(name)) = owner;
-                ((*name).to_owned(), deficit.ahead / 1_000)
+                ((*name).to_owned(), deficit.cores_ahead_of_order / 1_000)
             })
             .collect()
     }
@@ -136,9 +138,9 @@
         self.cap_by_limits(&mut shares);
         let total_cores = self
             .cell
-            .machines_up()
+            .schedulable_machines()
             .filter_map(|(_, record)| self.cell.machine_type(&record.machine_type))
-            .map(|machine_type| machine_type.room.cores)
+            .map(|machine_type| machine_type.capacity.cores)
             .sum();
         FairShares::new(total_cores, shares, &late)
     }
@@ -150,15 +152,17 @@
         let longest_boot = self
             .cell
             .machine_types()
-            .map(|machine_type| machine_type.boot)
+            .map(|machine_type| machine_type.boot_time)
             .max()
             .unwrap_or(Micros::FOREVER);
-        let late_before = self.now.day.since(longest_boot);
+        let late_before = self.now.time_of_day.since(longest_boot);
         self.cell
             .jobs
             .iter()
             .filter(|(id, job)| {
-                job.ready() && self.latest_start(job) < late_before && !self.rounds.is_suspect(**id)
+                job.is_ready()
+                    && self.latest_start(job) < late_before
+                    && !self.rounds.is_suspect(**id)
             })
             .map(|(id, job)| (*id, job))
             .collect()
--- a/src/coordination/commit/gang_reservation.rs
+++ b/src/coordination/commit/gang_reservation.rs
@@ -9,7 +9,9 @@
 //! survives the failure of any controller.
 
 use crate::coordination::Controller;
-use crate::scheduler::placement::{Drain, DrainCandidate, DrainDemand, EndingTask, drain};
+use crate::scheduler::placement::{
+    EndingTask, GangDemand, ReservationCandidate, ReservedMachines, select_reserved_machines,
+};
 use crate::storage::cell_state::Job;
 use crate::storage::dependency_graph::expected_runtime;
 use crate::storage::ids::{JobId, MachineId};
@@ -109,13 +111,13 @@
     }
 
     /// Stores the machines that were chosen for a job.
-    fn update(&mut self, now: Micros, job: JobId, drain: Drain, covers_demand: bool) {
+    fn update(&mut self, now: Micros, job: JobId, drain: ReservedMachines, covers_demand: bool) {
         let previous = self
             .current
             .take()
             .filter(|reservation| reservation.job == job);
         let (since, expected_complete_at, last_sufficient_at) =
-            previous.map_or((now, now + drain.duration, now), |reservation| {
+            previous.map_or((now, now + drain.longest_runtime, now), |reservation| {
                 (
                     reservation.since,
                     reservation.expected_complete_at,
@@ -149,8 +151,8 @@
 
 impl Controller {
     /// Decides for which job machines are reserved, and which machines.
-    pub(in crate::coordination) fn tick_set_reservation(&mut self) {
-        let now = self.now.steady;
+    pub(in crate::coordination) fn tick_gang_reservation(&mut self) {
+        let now = self.now.monotonic;
         let previous = self
             .rounds
             .gang_reservations
@@ -182,7 +184,7 @@
 
     fn end_reservation(&mut self) {
         self.log_reservation_end();
-        self.rounds.gang_reservations.end(self.now.steady);
+        self.rounds.gang_reservations.end(self.now.monotonic);
     }
 
     /// Whether a job has the reservation and still waits for its machines.
@@ -198,7 +200,9 @@
     }
 
     /// The reserved machines, if their job still waits.
-    pub(in crate::coordination) fn machines_held_for_set(&self) -> Option<&BTreeSet<MachineId>> {
+    pub(in crate::coordination) fn machines_reserved_for_gang(
+        &self,
+    ) -> Option<&BTreeSet<MachineId>> {
         self.job_with_reservation()?;
         Some(&self.rounds.gang_reservations.current()?.machines)
     }
@@ -220,7 +224,7 @@
         };
         let ends_in_time = || {
             !spec.runs_all_tasks_at_once()
-                && self.now.steady + expected_runtime(spec) <= reservation.expected_complete_at
+                && self.now.monotonic + expected_runtime(spec) <= reservation.expected_complete_at
         };
         reservation.job == id || self.starts_at_once(spec) || ends_in_time()
     }
@@ -230,7 +234,7 @@
     fn choose_reservation(
         &self,
         jobs_without_plan: &mut Vec<JobId>,
-    ) -> Option<(JobId, Drain, bool)> {
+    ) -> Option<(JobId, ReservedMachines, bool)> {
         let mut waiting: Vec<(Micros, JobId, &Job)> = self
             .cell
             .jobs
@@ -239,7 +243,7 @@
             .filter(|(id, _)| {
                 self.rounds
                     .gang_reservations
-                    .is_retry_due(self.now.steady, **id)
+                    .is_retry_due(self.now.monotonic, **id)
             })
             .map(|(id, job)| (job.ready_since(), *id, job))
             .collect();
@@ -256,12 +260,16 @@
             })
     }
 
-    fn plan_reservation_for(&self, id: JobId, job: &Job) -> Option<(JobId, Drain, bool)> {
+    fn plan_reservation_for(
+        &self,
+        id: JobId,
+        job: &Job,
+    ) -> Option<(JobId, ReservedMachines, bool)> {
         if !self.fits_quota_after_tasks_end(id, job) {
             return None;
         }
         let demand = self.reservation_demand(id, job);
-        let drain = drain(&self.reservation_candidates(id, job.spec()), &demand);
+        let drain = select_reserved_machines(&self.reservation_candidates(id, job.spec()), &demand);
         let covers_demand = drain.tasks >= demand.tasks;
         (covers_demand || self.awaits_replacement_machines(id)).then_some((
             id,
@@ -278,7 +286,7 @@
     /// Whether a job has waited so long for all that it needs at once that machines should be reserved for it.
     fn qualifies_for_reservation(&self, id: JobId, job: &Job) -> bool {
         let spec = job.spec();
-        self.now.day.since(job.ready_since()) > RESERVATION_DELAY
+        self.now.time_of_day.since(job.ready_since()) > RESERVATION_DELAY
             && (self.cell.assigned(id).is_none() || spec.gang && self.is_assigned_in_parts(id))
             && (spec.runs_all_tasks_at_once() || self.needs_most_of_a_machine(spec))
             && self.is_placeable(id, job)
@@ -292,13 +300,14 @@
             .current()
             .is_some_and(|reservation| {
                 reservation.job == id
-                    && self.now.steady.since(reservation.last_sufficient_at) < REPLACEMENT_TIMEOUT
+                    && self.now.monotonic.since(reservation.last_sufficient_at)
+                        < REPLACEMENT_TIMEOUT
             })
     }
 
     fn needs_most_of_a_machine(&self, spec: &JobSpec) -> bool {
         let types = self.cell.machine_types().filter(|t| spec.fits_type(t));
-        let capacities: Vec<Amount> = types.map(|machine_type| machine_type.room).collect();
+        let capacities: Vec<Amount> = types.map(|machine_type| machine_type.capacity).collect();
         let needs_most = |need: u64, room: fn(&Amount) -> u64| {
             let largest = capacities.iter().map(room).max().unwrap_or(u64::MAX);
             need.saturating_mul(LARGE_TASK_MACHINE_DIVISOR) > largest
@@ -324,9 +333,9 @@
         within(team.cores_limit, used.cores) && within(team.accelerators_limit, used.accelerators)
     }
 
-    fn reservation_demand(&self, id: JobId, job: &Job) -> DrainDemand {
+    fn reservation_demand(&self, id: JobId, job: &Job) -> GangDemand {
         let spec = job.spec();
-        DrainDemand {
+        GangDemand {
             need: spec.need,
             tasks: self.tasks_needed_at_once(id, job),
             single_zone: spec.single_zone,
@@ -334,8 +343,8 @@
         }
     }
 
-    fn reservation_candidates(&self, id: JobId, spec: &JobSpec) -> Vec<DrainCandidate<'_>> {
-        let now = self.now.steady;
+    fn reservation_candidates(&self, id: JobId, spec: &JobSpec) -> Vec<ReservationCandidate<'_>> {
+        let now = self.now.monotonic;
         let is_usable = |machine: MachineId, record: &MachineRecord| {
             record.health == MachineHealth::Schedulable
                 && spec.allows(&record.machine_type, &record.zone, record.spot)
@@ -345,11 +354,11 @@
         self.cell
             .machines()
             .filter(|(_, machine, record)| is_usable(*machine, record))
-            .map(|(_, machine, record)| DrainCandidate {
+            .map(|(_, machine, record)| ReservationCandidate {
                 machine,
                 zone: &record.zone,
-                free: self.cell.free(record),
-                ending: self.ending_tasks(id, record),
+                free: self.cell.free_resources(record),
+                ending_tasks: self.ending_tasks(id, record),
             })
             .collect()
     }
@@ -371,12 +380,12 @@
             .collect()
     }
 
-    fn log_reservation_begin(&self, id: JobId, drain: &Drain) {
+    fn log_reservation_begin(&self, id: JobId, drain: &ReservedMachines) {
         tracing::info!(
             job = %id,
             tasks = drain.tasks,
             machines = drain.machines.len(),
-            drain = %drain.duration,
+            drain = %drain.longest_runtime,
             "machines reserved for a waiting gang"
         );
     }
@@ -386,7 +395,7 @@
             return;
         };
         let placed = self.cell.assigned(reservation.job).is_some();
-        let lasted = self.now.steady.since(reservation.since);
+        let lasted = self.now.monotonic.since(reservation.since);
         tracing::info!(job = %reservation.job, placed, %lasted, "gang reservation ended");
     }
 }
--- a/src/coordination/commit/gang_reservation/tests.rs
+++ b/src/coordination/commit/gang_reservation/tests.rs
@@ -5,10 +5,10 @@
 const JOB: JobId = JobId(1);
 const OTHER_JOB: JobId = JobId(2);
 
-fn plan_of(seconds: u64) -> Drain {
-    Drain {
+fn plan_of(seconds: u64) -> ReservedMachines {
+    ReservedMachines {
         machines: BTreeSet::from([MachineId(seconds)]),
-        duration: Micros::secs(seconds),
+        longest_runtime: Micros::secs(seconds),
         tasks: 1,
     }
 }
--- a/src/coordination/commit/job_order.rs
+++ b/src/coordination/commit/job_order.rs
@@ -108,10 +108,10 @@
 
     /// Whether a job has tasks to place, and nothing holds it back.
     pub(super) fn is_placeable(&self, id: JobId, job: &Job) -> bool {
-        job.ready()
+        job.is_ready()
             && self.cell.pending_count(id, job) > 0
             // A job that fails on every machine is retried less and less often, until its user ends it.
-            && !self.rounds.is_backing_off(id, self.now.steady)
+            && !self.rounds.is_backing_off(id, self.now.monotonic)
             && !self.belongs_to_team_without_shard(job)
             && !self.rules.is_unschedulable(id)
     }
@@ -130,7 +130,7 @@
     pub(super) fn borrows(&self, job: &Job, shard: ShardId) -> bool {
         let spec = job.spec();
         self.settings.team(&spec.team).is_some_and(|team| {
-            let (cores, accelerators) = self.cell.used(shard, &spec.team);
+            let (cores, accelerators) = self.cell.assigned_to_team(shard, &spec.team);
             let (cores_guarantee, accelerators_guarantee) = team.guarantee;
             // A team without a guarantee is always beyond it.
             cores + spec.need.cores > cores_guarantee
--- a/src/coordination/commit/latest_start.rs
+++ b/src/coordination/commit/latest_start.rs
@@ -36,8 +36,8 @@
     fn shortest_fetch(&self, spec: &JobSpec) -> Micros {
         self.cell
             .machine_types()
-            .filter(|machine_type| spec.need.fits(&machine_type.room))
-            .map(|machine_type| machine_type.fetch_time(spec.size))
+            .filter(|machine_type| spec.need.fits(&machine_type.capacity))
+            .map(|machine_type| machine_type.fetch_time(spec.image_size))
             .min()
             .unwrap_or_default()
     }
@@ -84,7 +84,7 @@
     fn shortest_boot(&self) -> Micros {
         self.cell
             .machine_types()
-            .map(|machine_type| machine_type.boot)
+            .map(|machine_type| machine_type.boot_time)
             .min()
             .unwrap_or(Micros::FOREVER)
     }
--- a/src/coordination/commit/limits.rs
+++ b/src/coordination/commit/limits.rs
@@ -29,8 +29,8 @@
     /// The limits of the settings, the current and the next.
     pub fn new(settings: &Settings) -> EffectiveLimits {
         EffectiveLimits {
-            current: settings.limits,
-            next: settings.next_limits,
+            current: settings.state_limits,
+            next: settings.announced_state_limits,
             next_sizes_in_force: false,
             next_rate_in_force: false,
             rate_refusals: VecDeque::new(),
@@ -38,9 +38,9 @@
     }
 
     /// The current limits of the settings alone, as a controller has them that knows no next limits.
-    pub fn without_next(settings: &Settings) -> EffectiveLimits {
+    pub fn current_only(settings: &Settings) -> EffectiveLimits {
         EffectiveLimits {
-            next: settings.limits,
+            next: settings.state_limits,
             ..EffectiveLimits::new(settings)
         }
     }
--- a/src/coordination/commit/mod.rs
+++ b/src/coordination/commit/mod.rs
@@ -66,7 +66,7 @@
 
 /// A round that was sent to the state store.
 #[derive(Debug)]
-pub struct InFlight {
+pub struct InFlightRound {
     changes: Vec<Change>,
     ended: Vec<(JobId, FinalRecord)>,
     assigned: Vec<PlannedAssignment>,
@@ -112,7 +112,7 @@
         }
         let limits = self.transaction_limits();
         let round_interval = Micros::millis(self.operator_settings.round_ms);
-        self.rounds.delay_until(self.now.steady + round_interval);
+        self.rounds.delay_until(self.now.monotonic + round_interval);
         match self.plan_round(limits, scope) {
             Some(planned) => self.send_round(planned, limits),
             None => self.rounds.on_nothing_planned(scope),
@@ -120,7 +120,7 @@
     }
 
     fn is_round_due(&mut self) -> bool {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         if !self.rounds.is_due() || !self.replica.is_ready() {
             return false;
         }
@@ -143,7 +143,7 @@
     /// round may overdraw the budget, since work that must start at once must not wait until the budget
     /// has recovered from a large round of less urgent work.
     fn admit_round(&mut self) -> Option<RoundScope> {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let Err(retry_at) = self.budget.admit_round(now) else {
             return Some(RoundScope::All);
         };
@@ -175,7 +175,7 @@
             assigned,
             released,
         } = planned;
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let changes = transaction.txn.changes.len();
         self.budget.charge(now, changes);
         // The end of a job does not fit if fewer changes than it takes are left, so a round counts as
@@ -183,13 +183,13 @@
         let unusable_changes = (limits.changes / 6).min(Self::JOB_END_CHANGES);
         let full = changes + unusable_changes >= limits.changes;
         self.rounds.on_sent(now, full);
-        let in_flight = InFlight {
+        let in_flight = InFlightRound {
             changes: transaction.changes,
             ended: transaction.ended,
             assigned,
             released,
         };
-        self.ask_state(
+        self.send_state_request(
             Purpose::Round(Box::new(in_flight)),
             StateRequest::Transaction(transaction.txn),
         );
@@ -200,7 +200,7 @@
     /// changed during the pause would only conflict.
     fn ensure_fresh_replica(&mut self) -> bool {
         const READ_TIMEOUT: Micros = Micros::millis(100);
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         if let Some(read) = self.rounds.barrier_read() {
             let timeout_at = read.requested_at + READ_TIMEOUT;
             if !self.replica.has_read_since(read.after_call) && now < timeout_at {
@@ -211,7 +211,7 @@
             return true;
         }
         if self.replica.is_fresh(now)
-            || self.settings.others.is_empty()
+            || self.settings.peers.is_empty()
             || !self.budget.has_requests(now)
         {
             return true;
@@ -229,7 +229,7 @@
     /// the rate, this controller has not, and no work of this controller must start at once.
     fn should_batch(&self) -> bool {
         const HINT_VALID_FOR: Micros = Micros::secs(3);
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let is_recent = |received: Micros| now.since(received) < HINT_VALID_FOR;
         !self.rounds.is_saturated(now)
             && self
--- a/src/coordination/commit/partial_gangs.rs
+++ b/src/coordination/commit/partial_gangs.rs
@@ -29,7 +29,9 @@
         let mut fitting_tasks_by_group: BTreeMap<_, u64> = BTreeMap::new();
         for (_, machine, record) in self.cell.machines() {
             if is_allowed(record) && self.rules_allow_machine(id, machine) {
-                let fitting = spec.need.times_in(&self.cell.free(record), tasks);
+                let fitting = spec
+                    .need
+                    .count_fitting_in(&self.cell.free_resources(record), tasks);
                 *fitting_tasks_by_group
                     .entry(self.cell.group_of_machine(machine))
                     .or_default() += fitting;
--- a/src/coordination/commit/pending.rs
+++ b/src/coordination/commit/pending.rs
@@ -4,7 +4,7 @@
 use super::gang_reservation::GangReservations;
 use super::starvation::StarvationPrevention;
 use super::suspect_jobs::SuspectJobs;
-use crate::coordination::agents::{HealthChange, Outcome};
+use crate::coordination::agents::{AssignmentOutcome, HealthChange};
 use crate::storage::cell_state::CellState;
 use crate::storage::ids::{Attempt, JobId, MachineId};
 use crate::storage::job::FinalRecord;
@@ -19,7 +19,7 @@
 pub(super) struct PendingRelease {
     pub machine: MachineId,
     pub attempt: Attempt,
-    pub outcome: Outcome,
+    pub outcome: AssignmentOutcome,
     /// When the release was first requested.
     pub requested_at: Micros,
 }
@@ -84,7 +84,7 @@
         &mut self,
         machine: MachineId,
         attempt: Attempt,
-        outcome: Outcome,
+        outcome: AssignmentOutcome,
         now: Micros,
     ) -> bool {
         self.requested = true;
@@ -149,7 +149,7 @@
     }
 
     /// Marks a job as suspect whose tasks have failed this often; returns whether that is new.
-    pub fn suspect(&mut self, job: JobId, failures: u32, now: Micros) -> bool {
+    pub fn mark_suspect(&mut self, job: JobId, failures: u32, now: Micros) -> bool {
         self.suspects.add(job, failures, now)
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Whether any job is suspect, and so may wait for the end of its backoff.
-    pub fn has_suspects(&self) -> bool {
+    pub fn has_suspect_jobs(&self) -> bool {
         !self.suspects.is_empty()
     }
 
@@ -286,8 +286,9 @@
     /// Drops requests that the replica shows as carried out.
     pub(super) fn drop_applied(&mut self, cell: &CellState) {
         self.releases.retain(|(machine, attempt), _| {
-            cell.place(attempt.task)
-                .is_some_and(|place| place.machine == *machine && place.number == attempt.number)
+            cell.place(attempt.task).is_some_and(|place| {
+                place.machine == *machine && place.attempt_number == attempt.number
+            })
         });
         self.health_changes.retain(|machine, change| {
             cell.machine(*machine).is_some_and(|record| {
--- a/src/coordination/commit/placement_requests.rs
+++ b/src/coordination/commit/placement_requests.rs
@@ -69,18 +69,19 @@
             priority: job.priority(),
             tasks,
             zones: controller.spread_zones(id, spec),
-            most,
+            remaining_task_quota: most,
             price_limit: self.price_limit(id, job, suspect),
             owner: shard,
             is_local,
             // A job that goes ahead because of the deficit of its class or team preempts nothing; it
             // waits for free capacity.
-            preempts: controller.preempts(job) && !suspect && !turn.ahead,
+            may_preempt: controller.preempts(job) && !suspect && !turn.ahead,
             never_reserves: suspect || has_reservation,
-            uses_held_machines: controller.may_use_gang_reservation(id, spec),
-            guaranteed: team.is_some_and(Team::has_share) && !controller.borrows(job, shard),
+            may_use_gang_reservations: controller.may_use_gang_reservation(id, spec),
+            guaranteed: team.is_some_and(Team::has_guarantee_or_limit)
+                && !controller.borrows(job, shard),
             gang,
-            avoid: &job.record.failed_machines,
+            avoided_machines: &job.record.failed_machines,
             rules: controller.rules_for(id, job, self.context),
         })
     }
@@ -183,7 +184,7 @@
     ) -> Vec<PlacementRequest<'a>> {
         let machine_kinds = self
             .cell
-            .machines_up()
+            .schedulable_machines()
             .map(|(_, record)| MachineKind {
                 machine_type: &record.machine_type,
                 zone: &record.zone,
@@ -246,7 +247,7 @@
         }
         let mut requests = self.requests(turns, Some(&claimed), transaction, context);
         for request in &mut requests {
-            request.preempts = false;
+            request.may_preempt = false;
         }
         requests
     }
--- a/src/coordination/commit/preemption.rs
+++ b/src/coordination/commit/preemption.rs
@@ -30,7 +30,7 @@
             .collect();
         // Tasks of higher priority are never preempted; among the others, those that started last lose
         // the least work.
-        tasks.sort_by_key(|task| (task.priority, task.assignment.number));
+        tasks.sort_by_key(|task| (task.priority, task.assignment.attempt_number));
         tasks
     }
 
@@ -47,7 +47,7 @@
         let spec = job.spec();
         let shard = self.cell.shard_of_job(id, spec);
         let borrowed = self.settings.team(&spec.team).is_some_and(|team| {
-            let (cores, _) = self.cell.used(shard, &spec.team);
+            let (cores, _) = self.cell.assigned_to_team(shard, &spec.team);
             cores > team.guarantee.0 + spec.need.cores
         });
         Some(PreemptibleTask {
@@ -60,7 +60,7 @@
 
     /// Whether a job may preempt others: its class must start at once, or the job is about to be late.
     pub(super) fn preempts(&self, job: &Job) -> bool {
-        let now = self.now.day;
+        let now = self.now.time_of_day;
         let latest_start = self.latest_start(job);
         let is_about_to_be_late = latest_start < now + PREEMPTION_LEAD_TIME
             && now < latest_start + job.spec().estimated_runtime;
--- a/src/coordination/commit/price.rs
+++ b/src/coordination/commit/price.rs
@@ -16,7 +16,7 @@
         const MIN_LATENESS_MARGIN: Micros = Micros::secs(10);
         let spec = job.spec();
         let margin = MIN_LATENESS_MARGIN + Micros(spec.estimated_runtime.0 / 4);
-        if self.starts_at_once(spec) || self.latest_start(job) < self.now.day + margin {
+        if self.starts_at_once(spec) || self.latest_start(job) < self.now.time_of_day + margin {
             u64::MAX
         } else {
             self.regular_price_limit(spec)
@@ -59,7 +59,7 @@
         self.cell
             .machine_type(machine_type)
             .is_some_and(|catalog_type| {
-                spec.need.fits(&catalog_type.room)
+                spec.need.fits(&catalog_type.capacity)
                     && spec.allows(machine_type, zone, spot)
                     && core_price(catalog_type, spot) <= limit
                     && self.rules_allow_offer(id, machine_type, zone, spot)
--- a/src/coordination/commit/result.rs
+++ b/src/coordination/commit/result.rs
@@ -1,6 +1,6 @@
 //! The state store's response to a round.
 
-use super::{InFlight, PlannedAssignment};
+use super::{InFlightRound, PlannedAssignment};
 use crate::coordination::Controller;
 use crate::protocol::state::{CallError, StateResponse};
 use crate::storage::cell_state::{CellChanges, Change};
@@ -21,7 +21,7 @@
     /// Handles the result of the round in flight.
     pub(in crate::coordination) fn on_round_result(
         &mut self,
-        round: InFlight,
+        round: InFlightRound,
         result: Result<StateResponse, CallError>,
     ) {
         self.rounds.on_result();
@@ -31,13 +31,13 @@
                 self.on_round_conflict(&round, &keys, revision);
             }
             Err(CallError::Unavailable | CallError::RateLimited) => {
-                self.rounds.delay_until(self.now.steady + RETRY_DELAY);
+                self.rounds.delay_until(self.now.monotonic + RETRY_DELAY);
             }
             _ => self.on_round_outcome_unknown(round),
         }
     }
 
-    fn on_round_applied(&mut self, round: InFlight, revision: u64) {
+    fn on_round_applied(&mut self, round: InFlightRound, revision: u64) {
         self.count_applied(&round);
         for assignment in &round.assigned {
             self.on_assigned(assignment);
@@ -51,12 +51,12 @@
         for (job, end) in round.ended {
             self.rounds.take_unknown_end(job);
             log_end(job, end);
-            self.users.remember(job, end);
+            self.users.record_end(job, end);
         }
         self.on_cell_changed(&changes_seen);
     }
 
-    fn count_applied(&mut self, round: &InFlight) {
+    fn count_applied(&mut self, round: &InFlightRound) {
         self.counters.commits += 1;
         self.counters.assigned += round.assigned.len() as u64;
         self.counters.released += round.released as u64;
@@ -92,16 +92,16 @@
         }
     }
 
-    fn on_round_conflict(&mut self, round: &InFlight, keys: &[Key], revision: u64) {
-        self.counters.clashes += 1;
-        self.counters.dropped += round.assigned.len() as u64;
+    fn on_round_conflict(&mut self, round: &InFlightRound, keys: &[Key], revision: u64) {
+        self.counters.conflicts += 1;
+        self.counters.dropped_claims += round.assigned.len() as u64;
         tracing::debug!(?keys, claims = round.assigned.len(), "commit conflict");
         self.rounds.hold_until_revision(revision);
         self.replica.request_barrier();
     }
 
-    fn on_round_outcome_unknown(&mut self, round: InFlight) {
-        self.counters.unknown += 1;
+    fn on_round_outcome_unknown(&mut self, round: InFlightRound) {
+        self.counters.unknown_outcomes += 1;
         tracing::info!(claims = round.assigned.len(), "commit outcome unknown");
         self.rounds.hold_until_read_after(self.next_call);
         for (job, end) in round.ended {
--- a/src/coordination/commit/round.rs
+++ b/src/coordination/commit/round.rs
@@ -3,7 +3,7 @@
 
 use super::{PlannedRound, RoundScope};
 use crate::coordination::Controller;
-use crate::coordination::agents::{HealthChange, Outcome};
+use crate::coordination::agents::{AssignmentOutcome, HealthChange};
 use crate::coordination::commit::transaction::{TransactionBuilder, TransactionLimits};
 use crate::storage::cell_state::Job;
 use crate::storage::ids::{JobId, ShardId};
@@ -87,8 +87,12 @@
             let mut all_released = true;
             for assignment in &record.tasks {
                 let attempt = assignment.attempt();
-                all_released &=
-                    transaction.release(*machine, attempt, Outcome::Reassign, FLEET_SHARD);
+                all_released &= transaction.release(
+                    *machine,
+                    attempt,
+                    AssignmentOutcome::Reassign,
+                    FLEET_SHARD,
+                );
                 released += 1;
             }
             if all_released {
@@ -101,7 +105,7 @@
     /// Releases assignments whose end is proven; returns how many fit into the transaction.
     fn release_assignments(&self, transaction: &mut TransactionBuilder<'_>) -> usize {
         self.rounds
-            .releases_in_order(&self.cell, self.now.steady)
+            .releases_in_order(&self.cell, self.now.monotonic)
             .iter()
             .filter(|release| {
                 let shard = self.cell.shard_of_machine(release.machine);
@@ -144,11 +148,11 @@
     /// Ends own jobs that are cancelled or done and have no assignments.
     fn end_jobs(&self, transaction: &mut TransactionBuilder<'_>) {
         let has_ended = |id: JobId, job: &Job| {
-            (job.cancelled() || job.done() >= job.spec().task_count)
+            (job.is_cancelled() || job.finished_count() >= job.spec().task_count)
                 && self.cell.assigned(id).is_none()
         };
         for id in self.own_jobs(has_ended) {
-            if self.cell.jobs.get(&id).is_some_and(Job::cancelled) {
+            if self.cell.jobs.get(&id).is_some_and(Job::is_cancelled) {
                 transaction.end_cancelled(id);
             } else {
                 transaction.end_done(id);
@@ -210,13 +214,17 @@
         let room = self
             .cell
             .machine_type(machine_type)
-            .map(|machine_type| machine_type.room)
+            .map(|machine_type| machine_type.capacity)
             .unwrap_or_default();
         let tasks = self
             .cell
             .jobs
             .values()
-            .map(|job| job.spec().need.times_in(&room, MAX_TASKS_PER_MACHINE))
+            .map(|job| {
+                job.spec()
+                    .need
+                    .count_fitting_in(&room, MAX_TASKS_PER_MACHINE)
+            })
             .max();
         GroupRecord::estimated_machine_bytes(
             tasks.unwrap_or(0).max(1),
--- a/src/coordination/commit/starvation.rs
+++ b/src/coordination/commit/starvation.rs
@@ -62,11 +62,11 @@
     /// Updates which jobs wait, and requests a round if one of them is starved.
     pub(in crate::coordination) fn tick_starvation(&mut self) {
         let cell = &self.cell;
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let waiting = cell
             .jobs
             .iter()
-            .filter(|(_, job)| job.ready())
+            .filter(|(_, job)| job.is_ready())
             .map(|(id, job)| (*id, cell.pending_count(*id, job)))
             .filter(|(_, pending)| *pending > 0);
         self.rounds.update_waiting(now, waiting);
@@ -77,6 +77,6 @@
 
     /// Whether a job has waited for longer than [`StarvationPrevention::THRESHOLD`].
     pub(super) fn is_job_starved(&self, id: JobId) -> bool {
-        self.rounds.is_starved(id, self.now.steady)
+        self.rounds.is_starved(id, self.now.monotonic)
     }
 }
--- a/src/coordination/commit/transaction/assignments.rs
+++ b/src/coordination/commit/transaction/assignments.rs
@@ -23,7 +23,7 @@
             conditions: &[Key::ShardLeader(shard), Key::Job(id), Key::Meta],
             ..RequiredRecords::default()
         };
-        let growth = GroupRecord::assignment_bytes(&attempt, &spec.image, spec.size);
+        let growth = GroupRecord::max_assignment_bytes(&attempt, &spec.image, spec.image_size);
         if !self.reserve(required) || !self.grow(group, growth, SPARE_BYTES) {
             return false;
         }
@@ -43,8 +43,8 @@
         record.tasks.push(Assignment::of(attempt));
         let cache_bytes = cell
             .machine_type(&record.machine_type)
-            .map_or(0, |machine_type| machine_type.cache);
-        record.use_image(&spec.image, spec.size, cache_bytes);
+            .map_or(0, |machine_type| machine_type.cache_size);
+        record.record_image_use(&spec.image, spec.image_size, cache_bytes);
         true
     }
 
@@ -60,7 +60,7 @@
         let Some(group) = self.group_of(machine) else {
             return false;
         };
-        let growth = GroupRecord::PREEMPTED_BYTES * victims.len();
+        let growth = GroupRecord::MAX_PREEMPTED_ENTRY_BYTES * victims.len();
         let assigns_all = tasks.iter().all(|attempt| copy.assign(machine, *attempt));
         if !assigns_all || !copy.grow(group, growth, SPARE_BYTES) {
             return false;
--- a/src/coordination/commit/transaction/compaction.rs
+++ b/src/coordination/commit/transaction/compaction.rs
@@ -199,7 +199,7 @@
             if !self.reserve(required) {
                 break;
             }
-            let kept = self.cell.usage[shard].value.ends.get(&id);
+            let kept = self.cell.usage[shard].value.finished_tasks.get(&id);
             if let (Some(edit), Some(ends)) = (self.jobs.get_mut(&id), kept) {
                 edit.record.finished.merge(ends);
             }
@@ -225,10 +225,10 @@
         };
         let mut bitmaps: Vec<(usize, JobId)> = self.cell.usage[shard]
             .value
-            .ends
+            .finished_tasks
             .iter()
             .filter(|(id, ends)| !is_copied(id, ends))
-            .map(|(id, ends)| (ends.bytes(), *id))
+            .map(|(id, ends)| (ends.max_stored_bytes(), *id))
             .collect();
         bitmaps.sort_unstable_by(|a, b| b.cmp(a));
         bitmaps.into_iter().map(|(_, id)| id).collect()
--- a/src/coordination/commit/transaction/compaction/tests.rs
+++ b/src/coordination/commit/transaction/compaction/tests.rs
@@ -3,7 +3,7 @@
 use super::super::tests::{apply, conditions_hold, machine, replica_of};
 use super::super::{PlannedTransaction, TransactionLimits};
 use super::*;
-use crate::coordination::agents::Outcome;
+use crate::coordination::agents::AssignmentOutcome;
 use crate::protocol::state::encode;
 use crate::storage::cell_state::{CellChanges, Change, Content};
 use crate::storage::completion_bitmap::CompletionBitmap;
@@ -30,7 +30,7 @@
 fn leader_record() -> ShardLeaderRecord {
     ShardLeaderRecord {
         node: "n0".to_owned(),
-        run: Incarnation(1),
+        incarnation: Incarnation(1),
     }
 }
 
@@ -95,13 +95,13 @@
 ) {
     assert!(conditions_hold(cell, commit));
     assert!(
-        commit.txn.changes.len() <= 4 && commit.txn.when.len() <= 16,
+        commit.txn.changes.len() <= 4 && commit.txn.conditions.len() <= 16,
         "{key}"
     );
     assert!(
-        commit.txn.largest() <= MAX_BYTES,
+        commit.txn.largest_value_bytes() <= MAX_BYTES,
         "{key}: {} bytes",
-        commit.txn.largest()
+        commit.txn.largest_value_bytes()
     );
     for change in &commit.changes {
         match &change.content {
@@ -139,7 +139,12 @@
         // a machine that this step copies.
         let (m, record) = cell.groups[0][&0].value.machines.last_key_value().unwrap();
         let mut stale_transaction = TransactionBuilder::new(&cell, limits(16 * 1_024));
-        assert!(stale_transaction.release(*m, record.tasks[0].attempt(), Outcome::Reassign, 7));
+        assert!(stale_transaction.release(
+            *m,
+            record.tasks[0].attempt(),
+            AssignmentOutcome::Reassign,
+            7
+        ));
         let stale_transaction = stale_transaction.build();
         let commit = plan_step(&cell, &key, MAX_BYTES).expect("a step");
         let repeated_step = plan_step(&cell, &key, MAX_BYTES).expect("a step");
@@ -176,7 +181,7 @@
             copied_steps += 1;
             let mut transaction = TransactionBuilder::new(&cell, limits(MAX_BYTES));
             let assignment = cell.machine(stale).unwrap().tasks[0].attempt();
-            assert!(transaction.release(stale, assignment, Outcome::Reassign, 0));
+            assert!(transaction.release(stale, assignment, AssignmentOutcome::Reassign, 0));
             assert!(
                 !transaction.remove(stale),
                 "the removed machine would reappear"
@@ -204,7 +209,7 @@
         assert!(
             commit
                 .txn
-                .when
+                .conditions
                 .iter()
                 .any(|(k, _)| *k == Key::ShardLeader(0)),
             "not conditional on the term"
@@ -227,7 +232,7 @@
             let mut ends = CompletionBitmap::default();
             ends.insert(j);
             ends.insert(100);
-            usage.ends.insert(JobId(j.into()), ends);
+            usage.finished_tasks.insert(JobId(j.into()), ends);
             let content = Some(Content::Job(Box::new(job(120))));
             changes.push(Change {
                 key: Key::Job(JobId(j.into())),
@@ -247,13 +252,15 @@
         while is_record_larger_than(&cell, &Key::Usage(0), MAX_BYTES) {
             let commit = plan_step(&cell, &Key::Usage(0), stored_value_bytes).expect("a step");
             assert!(commit.txn.changes.len() <= 4);
-            assert!(stored_value_bytes > MAX_BYTES || commit.txn.largest() <= MAX_BYTES);
+            assert!(
+                stored_value_bytes > MAX_BYTES || commit.txn.largest_value_bytes() <= MAX_BYTES
+            );
             mod_revision += 1;
             apply(&mut cell, commit, mod_revision);
             for j in 1..=90 {
                 let job = &cell.jobs[&JobId(j.into())];
                 assert!(
-                    job.done() == 2 && job.finished(j) && job.finished(100),
+                    job.finished_count() == 2 && job.is_finished(j) && job.is_finished(100),
                     "job {j} after step {mod_revision}"
                 );
             }
--- a/src/coordination/commit/transaction/edits.rs
+++ b/src/coordination/commit/transaction/edits.rs
@@ -55,7 +55,7 @@
     fn prune_images(&mut self) {
         self.pruned = true;
         for machine in self.record.machines.values_mut() {
-            machine.forget_images(IMAGES_KEPT_BY_PRUNING);
+            machine.truncate_images(IMAGES_KEPT_BY_PRUNING);
         }
         self.bytes = size_of(&self.record);
     }
--- a/src/coordination/commit/transaction/job_ends.rs
+++ b/src/coordination/commit/transaction/job_ends.rs
@@ -16,7 +16,7 @@
         let end = FinalRecord {
             cancelled: false,
             done: job.spec().task_count,
-            at: self.cell.time_of_day,
+            ended_at: self.cell.time_of_day,
         };
         self.end(id, job, end)
     }
@@ -36,8 +36,8 @@
         }
         let end = FinalRecord {
             cancelled: true,
-            done: job.done(),
-            at: self.cell.time_of_day,
+            done: job.finished_count(),
+            ended_at: self.cell.time_of_day,
         };
         self.end(id, job, end)
     }
@@ -46,8 +46,11 @@
         let shard = self.cell.shard_of_job(id, job.spec());
         // The completions that the usage record keeps for the job are dropped in the same transaction,
         // if the usage record can be written.
-        let is_kept_in_usage =
-            !self.usage_from_groups && self.cell.usage[shard].value.ends.contains_key(&id);
+        let is_kept_in_usage = !self.usage_from_groups
+            && self.cell.usage[shard]
+                .value
+                .finished_tasks
+                .contains_key(&id);
         let conditions = [Key::ShardLeader(shard)];
         let required = |usage| RequiredRecords {
             usage,
--- a/src/coordination/commit/transaction/machines.rs
+++ b/src/coordination/commit/transaction/machines.rs
@@ -28,7 +28,7 @@
         record: MachineRecord,
         full_record_bytes: &dyn Fn(&str) -> usize,
     ) -> bool {
-        let size = GroupRecord::machine_bytes(machine, &record);
+        let size = GroupRecord::max_machine_bytes(machine, &record);
         let size_when_full = full_record_bytes(&record.machine_type).max(size);
         for index in 0.. {
             let group = (shard, index);
--- a/src/coordination/commit/transaction/mod.rs
+++ b/src/coordination/commit/transaction/mod.rs
@@ -99,7 +99,7 @@
             conditions: BTreeSet::new(),
             bytes: 0,
             compact_encoding: cell.uses_compact_encoding(),
-            usage_from_groups: cell.fenced(),
+            usage_from_groups: cell.is_fenced(),
             term_update: None,
         }
     }
--- a/src/coordination/commit/transaction/model/invariants.rs
+++ b/src/coordination/commit/transaction/model/invariants.rs
@@ -23,7 +23,7 @@
         let Some(job) = store.jobs.get(&JOB) else {
             return self.check_end(&assigned);
         };
-        let recorded: BTreeSet<u32> = (0..TASKS).filter(|index| job.finished(*index)).collect();
+        let recorded: BTreeSet<u32> = (0..TASKS).filter(|index| job.is_finished(*index)).collect();
         if recorded != self.done {
             return Err(format!(
                 "tasks {:?} are done, but {recorded:?} are recorded as done",
--- a/src/coordination/commit/transaction/model/mod.rs
+++ b/src/coordination/commit/transaction/model/mod.rs
@@ -75,7 +75,7 @@
     ends.insert(1);
     let mut usage = UsageRecord::default();
     usage.add(TEAM, 5_000, 0);
-    usage.ends.insert(JOB, ends);
+    usage.finished_tasks.insert(JOB, ends);
     state.log.push(Rc::new(vec![Change {
         key: Key::Usage(0),
         content: Some(Content::Usage(usage)),
@@ -85,7 +85,7 @@
     let cell = state.replica(&state.processes[0]);
     assert_eq!(cell.pending(JOB, &cell.jobs[&JOB]).collect::<Vec<_>>(), [0]);
     assert_eq!(
-        cell.used(0, TEAM),
+        cell.assigned_to_team(0, TEAM),
         (0, 0),
         "usage follows from the groups alone"
     );
--- a/src/coordination/commit/transaction/model/state.rs
+++ b/src/coordination/commit/transaction/model/state.rs
@@ -71,7 +71,7 @@
         Key::ShardLeader(shard),
         Content::ShardLeader(ShardLeaderRecord {
             node: format!("n{shard}"),
-            run: Incarnation(incarnation),
+            incarnation: Incarnation(incarnation),
         }),
     )
 }
@@ -157,7 +157,7 @@
         let sent: Vec<_> = self
             .sent
             .iter()
-            .map(|sent| (&sent.writes, sent.awaited_by, &sent.commit.txn.when))
+            .map(|sent| (&sent.writes, sent.awaited_by, &sent.commit.txn.conditions))
             .collect();
         let counts = (self.crashes, self.lost_responses, self.failures);
         format!("{:?}{:?}{sent:?}{counts:?}", self.log, self.processes)
--- a/src/coordination/commit/transaction/model/steps.rs
+++ b/src/coordination/commit/transaction/model/steps.rs
@@ -3,7 +3,7 @@
 use super::super::{PlannedTransaction, TransactionBuilder, TransactionLimits};
 use super::state::{Process, SentTransaction, State, leader_change};
 use super::{CORES_LIMIT, JOB, MACHINES, TASK_CORES, TASKS, TEAM, max_failures};
-use crate::coordination::agents::Outcome;
+use crate::coordination::agents::AssignmentOutcome;
 use crate::storage::cell_state::{CellState, Job};
 use crate::storage::ids::{Attempt, MachineId, ShardId, TaskId};
 use std::collections::BTreeSet;
@@ -64,7 +64,7 @@
             cell.leaders[shard]
                 .value
                 .as_ref()
-                .is_some_and(|leader| leader.run.0 == self.processes[index].incarnation)
+                .is_some_and(|leader| leader.incarnation.0 == self.processes[index].incarnation)
         };
         let Some(job) = cell.jobs.get(&JOB) else {
             return;
@@ -102,7 +102,7 @@
     }
 
     fn plan_end(&self, process: usize, cell: &CellState, job: &Job, steps: &mut Vec<State>) {
-        let has_ended = job.done() >= TASKS && cell.assigned(JOB).is_none();
+        let has_ended = job.finished_count() >= TASKS && cell.assigned(JOB).is_none();
         let mut transaction = transaction(cell);
         if has_ended && transaction.end_done(JOB) {
             steps.push(self.send(process, transaction.build(), Vec::new()));
@@ -123,13 +123,13 @@
         for assignment in assignments {
             let attempt = assignment.attempt();
             let mut completion = transaction(cell);
-            if completion.release(machine, attempt, Outcome::Done, shard) {
+            if completion.release(machine, attempt, AssignmentOutcome::Done, shard) {
                 let completed_tasks = vec![attempt.task.index];
                 steps.push(self.send(process, completion.build(), completed_tasks));
             }
             let mut lost_task_release = transaction(cell);
             if self.failures < max_failures()
-                && lost_task_release.release(machine, attempt, Outcome::Reassign, shard)
+                && lost_task_release.release(machine, attempt, AssignmentOutcome::Reassign, shard)
             {
                 let mut next = self.send(process, lost_task_release.build(), Vec::new());
                 next.failures += 1;
@@ -164,7 +164,7 @@
         let mut next = self.clone();
         let sent = next.sent.remove(index);
         let store = self.store();
-        let conditions = &sent.commit.txn.when;
+        let conditions = &sent.commit.txn.conditions;
         let conditions_hold = conditions
             .iter()
             .all(|(key, revision)| store.mod_revision(key) == *revision);
--- a/src/coordination/commit/transaction/output.rs
+++ b/src/coordination/commit/transaction/output.rs
@@ -99,7 +99,7 @@
             .collect();
         PlannedTransaction {
             txn: Transaction {
-                when: conditions,
+                conditions: conditions,
                 changes: self.writes,
             },
             changes: self.changes,
@@ -122,7 +122,7 @@
             output.put_group(group, edit);
         }
         for (shard, mut edit) in self.usage {
-            for ends in edit.record.ends.values_mut() {
+            for ends in edit.record.finished_tasks.values_mut() {
                 ends.set_compact_encoding(self.compact_encoding);
             }
             output.put(Key::Usage(shard), Some(Content::Usage(edit.record)));
--- a/src/coordination/commit/transaction/releases.rs
+++ b/src/coordination/commit/transaction/releases.rs
@@ -4,7 +4,7 @@
 use super::limits::{MAX_JOB_TASKS_IN_USAGE, SPARE_BYTES, USAGE_ENTRY_BYTES};
 use super::required_records::{RequiredJob, RequiredRecords};
 use super::{GroupId, TransactionBuilder};
-use crate::coordination::agents::Outcome;
+use crate::coordination::agents::AssignmentOutcome;
 use crate::storage::cell_state::Job;
 use crate::storage::completion_bitmap::{CompletionBitmap, TASKS_PER_CHUNK};
 use crate::storage::ids::{Attempt, JobId, MachineId, ShardId};
@@ -25,7 +25,7 @@
 /// An assignment that is to be released.
 struct Release<'a> {
     attempt: Attempt,
-    outcome: Outcome,
+    outcome: AssignmentOutcome,
     group: GroupId,
     job: &'a Job,
     /// The shard whose leader decides on the release.
@@ -53,7 +53,7 @@
         &mut self,
         machine: MachineId,
         attempt: Attempt,
-        outcome: Outcome,
+        outcome: AssignmentOutcome,
         deciding_shard: ShardId,
     ) -> bool {
         let Some(release) = self.plan_release(machine, attempt, outcome, deciding_shard) else {
@@ -72,10 +72,10 @@
         match (release.record, outcome) {
             (OutcomeRecord::None, _) => {}
             (OutcomeRecord::Usage, _) => self.complete_in_usage(&release),
-            (OutcomeRecord::Job, Outcome::Done) => self.complete_in_job(&release, extent),
+            (OutcomeRecord::Job, AssignmentOutcome::Done) => self.complete_in_job(&release, extent),
             (OutcomeRecord::Job, _) => {
                 if let Some(edit) = self.jobs.get_mut(&attempt.task.job) {
-                    edit.record.failed_on(machine);
+                    edit.record.record_failure_on(machine);
                 }
             }
         }
@@ -87,7 +87,7 @@
         &self,
         machine: MachineId,
         attempt: Attempt,
-        outcome: Outcome,
+        outcome: AssignmentOutcome,
         deciding_shard: ShardId,
     ) -> Option<Release<'a>> {
         let cell = self.cell;
@@ -107,9 +107,11 @@
         } else {
             job_shard
         };
-        let record = if outcome == Outcome::Reassign || job.cancelled() {
+        let record = if outcome == AssignmentOutcome::Reassign || job.is_cancelled() {
             OutcomeRecord::None
-        } else if outcome == Outcome::Done && self.is_kept_in_usage(job, attempt, usage_shard) {
+        } else if outcome == AssignmentOutcome::Done
+            && self.is_kept_in_usage(job, attempt, usage_shard)
+        {
             OutcomeRecord::Usage
         } else {
             OutcomeRecord::Job
@@ -141,7 +143,7 @@
             }),
             conditions: &conditions,
         };
-        let more_changes = if writes_job && release.outcome == Outcome::Done {
+        let more_changes = if writes_job && release.outcome == AssignmentOutcome::Done {
             self.completion_changes(release.job, release.attempt)
         } else {
             0
@@ -168,8 +170,8 @@
         }
         let ends = self.ends_in_usage(id, job);
         let index = attempt.task.index;
-        let is_known = ends.has(index) || job.record.finished.has(index);
-        let completed = job.record.finished.count_with(&ends) + u32::from(!is_known);
+        let is_known = ends.contains(index) || job.record.finished.contains(index);
+        let completed = job.record.finished.union_count(&ends) + u32::from(!is_known);
         let bytes = self.usage.get(&shard).map_or_else(
             || size_of(&self.cell.usage[shard].value) + SPARE_BYTES,
             |edit| edit.bytes,
@@ -185,7 +187,7 @@
         let mut ends = job.ends.clone();
         self.usage
             .values()
-            .filter_map(|edit| edit.record.ends.get(&id))
+            .filter_map(|edit| edit.record.finished_tasks.get(&id))
             .for_each(|more| ends.merge(more));
         ends
     }
@@ -200,9 +202,9 @@
         let completed = edit.map_or_else(
             || {
                 let ends = self.ends_in_usage(id, job);
-                job.record.finished.count_with(&ends) + job.record.finished_in_chunks
+                job.record.finished.union_count(&ends) + job.record.finished_in_chunks
             },
-            |edit| edit.record.done(),
+            |edit| edit.record.finished_count(),
         );
         let ends_job = completed + 1 >= job.spec().task_count;
         usize::from(opens_chunk) + usize::from(ends_job)
@@ -213,8 +215,10 @@
             return;
         };
         let task = release.attempt.task;
-        let ends = &mut edit.record.ends;
-        let bytes_before = ends.get(&task.job).map_or(0, CompletionBitmap::bytes);
+        let ends = &mut edit.record.finished_tasks;
+        let bytes_before = ends
+            .get(&task.job)
+            .map_or(0, CompletionBitmap::max_stored_bytes);
         let completions = ends.entry(task.job).or_default();
         completions.insert(task.index);
         let entry_bytes = if bytes_before == 0 {
@@ -222,7 +226,7 @@
         } else {
             0
         };
-        let growth = completions.bytes() - bytes_before + entry_bytes;
+        let growth = completions.max_stored_bytes() - bytes_before + entry_bytes;
         edit.bytes += growth;
         self.bytes += growth;
     }
@@ -234,12 +238,12 @@
             return;
         };
         edit.complete(release.attempt.task.index, release.job);
-        let completed = edit.record.done();
+        let completed = edit.record.finished_count();
         if extent == ReleaseExtent::All && completed >= edit.record.spec.task_count {
             edit.ended = Some(FinalRecord {
                 cancelled: false,
                 done: completed,
-                at: self.cell.time_of_day,
+                ended_at: self.cell.time_of_day,
             });
         }
     }
--- a/src/coordination/commit/transaction/required_records.rs
+++ b/src/coordination/commit/transaction/required_records.rs
@@ -164,9 +164,9 @@
     fn open_usage(&self, shard: ShardId) -> UsageEdit {
         let mut record = self.cell.usage[shard].value.clone();
         record
-            .ends
+            .finished_tasks
             .retain(|id, ends| self.has_unrecorded_completions(*id, ends));
-        for ends in record.ends.values_mut() {
+        for ends in record.finished_tasks.values_mut() {
             ends.set_compact_encoding(self.compact_encoding);
         }
         if self.usage_from_groups {
@@ -197,7 +197,7 @@
         let mut record = job.record.clone();
         record.finished.merge(&job.ends);
         for edit in self.usage.values_mut() {
-            if let Some(ends) = edit.record.ends.remove(&id) {
+            if let Some(ends) = edit.record.finished_tasks.remove(&id) {
                 record.finished.merge(&ends);
             }
         }
--- a/src/coordination/commit/transaction/resulting_state.rs
+++ b/src/coordination/commit/transaction/resulting_state.rs
@@ -128,10 +128,10 @@
                 .usage
                 .get(&shard)
                 .map_or(&self.cell.usage[shard].value, |edit| &edit.record);
-            return record.of(team).into();
+            return record.assigned_to(team).into();
         }
         let change = self.usage_changes.get(team).copied().unwrap_or_default();
-        change.apply(self.cell.used(shard, team).into())
+        change.apply(self.cell.assigned_to_team(shard, team).into())
     }
 
     /// Adds an assigned task to its team's usage.
@@ -152,7 +152,7 @@
             && let Some(edit) = self.usage.get_mut(&shard)
         {
             edit.record
-                .take(&spec.team, spec.need.cores, spec.need.accelerators);
+                .subtract(&spec.team, spec.need.cores, spec.need.accelerators);
         }
         let change = self.usage_changes.entry(&spec.team).or_default();
         change.released.add(spec, 1);
--- a/src/coordination/commit/transaction/tests.rs
+++ b/src/coordination/commit/transaction/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of transactions: machines, groups, and ends of large jobs.
 
 use super::{PlannedTransaction, TransactionBuilder, TransactionLimits};
-use crate::coordination::agents::Outcome;
+use crate::coordination::agents::AssignmentOutcome;
 use crate::storage::cell_state::CellChanges;
 use crate::storage::cell_state::{CellState, Change, Content};
 use crate::storage::completion_bitmap::TASKS_PER_CHUNK;
@@ -51,7 +51,7 @@
 pub(super) fn conditions_hold(cell: &CellState, commit: &PlannedTransaction) -> bool {
     commit
         .txn
-        .when
+        .conditions
         .iter()
         .all(|(key, revision)| cell.mod_revision(key) == *revision)
 }
@@ -176,18 +176,18 @@
     };
     let mut transaction = TransactionBuilder::new(&cell, limits);
     assert!(
-        transaction.release(MachineId(1), last, Outcome::Done, 0),
+        transaction.release(MachineId(1), last, AssignmentOutcome::Done, 0),
         "the assignment was not released"
     );
     let commit = transaction.build();
     assert!(commit.txn.changes.len() <= 4 && commit.ended.is_empty());
     assert!(
-        commit.txn.largest() <= 2_048,
+        commit.txn.largest_value_bytes() <= 2_048,
         "{} bytes",
-        commit.txn.largest()
+        commit.txn.largest_value_bytes()
     );
     apply(&mut cell, commit, 3);
-    assert_eq!(cell.jobs[&id].done(), TASKS_PER_CHUNK + 1);
+    assert_eq!(cell.jobs[&id].finished_count(), TASKS_PER_CHUNK + 1);
     let mut transaction = TransactionBuilder::new(&cell, limits);
     assert!(transaction.end_done(id));
     let commit = transaction.build();
--- a/src/coordination/commit/urgent_round.rs
+++ b/src/coordination/commit/urgent_round.rs
@@ -34,7 +34,7 @@
     /// Releases assignments whose release writes no further record; returns how many.
     fn release_from_written_records(&self, transaction: &mut TransactionBuilder<'_>) -> usize {
         self.rounds
-            .releases_in_order(&self.cell, self.now.steady)
+            .releases_in_order(&self.cell, self.now.monotonic)
             .iter()
             .filter(|release| {
                 let shard = self.cell.shard_of_machine(release.machine);
@@ -61,7 +61,7 @@
 
     fn is_urgent(&self, id: JobId, job: &Job) -> bool {
         self.starts_at_once(job.spec())
-            && job.ready()
+            && job.is_ready()
             && self.leads_job(id, job)
             && !self.rounds.is_suspect(id)
             && !self.belongs_to_team_without_shard(job)
--- a/src/coordination/commit/waiting_gangs.rs
+++ b/src/coordination/commit/waiting_gangs.rs
@@ -36,15 +36,15 @@
             .cell
             .jobs
             .get(&request.job)
-            .map(|job| self.now.day.since(job.record.submitted));
+            .map(|job| self.now.time_of_day.since(job.record.submitted));
         tracing::debug!(
             job = %request.job,
             tasks = request.tasks.len(),
-            within_quota = request.most.min(request.tasks.len() as u64),
+            within_quota = request.remaining_task_quota.min(request.tasks.len() as u64),
             machines = count(&|_| true),
-            reserved = count(&|machine| machine.reserved),
+            reserved = count(&|machine| machine.reserved_in_plan),
             with_room = count(&|machine| need.fits(&machine.free)),
-            reserved_with_room = count(&|machine| machine.reserved && need.fits(&machine.free)),
+            reserved_with_room = count(&|machine| machine.reserved_in_plan && need.fits(&machine.free)),
             waits = waiting_time.map(|waited| waited.0 / 1_000_000),
             "gang waits for free machines"
         );
--- a/src/coordination/constraints/admission.rs
+++ b/src/coordination/constraints/admission.rs
@@ -1,7 +1,7 @@
 //! Submissions that rules reject.
 
 use crate::coordination::Controller;
-use crate::scheduler::constraints::{JobConstraints, clash, has_hard};
+use crate::scheduler::constraints::{JobConstraints, has_hard_rule, smallest_conflict};
 use crate::storage::job::JobSpec;
 
 /// Why rules prevent a submission from being accepted.
@@ -16,7 +16,7 @@
     /// Why rules reject a submission, if they do. Conflicts between rules are found once the machine types are known.
     pub(in crate::coordination) fn rejection(&self, spec: &JobSpec) -> Option<Rejection> {
         let has_own_rules = !spec.rules.is_empty();
-        let needs_rules = has_own_rules || has_hard(spec, self.rules.in_force.sets());
+        let needs_rules = has_own_rules || has_hard_rule(spec, self.rules.in_force.sets());
         if needs_rules && !self.enforces_rules() {
             return self.rejection_without_rules(has_own_rules);
         }
@@ -52,7 +52,7 @@
         let sets = self.rules.in_force.sets();
         let catalog = self.cell.types.value.as_ref()?;
         let constraints = JobConstraints::of(spec, sets, self.rules.jobs.traits())?;
-        let conflicting = clash(spec, &constraints, sets, &self.cell.classes, catalog)?;
+        let conflicting = smallest_conflict(spec, &constraints, sets, &self.cell.classes, catalog)?;
         Some(Rejection::Unsatisfiable(format!(
             "rules: no machine that could be had meets all of: {}",
             conflicting.join(", ")
--- a/src/coordination/constraints/declaration.rs
+++ b/src/coordination/constraints/declaration.rs
@@ -61,7 +61,7 @@
 
     /// Declares this controller's rule set if it is missing; otherwise withdraws one that no controller uses.
     pub(in crate::coordination) fn drive_rules(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         if !self.replica.is_ready()
             || !self.enforces_rules()
             || !self.rules.declaration.may_write(now)
@@ -73,7 +73,7 @@
         };
         self.rules.declaration.begin_write(now);
         self.budget.charge(now, 1);
-        self.ask_state(Purpose::Rules, StateRequest::Transaction(txn));
+        self.send_state_request(Purpose::Rules, StateRequest::Transaction(txn));
     }
 
     /// A write of rule sets was answered, whatever its outcome.
@@ -90,7 +90,7 @@
         tracing::info!(rules = format!("{:016x}", own.digest), "rule set declared");
         let key = Key::Rules(own.digest);
         Some(Transaction {
-            when: vec![(key.clone(), 0)],
+            conditions: vec![(key.clone(), 0)],
             changes: vec![KeyChange {
                 key,
                 value: encode(own),
@@ -123,7 +123,7 @@
             .take(self.limits.max_changes() * CONDITIONS_PER_CHANGE)
             .collect();
         Some(Transaction {
-            when,
+            conditions: when,
             changes: vec![KeyChange {
                 key,
                 value: None,
@@ -133,7 +133,7 @@
     }
 
     fn is_unused(&self, digest: u64) -> bool {
-        let others = self.settings.others.iter().map(|other| &other.node);
+        let others = self.settings.peers.iter().map(|other| &other.node);
         others
             .chain([&self.settings.node])
             .all(|controller| self.rules.declaration.last_seen_without(controller, digest))
--- a/src/coordination/constraints/job_constraints.rs
+++ b/src/coordination/constraints/job_constraints.rs
@@ -216,9 +216,9 @@
             let machine = machine_context(&context, class, record, &residents);
             context.admits(job, Some(constraints), 0, machine)
         };
-        cell.machines_up().any(|(machine, record)| {
+        cell.schedulable_machines().any(|(machine, record)| {
             cell.classes
-                .of(machine)
+                .class_of_machine(machine)
                 .is_some_and(|class| admits(class, record))
         })
     }
--- a/src/coordination/constraints/mod.rs
+++ b/src/coordination/constraints/mod.rs
@@ -95,7 +95,8 @@
         if constraints.is_none() && !self.jobs.tests_colocation() {
             return false;
         }
-        let (Some(class), Some(job)) = (cell.classes.of(machine), cell.jobs.get(&id)) else {
+        let (Some(class), Some(job)) = (cell.classes.class_of_machine(machine), cell.jobs.get(&id))
+        else {
             return false;
         };
         let residents = distinct_jobs(&record.tasks);
@@ -116,7 +117,7 @@
             return false;
         };
         cell.classes
-            .of(machine)
+            .class_of_machine(machine)
             .is_some_and(|class| !constraints.may_run_on(class, 0))
     }
 
@@ -124,7 +125,7 @@
         PlacementContext {
             jobs: &cell.jobs,
             job_constraints: self.jobs.constraints(),
-            colocated: self.jobs.tests_colocation(),
+            rules_test_colocation: self.jobs.tests_colocation(),
         }
     }
 }
--- a/src/coordination/constraints/placement_filter.rs
+++ b/src/coordination/constraints/placement_filter.rs
@@ -30,11 +30,13 @@
         let context = context?;
         let constraints = self.rules.jobs.get(id);
         let required_preferences = self.required_preferences(id, job);
-        (constraints.is_some() || context.colocated).then_some(placement::PlacementRules {
-            context,
-            constraints,
-            required_preferences,
-        })
+        (constraints.is_some() || context.rules_test_colocation).then_some(
+            placement::PlacementRules {
+                context,
+                constraints,
+                required_preferences,
+            },
+        )
     }
 
     /// Whether rules allow a job on machines of a type, zone and kind.
@@ -48,7 +50,7 @@
         self.rules.jobs.get(id).is_none_or(|constraints| {
             self.cell
                 .classes
-                .of_offer(machine_type, zone, spot)
+                .class_of_offer(machine_type, zone, spot)
                 .is_some_and(|class| constraints.may_run_on(class, 0))
         })
     }
@@ -62,7 +64,7 @@
         self.rules.jobs.get(id).is_none_or(|constraints| {
             self.cell
                 .classes
-                .of(machine)
+                .class_of_machine(machine)
                 .is_some_and(|class| constraints.may_run_on(class, 0))
         })
     }
@@ -150,12 +152,12 @@
 }
 
 impl PlacementFilter for JobPlacementFilter<'_> {
-    fn class(&self, class: ClassId) -> bool {
+    fn allows_class(&self, class: ClassId) -> bool {
         self.constraints
             .is_none_or(|constraints| constraints.may_run_on(class, self.required_preferences))
     }
 
-    fn machine(&self, class: ClassId, machine: Option<MachineId>) -> bool {
+    fn allows_machine(&self, class: ClassId, machine: Option<MachineId>) -> bool {
         let Some(machine) = machine else {
             return self.may_run_on_new(class);
         };
@@ -172,12 +174,12 @@
         )
     }
 
-    fn offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u32> {
+    fn offer_score(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u32> {
         let Some(constraints) = self.constraints else {
             return Some(0);
         };
         let classes = &self.controller.cell.classes;
-        let class = classes.of_offer(machine_type, zone, spot)?;
+        let class = classes.class_of_offer(machine_type, zone, spot)?;
         self.may_run_on_new(class)
             .then(|| constraints.score_when_new(class))
     }
--- a/src/coordination/constraints/preferences.rs
+++ b/src/coordination/constraints/preferences.rs
@@ -12,7 +12,10 @@
 impl Rules {
     /// Whether any job waits for a preference.
     pub(super) fn any_job_waits_for_preference(&self) -> bool {
-        self.jobs.constraints().values().any(JobConstraints::waits)
+        self.jobs
+            .constraints()
+            .values()
+            .any(JobConstraints::waits_for_preferences)
     }
 }
 
@@ -27,11 +30,11 @@
             .rules
             .jobs
             .get(id)
-            .filter(|constraints| constraints.waits());
+            .filter(|constraints| constraints.waits_for_preferences());
         let Some(constraints) = waiting else {
             return 0;
         };
-        let now = self.now.day;
+        let now = self.now.time_of_day;
         if now >= self.latest_start(job) {
             return 0;
         }
@@ -45,12 +48,12 @@
 
     /// How long a job still waits for a preference with this wait.
     pub(super) fn remaining_wait(&self, job: &Job, wait: Micros) -> Micros {
-        (job.ready_since() + wait).since(self.now.day)
+        (job.ready_since() + wait).since(self.now.time_of_day)
     }
 
     /// Expected boot time of a machine of a class.
     pub(super) fn boot_time(&self, class: ClassId) -> Micros {
-        self.expected_boot(&self.cell.classes.all()[class].machine_type)
+        self.expected_boot_time(&self.cell.classes.all()[class].machine_type)
     }
 
     /// Classes of machines that are up or could be provisioned, and that the specification of a job allows.
@@ -59,7 +62,7 @@
         let task_fits = |class: &Class| {
             self.cell
                 .machine_type(&class.machine_type)
-                .is_some_and(|entry| spec.need.fits(&entry.room))
+                .is_some_and(|entry| spec.need.fits(&entry.capacity))
         };
         let is_possible = |id: &ClassId| {
             let class = &classes.all()[*id];
@@ -78,7 +81,7 @@
         machine: MachineId,
     ) -> Option<bool> {
         let weightiest = self.rules.jobs.get(id)?.preferences().first()?;
-        let class = self.cell.classes.of(machine);
+        let class = self.cell.classes.class_of_machine(machine);
         Some(class.is_some_and(|class| weightiest.may_meet(class)))
     }
 }
--- a/src/coordination/constraints/rule_sets.rs
+++ b/src/coordination/constraints/rule_sets.rs
@@ -1,6 +1,6 @@
 //! The rule sets in force.
 
-use crate::scheduler::constraints::labelled;
+use crate::scheduler::constraints::labelled_machines;
 use crate::storage::cell_state::CellState;
 use cometlead_constraints::RuleSet;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
         self.sets = declared_sets(cell);
         let undeclared = own.filter(|own| !cell.rules.contains_key(&own.digest));
         self.sets.extend(undeclared.cloned());
-        cell.label(labelled(&self.sets));
+        cell.set_labelled_machines(labelled_machines(&self.sets));
         true
     }
 }
--- a/src/coordination/constraints/waiting_reasons.rs
+++ b/src/coordination/constraints/waiting_reasons.rs
@@ -2,7 +2,7 @@
 
 use super::{distinct_jobs, machine_context};
 use crate::coordination::Controller;
-use crate::scheduler::constraints::{JobConstraints, JobRef, clash};
+use crate::scheduler::constraints::{JobConstraints, JobRef, smallest_conflict};
 use crate::storage::cell_state::Job;
 use crate::storage::ids::JobId;
 use crate::storage::machine_classes::ClassId;
@@ -22,7 +22,7 @@
 impl Controller {
     /// Updates the reasons why jobs wait, and plans again while jobs wait for preferences, because such waits end with time.
     pub(in crate::coordination) fn tick_rules(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         if now < self.rules.next_reasons || !self.replica.is_ready() {
             return;
         }
@@ -60,12 +60,13 @@
     /// Why a job with pending tasks waits, if rules are the cause.
     fn waiting_reason(&self, id: JobId, constraints: &JobConstraints) -> Option<String> {
         let job = self.cell.jobs.get(&id)?;
-        if !job.ready() || self.cell.pending_count(id, job) == 0 {
+        if !job.is_ready() || self.cell.pending_count(id, job) == 0 {
             return None;
         }
         let catalog = self.cell.types.value.as_ref()?;
         let sets = self.rules.in_force.sets();
-        let conflicting = clash(job.spec(), constraints, sets, &self.cell.classes, catalog);
+        let conflicting =
+            smallest_conflict(job.spec(), constraints, sets, &self.cell.classes, catalog);
         if let Some(conflicting) = conflicting {
             return Some(format!(
                 "no machine that could be had meets all of: {}",
@@ -84,11 +85,11 @@
         let context = self.context();
         let machines: Vec<MatchingMachine<'_>> = self
             .cell
-            .machines_up()
+            .schedulable_machines()
             .filter(|(_, record)| spec.allows(&record.machine_type, &record.zone, record.spot))
             .filter_map(|(machine, record)| {
                 Some(MatchingMachine {
-                    class: self.cell.classes.of(machine)?,
+                    class: self.cell.classes.class_of_machine(machine)?,
                     record,
                     residents: distinct_jobs(&record.tasks),
                 })
--- a/src/coordination/counters.rs
+++ b/src/coordination/counters.rs
@@ -9,11 +9,11 @@
     /// Committed rounds.
     pub commits: u64,
     /// Rounds that failed because a record had changed since it was read.
-    pub clashes: u64,
+    pub conflicts: u64,
     /// Rounds whose outcome is unknown because no response arrived.
-    pub unknown: u64,
+    pub unknown_outcomes: u64,
     /// Claims that were dropped because of a conflict and planned again.
-    pub dropped: u64,
+    pub dropped_claims: u64,
     /// Claims committed as assignments.
     pub assigned: u64,
     /// Assignments released.
@@ -25,11 +25,11 @@
     /// Stalls of this process.
     pub stalls: u64,
     /// Agent incarnations declared over because their lease expired.
-    pub silenced: u64,
+    pub expired_agents: u64,
     /// Machines selected for scale-in because they had no work.
-    pub unneeded: u64,
+    pub idle_machines_scaled_in: u64,
     /// Machines marked unreachable together with their zones.
-    pub lost_with_zones: u64,
+    pub unreachable_with_zones: u64,
     /// Assignments of jobs with preferences, and the number of those whose machine meets the preference with the largest
     /// weight.
     pub preferences: (u64, u64),
@@ -56,10 +56,10 @@
 
     /// Logs the counters when they are due.
     pub(super) fn tick_counters(&mut self) {
-        if self.now.steady < self.next_counter_log {
+        if self.now.monotonic < self.next_counter_log {
             return;
         }
-        self.next_counter_log = self.now.steady + Self::COUNTER_INTERVAL;
+        self.next_counter_log = self.now.monotonic + Self::COUNTER_INTERVAL;
         self.log_counters();
         self.log_throughput();
     }
@@ -69,16 +69,16 @@
         let queries = self.users.query_counts();
         tracing::info!(
             commits = counters.commits,
-            clashes = counters.clashes,
-            unknown = counters.unknown,
-            dropped = counters.dropped,
+            clashes = counters.conflicts,
+            unknown = counters.unknown_outcomes,
+            dropped = counters.dropped_claims,
             assigned = counters.assigned,
             released = counters.released,
             refused = counters.refused,
             stalls = counters.stalls,
-            silenced = counters.silenced,
-            unneeded = counters.unneeded,
-            lost_with_zones = counters.lost_with_zones,
+            silenced = counters.expired_agents,
+            unneeded = counters.idle_machines_scaled_in,
+            lost_with_zones = counters.unreachable_with_zones,
             groups = counters.changes.groups,
             usage = counters.changes.usage,
             jobs = counters.changes.jobs,
--- a/src/coordination/events.rs
+++ b/src/coordination/events.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
     /// Monotonic time since the start of the process.
-    pub steady: Micros,
+    pub monotonic: Micros,
     /// Time of day; its error is bounded by a setting of the deploy file.
-    pub day: Micros,
+    pub time_of_day: Micros,
 }
 
 /// Identifies a request that waits for its response.
@@ -39,7 +39,7 @@
     Cloud(CallId, Result<CloudReply, CallError>),
     /// The response of an agent to a pushed command: whether it was carried out, and the agent's
     /// heartbeat. `None` if there was no response.
-    PushCommand(CallId, Option<(bool, Heartbeat)>),
+    AgentResponse(CallId, Option<(bool, Heartbeat)>),
     /// A hint from another controller.
     Peer(PeerHint),
 }
@@ -60,7 +60,7 @@
         /// Body of the request.
         body: Vec<u8>,
         /// How long to wait for the response.
-        limit: Micros,
+        timeout: Micros,
     },
     /// Respond to a user's request.
     User(CallId, UserResponse),
--- a/src/coordination/health/connectivity.rs
+++ b/src/coordination/health/connectivity.rs
@@ -134,7 +134,7 @@
     /// Milliseconds since the last contact with any agent; none if there was no contact yet.
     pub(in crate::coordination) fn agent_contact_age_ms(&self) -> Option<u64> {
         let last_contact = self.connectivity.last_contact?;
-        Some(self.now.steady.since(last_contact).as_millis())
+        Some(self.now.monotonic.since(last_contact).as_millis())
     }
 
     /// Whether the silence of agents is evidence about this node rather than about the agents.
@@ -159,7 +159,7 @@
         let silent_since = last_contact.unwrap_or(expected_from + TAKEOVER_GRACE_PERIOD);
         let silence_limit =
             Micros(self.settings.heartbeat_interval.0 * SILENCE_LIMIT_HEARTBEATS / agents);
-        self.now.steady.since(silent_since) > MIN_SILENCE_LIMIT.max(silence_limit)
+        self.now.monotonic.since(silent_since) > MIN_SILENCE_LIMIT.max(silence_limit)
     }
 
     /// When the oldest of this process's leader terms began.
@@ -172,7 +172,7 @@
     /// Whether a peer has recently had contact with agents.
     fn are_peers_in_contact(&self) -> bool {
         self.peers.values().any(|(received, hint)| {
-            let hint_age = self.now.steady.since(*received);
+            let hint_age = self.now.monotonic.since(*received);
             hint.last_heartbeat_ms
                 .is_some_and(|ms| Micros::millis(ms) + hint_age < MAX_PEER_CONTACT_AGE)
         })
@@ -191,7 +191,7 @@
     }
 
     fn tick_withdrawn(&mut self, since: Micros) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let duration = now.since(since);
         // If no other controller is alive, the shards must still have a leader, even one without contact with agents.
         let alone = self.cell.nodes.is_empty() && duration > ALONE_RETURN_DELAY;
@@ -205,7 +205,7 @@
     }
 
     fn tick_silence(&mut self) {
-        let machines = self.cell.machines_up().count();
+        let machines = self.cell.schedulable_machines().count();
         let confirmed =
             self.connectivity.failed_probes >= MAX_PROBES_PER_ROUND.min(machines.max(1));
         if confirmed && self.are_peers_in_contact() && self.contact_age() < MAX_STATE_CONTACT_AGE {
@@ -217,7 +217,7 @@
 
     /// Withdraws from leading shards: the node's own record is removed, and not written again until the withdrawal ends.
     fn withdraw(&mut self) {
-        self.connectivity.withdraw(self.now.steady);
+        self.connectivity.withdraw(self.now.monotonic);
         let agents = self.agents.len();
         let minimum = self.connectivity.withdrawal_duration;
         tracing::info!(agents, %minimum, "node withdrawn: no agent contact while peers have some");
@@ -226,7 +226,7 @@
     /// Probes a few agents, of any shard, with an empty command. No agent accepts its fencing token and incarnation, so
     /// nothing is executed, and the response is the agent's heartbeat.
     fn probe_agents(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         if !self.connectivity.may_probe(now) {
             return;
         }
@@ -236,12 +236,12 @@
         }
         self.connectivity.on_probes_sent(endpoints.len(), now);
         for endpoint in endpoints {
-            let call = self.call(Purpose::Probe);
+            let call = self.register_call(Purpose::Probe);
             self.effects.push(Effect::PushCommand {
                 call,
                 endpoint: endpoint.to_string(),
                 body: command_body(0, 0, &[]),
-                limit: PROBE_TIMEOUT,
+                timeout: PROBE_TIMEOUT,
             });
         }
     }
@@ -249,7 +249,7 @@
     /// Endpoints for the next round of probes. They are spread over all machines, since machines that were added together
     /// may share a fault.
     fn endpoints_to_probe(&self) -> Vec<SocketAddrV4> {
-        let machines = self.cell.machines_up();
+        let machines = self.cell.schedulable_machines();
         let endpoints: Vec<_> = machines
             .filter_map(|(_, machine)| machine.endpoint)
             .collect();
@@ -263,8 +263,8 @@
     }
 
     /// Handles the result of a probe: the agent responded, or did not.
-    pub(in crate::coordination) fn on_probe_answer(&mut self, answered: bool) {
-        let now = self.now.steady;
+    pub(in crate::coordination) fn on_probe_result(&mut self, answered: bool) {
+        let now = self.now.monotonic;
         self.connectivity.on_probe_result(answered, now);
     }
 }
--- a/src/coordination/health/stall.rs
+++ b/src/coordination/health/stall.rs
@@ -1,6 +1,6 @@
 //! Stalls of this process: it was frozen, starved of processor time, or stopped and continued.
 //!
-//! The steady clock continues during a stall. Every decision that is based on silence or idleness would become due at the
+//! The monotonic clock continues during a stall. Every decision that is based on silence or idleness would become due at the
 //! moment the process resumes, on a replica that is out of date by the duration of the stall. So the first action after a
 //! stall is a read, and no such decision is made before the read is applied. Silence and idleness then count from the
 //! moment of resuming, because the process could not have received anything before.
@@ -26,7 +26,7 @@
 }
 
 impl StallDetector {
-    /// When the process last resumed, on the steady clock; silence before that is no evidence.
+    /// When the process last resumed, on the monotonic clock; silence before that is no evidence.
     pub fn resumed_at(&self) -> Micros {
         self.resumed_at
     }
@@ -40,7 +40,7 @@
 impl Controller {
     /// Detects a stall by comparing the current time with the latest time at which the controller asked to be called.
     pub(in crate::coordination) fn detect_stall(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let delay = now.since(self.next_wake);
         if self.next_wake == Micros::ZERO || delay <= STALL_THRESHOLD {
             return;
@@ -64,7 +64,7 @@
         };
         if self.replica.has_read_since(call) {
             self.stall.recovery = None;
-            let duration = self.now.steady.since(self.stall.resumed_at);
+            let duration = self.now.monotonic.since(self.stall.resumed_at);
             tracing::info!(%duration, "process stall recovery completed");
         }
     }
--- a/src/coordination/health/zones/mod.rs
+++ b/src/coordination/health/zones/mod.rs
@@ -30,7 +30,7 @@
 impl Zones {
     /// Whether the zone may be lost or appears to be lost.
     pub fn is_suspected(&self, zone: &str) -> bool {
-        self.by_zone.get(zone).is_some_and(ZoneHealth::is_suspected)
+        self.by_zone.get(zone).is_some_and(ZoneHealth::may_be_lost)
     }
 
     /// Since when the zone appears to be disconnected or down, if it does.
@@ -38,7 +38,7 @@
         self.by_zone
             .get(zone)
             .filter(|health| health.state() == ZoneState::Lost)
-            .map(ZoneHealth::since)
+            .map(ZoneHealth::in_state_since)
     }
 
     /// Whether the zone appears to be disconnected or down.
@@ -72,7 +72,7 @@
 impl Controller {
     /// Assesses each zone, probes a few machines of suspected zones, and marks the machines of lost zones unreachable.
     pub(in crate::coordination) fn tick_zones(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         if self.contact_age() > MAX_STATE_CONTACT_AGE {
             self.zones.reset(now);
             return;
@@ -108,15 +108,15 @@
     fn update_zone(&mut self, zone: &Arc<str>, evidence: &ZoneEvidence) {
         let health = self.zones.by_zone.entry(zone.clone()).or_default();
         let interval = self.settings.heartbeat_interval;
-        let Some(state) = health.note(self.now.steady, interval, evidence) else {
+        let Some(state) = health.apply_evidence(self.now.monotonic, interval, evidence) else {
             return;
         };
         tracing::info!(
             zone = &**zone,
             ?state,
             machines = evidence.machines,
-            silence = %evidence.quiet,
-            unanswered = evidence.unanswered,
+            silence = %evidence.time_since_heartbeat,
+            unanswered = evidence.unresponsive_machines,
             reconnected = evidence.reconnected,
             "zone state changed"
         );
--- a/src/coordination/health/zones/observations.rs
+++ b/src/coordination/health/zones/observations.rs
@@ -42,8 +42,8 @@
     pub(super) fn evidence(&self, now: Micros, other_zones_connected: bool) -> ZoneEvidence {
         ZoneEvidence {
             machines: self.machines,
-            quiet: now.since(self.last_contact),
-            unanswered: self.unanswered,
+            time_since_heartbeat: now.since(self.last_contact),
+            unresponsive_machines: self.unanswered,
             reconnected: self.reconnected,
             other_zones_connected,
         }
--- a/src/coordination/health/zones/releases.rs
+++ b/src/coordination/health/zones/releases.rs
@@ -47,7 +47,7 @@
             let schedulable = machine.health == MachineHealth::Schedulable;
             let releasing = machine.health == MachineHealth::Decommissioning;
             if schedulable && !self.zones.is_suspected(&machine.zone) {
-                free_cores += self.cell.free(machine).cores;
+                free_cores += self.cell.free_resources(machine).cores;
             } else if releasing && self.zones.is_lost(&machine.zone) {
                 free_cores = free_cores.saturating_sub(self.assigned_cores(machine));
             }
--- a/src/coordination/health/zones/replacements.rs
+++ b/src/coordination/health/zones/replacements.rs
@@ -19,7 +19,7 @@
         let earliest_replacement = self.earliest_replacement();
         lost_tasks.retain(|id, _| {
             self.cell.jobs.get(id).is_some_and(|job| {
-                !job.cancelled() && self.latest_start(job) < earliest_replacement
+                !job.is_cancelled() && self.latest_start(job) < earliest_replacement
             })
         });
         self.subtract_placeable(&mut lost_tasks);
@@ -30,10 +30,10 @@
     fn earliest_replacement(&self) -> Micros {
         let types = self.cell.machine_types();
         let slowest_boot = types
-            .map(|machine_type| self.expected_boot(&machine_type.name))
+            .map(|machine_type| self.expected_boot_time(&machine_type.name))
             .max()
             .unwrap_or_default();
-        self.now.day + self.settings.lease + slowest_boot
+        self.now.time_of_day + self.settings.agent_lease + slowest_boot
     }
 
     fn tasks_in_lost_zones(&self) -> HashMap<JobId, u64> {
@@ -73,9 +73,9 @@
     fn free_cores_after_leases(&self) -> u64 {
         let free: u64 = self
             .cell
-            .machines_up()
+            .schedulable_machines()
             .map(|(_, machine)| {
-                self.cell.free(machine).cores + self.cores_ending_within_lease(machine)
+                self.cell.free_resources(machine).cores + self.cores_ending_within_lease(machine)
             })
             .sum();
         free.saturating_sub(self.expected_demand())
@@ -94,10 +94,10 @@
     /// The cores of a task, scaled by the fraction of its estimated runtime that the lease covers. The start time of the task
     /// is not recorded, but it cannot be before its job was submitted.
     fn cores_per_task_ending_within_lease(&self, job: &Job) -> u64 {
-        let lease = self.settings.lease;
+        let lease = self.settings.agent_lease;
         let spec = job.spec();
         let runtime = spec.estimated_runtime;
-        if self.now.day.since(job.record.submitted) + lease < runtime {
+        if self.now.time_of_day.since(job.record.submitted) + lease < runtime {
             return 0;
         }
         let covered = u128::from(lease.0.min(runtime.0));
@@ -106,11 +106,11 @@
 
     /// Cores of the tasks that wait now, and of as many tasks as were submitted within the last lease duration.
     fn expected_demand(&self) -> u64 {
-        let lease = self.settings.lease;
-        let live = self.cell.jobs.iter().filter(|(_, job)| !job.cancelled());
+        let lease = self.settings.agent_lease;
+        let live = self.cell.jobs.iter().filter(|(_, job)| !job.is_cancelled());
         live.map(|(id, job)| {
             let spec = job.spec();
-            let submitted_lately = self.now.day.since(job.record.submitted) < lease;
+            let submitted_lately = self.now.time_of_day.since(job.record.submitted) < lease;
             let tasks = if submitted_lately {
                 spec.task_count
             } else {
--- a/src/coordination/health/zones/unreachable.rs
+++ b/src/coordination/health/zones/unreachable.rs
@@ -17,7 +17,7 @@
             }
         }
         if marked > 0 {
-            self.counters.lost_with_zones += marked;
+            self.counters.unreachable_with_zones += marked;
             tracing::info!(
                 machines = marked,
                 "machines of lost zones marked unreachable"
--- a/src/coordination/leadership/format_upgrade.rs
+++ b/src/coordination/leadership/format_upgrade.rs
@@ -62,7 +62,7 @@
     /// Raises the record format to the latest one that all controllers understand. Any controller may do so, and the
     /// format is never lowered again.
     pub(super) fn drive_format_upgrade(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let Some(metadata) = &self.cell.meta.value else {
             return;
         };
@@ -91,7 +91,7 @@
     /// The names of all controllers of the deploy file, this one last.
     fn all_controllers(&self) -> impl Iterator<Item = &String> {
         self.settings
-            .others
+            .peers
             .iter()
             .map(|other| &other.node)
             .chain([&self.settings.node])
--- a/src/coordination/leadership/metadata.rs
+++ b/src/coordination/leadership/metadata.rs
@@ -36,7 +36,7 @@
 impl Controller {
     /// Creates the metadata record of an empty state store.
     pub(super) fn drive_metadata(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         if let Some(due) = self.leadership.metadata.not_before(now) {
             self.wake_at(due);
             return;
@@ -51,10 +51,10 @@
             .settings
             .teams
             .iter()
-            .filter(|team| team.has_share())
+            .filter(|team| team.has_guarantee_or_limit())
             .map(|team| team.name.as_str())
             .collect();
-        let default_shards = self.settings.controllers().max(teams.len());
+        let default_shards = self.settings.controller_count().max(teams.len());
         let shards = self
             .operator_settings
             .shards
@@ -78,14 +78,14 @@
         value: Option<Box<RawValue>>,
     ) {
         let transaction = Transaction {
-            when: conditions,
+            conditions: conditions,
             changes: vec![KeyChange {
                 key: Key::Meta,
                 value,
                 lease_id: None,
             }],
         };
-        self.budget.charge(self.now.steady, 1);
-        self.ask_state(Purpose::Meta, StateRequest::Transaction(transaction));
+        self.budget.charge(self.now.monotonic, 1);
+        self.send_state_request(Purpose::Meta, StateRequest::Transaction(transaction));
     }
 }
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -62,7 +62,7 @@
     pub(super) fn leader_record(&self) -> ShardLeaderRecord {
         ShardLeaderRecord {
             node: self.settings.node.clone(),
-            run: self.incarnation,
+            incarnation: self.incarnation,
         }
     }
 
@@ -71,7 +71,7 @@
         if !self.replica.is_ready() {
             return;
         }
-        self.leadership.claims.on_replica_ready(self.now.steady);
+        self.leadership.claims.on_replica_ready(self.now.monotonic);
         if self.cell.meta.value.is_none() {
             self.drive_metadata();
             return;
--- a/src/coordination/leadership/node_lease.rs
+++ b/src/coordination/leadership/node_lease.rs
@@ -47,7 +47,7 @@
 
     /// Requests or renews the lease if that is due.
     pub(super) fn drive_node_lease(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let lease = &mut self.leadership.lease;
         if lease.request_in_flight {
             return;
@@ -63,10 +63,13 @@
         match id {
             None => {
                 let time_to_live = self.lease_time_to_live();
-                self.ask_state(Purpose::LeaseGrant, StateRequest::LeaseGrant(time_to_live));
+                self.send_state_request(
+                    Purpose::LeaseGrant,
+                    StateRequest::LeaseGrant(time_to_live),
+                );
             }
             Some(id) => {
-                self.ask_state(Purpose::LeaseKeepAlive, StateRequest::LeaseKeepAlive(id));
+                self.send_state_request(Purpose::LeaseKeepAlive, StateRequest::LeaseKeepAlive(id));
             }
         }
     }
@@ -75,7 +78,7 @@
         &mut self,
         result: Result<StateResponse, CallError>,
     ) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let next_renewal = now + self.lease_renewal_interval();
         self.leadership.node_record.schedule(now);
         let lease = &mut self.leadership.lease;
@@ -92,7 +95,7 @@
         sent: Micros,
         result: Result<StateResponse, CallError>,
     ) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let next_renewal = sent + self.lease_renewal_interval();
         let lease = &mut self.leadership.lease;
         lease.request_in_flight = false;
--- a/src/coordination/leadership/node_record.rs
+++ b/src/coordination/leadership/node_record.rs
@@ -35,12 +35,12 @@
     /// Whether the node's record is the one of this process.
     pub(super) fn is_registered(&self) -> bool {
         let own = self.cell.nodes.get(&self.settings.node);
-        own.is_some_and(|node| node.value.run == self.incarnation)
+        own.is_some_and(|node| node.value.incarnation == self.incarnation)
     }
 
     /// Writes the node's record if it is missing or belongs to an earlier run, and removes it while the node is withdrawn.
     pub(super) fn drive_node_record(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let Some(lease) = self.leadership.lease.id() else {
             return;
         };
@@ -61,12 +61,12 @@
         }
         let change = self.node_record_change(withdrawn, lease);
         let transaction = Transaction {
-            when: vec![(key, mod_revision)],
+            conditions: vec![(key, mod_revision)],
             changes: vec![change],
         };
         self.leadership.node_record.write_in_flight = true;
         self.budget.charge(now, 1);
-        self.ask_state(Purpose::Node, StateRequest::Transaction(transaction));
+        self.send_state_request(Purpose::Node, StateRequest::Transaction(transaction));
     }
 
     /// The change that removes the record of a withdrawn node, or writes the record of this process under the lease.
@@ -86,7 +86,7 @@
     fn new_node_record(&mut self) -> NodeRecord {
         let record_format = self.target_format();
         NodeRecord {
-            run: self.incarnation,
+            incarnation: self.incarnation,
             record_format: (record_format > INITIAL_FORMAT).then_some(record_format),
             rules: self.rules.digest(),
             restart_history: self.restart_history(),
@@ -102,7 +102,7 @@
             .get(&self.settings.node)
             .map(|node| node.value.restart_history.clone())
             .unwrap_or_default();
-        let day = self.now.day;
+        let day = self.now.time_of_day;
         self.leadership
             .node_record
             .restart_history
@@ -114,7 +114,7 @@
         &mut self,
         result: Result<StateResponse, CallError>,
     ) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let writer = &mut self.leadership.node_record;
         writer.write_in_flight = false;
         writer.next_write = now + MIN_WRITE_INTERVAL;
--- a/src/coordination/leadership/shard_claims.rs
+++ b/src/coordination/leadership/shard_claims.rs
@@ -117,7 +117,7 @@
 impl Controller {
     /// Claims shards if a check is due.
     pub(super) fn drive_shard_claims(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         if self.leadership.claims.is_due(now) {
             self.check_shard_claims();
         }
@@ -127,7 +127,7 @@
     }
 
     fn check_shard_claims(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         self.leadership.claims.schedule(now + CHECK_INTERVAL);
         if self.stall.is_recovering() || !self.is_registered() || self.connectivity.is_withdrawn() {
             return;
@@ -155,16 +155,16 @@
             .iter()
             .all(|leader| leader.value.is_none());
         none_led
-            && self.cell.nodes.len() < self.settings.controllers()
+            && self.cell.nodes.len() < self.settings.controller_count()
             && self
                 .leadership
                 .claims
-                .time_since_replica_ready(self.now.steady)
+                .time_since_replica_ready(self.now.monotonic)
                 < FIRST_START_WAIT
     }
 
     fn schedule_after(&mut self, reason: ShardClaimReason) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let claims = &mut self.leadership.claims;
         match reason {
             ShardClaimReason::EvenShare => claims.next_check = now + STARTUP_CHECK_INTERVAL,
@@ -179,13 +179,13 @@
         let node = self.node_key();
         let leader_record = self.leader_record();
         let mut transaction = Transaction {
-            when: vec![(node.clone(), self.cell.mod_revision(&node))],
+            conditions: vec![(node.clone(), self.cell.mod_revision(&node))],
             changes: Vec::new(),
         };
         for shard in &claim.shards {
             let key = Key::ShardLeader(*shard);
             let revision = self.cell.leaders[*shard].mod_revision;
-            transaction.when.push((key.clone(), revision));
+            transaction.conditions.push((key.clone(), revision));
             transaction.changes.push(KeyChange {
                 key,
                 value: encode(&leader_record),
@@ -195,8 +195,8 @@
         let shards = claim.shards;
         tracing::info!(?shards, reason = claim.reason.as_str(), "claiming shards");
         self.leadership.claims.claim_in_flight = true;
-        self.budget.charge(self.now.steady, shards.len());
-        self.ask_state(
+        self.budget.charge(self.now.monotonic, shards.len());
+        self.send_state_request(
             Purpose::ShardClaim(shards),
             StateRequest::Transaction(transaction),
         );
@@ -209,7 +209,7 @@
     ) {
         let claims = &mut self.leadership.claims;
         claims.claim_in_flight = false;
-        claims.schedule(self.now.steady + CHECK_DELAY_AFTER_CLAIM);
+        claims.schedule(self.now.monotonic + CHECK_DELAY_AFTER_CLAIM);
         // The replica learns of the claim by a read, so that it also contains all changes before the claim.
         self.replica.request_barrier();
         if !matches!(result, Ok(StateResponse::Applied(_))) {
@@ -266,9 +266,9 @@
     fn are_others_starting(&self) -> bool {
         self.leadership
             .claims
-            .time_since_replica_ready(self.now.steady)
+            .time_since_replica_ready(self.now.monotonic)
             < EVEN_SHARE_PERIOD
-            && self.cell.nodes.len() < self.settings.controllers()
+            && self.cell.nodes.len() < self.settings.controller_count()
     }
 
     /// Claims this controller's even share of the shards without a live leader. When all controllers start at once, the
@@ -279,10 +279,10 @@
         if !distribution.may_claim(node) {
             return None;
         }
-        let others = self.settings.others.iter();
+        let others = self.settings.peers.iter();
         let position = others.filter(|other| other.node < *node).count();
         let mut shards = distribution.without_leader;
-        shards.retain(|shard| shard % self.settings.controllers() == position);
+        shards.retain(|shard| shard % self.settings.controller_count() == position);
         Some(ShardClaim {
             shards,
             reason: ShardClaimReason::EvenShare,
@@ -313,7 +313,7 @@
     /// at a time, and only one shard: otherwise several controllers would claim the same shard, and a controller that
     /// leads some shards would get more before another one has any.
     fn claim_for_rebalance(&self, distribution: &ShardDistribution) -> Option<ShardClaim> {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let claims = &self.leadership.claims;
         let most = distribution.most_loaded()?;
         let fewest = distribution.least_loaded()?;
--- a/src/coordination/leadership/shard_distribution.rs
+++ b/src/coordination/leadership/shard_distribution.rs
@@ -95,7 +95,7 @@
 fn live_leader(cell: &CellState, shard: ShardId) -> Option<&str> {
     let leader = cell.leaders[shard].value.as_ref()?;
     let node = cell.nodes.get(&leader.node)?;
-    (node.value.run == leader.run).then_some(&leader.node)
+    (node.value.incarnation == leader.incarnation).then_some(&leader.node)
 }
 
 #[cfg(test)]
--- a/src/coordination/leadership/shard_distribution/tests.rs
+++ b/src/coordination/leadership/shard_distribution/tests.rs
@@ -19,7 +19,7 @@
     });
     for controller in controllers {
         let record = NodeRecord {
-            run: CURRENT,
+            incarnation: CURRENT,
             record_format: None,
             rules: None,
             restart_history: Default::default(),
@@ -35,7 +35,7 @@
         .map(|leader| Versioned {
             value: leader.map(|(node, run)| ShardLeaderRecord {
                 node: node.to_owned(),
-                run,
+                incarnation: run,
             }),
             mod_revision: 1,
         })
--- a/src/coordination/leadership/team_shards.rs
+++ b/src/coordination/leadership/team_shards.rs
@@ -10,7 +10,7 @@
     /// Whether a team of the deploy file has a guarantee or a limit but no shard of its own, because a later deploy file
     /// added it. The jobs of such a team are spread over all shards, so no leader could enforce its limit.
     pub(in crate::coordination) fn lacks_shard(&self, team: &Team) -> bool {
-        team.has_share()
+        team.has_guarantee_or_limit()
             && self
                 .cell
                 .meta
@@ -23,7 +23,7 @@
     /// recorded. Until then nothing is assigned for the team, and rounds that were planned earlier fail because
     /// assignments are conditional on the teams' shards.
     pub(super) fn drive_team_shards(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let Some(metadata) = &self.cell.meta.value else {
             return;
         };
@@ -67,7 +67,8 @@
 
     /// Whether a team has no usage in any shard, and the job records contain the ends of all its ended tasks.
     fn is_team_idle(&self, team: &str) -> bool {
-        let unused = (0..self.cell.usage.len()).all(|shard| self.cell.used(shard, team) == (0, 0));
+        let unused = (0..self.cell.usage.len())
+            .all(|shard| self.cell.assigned_to_team(shard, team) == (0, 0));
         let has_pending_ends =
             |job: &Job| job.spec().team == team && !job.record.finished.covers(&job.ends);
         unused && !self.cell.jobs.values().any(has_pending_ends)
--- a/src/coordination/leadership/terms.rs
+++ b/src/coordination/leadership/terms.rs
@@ -10,7 +10,7 @@
 pub struct LeaderTerm {
     /// The first fencing token of the term: an agent that reports this token or a later one accepts no commands from any
     /// earlier leader.
-    pub first: u64,
+    pub first_token: u64,
     /// When it began, in monotonic time.
     pub since: Micros,
 }
@@ -90,11 +90,11 @@
     fn begin_term(&mut self, shard: ShardId, token: u64) {
         self.counters.failovers += 1;
         let term = LeaderTerm {
-            first: token,
-            since: self.now.steady,
+            first_token: token,
+            since: self.now.monotonic,
         };
         self.leadership.terms.begin(shard, term);
-        self.begin_agents(shard);
+        self.register_agents_of_shard(shard);
         self.rounds.request();
         self.find_oversized_records();
     }
@@ -109,9 +109,9 @@
 
     fn step_down(&mut self, shard: ShardId) {
         self.leadership.terms.end(shard);
-        self.end_agents(shard);
+        self.drop_agents_of_shard(shard);
         if shard == 0 {
-            self.end_autoscaler();
+            self.reset_autoscaler();
         }
     }
 
--- a/src/coordination/leadership/unstable_controllers.rs
+++ b/src/coordination/leadership/unstable_controllers.rs
@@ -25,7 +25,7 @@
     }
 
     fn find_unstable_controllers(&self) -> BTreeSet<String> {
-        let day = self.now.day;
+        let day = self.now.time_of_day;
         let nodes = &self.cell.nodes;
         let unstable: BTreeSet<String> = nodes
             .iter()
@@ -42,8 +42,8 @@
     fn time_until_stable(&self, controller: &str) -> Micros {
         let node = self.cell.nodes.get(controller);
         node.map_or(Micros::ZERO, |node| {
-            let stable_from = node.value.restart_history.stable_from();
-            stable_from.since(self.now.day)
+            let stable_from = node.value.restart_history.may_acquire_shards_from();
+            stable_from.since(self.now.time_of_day)
         })
     }
 }
