--- a/src/coordination/api/connections/mod.rs
+++ b/src/coordination/api/connections/mod.rs
@@ -311,7 +311,7 @@
     }
 
     /// Connections that are to be closed since no complete request arrived in time.
-    pub fn take_slow_connections(&mut self, now: Micros) -> Vec<ConnectionId> {
+    pub fn select_slow_connections(&mut self, now: Micros) -> Vec<ConnectionId> {
         let timeout = if self.is_full() {
             Self::FIRST_REQUEST_TIMEOUT_IF_FULL
         } else {
--- a/src/coordination/api/connections/sockets.rs
+++ b/src/coordination/api/connections/sockets.rs
@@ -20,11 +20,12 @@
     /// Divides the sockets that a controller may open.
     pub fn new(sockets: usize, peers: usize) -> SocketPlan {
         let calls = sockets / 4;
-        let kept_calls = sockets / 8;
-        let others = calls + kept_calls + Self::OWN_SOCKETS + peers * Self::SOCKETS_PER_PEER;
+        let idle_agent_connections = sockets / 8;
+        let others =
+            calls + idle_agent_connections + Self::OWN_SOCKETS + peers * Self::SOCKETS_PER_PEER;
         SocketPlan {
             calls,
-            idle_agent_connections: kept_calls,
+            idle_agent_connections,
             server_connections: sockets.saturating_sub(others).max(sockets / 2),
         }
     }
--- a/src/coordination/commit/budget.rs
+++ b/src/coordination/commit/budget.rs
@@ -166,20 +166,20 @@
     }
 
     /// Spends one request with `writes` changes for users. Users go ahead of rounds, even directly after
-    /// the largest round, of `round` changes: in addition to the debt of that round, the bucket may be
+    /// the largest round, of `max_round_changes` changes: in addition to the debt of that round, the bucket may be
     /// overdrawn by its capacity, and later rounds wait until the debt is repaid. Otherwise returns when
     /// to ask again.
     pub fn spend_for_users(
         &mut self,
         now: Micros,
         writes: usize,
-        round: usize,
+        max_round_changes: usize,
     ) -> Result<(), Micros> {
         self.refill(now);
         let wait_for_writes = if writes > 0 {
             let debt_limit = self.writes.capacity;
             self.writes
-                .time_until(writes as f64 - debt_limit - round as f64)
+                .time_until(writes as f64 - debt_limit - max_round_changes as f64)
         } else {
             Micros::ZERO
         };
--- a/src/coordination/commit/gang_reservation.rs
+++ b/src/coordination/commit/gang_reservation.rs
@@ -111,13 +111,13 @@
     }
 
     /// Stores the machines that were chosen for a job.
-    fn update(&mut self, now: Micros, job: JobId, drain: ReservedMachines, covers_demand: bool) {
+    fn update(&mut self, now: Micros, job: JobId, reserved: ReservedMachines, covers_demand: bool) {
         let previous = self
             .current
             .take()
             .filter(|reservation| reservation.job == job);
         let (since, expected_complete_at, last_sufficient_at) =
-            previous.map_or((now, now + drain.longest_runtime, now), |reservation| {
+            previous.map_or((now, now + reserved.longest_runtime, now), |reservation| {
                 (
                     reservation.since,
                     reservation.expected_complete_at,
@@ -126,7 +126,7 @@
             });
         self.current = Some(GangReservation {
             job,
-            machines: drain.machines,
+            machines: reserved.machines,
             since,
             expected_complete_at,
             last_sufficient_at: if covers_demand {
@@ -169,13 +169,13 @@
         let chosen = self.choose_reservation(&mut jobs_without_plan);
         self.rounds.gang_reservations.defer(now, &jobs_without_plan);
         match chosen {
-            Some((job, drain, covers_demand)) => {
+            Some((job, reserved, covers_demand)) => {
                 if previous != Some(job) {
-                    self.log_reservation_begin(job, &drain);
+                    self.log_reservation_begin(job, &reserved);
                 }
                 self.rounds
                     .gang_reservations
-                    .update(now, job, drain, covers_demand);
+                    .update(now, job, reserved, covers_demand);
                 self.rounds.request();
             }
             None => self.end_reservation(),
@@ -269,11 +269,12 @@
             return None;
         }
         let demand = self.reservation_demand(id, job);
-        let drain = select_reserved_machines(&self.reservation_candidates(id, job.spec()), &demand);
-        let covers_demand = drain.tasks >= demand.tasks;
+        let reserved =
+            select_reserved_machines(&self.reservation_candidates(id, job.spec()), &demand);
+        let covers_demand = reserved.tasks >= demand.tasks;
         (covers_demand || self.awaits_replacement_machines(id)).then_some((
             id,
-            drain,
+            reserved,
             covers_demand,
         ))
     }
@@ -380,12 +381,12 @@
             .collect()
     }
 
-    fn log_reservation_begin(&self, id: JobId, drain: &ReservedMachines) {
+    fn log_reservation_begin(&self, id: JobId, reserved: &ReservedMachines) {
         tracing::info!(
             job = %id,
-            tasks = drain.tasks,
-            machines = drain.machines.len(),
-            drain = %drain.longest_runtime,
+            tasks = reserved.tasks,
+            machines = reserved.machines.len(),
+            drain = %reserved.longest_runtime,
             "machines reserved for a waiting gang"
         );
     }
--- a/src/coordination/commit/placement_requests.rs
+++ b/src/coordination/commit/placement_requests.rs
@@ -42,10 +42,10 @@
         let shard = controller.cell.shard_of_job(id, spec);
         let is_local = controller.leads(shard);
         let team = controller.settings.team(&spec.team);
-        let most = self.tasks_within_limits(shard, spec, team);
+        let remaining_task_quota = self.tasks_within_limits(shard, spec, team);
         let suspect = controller.rounds.is_suspect(id);
         let has_reservation = self.count_reservation(id, job);
-        if most == 0 || controller.waits_for_running_tasks(id, spec, suspect) {
+        if remaining_task_quota == 0 || controller.waits_for_running_tasks(id, spec, suspect) {
             return None;
         }
         let gang = controller.is_all_or_nothing(id, spec);
@@ -54,7 +54,7 @@
         if is_local {
             self.own_tasks += tasks.len();
         }
-        let allowed = (tasks.len() as u64).min(most);
+        let allowed = (tasks.len() as u64).min(remaining_task_quota);
         // Once the other claims are planned, no part of the limits is set aside for gangs that exceed
         // the limits now.
         if gang && allowed < tasks.len() as u64 && self.claimed.is_some() {
@@ -69,7 +69,7 @@
             priority: job.priority(),
             tasks,
             zones: controller.spread_zones(id, spec),
-            remaining_task_quota: most,
+            remaining_task_quota,
             price_limit: self.price_limit(id, job, suspect),
             owner: shard,
             is_local,
--- a/src/coordination/commit/transaction/mod.rs
+++ b/src/coordination/commit/transaction/mod.rs
@@ -67,7 +67,7 @@
     bytes: usize,
     /// Whether every controller reads the compact encoding of records.
     compact_encoding: bool,
-    /// Whether the usage of teams follows from the machine groups alone, see [`CellState::fenced`].
+    /// Whether the usage of teams follows from the machine groups alone, see [`CellState::is_fenced`].
     usage_from_groups: bool,
     term_update: Option<TermUpdate>,
 }
--- a/src/coordination/commit/transaction/output.rs
+++ b/src/coordination/commit/transaction/output.rs
@@ -99,7 +99,7 @@
             .collect();
         PlannedTransaction {
             txn: Transaction {
-                conditions: conditions,
+                conditions,
                 changes: self.writes,
             },
             changes: self.changes,
--- a/src/coordination/constraints/declaration.rs
+++ b/src/coordination/constraints/declaration.rs
@@ -117,13 +117,13 @@
             .nodes
             .iter()
             .map(|(name, node)| (Key::Node(name.clone()), node.mod_revision));
-        let when = [(key.clone(), set.mod_revision)]
+        let conditions = [(key.clone(), set.mod_revision)]
             .into_iter()
             .chain(nodes)
             .take(self.limits.max_changes() * CONDITIONS_PER_CHANGE)
             .collect();
         Some(Transaction {
-            conditions: when,
+            conditions,
             changes: vec![KeyChange {
                 key,
                 value: None,
--- a/src/coordination/health/stall.rs
+++ b/src/coordination/health/stall.rs
@@ -1,9 +1,9 @@
 //! Stalls of this process: it was frozen, starved of processor time, or stopped and continued.
 //!
-//! The monotonic clock continues during a stall. Every decision that is based on silence or idleness would become due at the
-//! moment the process resumes, on a replica that is out of date by the duration of the stall. So the first action after a
-//! stall is a read, and no such decision is made before the read is applied. Silence and idleness then count from the
-//! moment of resuming, because the process could not have received anything before.
+//! The monotonic clock continues during a stall. Every decision that is based on silence or idleness would become due at
+//! the moment the process resumes, on a replica that is out of date by the duration of the stall. So the first action
+//! after a stall is a read, and no such decision is made before the read is applied. Silence and idleness then count from
+//! the moment of resuming, because the process could not have received anything before.
 //!
 //! Proofs do not depend on this. That an agent incarnation has ended is derived from its last acknowledged heartbeat,
 //! which a stall does not make newer, and commits are conditional on revisions. The recovery avoids decisions that would
--- a/src/coordination/leadership/metadata.rs
+++ b/src/coordination/leadership/metadata.rs
@@ -78,7 +78,7 @@
         value: Option<Box<RawValue>>,
     ) {
         let transaction = Transaction {
-            conditions: conditions,
+            conditions,
             changes: vec![KeyChange {
                 key: Key::Meta,
                 value,
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -26,7 +26,7 @@
             .replica
             .is_ready()
             .then(|| self.contact_age().as_millis());
-        let terms = (0..self.cell.leaders.len())
+        let shard_terms = (0..self.cell.leaders.len())
             .map(|shard| (self.cell.leaders[shard].mod_revision, self.leads(shard)))
             .collect();
         let hint = PeerHint {
@@ -34,7 +34,7 @@
             incarnation: self.incarnation,
             state_store_contact_ms: contact,
             revision: self.cell.revision,
-            shard_terms: terms,
+            shard_terms,
             last_heartbeat_ms: self.agent_contact_age_ms(),
             saturated: self.rounds.is_saturated(self.now.monotonic),
             write_rate_milli: (self.budget.take_spending_rate(self.now.monotonic) * 1e3) as u64,
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -122,20 +122,20 @@
         let traits = self
             .class_traits(&class)
             .map(|mut by_rule_set| by_rule_set.remove(0));
-        let verdict = explain(
+        let explanation = explain(
             rules.concerning(&job.subject).chain(&spec.rules),
             traits.as_ref().unwrap_or(&Traits::new()),
             &MachineView::for_candidate(machine, job),
         );
-        let mut against = self.excluding_fields(&class);
+        let mut exclusions = self.excluding_fields(&class);
         if let Some(traits) = &traits {
-            against.extend(excluding_rules(machine, rules, job, traits));
+            exclusions.extend(excluding_rules(machine, rules, job, traits));
         }
         MachineReport {
             host: machine.host.clone(),
-            allowed: verdict.allowed && against.is_empty(),
-            exclusions: against,
-            explanation: verdict,
+            allowed: explanation.allowed && exclusions.is_empty(),
+            exclusions,
+            explanation,
         }
     }
 
--- a/src/protocol/settings/mod.rs
+++ b/src/protocol/settings/mod.rs
@@ -138,7 +138,7 @@
     pub state_rps: f64,
     /// Current limits of the state store.
     pub state_limits: StateLimits,
-    /// Limits announced for later; equal to `limits` if there is no announcement.
+    /// Limits announced for later; equal to `state_limits` if there is no announcement.
     pub announced_state_limits: StateLimits,
     /// Requests per second that the cloud accepts.
     pub cloud_rps: f64,
--- a/src/protocol/settings/validation.rs
+++ b/src/protocol/settings/validation.rs
@@ -28,7 +28,7 @@
             .into_iter()
             .map(team)
             .collect::<Result<_, _>>()?;
-        let others = file.peers.into_iter().map(peer).collect::<Result<_, _>>()?;
+        let peers = file.peers.into_iter().map(peer).collect::<Result<_, _>>()?;
         let limits = state_limits("params.state", &params.state)?;
         let next_limits = next_state_limits(&params.state, limits)?;
         let max_connections = connections(params.quota.max_connections)?;
@@ -38,7 +38,7 @@
             zone: file.zone,
             bind: address("bind", &file.bind)?,
             peer_bind: address("back", &file.peer_bind)?,
-            peers: others,
+            peers,
             cloud_address: address("outside.cloud", &file.services.cloud)?,
             state_store_address: address("outside.state", &file.services.state)?,
             teams,
--- a/src/scheduler/placement/candidate.rs
+++ b/src/scheduler/placement/candidate.rs
@@ -31,7 +31,8 @@
     pub free: Amount,
     /// Reserved in this plan for a request of higher precedence that found no room.
     pub reserved_in_plan: bool,
-    /// Part of a gang reservation, see [`super::select_reserved_machines`]: usable only by requests that may use reserved machines.
+    /// Part of a gang reservation, see [`super::select_reserved_machines`]: usable only by requests that may use reserved
+    /// machines.
     pub in_gang_reservation: bool,
     /// Images that the machine holds or fetches.
     pub images: &'a [(Arc<str>, u64)],
--- a/src/storage/cell_state/jobs.rs
+++ b/src/storage/cell_state/jobs.rs
@@ -63,7 +63,7 @@
     /// Removes a job that has ended.
     pub(super) fn remove_job(&mut self, id: JobId, changes_seen: &mut CellChanges) {
         if let Some(job) = self.jobs.remove(&id) {
-            let how = self.dependencies.on_job_ended(
+            let outcome = self.dependencies.on_job_ended(
                 id,
                 &job,
                 self.time_of_day,
@@ -75,7 +75,7 @@
             } = job.record.spec;
             changes_seen.ended.push(EndedJob {
                 job: id,
-                outcome: how,
+                outcome,
                 job_class,
                 team,
             });
--- a/src/storage/machine_group/encoding/tests.rs
+++ b/src/storage/machine_group/encoding/tests.rs
@@ -9,11 +9,11 @@
 /// First address of the machines' subnet, 10.0.0.0, as a number.
 const SUBNET_BASE: i64 = 10 << 24;
 
-fn assignment(job: u64, index: u32, number: u64) -> Assignment {
+fn assignment(job: u64, index: u32, attempt_number: u64) -> Assignment {
     Assignment {
         job: JobId(job),
         index,
-        attempt_number: number,
+        attempt_number,
     }
 }
 
--- a/src/transport/admission.rs
+++ b/src/transport/admission.rs
@@ -152,7 +152,7 @@
     /// The controls of connections that are too slow.
     fn slow_connections(&self) -> Vec<ConnCtrl> {
         let mut inner = self.lock();
-        let slow = inner.connections.take_slow_connections(self.now());
+        let slow = inner.connections.select_slow_connections(self.now());
         if slow.is_empty() {
             return Vec::new();
         }
--- a/src/transport/node.rs
+++ b/src/transport/node.rs
@@ -177,9 +177,9 @@
                     call,
                     endpoint,
                     body,
-                    timeout: limit,
+                    timeout,
                 } => {
-                    tokio::spawn(Arc::clone(self).push_command(call, endpoint, body, limit));
+                    tokio::spawn(Arc::clone(self).push_command(call, endpoint, body, timeout));
                 }
                 Effect::User(call, response) => self.respond_to_user(call, response),
                 // Taken from the effects by `heartbeat`.
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -257,11 +257,11 @@
     connections.on_request(Micros::ZERO, 2, Request::Query);
     assert!(
         connections
-            .take_slow_connections(Micros::secs(2))
+            .select_slow_connections(Micros::secs(2))
             .is_empty()
     );
     assert_eq!(
-        connections.take_slow_connections(Micros::millis(3_001)),
+        connections.select_slow_connections(Micros::millis(3_001)),
         [1]
     );
     // The timeout is shorter while such connections take up places that other clients need.
@@ -270,7 +270,7 @@
     }
     assert!(
         connections
-            .take_slow_connections(Micros::millis(4_501))
+            .select_slow_connections(Micros::millis(4_501))
             .len()
             > SERVED_CONNECTIONS / 2
     );
@@ -360,7 +360,7 @@
                     connections.on_closed(id);
                 }
                 Step::Sweep => {
-                    for id in connections.take_slow_connections(now) {
+                    for id in connections.select_slow_connections(now) {
                         open.retain(|o| *o != id);
                         connections.on_closed(id);
                     }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings in the deploy file: announced limits of the state service, and the contact limit.
+//! Settings in the deploy file: announced limits of the state service, and the maximum contact age.
 
 use cometlead::protocol::settings::{Settings, StateLimits};
 use serde_json::{Value, json};
@@ -20,10 +20,10 @@
     Settings::parse("deploy.json", file.to_string().as_bytes()).map_err(|e| e.to_string())
 }
 
-/// The contact limit is what `cancel_s` leaves after the lease. If it leaves nothing, no worker can be answered: the limit is
-/// zero from the start, without an underflow.
+/// The maximum contact age is what `cancel_s` leaves after the lease. If it leaves nothing, no worker can be answered: the
+/// limit is zero from the start, without an underflow.
 #[test]
-fn contact_limit_is_bounded_by_cancel_time_and_lease() {
+fn max_contact_age_is_bounded_by_cancel_time_and_lease() {
     for (lease, cancel, most) in [
         (10.0, 35.0, 23_500),
         (15.25, 40.25, 23_500),
