--- a/src/scheduler/constraints/evaluation.rs
+++ b/src/scheduler/constraints/evaluation.rs
@@ -107,7 +107,7 @@
         for RuleInSets { rule, sets } in rules {
             match rule.kind {
                 RuleKind::Require => {
-                    constraints.add_requirement(rule, evaluate(rule, &sets, classes))
+                    constraints.add_requirement(rule, evaluate(rule, &sets, classes));
                 }
                 RuleKind::Prefer { weight, wait } if sets.end > last_set => {
                     let last_only = sets.start.max(last_set)..sets.end;
