--- a/src/coordination/commit/placement_requests.rs
+++ b/src/coordination/commit/placement_requests.rs
@@ -42,10 +42,10 @@
         let shard = controller.cell.shard_of_job(id, spec);
         let is_local = controller.leads(shard);
         let team = controller.settings.team(&spec.team);
-        let most = self.tasks_within_limits(shard, spec, team);
+        let remaining_task_quota = self.tasks_within_limits(shard, spec, team);
         let suspect = controller.rounds.is_suspect(id);
         let has_reservation = self.count_reservation(id, job);
-        if most == 0 || controller.waits_for_running_tasks(id, spec, suspect) {
+        if remaining_task_quota == 0 || controller.waits_for_running_tasks(id, spec, suspect) {
             return None;
         }
         let gang = controller.is_all_or_nothing(id, spec);
@@ -54,7 +54,7 @@
         if is_local {
             self.own_tasks += tasks.len();
         }
-        let allowed = (tasks.len() as u64).min(most);
+        let allowed = (tasks.len() as u64).min(remaining_task_quota);
         // Once the other claims are planned, no part of the limits is set aside for gangs that exceed
         // the limits now.
         if gang && allowed < tasks.len() as u64 && self.claimed.is_some() {
@@ -69,18 +69,19 @@
             priority: job.priority(),
             tasks,
             zones: controller.spread_zones(id, spec),
-            most,
+            remaining_task_quota,
             price_limit: self.price_limit(id, job, suspect),
             owner: shard,
             is_local,
             // A job that goes ahead because of the deficit of its class or team preempts nothing; it
             // waits for free capacity.
-            preempts: controller.preempts(job) && !suspect && !turn.ahead,
+            may_preempt: controller.preempts(job) && !suspect && !turn.ahead,
             never_reserves: suspect || has_reservation,
-            uses_held_machines: controller.may_use_gang_reservation(id, spec),
-            guaranteed: team.is_some_and(Team::has_share) && !controller.borrows(job, shard),
+            may_use_gang_reservations: controller.may_use_gang_reservation(id, spec),
+            guaranteed: team.is_some_and(Team::has_guarantee_or_limit)
+                && !controller.borrows(job, shard),
             gang,
-            avoid: &job.record.failed_machines,
+            avoided_machines: &job.record.failed_machines,
             rules: controller.rules_for(id, job, self.context),
         })
     }
@@ -183,7 +184,7 @@
     ) -> Vec<PlacementRequest<'a>> {
         let machine_kinds = self
             .cell
-            .machines_up()
+            .schedulable_machines()
             .map(|(_, record)| MachineKind {
                 machine_type: &record.machine_type,
                 zone: &record.zone,
@@ -246,7 +247,7 @@
         }
         let mut requests = self.requests(turns, Some(&claimed), transaction, context);
         for request in &mut requests {
-            request.preempts = false;
+            request.may_preempt = false;
         }
         requests
     }
--- a/src/coordination/commit/transaction/mod.rs
+++ b/src/coordination/commit/transaction/mod.rs
@@ -67,7 +67,7 @@
     bytes: usize,
     /// Whether every controller reads the compact encoding of records.
     compact_encoding: bool,
-    /// Whether the usage of teams follows from the machine groups alone, see [`CellState::fenced`].
+    /// Whether the usage of teams follows from the machine groups alone, see [`CellState::is_fenced`].
     usage_from_groups: bool,
     term_update: Option<TermUpdate>,
 }
@@ -99,7 +99,7 @@
             conditions: BTreeSet::new(),
             bytes: 0,
             compact_encoding: cell.uses_compact_encoding(),
-            usage_from_groups: cell.fenced(),
+            usage_from_groups: cell.is_fenced(),
             term_update: None,
         }
     }
