--- a/benches/rules.rs
+++ b/benches/rules.rs
@@ -66,7 +66,7 @@
         record,
         mod_revision: 1,
         chunks: BTreeMap::new(),
-        ends: CompletionBitmap::default(),
+        recorded_finished_tasks: CompletionBitmap::default(),
         dependency_state,
     }
 }
--- a/crates/emulator/src/fakes/worker.rs
+++ b/crates/emulator/src/fakes/worker.rs
@@ -286,7 +286,7 @@
     /// Creates a report of the current state. Each report has a larger number than the previous one.
     pub fn report(&mut self, now: u64) -> Value {
         self.heartbeat_sequence += 1;
-        let pieces: Vec<Value> = self
+        let attempts: Vec<Value> = self
             .attempts
             .iter()
             .map(|((t, _), p)| {
@@ -304,7 +304,7 @@
             .collect();
         json!({"host": super::cloud::name(self.id), "endpoint": self.endpoint,
             "build": self.machine_type, "yard": self.zone, "loaners": self.spot, "shift": self.session,
-            "tally": self.heartbeat_sequence, "baton": self.fencing_token, "pieces": pieces,
+            "tally": self.heartbeat_sequence, "baton": self.fencing_token, "pieces": attempts,
             "recallS": self.preempted_at.map(|r| r.saturating_sub(now) as f64 / 1e6)})
     }
 
@@ -349,16 +349,16 @@
                 Some("stop") => {
                     if let Some(p) = self.attempts.get_mut(&(task, number)) {
                         let job = &jobs[&task.0];
-                        let leeway = o["leewayS"].as_f64().unwrap_or(0.0);
+                        let grace_period = o["leewayS"].as_f64().unwrap_or(0.0);
                         if p.phase == Phase::Running
                             && job.saves_checkpoint
-                            && leeway >= job.checkpoint_duration_s
+                            && grace_period >= job.checkpoint_duration_s
                         {
                             p.phase = Phase::Flushing;
                             p.phase_ends_at = now + (job.checkpoint_duration_s * 1e6) as u64;
                             self.changed_since_report = true;
                         } else if !matches!(p.phase, Phase::Exited(_))
-                            && (p.phase != Phase::Flushing || leeway == 0.0)
+                            && (p.phase != Phase::Flushing || grace_period == 0.0)
                         {
                             if Self::is_executing(p) {
                                 events.push(TaskEvent::Ended(task, "halted"));
--- a/crates/emulator/src/run/snapshot.rs
+++ b/crates/emulator/src/run/snapshot.rs
@@ -201,7 +201,7 @@
             machine_busy: after.machine.busy_since(&before.machine),
             reports_failed: sum_over_workers(|w| w.reports_failed),
             lost_leases: self.lost_leases(),
-            exited_controllers: self.ended_by_themselves(),
+            exited_controllers: self.exited_controllers(),
             max_timer_delay_s: self.max_timer_delay_us.load(Ordering::Relaxed) as f64 / 1e6,
             controllers: self.controller_results(before, after, duration_s),
             regions: self.region_results(before, after, duration_s),
@@ -223,7 +223,7 @@
         self.regions.iter().map(of).sum()
     }
 
-    fn ended_by_themselves(&self) -> usize {
+    fn exited_controllers(&self) -> usize {
         let mut controllers = self.controllers.lock();
         controllers
             .iter_mut()
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -36,8 +36,8 @@
 const ENDLESS_S: f64 = 100_000.0;
 /// Number of images; every machine ends up with most of them.
 const IMAGE_COUNT: u64 = 5;
-/// Time to fetch an image, in seconds.
-const IMAGE_FETCH_S: f64 = 0.5;
+/// Size of an image in GB. The fake cloud fetches 1 GB a second, so the number is also the fetch time in seconds.
+const IMAGE_SIZE_GB: f64 = 0.5;
 
 /// Counters of what users did, and of the responses that they got.
 #[derive(Debug)]
@@ -331,14 +331,14 @@
     } else {
         load.run_s
     };
-    let (lane, urgency) = match kind {
+    let (job_class, urgency) = match kind {
         JobKind::Endless => ("endless", "standard"),
         JobKind::Short => ("short", "standard"),
         JobKind::Urgent => (URGENT_CLASS, "critical"),
     };
     let submission = Submission {
         job,
-        job_class: lane.to_owned(),
+        job_class: job_class.to_owned(),
         team: team_name(team),
         shape: "sweep".to_owned(),
         urgency: urgency.to_owned(),
@@ -351,7 +351,7 @@
         anti_affinity: false,
         spot: true,
         image: format!("img-{}", job % IMAGE_COUNT),
-        image_size_gb: IMAGE_FETCH_S,
+        image_size_gb: IMAGE_SIZE_GB,
         estimated_run_s: run_s,
         checkpoint_interval_s: 0.0,
         checkpoint_duration_s: 0.0,
--- a/crates/queues/src/runtime/state_service.rs
+++ b/crates/queues/src/runtime/state_service.rs
@@ -4,7 +4,7 @@
 use crate::settings::StateSettings;
 use crate::wire::state_service::{
     LogKeys, StateWireError, TRANSACTION_PATH, compare_and_swap_body, decode_applied_revision,
-    decode_open_segment, decode_page,
+    decode_closed_segments_page, decode_open_segment,
 };
 use bytes::Bytes;
 use reqwest::header::CONTENT_TYPE;
@@ -57,7 +57,7 @@
     }
 
     async fn read_open_segment(&self) -> Result<StateResponse, StateServiceError> {
-        let request = self.client.get(self.url(&self.keys.open_path()));
+        let request = self.client.get(self.url(&self.keys.open_segment_path()));
         match exchange(request).await? {
             (200, body) => Ok(StateResponse::OpenSegment(Some(decode_open_segment(
                 &body,
@@ -68,10 +68,12 @@
     }
 
     async fn read_closed_segments(&self, from: u64) -> Result<StateResponse, StateServiceError> {
-        let request = self.client.get(self.url(&self.keys.closed_page_path(from)));
+        let request = self
+            .client
+            .get(self.url(&self.keys.closed_segments_page_path(from)));
         match exchange(request).await? {
             (200, body) => {
-                let page = decode_page(&body)?;
+                let page = decode_closed_segments_page(&body)?;
                 Ok(StateResponse::ClosedSegments {
                     segments: page.segments,
                     has_more: page.has_more,
--- a/crates/queues/src/wire/state_service.rs
+++ b/crates/queues/src/wire/state_service.rs
@@ -57,12 +57,12 @@
     }
 
     /// Path that reads the open segment.
-    pub fn open_path(&self) -> String {
+    pub fn open_segment_path(&self) -> String {
         format!("/kv/{}", self.open())
     }
 
     /// Path that reads a page of closed segments, starting with segment `from`.
-    pub fn closed_page_path(&self, from: u64) -> String {
+    pub fn closed_segments_page_path(&self, from: u64) -> String {
         let after = from
             .checked_sub(1)
             .map(|segment| format!("&after={}", self.closed(segment)))
@@ -203,7 +203,7 @@
 /// # Errors
 ///
 /// If the body is not a page of segments.
-pub fn decode_page(body: &[u8]) -> Result<SegmentPage, StateWireError> {
+pub fn decode_closed_segments_page(body: &[u8]) -> Result<SegmentPage, StateWireError> {
     let page: PageBody =
         serde_json::from_slice(body).map_err(malformed("a read of closed segments"))?;
     let segment = |item: &PageItem| {
--- a/crates/queues/tests/golden_formats/http.rs
+++ b/crates/queues/tests/golden_formats/http.rs
@@ -8,8 +8,8 @@
     HttpResponse, RequestKind, SUBMIT_PATH, cancel_path, decode_response, status_path,
 };
 use cometlead_queues::wire::state_service::{
-    LogKeys, TRANSACTION_PATH, compare_and_swap_body, decode_applied_revision, decode_open_segment,
-    decode_page,
+    LogKeys, TRANSACTION_PATH, compare_and_swap_body, decode_applied_revision,
+    decode_closed_segments_page, decode_open_segment,
 };
 use serde_json::Value;
 
@@ -57,9 +57,9 @@
     let keys = LogKeys::new("q/");
     let paths = [
         TRANSACTION_PATH.to_owned(),
-        keys.open_path(),
-        keys.closed_page_path(0),
-        keys.closed_page_path(12),
+        keys.open_segment_path(),
+        keys.closed_segments_page_path(0),
+        keys.closed_segments_page_path(12),
     ];
     assert_golden("http-state-paths.txt", paths.join("\n").as_bytes());
     let encode_cas = |expected_revision, open: &str, close, remove| {
@@ -95,7 +95,8 @@
             revision: 41
         }
     );
-    let page = decode_page(&read_golden("http-state-page-response.json")).expect("a page");
+    let page =
+        decode_closed_segments_page(&read_golden("http-state-page-response.json")).expect("a page");
     let segments = vec![
         closed_segment(7, r#"{"v":1}"#),
         closed_segment(8, r#"{"v":2}"#),
@@ -103,5 +104,5 @@
     assert_eq!((page.segments, page.has_more), (segments, true));
     let applied = decode_applied_revision(&read_golden("http-state-cas-response.json"));
     assert_eq!(applied.expect("a revision"), 42);
-    assert!(decode_open_segment(b"{}").is_err() && decode_page(b"{}").is_err());
+    assert!(decode_open_segment(b"{}").is_err() && decode_closed_segments_page(b"{}").is_err());
 }
--- a/src/coordination/api/connections/mod.rs
+++ b/src/coordination/api/connections/mod.rs
@@ -37,7 +37,7 @@
     /// A health check.
     Health,
     /// A cancellation of a job.
-    Abort,
+    Cancel,
     /// An agent's heartbeat.
     Heartbeat,
     /// A submission of a job.
@@ -52,7 +52,7 @@
         match self {
             Request::Health => Class::Health,
             Request::Heartbeat => Class::Agent,
-            Request::Abort | Request::Submit | Request::Query => Class::User,
+            Request::Cancel | Request::Submit | Request::Query => Class::User,
         }
     }
 }
@@ -280,7 +280,7 @@
         let max_requests = self.user_request_limit();
         let (limit, rejected) = match request {
             Request::Health | Request::Heartbeat => return RequestDecision::Serve,
-            Request::Abort => (max_requests, &mut self.rejected.aborts),
+            Request::Cancel => (max_requests, &mut self.rejected.aborts),
             Request::Submit => (max_requests * 7 / 8, &mut self.rejected.submits),
             Request::Query => (max_requests / 2, &mut self.rejected.queries),
         };
--- a/src/coordination/autoscaler/boots.rs
+++ b/src/coordination/autoscaler/boots.rs
@@ -58,7 +58,7 @@
 }
 
 impl Autoscaler {
-    fn record_finished_boots(&mut self, cell: &CellState, now: Micros) {
+    fn record_boot_durations(&mut self, cell: &CellState, now: Micros) {
         for (id, machine) in &mut self.provisioned_machines {
             if machine.is_booting() && cell.machine(*id).is_some() {
                 let took = machine.on_boot_completed(now);
@@ -84,7 +84,7 @@
         let now = self.now.monotonic;
         let cell = &self.cell;
         let autoscaler = &mut self.autoscaler;
-        autoscaler.record_finished_boots(cell, now);
+        autoscaler.record_boot_durations(cell, now);
         let mut ages = ages_of_booting(&autoscaler.provisioned_machines, &autoscaler.releases, now);
         for machine_type in cell.machine_types() {
             let name = machine_type.name.as_str();
@@ -95,7 +95,7 @@
                     .boot_times
                     .expected_boot_time(name, nominal, now, waiting.into_iter());
             let changed = autoscaler
-                .expected_boots
+                .expected_boot_durations
                 .entry(name.to_owned())
                 .or_insert(ExpectedBoot::new(nominal))
                 .update(expected);
@@ -115,7 +115,7 @@
     /// How long a machine of this type is currently expected to take to come up.
     pub(in crate::coordination) fn expected_boot_time(&self, machine_type: &str) -> Micros {
         self.autoscaler
-            .expected_boots
+            .expected_boot_durations
             .get(machine_type)
             .map_or_else(|| self.nominal_boot_time(machine_type), |boot| boot.current)
     }
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -94,7 +94,7 @@
     provisioned_machines: BTreeMap<MachineId, ProvisionedMachine>,
     boot_times: BootTimeEstimates,
     /// Expected boot times by machine type.
-    expected_boots: BTreeMap<String, ExpectedBoot>,
+    expected_boot_durations: BTreeMap<String, ExpectedBoot>,
     idle_since: HashMap<MachineId, Micros>,
     idle_windows: BTreeMap<MachineOffer, IdleWindow>,
     unreachable_since: HashMap<MachineId, Micros>,
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -39,7 +39,7 @@
         if demands.is_empty() {
             return Vec::new();
         }
-        let catalog = self.with_expected_boots(catalog);
+        let catalog = self.with_expected_boot_durations(catalog);
         let now = self.now.monotonic;
         let is_offered = |offer: &MachineOffer| {
             !self.zones.is_lost(&offer.zone)
@@ -52,7 +52,7 @@
 
     /// The catalog with the currently expected boot times, limited to twice the nominal ones: recent slow boots must not keep
     /// work from machines that may boot in the nominal time again.
-    fn with_expected_boots(&self, catalog: &Catalog) -> Catalog {
+    fn with_expected_boot_durations(&self, catalog: &Catalog) -> Catalog {
         let mut catalog = catalog.clone();
         for machine_type in &mut catalog.types {
             let expected = self.expected_boot_time(&machine_type.name);
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -74,14 +74,14 @@
         self.autoscaler.idle_since = survey.idle_since;
         self.autoscaler.unreachable_since = survey.unreachable_since;
         self.decommission(survey.to_decommission);
-        let overdue = self.overdue_boots();
+        let overdue = self.overdue_booting_machines();
         let mut releases = survey.decommissioning;
         if overdue.is_empty() {
             // An earlier leader may have abandoned the machines in the record.
             let recorded = self.cell.fleet.value.releasing.iter();
             releases.extend(recorded.filter(|id| !self.autoscaler.releases.is_confirmed(**id)));
         } else {
-            self.abandon_boots(overdue);
+            self.abandon_booting_machines(overdue);
         }
         self.send_releases(releases);
     }
@@ -142,7 +142,7 @@
         // The machines of a lost zone are considered together. While a zone is only suspected, its machines wait for that
         // decision.
         let is_urgent = || {
-            if self.zones.is_suspected(&record.zone) {
+            if self.zones.may_be_lost(&record.zone) {
                 urgent_in_lost_zones.contains(&id)
             } else {
                 let mut tasks = record.tasks.iter();
@@ -236,7 +236,7 @@
     }
 
     /// Machines that should have come up long ago but have not, with their ages.
-    fn overdue_boots(&self) -> Vec<(MachineId, Micros)> {
+    fn overdue_booting_machines(&self) -> Vec<(MachineId, Micros)> {
         let now = self.now.monotonic;
         let mut overdue = Vec::new();
         for (id, machine) in &self.autoscaler.provisioned_machines {
@@ -261,7 +261,7 @@
 
     /// Records that machines are abandoned, before their release is sent: the cloud may execute the release late, and the
     /// machines may come up until then. No controller uses an abandoned machine.
-    fn abandon_boots(&mut self, machines: Vec<(MachineId, Micros)>) {
+    fn abandon_booting_machines(&mut self, machines: Vec<(MachineId, Micros)>) {
         if self.autoscaler.writing_fleet {
             return;
         }
--- a/src/coordination/commit/assignment.rs
+++ b/src/coordination/commit/assignment.rs
@@ -122,7 +122,7 @@
         let owners = self.owner_numbers();
         let mut groups = GroupWriteLimit::default();
         let candidates = self.candidates(transaction, context, &owners, &mut groups, &starved);
-        groups.remaining = self.group_allowance(transaction, &requests);
+        groups.remaining = self.group_write_limit(transaction, &requests);
         let mut plan = AssignmentPlan::new(candidates, groups);
         set_owner_numbers(&mut requests, &owners);
         plan.place(&mut requests);
--- a/src/coordination/commit/candidates.rs
+++ b/src/coordination/commit/candidates.rs
@@ -162,7 +162,7 @@
     /// controller's requests. Teams of more shards may wait than a transaction has changes, so some
     /// changes are kept for groups; otherwise nothing at all would be assigned. Requests for which no
     /// change is left wait for the next round.
-    pub(super) fn group_allowance(
+    pub(super) fn group_write_limit(
         &self,
         transaction: &TransactionBuilder<'_>,
         requests: &[PlacementRequest<'_>],
--- a/src/coordination/commit/round.rs
+++ b/src/coordination/commit/round.rs
@@ -163,7 +163,8 @@
     /// Moves completions of jobs whose team has no shard from usage records to the jobs' own records.
     fn move_completions_to_jobs(&self, transaction: &mut TransactionBuilder<'_>) {
         let has_completions_in_usage = |_: JobId, job: &Job| {
-            !job.record.finished.covers(&job.ends) && self.belongs_to_team_without_shard(job)
+            !job.record.finished.covers(&job.recorded_finished_tasks)
+                && self.belongs_to_team_without_shard(job)
         };
         for id in self.own_jobs(has_completions_in_usage) {
             transaction.move_completions_to_job(id);
--- a/src/coordination/commit/transaction/releases.rs
+++ b/src/coordination/commit/transaction/releases.rs
@@ -184,7 +184,7 @@
 
     /// Completions of a job that usage records would keep after this transaction.
     fn ends_in_usage(&self, id: JobId, job: &Job) -> CompletionBitmap {
-        let mut ends = job.ends.clone();
+        let mut ends = job.recorded_finished_tasks.clone();
         self.usage
             .values()
             .filter_map(|edit| edit.record.finished_tasks.get(&id))
--- a/src/coordination/commit/transaction/required_records.rs
+++ b/src/coordination/commit/transaction/required_records.rs
@@ -195,7 +195,7 @@
             return;
         }
         let mut record = job.record.clone();
-        record.finished.merge(&job.ends);
+        record.finished.merge(&job.recorded_finished_tasks);
         for edit in self.usage.values_mut() {
             if let Some(ends) = edit.record.finished_tasks.remove(&id) {
                 record.finished.merge(&ends);
--- a/src/coordination/health/zones/mod.rs
+++ b/src/coordination/health/zones/mod.rs
@@ -29,7 +29,7 @@
 
 impl Zones {
     /// Whether the zone may be lost or appears to be lost.
-    pub fn is_suspected(&self, zone: &str) -> bool {
+    pub fn may_be_lost(&self, zone: &str) -> bool {
         self.by_zone.get(zone).is_some_and(ZoneHealth::may_be_lost)
     }
 
@@ -93,7 +93,7 @@
             let this_zone_in_contact = usize::from(observation.is_in_contact(now, interval));
             let other_zones_connected = !isolated && zones_in_contact > this_zone_in_contact;
             self.update_zone(&zone, &observation.evidence(now, other_zones_connected));
-            if self.zones.is_suspected(&zone) {
+            if self.zones.may_be_lost(&zone) {
                 machines_to_probe.extend(observation.longest_silent(ZoneHealth::PROBED_MACHINES));
             }
         }
--- a/src/coordination/health/zones/releases.rs
+++ b/src/coordination/health/zones/releases.rs
@@ -46,7 +46,7 @@
         for (_, _, machine) in self.cell.machines() {
             let schedulable = machine.health == MachineHealth::Schedulable;
             let releasing = machine.health == MachineHealth::Decommissioning;
-            if schedulable && !self.zones.is_suspected(&machine.zone) {
+            if schedulable && !self.zones.may_be_lost(&machine.zone) {
                 free_cores += self.cell.free_resources(machine).cores;
             } else if releasing && self.zones.is_lost(&machine.zone) {
                 free_cores = free_cores.saturating_sub(self.assigned_cores(machine));
--- a/src/coordination/leadership/team_shards.rs
+++ b/src/coordination/leadership/team_shards.rs
@@ -69,8 +69,9 @@
     fn is_team_idle(&self, team: &str) -> bool {
         let unused = (0..self.cell.usage.len())
             .all(|shard| self.cell.assigned_to_team(shard, team) == (0, 0));
-        let has_pending_ends =
-            |job: &Job| job.spec().team == team && !job.record.finished.covers(&job.ends);
+        let has_pending_ends = |job: &Job| {
+            job.spec().team == team && !job.record.finished.covers(&job.recorded_finished_tasks)
+        };
         unused && !self.cell.jobs.values().any(has_pending_ends)
     }
 }
--- a/src/scheduler/boot_times.rs
+++ b/src/scheduler/boot_times.rs
@@ -19,12 +19,12 @@
 /// Recent boots, by machine type.
 #[derive(Debug, Default)]
 pub struct BootTimeEstimates {
-    completed_boots: HashMap<String, VecDeque<BootRecord>>,
+    boot_records: HashMap<String, VecDeque<BootRecord>>,
 }
 
 impl BootTimeEstimates {
     /// Largest number of completed boots that are kept of a machine type.
-    const MAX_BOOTS_PER_TYPE: usize = 8;
+    const MAX_BOOT_RECORDS_PER_TYPE: usize = 8;
     /// Age at which a completed boot no longer counts.
     const MAX_BOOT_AGE: Micros = Micros::secs(90);
     /// A boot is stuck if it takes more than this many times as long as the boot of a machine that was requested after
@@ -36,14 +36,14 @@
     /// Records that a machine has come up.
     pub fn record_boot(&mut self, machine_type: &str, at: Micros, duration: Micros) {
         let records = self
-            .completed_boots
+            .boot_records
             .entry(machine_type.to_owned())
             .or_default();
         records.push_back(BootRecord {
             ended_at: at,
             duration,
         });
-        if records.len() > Self::MAX_BOOTS_PER_TYPE {
+        if records.len() > Self::MAX_BOOT_RECORDS_PER_TYPE {
             records.pop_front();
         }
     }
@@ -61,8 +61,8 @@
         now: Micros,
         ages_in_progress: impl Iterator<Item = Micros>,
     ) -> Micros {
-        let type_boots = || self.completed_boots.get(machine_type).into_iter().flatten();
-        let recent = type_boots()
+        let type_boot_records = || self.boot_records.get(machine_type).into_iter().flatten();
+        let recent = type_boot_records()
             .filter(|boot| now.since(boot.ended_at) < Self::MAX_BOOT_AGE)
             .map(|boot| boot.duration);
         let mut durations: Vec<Micros> = recent.chain([nominal, nominal]).collect();
@@ -70,7 +70,7 @@
         // Boot times of machines that are requested together differ, so a boot is not stuck merely because a boot that
         // started later has ended.
         let is_stuck = |age: Micros| {
-            type_boots().any(|boot| {
+            type_boot_records().any(|boot| {
                 boot.started_at() >= now - age && age > boot.duration * Self::STUCK_BOOT_FACTOR
             })
         };
--- a/src/scheduler/boot_times/tests.rs
+++ b/src/scheduler/boot_times/tests.rs
@@ -6,9 +6,9 @@
 
 #[test]
 fn late_boots_raise_the_estimate_before_they_end() {
-    let boots = BootTimeEstimates::default();
+    let estimates = BootTimeEstimates::default();
     let expected = |ages: &[u64]| {
-        boots.expected_boot_time(
+        estimates.expected_boot_time(
             "x",
             NOMINAL,
             Micros::secs(99),
@@ -23,12 +23,12 @@
 
 #[test]
 fn quick_boots_lower_the_estimate_until_they_are_too_old() {
-    let mut boots = BootTimeEstimates::default();
+    let mut estimates = BootTimeEstimates::default();
     for i in 0..4 {
-        boots.record_boot("x", Micros::secs(100 + i), Micros::secs(1));
+        estimates.record_boot("x", Micros::secs(100 + i), Micros::secs(1));
     }
     let expected = |now: u64, ages: &[u64]| {
-        boots.expected_boot_time(
+        estimates.expected_boot_time(
             "x",
             NOMINAL,
             Micros::secs(now),
--- a/src/storage/cell_state/jobs.rs
+++ b/src/storage/cell_state/jobs.rs
@@ -53,7 +53,7 @@
             record: record.value,
             mod_revision: record.mod_revision,
             chunks: BTreeMap::new(),
-            ends: self.recorded_finished_tasks(id),
+            recorded_finished_tasks: self.recorded_finished_tasks(id),
         };
         self.jobs.insert(id, job);
         self.dependencies
--- a/src/storage/cell_state/usage.rs
+++ b/src/storage/cell_state/usage.rs
@@ -90,9 +90,9 @@
             }
             let ends = self.recorded_finished_tasks(id);
             if let Some(job) = self.jobs.get_mut(&id)
-                && job.ends != ends
+                && job.recorded_finished_tasks != ends
             {
-                job.ends = ends;
+                job.recorded_finished_tasks = ends;
                 changes_seen.jobs.push(id);
             }
         }
--- a/src/storage/live_job.rs
+++ b/src/storage/live_job.rs
@@ -35,7 +35,7 @@
     /// Further chunks of the completion bitmap, by chunk number.
     pub chunks: BTreeMap<u32, Versioned<CompletionBitmap>>,
     /// Finished tasks in the shards' usage records, which the job's own record may not have yet.
-    pub ends: CompletionBitmap,
+    pub recorded_finished_tasks: CompletionBitmap,
     /// The state that follows from the job's dependencies and dependents.
     pub dependency_state: DependencyState,
 }
@@ -65,13 +65,18 @@
 
     /// Number of finished tasks.
     pub fn finished_count(&self) -> u32 {
-        self.record.finished.union_count(&self.ends) + self.record.finished_in_chunks
+        self.record
+            .finished
+            .union_count(&self.recorded_finished_tasks)
+            + self.record.finished_in_chunks
     }
 
     /// Whether the task with this number is finished.
     pub fn is_finished(&self, index: u32) -> bool {
         match index / TASKS_PER_CHUNK {
-            0 => self.record.finished.contains(index) || self.ends.contains(index),
+            0 => {
+                self.record.finished.contains(index) || self.recorded_finished_tasks.contains(index)
+            }
             chunk if self.record.complete_chunks >> chunk & 1 == 1 => true,
             chunk => self
                 .chunks
--- a/src/transport/server/mod.rs
+++ b/src/transport/server/mod.rs
@@ -53,7 +53,7 @@
     };
     let job = Router::with_path("{id}")
         .get(endpoint(RequestKind::Query))
-        .push(Router::with_path("abort").post(endpoint(RequestKind::Abort)));
+        .push(Router::with_path("abort").post(endpoint(RequestKind::Cancel)));
     let jobs = Router::with_path("work")
         .post(endpoint(RequestKind::Submit))
         .push(job);
@@ -101,7 +101,7 @@
         match self.kind {
             RequestKind::Submit => self.submit(request, response).await,
             RequestKind::Query => self.query(request, response).await,
-            RequestKind::Abort => self.cancel(request, response).await,
+            RequestKind::Cancel => self.cancel(request, response).await,
             RequestKind::Heartbeat => self.heartbeat(request, response).await,
             RequestKind::Health => self.health(response),
         }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -217,7 +217,7 @@
     );
     let refused = connections.counts().queries_refused;
     assert_eq!(refused, retry_delays.values().sum::<u64>());
-    for (id, request) in [(10_001, Request::Submit), (10_002, Request::Abort)] {
+    for (id, request) in [(10_001, Request::Submit), (10_002, Request::Cancel)] {
         connections.on_opened(Micros::ZERO, id);
         assert_eq!(
             connections.on_request(Micros::ZERO, id, request),
@@ -244,7 +244,7 @@
     assert!(rejected > 0);
     connections.on_opened(Micros::ZERO, 10_000);
     assert_eq!(
-        connections.on_request(Micros::ZERO, 10_000, Request::Abort),
+        connections.on_request(Micros::ZERO, 10_000, Request::Cancel),
         RequestDecision::Serve
     );
 }
@@ -316,7 +316,7 @@
 fn step() -> impl Strategy<Value = Step> {
     let request = prop_oneof![
         Just(Request::Health),
-        Just(Request::Abort),
+        Just(Request::Cancel),
         Just(Request::Heartbeat),
         Just(Request::Submit),
         Just(Request::Query),
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -94,7 +94,9 @@
     assert!(cell.machines().count() > 5 && cell.jobs.len() > 3);
     assert!(cell.jobs.values().all(|j| j.is_ready() || j.is_cancelled()));
     assert!(
-        cell.jobs.values().any(|j| !j.ends.is_empty()),
+        cell.jobs
+            .values()
+            .any(|j| !j.recorded_finished_tasks.is_empty()),
         "no task ends were read from a usage record"
     );
 }
--- a/tests/runner/expectations.rs
+++ b/tests/runner/expectations.rs
@@ -121,7 +121,7 @@
                 Expect::FailoversAtLeast(n) => self.failovers >= *n,
                 Expect::FailoversAtMost(n) => self.failovers <= *n,
                 Expect::LostLeasesAtMost(n) => self.lost_leases <= *n,
-                Expect::GroupsAtLeast(n) => self.max_groups_of_shard >= *n,
+                Expect::MachineGroupsAtLeast(n) => self.max_groups_of_shard >= *n,
                 Expect::AllMachinesRecorded => unrecorded == 0,
                 Expect::Throttled => self.state.throttled + self.throttled_requests > 0,
                 Expect::StartedWithin {
@@ -162,8 +162,10 @@
                         .filter(|m| self.cloud.hosts[*m].zone == *zone);
                     up.count() as u64 >= *n
                 }
-                Expect::LostWithZonesAtLeast(n) => self.counters.unreachable_with_zones >= *n,
-                Expect::LostWithZonesAtMost(n) => self.counters.unreachable_with_zones <= *n,
+                Expect::UnreachableWithZonesAtLeast(n) => {
+                    self.counters.unreachable_with_zones >= *n
+                }
+                Expect::UnreachableWithZonesAtMost(n) => self.counters.unreachable_with_zones <= *n,
                 Expect::ProvisionedWhileCutOffAtMost(zone, n) => {
                     self.cloud
                         .hosts
--- a/tests/runner/invariants.rs
+++ b/tests/runner/invariants.rs
@@ -477,12 +477,12 @@
                     Some("cancelled") => "cancelled",
                     _ => "live",
                 };
-                let pieces = self.job_requests[&job].task_count as usize;
+                let task_count = self.job_requests[&job].task_count as usize;
                 if state == "done"
                     && self
                         .completed_tasks
                         .get(&job)
-                        .is_none_or(|d| d.len() < pieces)
+                        .is_none_or(|d| d.len() < task_count)
                 {
                     self.record_violation(now, format!("not_done: req-{job:06}"));
                 }
--- a/tests/runner/machines.rs
+++ b/tests/runner/machines.rs
@@ -72,11 +72,11 @@
 
     pub(super) fn record_task_events(&mut self, machine: u64, task_events: Vec<TaskEvent>) {
         let info = self.machine_infos[&machine].clone();
-        for d in task_events {
-            tracing::debug!(machine, deed = ?d, "worker");
+        for event in task_events {
+            tracing::debug!(machine, event = ?event, "worker");
             self.checker
-                .observe(self.now, machine, &info, &d, &self.machine_infos);
-            if let TaskEvent::Ended(t, "done") = d {
+                .observe(self.now, machine, &info, &event, &self.machine_infos);
+            if let TaskEvent::Ended(t, "done") = event {
                 self.handle_task_completed(t.0);
             }
         }
--- a/tests/runner/mod.rs
+++ b/tests/runner/mod.rs
@@ -153,7 +153,7 @@
     controller: Controller,
     incarnation: u64,
     open_user_calls: BTreeMap<CallId, (usize, u32)>,
-    hung_until: u64,
+    stalled_until: u64,
     deferred_messages: Vec<Message>,
     next_user_call: u64,
     wake_at: u64,
@@ -413,7 +413,7 @@
             controller,
             incarnation: self.last_incarnation,
             open_user_calls: BTreeMap::new(),
-            hung_until: 0,
+            stalled_until: 0,
             deferred_messages: Vec::new(),
             next_user_call: 1,
             wake_at: u64::MAX,
@@ -684,7 +684,7 @@
             _ => None,
         };
         if let Some(node) = to_node.and_then(|n| self.nodes[n].as_mut())
-            && self.now < node.hung_until
+            && self.now < node.stalled_until
         {
             node.deferred_messages.push(message);
             return;
@@ -967,7 +967,7 @@
         let now = self.now;
         match self.script.steps[i].1.clone() {
             Step::Submit { job, fields, node } => self.submit(job, &fields, node),
-            Step::Abort { job, node } => {
+            Step::Cancel { job, node } => {
                 self.checker.record_abort_request(job);
                 self.send_with_retries(job, "abort", Vec::new(), node);
             }
@@ -994,7 +994,7 @@
                     }
                 }
             }
-            Step::Cut { a, b, mode, span } => {
+            Step::LinkFault { a, b, mode, span } => {
                 if let Party::Zone(z) = &a {
                     self.cloud.partitioned_zones.push((z.clone(), now + span));
                 }
@@ -1017,19 +1017,21 @@
             Step::Outage { party, .. } => panic!("{party:?} cannot have an outage"),
             Step::Refuse { node, span } => self.refused_nodes.push((node, now + span)),
             Step::Throttle { node, span } => self.throttled_nodes.push((node, now + span)),
-            Step::LateWrites {
+            Step::DropTransactionResponses {
                 share,
                 span,
                 at_once: true,
                 of,
             } => self.lost_responses.push((share, now + span, of)),
-            Step::LateWrites { share, span, .. } => self.late_writes.push((share, now + span)),
-            Step::LateReports {
+            Step::DropTransactionResponses { share, span, .. } => {
+                self.late_writes.push((share, now + span))
+            }
+            Step::DuplicateHeartbeats {
                 share,
                 span,
                 to: CopiesTo::Same,
             } => self.late_reports.push((share, now + span)),
-            Step::LateReports { share, span, to } => {
+            Step::DuplicateHeartbeats { share, span, to } => {
                 self.heartbeat_copy_windows
                     .push((share, now + span, to == CopiesTo::All));
             }
@@ -1044,7 +1046,9 @@
             Step::CancelNow { count, hang } => self.cancel_running_jobs(count, hang),
             Step::CancelAtEnd { share, span } => self.cancel_at_end.push((share, now + span)),
             Step::QueryBursts { aborts, span } => self.query_bursts.push((aborts, now + span)),
-            Step::OddRequests { span } => self.schedule(now, SimEvent::UnusualRequest(now + span)),
+            Step::UnusualRequests { span } => {
+                self.schedule(now, SimEvent::UnusualRequest(now + span))
+            }
             Step::DropInbound {
                 machine,
                 count,
@@ -1057,7 +1061,7 @@
                 Party::Machine(m) => self.hang_machine(m, span),
                 Party::Node(n) => {
                     if let Some(node) = self.nodes[n].as_mut() {
-                        node.hung_until = now + span;
+                        node.stalled_until = now + span;
                         self.schedule(now + span, SimEvent::Wake(n));
                     }
                 }
@@ -1122,7 +1126,7 @@
                 }
                 self.crash(node, down);
             }
-            Step::Faulty { machine } => {
+            Step::FailAllTasks { machine } => {
                 if let Some(w) = self.workers.get_mut(&machine) {
                     w.all_tasks_fail = true;
                 }
@@ -1134,7 +1138,7 @@
         let Some(node) = self.nodes[n].as_mut() else {
             return;
         };
-        if self.now < node.hung_until {
+        if self.now < node.stalled_until {
             return;
         }
         let deferred_messages = std::mem::take(&mut node.deferred_messages);
@@ -1144,9 +1148,9 @@
         let Some(node) = self.nodes[n].as_mut() else {
             return;
         };
-        if node.wake_at <= self.now || node.hung_until > 0 {
+        if node.wake_at <= self.now || node.stalled_until > 0 {
             node.wake_at = u64::MAX;
-            node.hung_until = 0;
+            node.stalled_until = 0;
             self.handle_event(n, Event::Tick);
         }
     }
--- a/tests/runner/script.rs
+++ b/tests/runner/script.rs
@@ -81,7 +81,7 @@
         fields: BTreeMap<String, String>,
         node: Option<usize>,
     },
-    Abort {
+    Cancel {
         job: u64,
         node: Option<usize>,
     },
@@ -93,7 +93,7 @@
         node: Option<usize>,
         down: u64,
     },
-    Cut {
+    LinkFault {
         a: Party,
         b: Party,
         mode: Mode,
@@ -118,7 +118,7 @@
     },
     /// This fraction of transactions, of one kind or of all, gets no response. They are carried out 2 to 12 s later, after
     /// newer ones; or at once, so that only the response is lost.
-    LateWrites {
+    DropTransactionResponses {
         share: f64,
         span: u64,
         at_once: bool,
@@ -126,7 +126,7 @@
     },
     /// This fraction of the heartbeats arrives a second time: from 2 s to two and a half lease durations later, or at the
     /// next failover, at the new shard leader or at every controller.
-    LateReports {
+    DuplicateHeartbeats {
         share: f64,
         span: u64,
         to: CopiesTo,
@@ -155,7 +155,7 @@
         span: u64,
     },
     /// Users repeat submissions, cancel jobs that are done, and submit jobs that can never run or lack a field.
-    OddRequests {
+    UnusualRequests {
         span: u64,
     },
     /// One-way partition of `count` machines with consecutive numbers: their heartbeats arrive, but responses and commands to
@@ -176,7 +176,7 @@
         count: u64,
         notice: u64,
     },
-    Faulty {
+    FailAllTasks {
         machine: u64,
     },
     /// The announced next limits of the state service take effect.
@@ -225,7 +225,7 @@
     LostLeasesAtMost(u64),
     MachinesAtMost(u64),
     /// Some shard had at least this many machine group records at once.
-    GroupsAtLeast(u64),
+    MachineGroupsAtLeast(u64),
     /// Every machine that is up at the end has a record, except those that have just booted.
     AllMachinesRecorded,
     /// The state service refused requests because of their rate.
@@ -278,9 +278,9 @@
     /// At most this many machines were provisioned in a zone while it was cut off or without power.
     ProvisionedWhileCutOffAtMost(String, u64),
     /// At least this many machines were marked unreachable together with their zones.
-    LostWithZonesAtLeast(u64),
+    UnreachableWithZonesAtLeast(u64),
     /// At most this many machines were marked unreachable together with their zones; with 0 no zone was.
-    LostWithZonesAtMost(u64),
+    UnreachableWithZonesAtMost(u64),
     /// At least this many machines of a zone are up at the end.
     MachinesAtLeast(String, u64),
     /// At most this many worker incarnations were declared over because their lease expired.
@@ -425,26 +425,26 @@
     /// How long the step's fault lasts; `None` if the step is no fault.
     fn span(&self) -> Option<u64> {
         Some(match self {
-            Step::Cut { span, .. }
+            Step::LinkFault { span, .. }
             | Step::Outage { span, .. }
             | Step::Refuse { span, .. }
             | Step::Throttle { span, .. }
             | Step::Hang { span, .. }
-            | Step::LateWrites { span, .. }
-            | Step::LateReports { span, .. }
+            | Step::DropTransactionResponses { span, .. }
+            | Step::DuplicateHeartbeats { span, .. }
             | Step::DropInbound { span, .. }
             | Step::DropHeartbeats { span, .. }
             | Step::CancelNow { hang: span, .. }
             | Step::CancelAtEnd { span, .. }
             | Step::QueryBursts { span, .. }
-            | Step::OddRequests { span }
+            | Step::UnusualRequests { span }
             | Step::ScaleBootTimes { span, .. }
             | Step::Polls { span, .. } => *span,
             Step::Crash { down, .. } | Step::FailZone { down, .. } => *down,
             Step::ChangeVersion { down, .. } | Step::ChangeRules { down, .. } => *down,
             Step::ReclaimMachines { notice, .. } => *notice,
-            Step::Faulty { .. } | Step::ApplyNextLimits | Step::ChangeTeam { .. } => 0,
-            Step::Submit { .. } | Step::Abort { .. } | Step::Query { .. } => return None,
+            Step::FailAllTasks { .. } | Step::ApplyNextLimits | Step::ChangeTeam { .. } => 0,
+            Step::Submit { .. } | Step::Cancel { .. } | Step::Query { .. } => return None,
         })
     }
 }
@@ -626,7 +626,7 @@
                     "takeovers-at-most" => Expect::FailoversAtMost(w.positional(2, parse_count)?),
                     "takeovers" => Expect::FailoversAtLeast(w.positional(2, parse_count)?),
                     "lost-leases" => Expect::LostLeasesAtMost(w.positional(2, parse_count)?),
-                    "groups" => Expect::GroupsAtLeast(w.positional(2, parse_count)?),
+                    "groups" => Expect::MachineGroupsAtLeast(w.positional(2, parse_count)?),
                     "all-recorded" => Expect::AllMachinesRecorded,
                     "throttled" => Expect::Throttled,
                     "started" => Expect::StartedWithin {
@@ -644,10 +644,10 @@
                         w.positional(2, parse_count)?,
                     ),
                     "lost-with-zones" => {
-                        Expect::LostWithZonesAtLeast(w.positional(2, parse_count)?)
+                        Expect::UnreachableWithZonesAtLeast(w.positional(2, parse_count)?)
                     }
                     "lost-with-zones-at-most" => {
-                        Expect::LostWithZonesAtMost(w.positional(2, parse_count)?)
+                        Expect::UnreachableWithZonesAtMost(w.positional(2, parse_count)?)
                     }
                     "hired-at-most" => Expect::ProvisionedWhileCutOffAtMost(
                         w.required("zone", |t| Some(t.to_owned()))?,
@@ -711,7 +711,7 @@
                 for i in 0..times {
                     let mut step = step.clone();
                     match &mut step {
-                        Step::Submit { job, .. } | Step::Abort { job, .. } => *job += i * stride,
+                        Step::Submit { job, .. } | Step::Cancel { job, .. } => *job += i * stride,
                         Step::Crash { .. } | Step::CancelNow { .. } => {}
                         _ if times > 1 => {
                             return Err(
@@ -778,7 +778,7 @@
             )
         }
         "abort" => (
-            Step::Abort {
+            Step::Cancel {
                 job: w.positional(3, job)?,
                 node: w.optional("node", node)?,
             },
@@ -806,7 +806,7 @@
             )
         }
         "cut" => {
-            let step = Step::Cut {
+            let step = Step::LinkFault {
                 a: w.positional(3, Party::parse)?,
                 b: w.positional(4, Party::parse)?,
                 mode: w.required("mode", mode)?,
@@ -850,7 +850,7 @@
             let span = w.required("for", micros)?;
             let step = if kind == "late-writes" {
                 let of = w.optional("of", |t| Some(t.to_owned()))?;
-                Step::LateWrites {
+                Step::DropTransactionResponses {
                     share,
                     span,
                     at_once: w.optional("at_once", parse_yes_no)?.unwrap_or(false),
@@ -862,7 +862,7 @@
                     "all" => Some(CopiesTo::All),
                     _ => None,
                 };
-                Step::LateReports {
+                Step::DuplicateHeartbeats {
                     share,
                     span,
                     to: w.optional("to", to)?.unwrap_or(CopiesTo::Same),
@@ -919,7 +919,7 @@
             )
         }
         "odd-requests" => (
-            Step::OddRequests {
+            Step::UnusualRequests {
                 span: w.required("for", micros)?,
             },
             3,
@@ -997,7 +997,7 @@
             )
         }
         "faulty" => (
-            Step::Faulty {
+            Step::FailAllTasks {
                 machine: w.positional(3, machine)?,
             },
             4,
--- a/tests/runner/users.rs
+++ b/tests/runner/users.rs
@@ -21,11 +21,11 @@
         };
         let flag = |k: &str, default: bool| fields.get(k).map_or(default, |v| v == "yes");
         let run = real("run", 10.0);
-        let pieces = real("pieces", 1.0) as u32;
-        let builds: Option<Vec<String>> = fields
+        let task_count = real("pieces", 1.0) as u32;
+        let machine_types: Option<Vec<String>> = fields
             .get("builds")
             .map(|b| b.split(',').map(str::to_owned).collect());
-        let awaits: Option<Vec<String>> = fields
+        let dependencies: Option<Vec<String>> = fields
             .get("awaits")
             .map(|a| a.split(',').map(str::to_owned).collect());
         let number = |name: &String| {
@@ -34,12 +34,12 @@
                 .expect("a job")
         };
         let request = JobRequest {
-            dependencies: awaits.iter().flatten().map(number).collect(),
+            dependencies: dependencies.iter().flatten().map(number).collect(),
             team: text("team", "free"),
             job_class: text("lane", "lane"),
             cores: real("cores", 1.0),
-            task_count: pieces,
-            machine_types: builds.clone(),
+            task_count,
+            machine_types: machine_types.clone(),
             zone: fields.get("yard").cloned(),
             spot_allowed: flag("spot", true),
             single_zone: flag("one_zone", false),
@@ -57,10 +57,10 @@
             team: request.team.clone(),
             shape: shape.clone(),
             urgency: request.priority.clone(),
-            task_count: pieces,
+            task_count,
             cores: request.cores,
             memory_gb: real("mem", 1.0),
-            machine_types: builds,
+            machine_types,
             zone: request.zone.clone(),
             one_zone: request.single_zone,
             anti_affinity: request.anti_affinity,
@@ -73,7 +73,7 @@
             deadline_s: fields
                 .get("due")
                 .map(|d| d.parse::<f64>().expect("a number")),
-            dependencies: awaits,
+            dependencies,
         };
         let mut body = submission.body();
         if let Some(rules) = &request.own_rules {
@@ -85,7 +85,7 @@
             run_us: (run * 1e6) as u64,
             image: text("image", "img"),
             image_fetch_s: real("size", 0.5),
-            task_count: pieces,
+            task_count,
             runs_until_cancelled: shape == "standing",
             gang: shape != "sweep",
             fails: flag("fails", false),
