--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -121,7 +121,7 @@
         record,
         mod_revision: 1,
         chunks: BTreeMap::new(),
-        ends: CompletionBitmap::default(),
+        recorded_finished_tasks: CompletionBitmap::default(),
         dependency_state,
     }
 }
--- a/tests/runner/mod.rs
+++ b/tests/runner/mod.rs
@@ -1017,15 +1017,13 @@
             Step::Outage { party, .. } => panic!("{party:?} cannot have an outage"),
             Step::Refuse { node, span } => self.refused_nodes.push((node, now + span)),
             Step::Throttle { node, span } => self.throttled_nodes.push((node, now + span)),
-            Step::DropTransactionResponses {
+            Step::LateWrites {
                 share,
                 span,
                 at_once: true,
                 of,
             } => self.lost_responses.push((share, now + span, of)),
-            Step::DropTransactionResponses { share, span, .. } => {
-                self.late_writes.push((share, now + span))
-            }
+            Step::LateWrites { share, span, .. } => self.late_writes.push((share, now + span)),
             Step::DuplicateHeartbeats {
                 share,
                 span,
@@ -1046,9 +1044,7 @@
             Step::CancelNow { count, hang } => self.cancel_running_jobs(count, hang),
             Step::CancelAtEnd { share, span } => self.cancel_at_end.push((share, now + span)),
             Step::QueryBursts { aborts, span } => self.query_bursts.push((aborts, now + span)),
-            Step::UnusualRequests { span } => {
-                self.schedule(now, SimEvent::UnusualRequest(now + span))
-            }
+            Step::OddRequests { span } => self.schedule(now, SimEvent::UnusualRequest(now + span)),
             Step::DropInbound {
                 machine,
                 count,
--- a/tests/runner/script.rs
+++ b/tests/runner/script.rs
@@ -118,7 +118,7 @@
     },
     /// This fraction of transactions, of one kind or of all, gets no response. They are carried out 2 to 12 s later, after
     /// newer ones; or at once, so that only the response is lost.
-    DropTransactionResponses {
+    LateWrites {
         share: f64,
         span: u64,
         at_once: bool,
@@ -155,7 +155,7 @@
         span: u64,
     },
     /// Users repeat submissions, cancel jobs that are done, and submit jobs that can never run or lack a field.
-    UnusualRequests {
+    OddRequests {
         span: u64,
     },
     /// One-way partition of `count` machines with consecutive numbers: their heartbeats arrive, but responses and commands to
@@ -430,14 +430,14 @@
             | Step::Refuse { span, .. }
             | Step::Throttle { span, .. }
             | Step::Hang { span, .. }
-            | Step::DropTransactionResponses { span, .. }
+            | Step::LateWrites { span, .. }
             | Step::DuplicateHeartbeats { span, .. }
             | Step::DropInbound { span, .. }
             | Step::DropHeartbeats { span, .. }
             | Step::CancelNow { hang: span, .. }
             | Step::CancelAtEnd { span, .. }
             | Step::QueryBursts { span, .. }
-            | Step::UnusualRequests { span }
+            | Step::OddRequests { span }
             | Step::ScaleBootTimes { span, .. }
             | Step::Polls { span, .. } => *span,
             Step::Crash { down, .. } | Step::FailZone { down, .. } => *down,
@@ -850,7 +850,7 @@
             let span = w.required("for", micros)?;
             let step = if kind == "late-writes" {
                 let of = w.optional("of", |t| Some(t.to_owned()))?;
-                Step::DropTransactionResponses {
+                Step::LateWrites {
                     share,
                     span,
                     at_once: w.optional("at_once", parse_yes_no)?.unwrap_or(false),
@@ -919,7 +919,7 @@
             )
         }
         "odd-requests" => (
-            Step::UnusualRequests {
+            Step::OddRequests {
                 span: w.required("for", micros)?,
             },
             3,
