--- a/crates/emulator/src/addresses.rs
+++ b/crates/emulator/src/addresses.rs
@@ -4,14 +4,14 @@
 use thiserror::Error;
 
 /// Machines that a region can address.
-const MOST_MACHINES: u64 = 190 * 250;
+const MAX_MACHINES_PER_REGION: u64 = 190 * 250;
 /// Ports that are tried, below those that the system gives out by itself.
-const PORTS: std::ops::Range<u16> = 21_000..29_000;
+const PORT_RANGE: std::ops::Range<u16> = 21_000..29_000;
 
 /// No port was free for a run.
 #[derive(Debug, Error)]
-#[error("no free port between {} and {}", PORTS.start, PORTS.end)]
-pub struct NoPort;
+#[error("no free port between {} and {}", PORT_RANGE.start, PORT_RANGE.end)]
+pub struct NoFreePort;
 
 /// The addresses of a run.
 #[derive(Clone, Copy, Debug)]
@@ -24,15 +24,15 @@
     ///
     /// # Errors
     ///
-    /// [`NoPort`] if none is.
-    pub fn find(seed: u64) -> Result<Addresses, NoPort> {
-        let span = u64::from(PORTS.end - PORTS.start) / 2;
+    /// [`NoFreePort`] if none is.
+    pub fn find(seed: u64) -> Result<Addresses, NoFreePort> {
+        let span = u64::from(PORT_RANGE.end - PORT_RANGE.start) / 2;
         let candidates =
-            (0..span).map(|i| PORTS.start + 2 * ((seed.wrapping_add(i)) % span) as u16);
+            (0..span).map(|i| PORT_RANGE.start + 2 * ((seed.wrapping_add(i)) % span) as u16);
         let mut free = candidates
             .map(|port| Addresses { port })
             .filter(|a| TcpListener::bind(a.state(0)).is_ok());
-        free.next().ok_or(NoPort)
+        free.next().ok_or(NoFreePort)
     }
 
     fn at(region: usize, third: u8, fourth: u8, port: u16) -> SocketAddrV4 {
@@ -62,6 +62,7 @@
     /// A machine's worker; `None` beyond what a region can address.
     pub fn worker(&self, region: usize, machine: u64) -> Option<SocketAddrV4> {
         let (third, fourth) = (64 + machine / 250, machine % 250 + 1);
-        (machine < MOST_MACHINES).then(|| Self::at(region, third as u8, fourth as u8, self.port))
+        (machine < MAX_MACHINES_PER_REGION)
+            .then(|| Self::at(region, third as u8, fourth as u8, self.port))
     }
 }
--- a/crates/emulator/src/capacity.rs
+++ b/crates/emulator/src/capacity.rs
@@ -49,7 +49,7 @@
 /// How a slope is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Known {
+pub enum SlopeSource {
     /// Measured by the command that its file names.
     Measured,
     /// Worked out from what the protocol or the design says.
@@ -72,7 +72,7 @@
     #[serde(default)]
     pub divided: bool,
     /// How it is known.
-    pub known: Known,
+    pub known: SlopeSource,
     /// Root of the mean squared error of the fit, or why the value is what it is.
     pub basis: String,
 }
@@ -156,7 +156,7 @@
 /// A figure of the users' letter, and what carries it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Line {
+pub struct Requirement {
     /// The figure.
     pub figure: String,
     /// The mechanism that carries it, with its module.
@@ -195,7 +195,7 @@
     pub budget: Vec<Budget>,
     /// Lines of the letter.
     #[serde(default)]
-    pub line: Vec<Line>,
+    pub line: Vec<Requirement>,
     /// Slopes that were measured, from the file beside it.
     #[serde(skip)]
     pub measured: Slopes,
@@ -261,14 +261,14 @@
     }
 
     /// Budgets that some total is beyond, unless they are marked as missing.
-    pub fn beyond_budget(&self) -> Vec<String> {
+    pub fn over_budget(&self) -> Vec<String> {
         let mut beyond = Vec::new();
         for budget in self.budget.iter().filter(|b| b.missing.is_none()) {
             for region in &self.region {
                 for phase in &self.phase {
                     let total = self.total(&budget.role, &budget.resource, region, phase);
                     if total.is_none_or(|t| t > budget.limit) {
-                        let total = total.map_or_else(|| "unknown".to_owned(), amount);
+                        let total = total.map_or_else(|| "unknown".to_owned(), format_amount);
                         let place = format!("{}, {}", region.name, phase.name);
                         beyond.push(format!(
                             "{} {}: {total} of {} ({place})",
@@ -304,7 +304,7 @@
                     .flat_map(|p| self.region.iter().map(move |r| (p, r)))
                     .map(|(p, r)| {
                         self.total(role, resource, r, p)
-                            .map_or_else(|| "-".to_owned(), amount)
+                            .map_or_else(|| "-".to_owned(), format_amount)
                     })
                     .collect();
                 let _ = writeln!(
@@ -325,8 +325,12 @@
             .iter()
             .find(|b| b.role == role && b.resource == resource);
         of.map_or_else(String::new, |b| match &b.missing {
-            None => format!("{} ({})", amount(b.limit), b.from),
-            Some(why) => format!("{} ({}); **missing**: {why}", amount(b.limit), b.from),
+            None => format!("{} ({})", format_amount(b.limit), b.from),
+            Some(why) => format!(
+                "{} ({}); **missing**: {why}",
+                format_amount(b.limit),
+                b.from
+            ),
         })
     }
 
@@ -385,7 +389,7 @@
 }
 
 /// A number with three digits that count.
-pub(crate) fn amount(value: f64) -> String {
+pub(crate) fn format_amount(value: f64) -> String {
     const GROUPED: f64 = 1e4;
     if value == 0.0 {
         return "0".to_owned();
@@ -398,7 +402,7 @@
         return if rounded.abs() < GROUPED {
             text
         } else {
-            grouped(&text)
+            group_thousands(&text)
         };
     }
     let text = format!("{value:.*}", digits as usize);
@@ -406,7 +410,7 @@
 }
 
 /// A whole number with its thousands set off.
-fn grouped(digits: &str) -> String {
+fn group_thousands(digits: &str) -> String {
     let mut text = String::new();
     for (i, digit) in digits.chars().enumerate() {
         if i > 0 && (digits.len() - i).is_multiple_of(3) && digit != '-' {
@@ -454,13 +458,13 @@
             ""
         };
         let known = match self.known {
-            Known::Measured => "measured, ",
-            Known::Derived => "derived: ",
+            SlopeSource::Measured => "measured, ",
+            SlopeSource::Derived => "derived: ",
         };
         format!(
             "{} {} {per}{divided} ({known}{})",
             self.resource,
-            amount(self.value),
+            format_amount(self.value),
             self.basis
         )
     }
--- a/crates/emulator/src/controllers.rs
+++ b/crates/emulator/src/controllers.rs
@@ -1,29 +1,30 @@
-//! The real controllers: deploy files, processes, ends and starts by their own ids.
+//! The real controllers: their deploy files and processes.
 
 use crate::measure::{self, Usage};
-use crate::region::World;
+use crate::region::RunContext;
 use serde_json::{Value, json};
 use std::fs::File;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// How far the time of day may be off, in milliseconds; on one machine it is not.
+/// Bound on the clock difference between controllers as given in the deploy files, in milliseconds. Within one machine there is
+/// none.
 const CLOCK_ERROR_MS: f64 = 100.0;
-/// The class whose tasks must start at once.
+/// Class of the urgent jobs.
 pub const URGENT_CLASS: &str = "urgent";
-/// The aim on starts of urgent work, in seconds.
+/// Time within which urgent tasks have to start, as given in the deploy files, in seconds.
 const URGENT_WITHIN_S: f64 = 5.7;
 
-/// A team's name.
+/// Returns the name of a team.
 pub fn team_name(team: usize) -> String {
     format!("team-{team:02}")
 }
 
-/// A controller of a region.
+/// A controller of a region, with its process.
 pub struct Controller {
     /// Its region.
     pub region: usize,
-    /// Its number there.
+    /// Its number in the region.
     pub node: usize,
     folder: PathBuf,
     binary: PathBuf,
@@ -32,24 +33,25 @@
 
 impl Drop for Controller {
     fn drop(&mut self) {
-        self.end();
+        self.kill();
     }
 }
 
 impl Controller {
-    /// Writes a controller's deploy file into `folder` and starts it. `shares` are the region's cores of each team.
+    /// Writes a controller's deploy file to `folder` and starts the controller. `quota_shares` are the region's shares of the teams'
+    /// limits, in cores.
     ///
     /// # Errors
     ///
-    /// What the system says.
+    /// The error of the system.
     pub fn start(
-        world: &World,
+        context: &RunContext,
         (region, node): (usize, usize),
-        shares: &[f64],
+        quota_shares: &[f64],
         binary: &Path,
         folder: &Path,
     ) -> std::io::Result<Controller> {
-        let deploy = deploy_file(world, region, node, shares);
+        let deploy = deploy_file(context, region, node, quota_shares);
         let mut controller = Controller {
             region,
             node,
@@ -58,7 +60,7 @@
             process: None,
         };
         std::fs::write(controller.path("json"), deploy.to_string())?;
-        controller.begin()?;
+        controller.spawn()?;
         Ok(controller)
     }
 
@@ -67,12 +69,12 @@
             .join(format!("r{}-n{}.{extension}", self.region, self.node))
     }
 
-    /// Starts the process again after it was ended.
+    /// Starts the process, also again after it was killed.
     ///
     /// # Errors
     ///
-    /// What the system says.
-    pub fn begin(&mut self) -> std::io::Result<()> {
+    /// The error of the system.
+    pub fn spawn(&mut self) -> std::io::Result<()> {
         let log = File::options()
             .create(true)
             .append(true)
@@ -88,41 +90,41 @@
         Ok(())
     }
 
-    /// Ends the process at once, and waits until it is gone.
-    pub fn end(&mut self) {
+    /// Kills the process with SIGKILL, and waits until it has exited.
+    pub fn kill(&mut self) {
         if let Some(mut child) = self.process.take() {
-            // Either fails only if the process is gone already.
+            // Both calls fail only if the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// What it has used; `None` while it does not run.
+    /// Resources that the process has used; `None` while it does not run.
     pub fn usage(&self) -> Option<Usage> {
         measure::process(self.process.as_ref()?.id())
     }
 
-    /// Whether the process has ended by itself.
-    pub fn has_ended(&mut self) -> bool {
+    /// Whether the process has exited without being killed by [`Controller::kill`].
+    pub fn has_exited(&mut self) -> bool {
         self.process
             .as_mut()
             .is_some_and(|p| matches!(p.try_wait(), Ok(Some(_))))
     }
 }
 
-/// A controller's deploy file.
-fn deploy_file(world: &World, region: usize, node: usize, shares: &[f64]) -> Value {
-    let scenario = &world.scenario;
+/// Creates a controller's deploy file.
+fn deploy_file(context: &RunContext, region: usize, node: usize, quota_shares: &[f64]) -> Value {
+    let scenario = &context.scenario;
     let spec = &scenario.regions[region];
-    let zone = |n: usize| World::zone(region, n % spec.zones);
+    let zone = |n: usize| RunContext::zone(region, n % spec.zones);
     let others: Vec<Value> = (0..spec.controllers)
         .filter(|other| *other != node)
         .map(|other| {
-            let peer = world.addresses.peer(region, other).to_string();
+            let peer = context.addresses.peer(region, other).to_string();
             json!({"node": format!("n{other}"), "zone": zone(other), "peer_addr": peer})
         })
         .collect();
-    let teams: Vec<Value> = shares
+    let teams: Vec<Value> = quota_shares
         .iter()
         .enumerate()
         .map(|(team, cores)| {
@@ -132,12 +134,12 @@
     json!({
         "node": format!("n{node}"),
         "zone": zone(node),
-        "bind": world.addresses.controller(region, node).to_string(),
-        "back": world.addresses.peer(region, node).to_string(),
+        "bind": context.addresses.controller(region, node).to_string(),
+        "back": context.addresses.peer(region, node).to_string(),
         "others": others,
         "outside": {
-            "cloud": world.addresses.cloud(region).to_string(),
-            "state": world.addresses.state(region).to_string(),
+            "cloud": context.addresses.cloud(region).to_string(),
+            "state": context.addresses.state(region).to_string(),
         },
         "params": {
             "count": spec.controllers,
--- a/crates/emulator/src/standins/cloud.rs
+++ b/crates/emulator/src/fakes/cloud.rs
@@ -103,14 +103,14 @@
         &self.types[self.hosts[&host].build]
     }
 
-    /// Answers a request; `dice` is a fresh random number below 1.
+    /// Answers a request; `random_fraction` is a fresh random number below 1.
     pub fn request(
         &mut self,
         now: u64,
         method: &str,
         path: &str,
         body: &[u8],
-        dice: &mut dyn FnMut() -> f64,
+        random_fraction: &mut dyn FnMut() -> f64,
     ) -> (u16, Value) {
         if now < self.out_until {
             return (503, json!({"error": "trouble"}));
@@ -129,7 +129,7 @@
                     .collect();
                 (200, json!({"builds": builds}))
             }
-            ("POST", "/hosts") => self.hire(now, &body, dice),
+            ("POST", "/hosts") => self.hire(now, &body, random_fraction),
             ("POST", "/hosts/release") => {
                 for h in body["hosts"].as_array().into_iter().flatten() {
                     if let Some(host) = h.as_str().and_then(id).and_then(|i| self.hosts.get_mut(&i))
@@ -141,7 +141,7 @@
                 (200, json!({}))
             }
             ("GET", "/hosts") => {
-                let as_of = now.saturating_sub((self.lag as f64 * 2.0 * dice()) as u64);
+                let as_of = now.saturating_sub((self.lag as f64 * 2.0 * random_fraction()) as u64);
                 let after = query(path, "after").and_then(id).unwrap_or(0);
                 let most = query(path, "most")
                     .and_then(|m| m.parse().ok())
@@ -170,7 +170,12 @@
         (200, json!({"hosts": hosts, "more": more}))
     }
 
-    fn hire(&mut self, now: u64, body: &Value, dice: &mut dyn FnMut() -> f64) -> (u16, Value) {
+    fn hire(
+        &mut self,
+        now: u64,
+        body: &Value,
+        random_fraction: &mut dyn FnMut() -> f64,
+    ) -> (u16, Value) {
         let Some(request) = body["hire"].as_str() else {
             return (400, json!({}));
         };
@@ -193,7 +198,7 @@
         } else {
             self.types[build].count
         };
-        let taken = self
+        let occupied = self
             .hosts
             .values()
             .filter(|h| h.gone_at.is_none() && h.build == build && h.spot == spot && h.yard == yard)
@@ -201,16 +206,16 @@
         let n = body["howMany"]
             .as_u64()
             .unwrap_or(0)
-            .min(u64::from(most).saturating_sub(taken));
+            .min(u64::from(most).saturating_sub(occupied));
         if n == 0 {
             return (503, json!({"error": "no capacity"}));
         }
         let mut names = Vec::new();
         for _ in 0..n {
             let i = self.hosts.keys().last().map_or(1, |l| l + 1);
-            let stuck = dice() < self.types[build].stuck;
+            let stuck = random_fraction() < self.types[build].stuck;
             let factor = if now < self.slow.1 { self.slow.0 } else { 1.0 };
-            let boot = self.types[build].boot * (0.6 + 0.9 * dice()) * factor;
+            let boot = self.types[build].boot * (0.6 + 0.9 * random_fraction()) * factor;
             let up_at = (!stuck).then_some(now + (boot * 1e6) as u64);
             let hired_in_vain = holds(&self.cut, &yard, now);
             let yard = yard.clone();
--- a/crates/emulator/src/standins/submission.rs
+++ b/crates/emulator/src/fakes/submission.rs
@@ -11,7 +11,7 @@
     pub lane: String,
     /// Team.
     pub crew: String,
-    /// `sweep`, `standing` or `group`.
+    /// `check_timeouts`, `standing` or `group`.
     pub shape: String,
     /// `critical`, `high`, `standard` or `low`.
     pub urgency: String,
--- a/crates/emulator/src/fit.rs
+++ b/crates/emulator/src/fit.rs
@@ -3,12 +3,12 @@
 use serde::{Deserialize, Serialize};
 
 /// A column whose pivot is smaller than this part of the largest can't be told from the others.
-const SINGULAR: f64 = 1e-9;
+const MIN_PIVOT_FRACTION: f64 = 1e-9;
 
 /// The values cannot be fitted: there are too few runs, or they do not differ enough.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("too few runs, or they do not differ enough")]
-pub struct Unfit;
+pub struct Undetermined;
 
 /// A fitted plane.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -23,18 +23,18 @@
 ///
 /// # Errors
 ///
-/// [`Unfit`] if the rows do not determine all factors.
-pub fn fit(inputs: &[Vec<f64>], outputs: &[f64]) -> Result<Fit, Unfit> {
+/// [`Undetermined`] if the rows do not determine all factors.
+pub fn fit(inputs: &[Vec<f64>], outputs: &[f64]) -> Result<Fit, Undetermined> {
     let width = inputs.first().map_or(0, Vec::len);
     if width == 0 || inputs.len() < width || inputs.len() != outputs.len() {
-        return Err(Unfit);
+        return Err(Undetermined);
     }
     // Inputs of very different sizes are brought to one.
     let scale: Vec<f64> = (0..width)
         .map(|c| inputs.iter().map(|r| r[c].abs()).fold(0.0, f64::max))
         .collect();
     if scale.contains(&0.0) {
-        return Err(Unfit);
+        return Err(Undetermined);
     }
     let rows: Vec<Vec<f64>> = inputs
         .iter()
@@ -85,7 +85,7 @@
 }
 
 /// Gaussian elimination with the largest pivot first.
-fn solve(equations: &mut [Vec<f64>]) -> Result<Vec<f64>, Unfit> {
+fn solve(equations: &mut [Vec<f64>]) -> Result<Vec<f64>, Undetermined> {
     let width = equations.len();
     let largest = equations
         .iter()
@@ -97,10 +97,10 @@
                 .abs()
                 .total_cmp(&equations[*b][column].abs())
         };
-        let pivot = (column..width).max_by(by_size).ok_or(Unfit)?;
+        let pivot = (column..width).max_by(by_size).ok_or(Undetermined)?;
         equations.swap(column, pivot);
-        if equations[column][column].abs() <= largest * SINGULAR {
-            return Err(Unfit);
+        if equations[column][column].abs() <= largest * MIN_PIVOT_FRACTION {
+            return Err(Undetermined);
         }
         for row in 0..width {
             if row != column {
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 on counted connections: a client's connection and a server's loop.
+//! HTTP/1.1 client connections and servers that count their traffic.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -20,19 +20,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// How long a connection may take to come up.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Bytes and requests that went over connections.
+/// Counters of the traffic over connections.
 #[derive(Debug, Default)]
 pub struct Traffic {
     /// Bytes read.
     pub read: AtomicU64,
     /// Bytes written.
     pub written: AtomicU64,
-    /// Requests sent or taken.
+    /// Requests sent or received.
     pub requests: AtomicU64,
-    /// Connections opened or taken.
+    /// Connections opened or accepted.
     pub connections: AtomicU64,
 }
 
@@ -43,13 +43,13 @@
     }
 }
 
-/// A stream that counts what goes through it.
-struct Counted {
+/// A stream that counts the bytes read and written.
+struct CountingStream {
     stream: TcpStream,
     traffic: Arc<Traffic>,
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -64,7 +64,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -86,19 +86,19 @@
     }
 }
 
-/// An answer.
+/// An HTTP response.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Status.
+    /// HTTP status.
     pub status: u16,
     /// Body.
     pub body: Bytes,
-    /// `Retry-After` in seconds.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after: Option<u64>,
 }
 
 impl Answer {
-    /// An answer with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn new(status: u16, body: &serde_json::Value) -> Answer {
         Answer {
             status,
@@ -108,7 +108,7 @@
     }
 }
 
-/// The connection failed, or was closed before an answer.
+/// The connection failed or was closed before a response arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoAnswer;
 
@@ -131,21 +131,21 @@
     ///
     /// # Errors
     ///
-    /// [`NoAnswer`] if it does not come up within half a second.
+    /// [`NoAnswer`] if the connection is not established within half a second.
     pub async fn open(to: SocketAddrV4, traffic: &Arc<Traffic>) -> Result<Connection, NoAnswer> {
-        let connecting = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(to)).await;
+        let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await;
         let stream = connecting.map_err(|_| NoAnswer)?.map_err(|_| NoAnswer)?;
         stream.set_nodelay(true).map_err(|_| NoAnswer)?;
         traffic.connections.fetch_add(1, Ordering::Relaxed);
-        let counted = Counted {
+        let stream = CountingStream {
             stream,
             traffic: Arc::clone(traffic),
         };
-        let (sender, connection) = handshake(TokioIo::new(counted))
+        let (sender, connection) = handshake(TokioIo::new(stream))
             .await
             .map_err(|_| NoAnswer)?;
         let driver = tokio::spawn(async move {
-            // How a connection ends shows at its sender.
+            // The sender reports an error of the connection.
             let _ = connection.await;
         });
         let host = HeaderValue::from_str(&to.to_string()).map_err(|_| NoAnswer)?;
@@ -162,7 +162,7 @@
         !self.sender.is_closed()
     }
 
-    /// Sends a request and waits for the answer, without a limit of its own.
+    /// Sends a request and waits for the response, without a timeout.
     ///
     /// # Errors
     ///
@@ -206,10 +206,10 @@
     }
 }
 
-/// A request that a hollow server takes.
+/// A request that a fake server received.
 #[derive(Debug)]
-pub struct Taken {
-    /// Method.
+pub struct IncomingRequest {
+    /// HTTP method.
     pub method: String,
     /// Path with its query.
     pub path: String,
@@ -217,16 +217,16 @@
     pub body: Bytes,
 }
 
-/// Serves until it is aborted. `None` of the handler closes the connection without an answer; `keep` says whether
-/// connections stay open after an answer.
-pub async fn serve<H, F>(listener: TcpListener, traffic: Arc<Traffic>, keep: bool, handler: H)
+/// Serves requests until the task is aborted. If the handler returns `None`, the connection is closed without a response.
+/// `keep_alive` says whether connections stay open after a response.
+pub async fn serve<H, F>(listener: TcpListener, traffic: Arc<Traffic>, keep_alive: bool, handler: H)
 where
-    H: Fn(Taken) -> F + Clone + Send + Sync + 'static,
+    H: Fn(IncomingRequest) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Option<Answer>> + Send + 'static,
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of sockets for a moment.
+            // Accepting fails if no file descriptor is free; retry shortly.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -234,20 +234,24 @@
         tokio::spawn(serve_connection(
             stream,
             Arc::clone(&traffic),
-            keep,
+            keep_alive,
             handler.clone(),
         ));
     }
 }
 
-async fn serve_connection<H, F>(stream: TcpStream, traffic: Arc<Traffic>, keep: bool, handler: H)
-where
-    H: Fn(Taken) -> F + Clone + Send + Sync + 'static,
+async fn serve_connection<H, F>(
+    stream: TcpStream,
+    traffic: Arc<Traffic>,
+    keep_alive: bool,
+    handler: H,
+) where
+    H: Fn(IncomingRequest) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Option<Answer>> + Send + 'static,
 {
-    // Only speed is lost without it.
+    // Without this option, only latency is worse.
     let _ = stream.set_nodelay(true);
-    let counted = Counted {
+    let stream = CountingStream {
         stream,
         traffic: Arc::clone(&traffic),
     };
@@ -264,31 +268,33 @@
                 .into_body()
                 .collect()
                 .await
-                .map_err(|_| Closed)?
+                .map_err(|_| CloseConnection)?
                 .to_bytes();
-            let answer = handler(Taken { method, path, body }).await.ok_or(Closed)?;
-            response(answer, keep).map_err(|_: Infallible| Closed)
+            let answer = handler(IncomingRequest { method, path, body })
+                .await
+                .ok_or(CloseConnection)?;
+            response(answer, keep_alive).map_err(|_: Infallible| CloseConnection)
         }
     });
     let connection =
-        hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(counted), service);
-    // A client that goes away is nothing to report.
+        hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+    // A client that closes the connection is no error.
     let _ = connection.await;
 }
 
-/// The handler wants the connection closed.
+/// Makes hyper close the connection without a response.
 #[derive(Debug, thiserror::Error)]
 #[error("closed")]
-struct Closed;
+struct CloseConnection;
 
-fn response(answer: Answer, keep: bool) -> Result<Response<Full<Bytes>>, Infallible> {
+fn response(answer: Answer, keep_alive: bool) -> Result<Response<Full<Bytes>>, Infallible> {
     let mut response = Response::new(Full::new(answer.body));
     *response.status_mut() =
         StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    if !keep {
+    if !keep_alive {
         response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,14 +1,15 @@
-//! Scale runs: real controllers beside simulated workers, users, clouds and state stores, over loopback.
+//! Scale runs: real controllers with fake workers, users, clouds and state services, over loopback.
 //!
-//! A simulated party speaks the published protocol over a real connection and does no real work; thousands of them share
-//! this process. The controllers are the release binary, one process each.
+//! A fake speaks the published protocol over a real connection but does no real work; thousands of them share this process.
+//! Each controller is a process of its own, started from the release binary.
 //!
-//! * [`scenario`] reads and checks what is to be run; [`mod@run`] runs it.
-//! * [`standins`] are the simulated parties without I/O; [`region`], [`fleet`] and [`users`] connect them over loopback.
-//! * [`judge`] checks the rules while it runs, [`measure`] takes samples, [`report`] writes the results.
-//! * [`slopes`] fits slopes to several runs with [`fit`]; [`capacity`] makes the tables of `docs/CAPACITY.md` from them.
+//! * [`scenario`] reads and checks scenario files; [`mod@run`] executes a scenario.
+//! * [`fakes`] are the fakes without I/O; [`region`], [`workers`] and [`users`] connect them over loopback.
+//! * [`invariants`] checks invariants during the run, [`measure`] reads resource usage, [`report`] writes the results.
+//! * [`slopes`] fits slopes to the results of several runs with [`fit`]; [`capacity`] makes the tables of `docs/CAPACITY.md` from
+//!   them.
 //!
-//! A scenario is a TOML file and is checked before anything starts:
+//! A scenario is a TOML file that is checked before anything starts:
 //!
 //! ```
 //! use cometlead_emulator::scenario::{Scenario, ScenarioError};
@@ -25,7 +26,7 @@
 //! # }
 //! ```
 //!
-//! [`run::run`] starts the controllers and plays it:
+//! [`run::run`] starts the controllers and executes it:
 //!
 //! ```no_run
 //! # use cometlead_emulator::scenario::Scenario;
@@ -43,15 +44,18 @@
 pub mod addresses;
 pub mod capacity;
 pub mod controllers;
+pub mod fakes;
 pub mod fit;
-pub mod fleet;
 pub mod http;
-pub mod judge;
+pub mod invariants;
 pub mod measure;
 pub mod region;
 pub mod report;
 pub mod run;
 pub mod scenario;
 pub mod slopes;
-pub mod standins;
 pub mod users;
+pub mod workers;
+
+/// Former name of [`fakes`], still used by the scenario tests.
+pub use fakes as standins;
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -91,7 +91,7 @@
         Some(path) => std::fs::write(path, capacity.page(&std::fs::read_to_string(path)?)?)?,
         None => println!("{}{}", capacity.tables(), capacity.lines()),
     }
-    let beyond = capacity.beyond_budget();
+    let beyond = capacity.over_budget();
     beyond
         .iter()
         .for_each(|line| eprintln!("beyond its budget: {line}"));
--- a/crates/emulator/src/region.rs
+++ b/crates/emulator/src/region.rs
@@ -1,13 +1,13 @@
 //! A region's outside world over real connections: its state service, its cloud interface and its machines.
 
 use crate::addresses::Addresses;
-use crate::fleet::HollowWorker;
-use crate::http::{Answer, Taken, Traffic, serve};
-use crate::judge::Judge;
+use crate::fakes::cloud::{Cloud, TypeSpec};
+use crate::fakes::state::{State, StateConfig};
+use crate::fakes::worker::{JobInfo, Worker};
+use crate::http::{Answer, IncomingRequest, Traffic, serve};
+use crate::invariants::InvariantChecker;
 use crate::scenario::Scenario;
-use crate::standins::cloud::{Cloud, TypeSpec};
-use crate::standins::state::{State, StateConfig};
-use crate::standins::worker::{JobInfo, Worker};
+use crate::workers::FakeWorker;
 use parking_lot::{Mutex, RwLock};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -26,20 +26,20 @@
 /// The only type of machine.
 pub const MACHINE_TYPE: &str = "standard";
 /// How much more machines there are than are wanted.
-const SPARE_MACHINES: f64 = 1.05;
+const MACHINES_PER_WANTED_WORKER: f64 = 1.05;
 /// Time until the cloud answers.
 const CLOUD_LATENCY: Duration = Duration::from_millis(100);
 /// How often leases and watches are looked after.
-const STATE_TICK: Duration = Duration::from_millis(20);
+const STATE_TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a lost answer keeps its connection.
-const LOST_ANSWER_HOLD: Duration = Duration::from_secs(5);
+const LOST_ANSWER_DELAY: Duration = Duration::from_secs(5);
 /// Items of a page of the state service.
-const STATE_PAGE: usize = 200;
+const STATE_PAGE_SIZE: usize = 200;
 /// Bytes in a KiB.
 const KIB: f64 = 1024.0;
 
 /// What all regions share.
-pub struct World {
+pub struct RunContext {
     /// What is run.
     pub scenario: Scenario,
     /// Who listens where.
@@ -49,14 +49,14 @@
     /// What the jobs' tasks are like.
     pub jobs: RwLock<BTreeMap<u64, JobInfo>>,
     /// The judge.
-    pub judge: Mutex<Judge>,
+    pub checker: Mutex<InvariantChecker>,
     /// Threads of the hollow workers.
     pub worker_threads: Handle,
     /// Threads of users, clouds and state services.
-    pub outside_threads: Handle,
+    pub service_threads: Handle,
 }
 
-impl World {
+impl RunContext {
     /// Microseconds since the begin of the run.
     pub fn now(&self) -> u64 {
         self.started.elapsed().as_micros() as u64
@@ -71,7 +71,7 @@
 /// A region.
 pub struct Region {
     /// What all regions share.
-    pub world: Arc<World>,
+    pub context: Arc<RunContext>,
     /// Its number.
     pub index: usize,
     /// Its state service.
@@ -80,9 +80,9 @@
     next_request: AtomicU64,
     cloud: Mutex<Cloud>,
     /// Its workers by machine.
-    pub fleet: Mutex<BTreeMap<u64, Arc<HollowWorker>>>,
+    pub fleet: Mutex<BTreeMap<u64, Arc<FakeWorker>>>,
     /// Zones that are cut off from the controllers, and until when in microseconds.
-    pub cut_zones: Mutex<Vec<(String, u64)>>,
+    pub partitioned_zones: Mutex<Vec<(String, u64)>>,
     random: Mutex<StdRng>,
     /// What went to and from the state service.
     pub state_traffic: Arc<Traffic>,
@@ -92,10 +92,11 @@
 
 impl Region {
     /// A region in which nothing runs yet.
-    pub fn new(world: &Arc<World>, index: usize) -> Arc<Region> {
-        let scenario = &world.scenario;
+    pub fn new(context: &Arc<RunContext>, index: usize) -> Arc<Region> {
+        let scenario = &context.scenario;
         let spec = &scenario.regions[index];
-        let in_a_zone = (spec.workers as f64 * SPARE_MACHINES / spec.zones as f64).ceil() as u32;
+        let in_a_zone =
+            (spec.workers as f64 * MACHINES_PER_WANTED_WORKER / spec.zones as f64).ceil() as u32;
         let ordinary = in_a_zone / 2;
         let machine = TypeSpec {
             name: MACHINE_TYPE.to_owned(),
@@ -107,17 +108,19 @@
             count: ordinary,
             spot: in_a_zone - ordinary,
             stuck: 0.0,
-            zones: (0..spec.zones).map(|z| World::zone(index, z)).collect(),
+            zones: (0..spec.zones)
+                .map(|z| RunContext::zone(index, z))
+                .collect(),
         };
         let state = StateConfig {
             txn_ops: scenario.state.txn_ops,
             value_bytes: (scenario.state.value_kb * KIB) as usize,
             rps: scenario.state.rps,
             write_rps: scenario.state.write_rps,
-            page: STATE_PAGE,
+            page: STATE_PAGE_SIZE,
         };
         Arc::new(Region {
-            world: Arc::clone(world),
+            context: Arc::clone(context),
             index,
             state: Mutex::new(State::new(state)),
             watches: Mutex::default(),
@@ -127,7 +130,7 @@
                 (scenario.cloud.list_lag_s * 1e6) as u64,
             )),
             fleet: Mutex::default(),
-            cut_zones: Mutex::default(),
+            partitioned_zones: Mutex::default(),
             random: Mutex::new(StdRng::seed_from_u64(scenario.seed ^ (index as u64 + 1))),
             state_traffic: Arc::default(),
             cloud_traffic: Arc::default(),
@@ -140,8 +143,8 @@
     }
 
     /// Whether a zone is cut off from the controllers.
-    pub fn is_cut(&self, zone: &str, now: u64) -> bool {
-        self.cut_zones
+    pub fn is_partitioned(&self, zone: &str, now: u64) -> bool {
+        self.partitioned_zones
             .lock()
             .iter()
             .any(|(z, until)| z == zone && now < *until)
@@ -153,13 +156,13 @@
     ///
     /// What the system says if an address cannot be had.
     pub async fn start(self: &Arc<Self>) -> std::io::Result<()> {
-        let state = TcpListener::bind(self.world.addresses.state(self.index)).await?;
-        let cloud = TcpListener::bind(self.world.addresses.cloud(self.index)).await?;
+        let state = TcpListener::bind(self.context.addresses.state(self.index)).await?;
+        let cloud = TcpListener::bind(self.context.addresses.cloud(self.index)).await?;
         let region = Arc::clone(self);
-        let handler = move |taken| Arc::clone(&region).state_request(taken);
+        let handler = move |request| Arc::clone(&region).state_request(request);
         tokio::spawn(serve(state, Arc::clone(&self.state_traffic), true, handler));
         let region = Arc::clone(self);
-        let handler = move |taken| Arc::clone(&region).cloud_request(taken);
+        let handler = move |request| Arc::clone(&region).cloud_request(request);
         tokio::spawn(serve(cloud, Arc::clone(&self.cloud_traffic), true, handler));
         tokio::spawn(Arc::clone(self).tick_state());
         Ok(())
@@ -167,7 +170,7 @@
 
     async fn tick_state(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(STATE_TICK).await;
+            tokio::time::sleep(STATE_TICK_INTERVAL).await;
             self.answer_watches();
         }
     }
@@ -177,7 +180,7 @@
         let (due, violations) = {
             let mut state = self.state.lock();
             (
-                state.tick(self.world.now()),
+                state.tick(self.context.now()),
                 std::mem::take(&mut state.violations),
             )
         };
@@ -188,33 +191,33 @@
             }
         }
         for violation in violations {
-            self.world
-                .judge
+            self.context
+                .checker
                 .lock()
-                .beyond_limits(self.world.now(), &violation);
+                .limit_exceeded(self.context.now(), &violation);
         }
     }
 
     /// Half of the time that the state service takes for an answer: drawn, with a long tail.
     async fn state_latency(&self) {
-        let mean = self.world.scenario.state.latency_ms / 2e3;
+        let mean = self.context.scenario.state.latency_ms / 2e3;
         let drawn = -(1.0 - self.random()).max(1e-4).ln() * mean;
         if drawn > 0.0 {
             tokio::time::sleep(Duration::from_secs_f64(drawn)).await;
         }
     }
 
-    async fn state_request(self: Arc<Self>, taken: Taken) -> Option<Answer> {
+    async fn state_request(self: Arc<Self>, request: IncomingRequest) -> Option<Answer> {
         self.state_latency().await;
-        let is_txn = taken.path == "/txn";
-        let lost = is_txn && self.random() < self.world.scenario.state.lost_answers;
+        let is_txn = request.path == "/txn";
+        let lost = is_txn && self.random() < self.context.scenario.state.lost_answers;
         let id = self.next_request.fetch_add(1, Ordering::Relaxed);
-        let (answer, waiting) = self.ask_state(id, &taken);
+        let (answer, waiting) = self.ask_state(id, &request);
         if is_txn {
             self.answer_watches();
         }
         if lost {
-            tokio::time::sleep(LOST_ANSWER_HOLD).await;
+            tokio::time::sleep(LOST_ANSWER_DELAY).await;
             return None;
         }
         let answer = match waiting {
@@ -226,19 +229,23 @@
     }
 
     /// Hands a request to the stand-in; a watch is answered later.
-    fn ask_state(&self, id: u64, taken: &Taken) -> (Answer, Option<oneshot::Receiver<Answer>>) {
+    fn ask_state(
+        &self,
+        id: u64,
+        request: &IncomingRequest,
+    ) -> (Answer, Option<oneshot::Receiver<Answer>>) {
         let mut state = self.state.lock();
         let answer = state.request(
-            self.world.now(),
+            self.context.now(),
             id,
-            &taken.method,
-            &taken.path,
-            &taken.body,
+            &request.method,
+            &request.path,
+            &request.body,
         );
         let malformed = Answer::new(400, &serde_json::json!({"error": "malformed"}));
         match answer {
             Some((status, body)) => (Answer::new(status, &body), None),
-            None if taken.path.starts_with("/changes") => {
+            None if request.path.starts_with("/changes") => {
                 // Registered before the lock is given back, so no change is missed.
                 let (sender, receiver) = oneshot::channel();
                 self.watches.lock().insert(id, sender);
@@ -248,22 +255,27 @@
         }
     }
 
-    async fn cloud_request(self: Arc<Self>, taken: Taken) -> Option<Answer> {
+    async fn cloud_request(self: Arc<Self>, request: IncomingRequest) -> Option<Answer> {
         tokio::time::sleep(CLOUD_LATENCY).await;
-        let now = self.world.now();
+        let now = self.context.now();
         let (answer, new) = {
             let mut cloud = self.cloud.lock();
             let last = cloud.hosts.keys().next_back().copied().unwrap_or(0);
-            let mut dice = || self.random();
-            let (status, body) =
-                cloud.request(now, &taken.method, &taken.path, &taken.body, &mut dice);
+            let mut random_fraction = || self.random();
+            let (status, body) = cloud.request(
+                now,
+                &request.method,
+                &request.path,
+                &request.body,
+                &mut random_fraction,
+            );
             let new: Vec<u64> = cloud.hosts.range(last + 1..).map(|(i, _)| *i).collect();
             (Answer::new(status, &body), new)
         };
         for machine in new {
             self.boot(machine);
         }
-        if taken.path == "/hosts/release" {
+        if request.path == "/hosts/release" {
             self.stop_released(now);
         }
         Some(answer)
@@ -271,7 +283,7 @@
 
     /// By the time of the answer, machines that were released are gone with all that is on them.
     fn stop_released(&self, now: u64) {
-        let released: Vec<Arc<HollowWorker>> = {
+        let released: Vec<Arc<FakeWorker>> = {
             let cloud = self.cloud.lock();
             let mut fleet = self.fleet.lock();
             let is_gone = |i: &u64| {
@@ -294,15 +306,15 @@
             return;
         };
         let region = Arc::clone(self);
-        self.world.worker_threads.spawn(async move {
-            let wait = up_at.saturating_sub(region.world.now());
+        self.context.worker_threads.spawn(async move {
+            let wait = up_at.saturating_sub(region.context.now());
             tokio::time::sleep(Duration::from_micros(wait)).await;
             region.begin_worker(machine).await;
         });
     }
 
     async fn begin_worker(self: Arc<Self>, machine: u64) {
-        let Some(endpoint) = self.world.addresses.worker(self.index, machine) else {
+        let Some(endpoint) = self.context.addresses.worker(self.index, machine) else {
             return;
         };
         let Ok(listener) = TcpListener::bind(endpoint).await else {
@@ -313,8 +325,8 @@
             let Some(host) = cloud.hosts.get(&machine).filter(|h| h.gone_at.is_none()) else {
                 return;
             };
-            let lease = (self.world.scenario.workers.lease_s * 1e6) as u64;
-            let first = machine as usize % self.world.scenario.regions[self.index].controllers;
+            let lease = (self.context.scenario.workers.lease_s * 1e6) as u64;
+            let first = machine as usize % self.context.scenario.regions[self.index].controllers;
             let place = (host.yard.clone(), host.spot);
             let kind = cloud.type_of(machine);
             Worker::new(
@@ -324,10 +336,10 @@
                 place,
                 lease,
                 first,
-                self.world.now(),
+                self.context.now(),
             )
         };
-        let worker = HollowWorker::new(&self, worker);
+        let worker = FakeWorker::new(&self, worker);
         self.fleet.lock().insert(machine, Arc::clone(&worker));
         worker.run(listener).await;
     }
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,6 +1,6 @@
-//! Results of a run: what is written to files and shown on the screen.
+//! Results of a run, as written to files and printed.
 
-use crate::judge::{Rule, Violation};
+use crate::invariants::{Rule, Violation};
 use comfy_table::Table;
 use hdrhistogram::Histogram;
 use plotters::prelude::{ChartBuilder, IntoDrawingArea, LineSeries, SVGBackend};
@@ -13,9 +13,9 @@
 /// Size of plots in pixels.
 const PLOT_SIZE: (u32, u32) = (800, 400);
 
-/// Three points of a distribution.
+/// Summary of a distribution.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Spread {
+pub struct Distribution {
     /// Mean.
     pub mean: f64,
     /// Median.
@@ -28,10 +28,10 @@
     pub count: u64,
 }
 
-impl Spread {
-    /// Of a histogram, each value divided by `unit`.
-    pub fn of(histogram: &Histogram<u64>, unit: f64) -> Spread {
-        Spread {
+impl Distribution {
+    /// Summarizes a histogram; each value is divided by `unit`.
+    pub fn of(histogram: &Histogram<u64>, unit: f64) -> Distribution {
+        Distribution {
             mean: histogram.mean() / unit,
             p50: histogram.value_at_quantile(0.5) as f64 / unit,
             p99: histogram.value_at_quantile(0.99) as f64 / unit,
@@ -41,144 +41,148 @@
     }
 }
 
-/// One controller over the measurement.
+/// Result of a controller over the measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct ControllerResult {
     /// Region.
     pub region: usize,
-    /// Number there.
+    /// Its number in the region.
     pub node: usize,
-    /// Processor: cores on average.
+    /// Mean processor usage, in cores.
     pub cores: f64,
     /// Memory at the end, in MB.
     pub memory_mb: f64,
-    /// The most memory, in MB.
+    /// Peak memory, in MB.
     pub peak_memory_mb: f64,
     /// Open files at the end, sockets included.
     pub files: usize,
 }
 
-/// One region over the measurement.
+/// Result of a region over the measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct RegionResult {
     /// Its number.
     pub region: usize,
     /// Workers at the end.
     pub workers: usize,
-    /// Requests a second to the state service.
+    /// Requests per second to the state service.
     pub state_requests: f64,
-    /// Changes a second at the state service.
+    /// Changes per second in the state service.
     pub state_changes: f64,
-    /// Transactions a second that were carried out.
+    /// Committed transactions per second.
     pub state_commits: f64,
-    /// Requests refused for their rate, a second.
+    /// Requests per second that the rate limits refused.
     pub state_throttled: f64,
-    /// Bytes a second that the state service got.
+    /// Bytes per second that the state service received.
     pub state_bytes_in: f64,
-    /// Bytes a second that it sent.
+    /// Bytes per second that the state service sent.
     pub state_bytes_out: f64,
-    /// Bytes of its values at the end.
+    /// Bytes of keys and values in the state service at the end.
     pub state_bytes_kept: u64,
-    /// Requests a second to the cloud interface.
+    /// Requests per second to the cloud interface.
     pub cloud_requests: f64,
-    /// Bytes a second in both directions between users and controllers.
+    /// Bytes per second between users and controllers, in both directions.
     pub user_bytes: f64,
-    /// Requests a second of users.
+    /// Requests per second of users.
     pub user_requests: f64,
 }
 
-/// What a run found.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunResult {
     /// The scenario's name.
     pub name: String,
     /// Whether the wanted number of tasks ran before the measurement.
     pub ramped: bool,
-    /// Seconds that the ramp took.
+    /// Duration of the ramp in seconds.
     pub ramp_s: f64,
-    /// Length of the measurement in seconds.
+    /// Duration of the measurement in seconds.
     pub measured_s: f64,
-    /// Workers wanted.
+    /// Wanted number of workers.
     pub wanted_workers: u64,
-    /// Tasks wanted to run.
+    /// Wanted number of running tasks.
     pub wanted_running: f64,
-    /// Starts a second that were wanted.
+    /// Wanted task starts per second.
     pub wanted_starts_per_s: f64,
     /// Workers at the end.
     pub workers: usize,
-    /// Tasks running, on average.
+    /// Mean number of running tasks.
     pub running: f64,
-    /// The most tasks that ran at once.
+    /// Most tasks that ran at the same time.
     pub most_running: usize,
-    /// Task starts a second.
+    /// Task starts per second.
     pub starts_per_s: f64,
-    /// Completed tasks a second.
+    /// Completed tasks per second.
     pub completions_per_s: f64,
-    /// The most starts within one second.
+    /// Most task starts within one second.
     pub most_starts_in_a_second: u64,
-    /// Urgent work: seconds from submission to running.
-    pub urgent_s: Spread,
-    /// Urgent jobs submitted during the measurement whose task did not start in it.
+    /// Urgent jobs: seconds from the submission to the start of the task.
+    pub urgent_s: Distribution,
+    /// Urgent jobs submitted during the measurement whose task did not start during it.
     pub urgent_not_started: u64,
     /// Submissions during the measurement.
     pub submitted: u64,
-    /// Share of those accepted that were accepted within 300 ms.
+    /// Fraction of the accepted submissions that were accepted within 300 ms.
     pub accepted_in_300_ms: f64,
-    /// Seconds until acceptance.
-    pub accepted_s: Spread,
-    /// Submissions given up.
+    /// Seconds from the first attempt of a submission to its acceptance.
+    pub accepted_s: Distribution,
+    /// Submissions that users gave up.
     pub given_up: u64,
-    /// Requests of users by status; 0: no answer.
+    /// Requests of users by response status; 0 means no response.
     pub user_statuses: BTreeMap<u16, u64>,
-    /// Bytes a second to and from a worker.
-    pub worker_bytes_per_s: Spread,
-    /// Requests a second to and from a worker: reports and commands.
+    /// Bytes per second to and from a worker.
+    pub worker_bytes_per_s: Distribution,
+    /// Requests per second to and from a worker: reports and commands.
     pub worker_requests_per_s: f64,
-    /// Connections a second that a worker opens or takes.
+    /// Connections per second that a worker opens or accepts.
     pub worker_connections_per_s: f64,
-    /// Processor of the hollow workers: cores for each worker.
+    /// Processor usage of the fake workers, in cores per worker.
     pub worker_cores: f64,
-    /// Processor of hollow users, clouds and state services together, in cores.
-    pub outside_cores: f64,
+    /// Processor usage of the fake users, clouds and state services together, in cores.
+    #[serde(rename = "outside_cores")]
+    pub service_cores: f64,
     /// Memory of this process at the end, in MB.
-    pub hollow_memory_mb: f64,
-    /// Share of all processors of the machine that was busy.
+    #[serde(rename = "hollow_memory_mb")]
+    pub emulator_memory_mb: f64,
+    /// Busy fraction of the processors of this machine.
     pub machine_busy: f64,
-    /// Reports that had no answer, or another than 200, during the measurement.
+    /// Reports during the measurement without a response, or with a status other than 200.
     pub reports_failed: u64,
-    /// Leases that ended with tasks on the machine.
+    /// Leases that expired while tasks were on the machine.
     pub lost_leases: u64,
-    /// Controllers that ended by themselves.
+    /// Controllers that exited without being killed by the run.
     pub ended_by_themselves: usize,
-    /// Longest delay of this process's timers, in seconds: the hollow parties were that late.
-    pub hollow_delay_s: f64,
-    /// Controllers.
+    /// Longest delay of this process's timers, in seconds; the fakes were late by up to this time.
+    #[serde(rename = "hollow_delay_s")]
+    pub max_timer_delay_s: f64,
+    /// Results by controller.
     pub controllers: Vec<ControllerResult>,
-    /// Regions.
+    /// Results by region.
     pub regions: Vec<RegionResult>,
-    /// How often each rule was broken.
+    /// Number of violations of each rule.
     pub broken: BTreeMap<Rule, u64>,
     /// The first violations.
     pub violations: Vec<Violation>,
-    /// Running tasks and starts, second by second of the whole run.
-    pub seconds: Vec<Second>,
+    /// Running tasks and starts in each second of the whole run.
+    #[serde(rename = "seconds")]
+    pub samples: Vec<Sample>,
 }
 
-/// One second of a run.
+/// Workers, running tasks and starts at one second of a run.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Second {
-    /// Since the begin, in seconds.
+pub struct Sample {
+    /// Time since the start of the run, in seconds.
     pub at_s: f64,
-    /// Workers that are up.
+    /// Started workers.
     pub workers: usize,
-    /// Tasks running.
+    /// Running tasks.
     pub running: usize,
-    /// Starts since the second before.
+    /// Task starts since the previous sample.
     pub starts: u64,
 }
 
 impl RunResult {
-    /// The result as a table.
+    /// Formats the result as a table.
     pub fn table(&self) -> String {
         let mut table = Table::new();
         table
@@ -226,8 +230,8 @@
             String::new(),
             format!("{:.3} of {}", self.accepted_in_300_ms, self.submitted),
         );
-        let of = self.worker_bytes_per_s;
-        let bytes = format!("{:.0} / {:.0} / {:.0}", of.mean, of.p50, of.p99);
+        let rate = self.worker_bytes_per_s;
+        let bytes = format!("{:.0} / {:.0} / {:.0}", rate.mean, rate.p50, rate.p99);
         row(
             "bytes a second and worker (mean/p50/p99)",
             "4096".to_owned(),
@@ -266,7 +270,7 @@
         row(
             "hollow parties late by, s",
             String::new(),
-            format!("{:.2}", self.hollow_delay_s),
+            format!("{:.2}", self.max_timer_delay_s),
         );
         row("leases lost", String::new(), self.lost_leases.to_string());
         row(
@@ -277,33 +281,33 @@
         table.to_string()
     }
 
-    /// Writes JSON, a CSV file of the seconds, and a plot.
+    /// Writes the result as JSON, the samples as CSV, and a plot of the samples as SVG.
     ///
     /// # Errors
     ///
-    /// What could not be written.
+    /// Why a file could not be written.
     pub fn write(&self, folder: &Path) -> Result<(), Box<dyn Error>> {
         let path = |extension: &str| folder.join(format!("{}.{extension}", self.name));
         std::fs::write(path("json"), serde_json::to_vec_pretty(self)?)?;
         let mut csv = csv::Writer::from_path(path("csv"))?;
-        for second in &self.seconds {
-            csv.serialize(second)?;
+        for sample in &self.samples {
+            csv.serialize(sample)?;
         }
         csv.flush()?;
         self.plot(&path("svg"))
     }
 
     fn plot(&self, path: &Path) -> Result<(), Box<dyn Error>> {
-        let end = self.seconds.last().map_or(1.0, |s| s.at_s);
+        let end = self.samples.last().map_or(1.0, |s| s.at_s);
         let most_running = self
-            .seconds
+            .samples
             .iter()
             .map(|s| s.running)
             .max()
             .unwrap_or(1)
             .max(1) as f64;
         let most_starts = self
-            .seconds
+            .samples
             .iter()
             .map(|s| s.starts)
             .max()
@@ -315,11 +319,11 @@
             .margin(10)
             .build_cartesian_2d(0.0..end, 0.0..1.0)?;
         let running = self
-            .seconds
+            .samples
             .iter()
             .map(|s| (s.at_s, s.running as f64 / most_running));
         let starts = self
-            .seconds
+            .samples
             .iter()
             .map(|s| (s.at_s, s.starts as f64 / most_starts));
         let frame = [(0.0, 1.0), (0.0, 0.0), (end, 0.0)];
--- a/crates/emulator/src/run/reading.rs
+++ b/crates/emulator/src/run/snapshot.rs
@@ -1,19 +1,19 @@
-//! Counters at two moments of a run, and the result that they make.
+//! Counters at the start and the end of the measurement, and the result computed from them.
 
-use super::{OUTSIDE_THREADS, Run, WORKER_THREADS};
+use super::{Run, SERVICE_THREAD_NAME, WORKER_THREAD_NAME};
 use crate::controllers::Controller;
-use crate::fleet::HollowWorker;
-use crate::judge::Machine;
+use crate::invariants::Machine;
 use crate::measure::{self, MachineTime, Usage};
 use crate::region::Region;
-use crate::report::{ControllerResult, RegionResult, RunResult, Spread};
-use crate::users::{Balancer, new_histogram};
+use crate::report::{ControllerResult, Distribution, RegionResult, RunResult};
+use crate::users::{LoadBalancer, new_histogram};
+use crate::workers::FakeWorker;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// Counters of a region at one moment, since the begin of the run.
+/// Counters of a region since the start of the run.
 struct RegionCounters {
     requests: u64,
     changes: u64,
@@ -27,7 +27,7 @@
 }
 
 impl RegionCounters {
-    fn of(region: &Region, balancer: &Balancer) -> RegionCounters {
+    fn of(region: &Region, balancer: &LoadBalancer) -> RegionCounters {
         let state = region.state.lock();
         RegionCounters {
             requests: state.came.0,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Counters of a worker at one moment, since it began.
+/// Counters of a worker since it started.
 struct WorkerCounters {
     bytes: u64,
     requests: u64,
@@ -52,7 +52,7 @@
 }
 
 impl WorkerCounters {
-    fn of(worker: &HollowWorker) -> WorkerCounters {
+    fn of(worker: &FakeWorker) -> WorkerCounters {
         let traffic = &worker.traffic;
         WorkerCounters {
             bytes: traffic.bytes(),
@@ -67,10 +67,10 @@
     counter.load(Ordering::Relaxed)
 }
 
-/// Counters at one moment; two of them make a measurement.
-pub(super) struct Reading {
+/// All counters at one time; a measurement is the difference of two.
+pub(super) struct Snapshot {
     at: Instant,
-    seconds: usize,
+    samples: usize,
     starts: u64,
     completions: u64,
     controllers: Vec<Option<Usage>>,
@@ -80,18 +80,18 @@
     workers: BTreeMap<Machine, WorkerCounters>,
     submitted: u64,
     accepted: u64,
-    prompt: u64,
+    accepted_promptly: u64,
     given_up: u64,
     statuses: BTreeMap<u16, u64>,
     now: u64,
 }
 
-impl Reading {
-    pub(super) fn take(run: &Run) -> Reading {
-        let judge = run.world.judge.lock();
-        let (starts, completions) = (judge.starts(), judge.completions());
-        drop(judge);
-        let service = &run.service;
+impl Snapshot {
+    pub(super) fn take(run: &Run) -> Snapshot {
+        let checker = run.context.checker.lock();
+        let (starts, completions) = (checker.starts(), checker.completions());
+        drop(checker);
+        let user_stats = &run.user_stats;
         let by_worker = |region: &Arc<Region>| {
             let index = region.index;
             let fleet = region.fleet.lock();
@@ -100,9 +100,9 @@
                 .map(|(m, w)| ((index, *m), WorkerCounters::of(w)))
                 .collect::<Vec<_>>()
         };
-        Reading {
+        Snapshot {
             at: Instant::now(),
-            seconds: run.seconds.lock().len(),
+            samples: run.samples.lock().len(),
             starts,
             completions,
             controllers: run
@@ -111,7 +111,7 @@
                 .iter()
                 .map(Controller::usage)
                 .collect(),
-            threads: measure::own_threads(),
+            threads: measure::own_thread_times(),
             machine: MachineTime::now(),
             regions: run
                 .regions
@@ -120,12 +120,12 @@
                 .map(|(r, b)| RegionCounters::of(r, b))
                 .collect(),
             workers: run.regions.iter().flat_map(by_worker).collect(),
-            submitted: load(&service.submitted),
-            accepted: load(&service.accepted),
-            prompt: load(&service.prompt),
-            given_up: load(&service.given_up),
-            statuses: service.statuses.lock().clone(),
-            now: run.world.now(),
+            submitted: load(&user_stats.submitted),
+            accepted: load(&user_stats.accepted),
+            accepted_promptly: load(&user_stats.accepted_promptly),
+            given_up: load(&user_stats.given_up),
+            statuses: user_stats.statuses.lock().clone(),
+            now: run.context.now(),
         }
     }
 }
@@ -133,78 +133,79 @@
 impl Run {
     pub(super) fn result(
         &self,
-        before: &Reading,
-        after: &Reading,
+        before: &Snapshot,
+        after: &Snapshot,
         ramped: bool,
         ramp_s: f64,
     ) -> RunResult {
-        let scenario = &self.world.scenario;
-        let span = (after.at - before.at).as_secs_f64();
-        let seconds = self.seconds.lock().clone();
+        let scenario = &self.context.scenario;
+        let duration_s = (after.at - before.at).as_secs_f64();
+        let samples = self.samples.lock().clone();
         let measured =
-            &seconds[before.seconds.min(seconds.len())..after.seconds.min(seconds.len())];
+            &samples[before.samples.min(samples.len())..after.samples.min(samples.len())];
         let count = measured.len().max(1) as f64;
-        let (urgent_s, urgent_not_started) = self.urgent(before.now, after.now);
+        let (urgent_s, urgent_not_started) = self.urgent_start_times(before.now, after.now);
         let accepted = after.accepted - before.accepted;
-        let worker_bytes = self.worker_spread(before, after, span);
-        let of_workers = |value: fn(&WorkerCounters) -> u64| -> u64 {
-            let grown = |(k, now): (&Machine, &WorkerCounters)| {
+        let worker_bytes = self.worker_bytes_per_second(before, after, duration_s);
+        let sum_over_workers = |value: fn(&WorkerCounters) -> u64| -> u64 {
+            let increase = |(k, now): (&Machine, &WorkerCounters)| {
                 value(now) - before.workers.get(k).map_or(0, value)
             };
-            after.workers.iter().map(grown).sum()
+            after.workers.iter().map(increase).sum()
         };
         let workers = after.workers.len();
-        let per_worker = |total: u64| total as f64 / span / workers.max(1) as f64;
+        let per_worker = |total: u64| total as f64 / duration_s / workers.max(1) as f64;
         let thread_cores = |name: &str| {
-            let used = |r: &Reading| r.threads.get(name).copied().unwrap_or(0.0);
-            (used(after) - used(before)) / span
+            let used = |r: &Snapshot| r.threads.get(name).copied().unwrap_or(0.0);
+            (used(after) - used(before)) / duration_s
         };
         let statuses = after
             .statuses
             .iter()
             .map(|(s, n)| (*s, n - before.statuses.get(s).copied().unwrap_or(0)));
-        let accepted_s = Spread::of(&self.service.accept_times.lock(), 1e6);
+        let accepted_s = Distribution::of(&self.user_stats.accept_times.lock(), 1e6);
         let (broken, violations) = {
-            let judge = self.world.judge.lock();
-            (judge.counts().clone(), judge.violations().to_vec())
+            let checker = self.context.checker.lock();
+            (checker.counts().clone(), checker.violations().to_vec())
         };
         RunResult {
             name: scenario.name.clone(),
             ramped,
             ramp_s,
-            measured_s: span,
-            wanted_workers: scenario.all_workers(),
+            measured_s: duration_s,
+            wanted_workers: scenario.total_workers(),
             wanted_running: scenario.wanted_running(),
             wanted_starts_per_s: scenario.load.starts_per_s + scenario.load.urgent_per_s,
             workers,
             running: measured.iter().map(|s| s.running as f64).sum::<f64>() / count,
-            most_running: seconds.iter().map(|s| s.running).max().unwrap_or(0),
-            starts_per_s: (after.starts - before.starts) as f64 / span,
-            completions_per_s: (after.completions - before.completions) as f64 / span,
-            most_starts_in_a_second: seconds.iter().map(|s| s.starts).max().unwrap_or(0),
+            most_running: samples.iter().map(|s| s.running).max().unwrap_or(0),
+            starts_per_s: (after.starts - before.starts) as f64 / duration_s,
+            completions_per_s: (after.completions - before.completions) as f64 / duration_s,
+            most_starts_in_a_second: samples.iter().map(|s| s.starts).max().unwrap_or(0),
             urgent_s,
             urgent_not_started,
             submitted: after.submitted - before.submitted,
-            accepted_in_300_ms: (after.prompt - before.prompt) as f64 / accepted.max(1) as f64,
+            accepted_in_300_ms: (after.accepted_promptly - before.accepted_promptly) as f64
+                / accepted.max(1) as f64,
             accepted_s,
             given_up: after.given_up - before.given_up,
             user_statuses: statuses.collect(),
             worker_bytes_per_s: worker_bytes,
-            worker_requests_per_s: per_worker(of_workers(|w| w.requests)),
-            worker_connections_per_s: per_worker(of_workers(|w| w.connections)),
-            worker_cores: thread_cores(WORKER_THREADS) / workers.max(1) as f64,
-            outside_cores: thread_cores(OUTSIDE_THREADS),
-            hollow_memory_mb: measure::process(std::process::id()).map_or(0.0, |u| u.memory_mb),
+            worker_requests_per_s: per_worker(sum_over_workers(|w| w.requests)),
+            worker_connections_per_s: per_worker(sum_over_workers(|w| w.connections)),
+            worker_cores: thread_cores(WORKER_THREAD_NAME) / workers.max(1) as f64,
+            service_cores: thread_cores(SERVICE_THREAD_NAME),
+            emulator_memory_mb: measure::process(std::process::id()).map_or(0.0, |u| u.memory_mb),
             machine_busy: after.machine.busy_since(&before.machine),
-            reports_failed: of_workers(|w| w.reports_failed),
+            reports_failed: sum_over_workers(|w| w.reports_failed),
             lost_leases: self.lost_leases(),
             ended_by_themselves: self.ended_by_themselves(),
-            hollow_delay_s: self.delay.load(Ordering::Relaxed) as f64 / 1e6,
-            controllers: self.controller_results(before, after, span),
-            regions: self.region_results(before, after, span),
+            max_timer_delay_s: self.max_timer_delay_us.load(Ordering::Relaxed) as f64 / 1e6,
+            controllers: self.controller_results(before, after, duration_s),
+            regions: self.region_results(before, after, duration_s),
             broken,
             violations,
-            seconds,
+            samples,
         }
     }
 
@@ -224,49 +225,54 @@
         let mut controllers = self.controllers.lock();
         controllers
             .iter_mut()
-            .filter_map(|c| c.has_ended().then_some(()))
+            .filter_map(|c| c.has_exited().then_some(()))
             .count()
     }
 
-    /// Urgent jobs that were submitted within the measurement: times to running, and how many did not start in it.
-    fn urgent(&self, from: u64, until: u64) -> (Spread, u64) {
+    /// Urgent jobs submitted during the measurement: their start latencies, and how many did not start during it.
+    fn urgent_start_times(&self, from: u64, until: u64) -> (Distribution, u64) {
         let mut times = new_histogram();
         let mut not_started = 0;
-        let judge = self.world.judge.lock();
-        // Those of the last seconds had no time to start.
-        let enough = until.saturating_sub(6_000_000);
+        let checker = self.context.checker.lock();
+        // Jobs submitted in the last six seconds may not have had time to start.
+        let submitted_until = until.saturating_sub(6_000_000);
         for (job, submitted) in self
-            .service
-            .urgent
+            .user_stats
+            .urgent_submitted_at
             .lock()
             .range(..)
-            .filter(|(_, t)| (from..enough).contains(*t))
+            .filter(|(_, t)| (from..submitted_until).contains(*t))
         {
-            match judge.first_start(*job) {
-                // A histogram that grows by itself takes every value.
+            match checker.first_start(*job) {
+                // An auto-resizing histogram accepts every value.
                 Some(at) => drop(times.record(at - submitted)),
                 None => not_started += 1,
             }
         }
-        (Spread::of(&times, 1e6), not_started)
+        (Distribution::of(&times, 1e6), not_started)
     }
 
-    fn worker_spread(&self, before: &Reading, after: &Reading, span: f64) -> Spread {
+    fn worker_bytes_per_second(
+        &self,
+        before: &Snapshot,
+        after: &Snapshot,
+        duration_s: f64,
+    ) -> Distribution {
         let mut bytes = new_histogram();
         for (worker, now) in &after.workers {
-            if let Some(then) = before.workers.get(worker) {
-                // As above.
-                let _ = bytes.record(((now.bytes - then.bytes) as f64 / span) as u64);
+            if let Some(earlier) = before.workers.get(worker) {
+                // An auto-resizing histogram accepts every value.
+                let _ = bytes.record(((now.bytes - earlier.bytes) as f64 / duration_s) as u64);
             }
         }
-        Spread::of(&bytes, 1.0)
+        Distribution::of(&bytes, 1.0)
     }
 
     fn controller_results(
         &self,
-        before: &Reading,
-        after: &Reading,
-        span: f64,
+        before: &Snapshot,
+        after: &Snapshot,
+        duration_s: f64,
     ) -> Vec<ControllerResult> {
         let controllers = self.controllers.lock();
         let readings = before
@@ -277,17 +283,17 @@
         readings
             .map(|((before, after), controller)| {
                 let now = after.unwrap_or_default();
-                let then = before.unwrap_or_default();
-                // One that was started anew begins at zero.
-                let used = if now.processor_s >= then.processor_s {
-                    now.processor_s - then.processor_s
+                let earlier = before.unwrap_or_default();
+                // The processor time of a restarted controller begins at zero.
+                let used = if now.processor_s >= earlier.processor_s {
+                    now.processor_s - earlier.processor_s
                 } else {
                     now.processor_s
                 };
                 ControllerResult {
                     region: controller.region,
                     node: controller.node,
-                    cores: used / span,
+                    cores: used / duration_s,
                     memory_mb: now.memory_mb,
                     peak_memory_mb: now.peak_memory_mb,
                     files: now.files,
@@ -296,13 +302,19 @@
             .collect()
     }
 
-    fn region_results(&self, before: &Reading, after: &Reading, span: f64) -> Vec<RegionResult> {
+    fn region_results(
+        &self,
+        before: &Snapshot,
+        after: &Snapshot,
+        duration_s: f64,
+    ) -> Vec<RegionResult> {
         self.regions
             .iter()
             .map(|region| {
-                let (then, now) = (&before.regions[region.index], &after.regions[region.index]);
-                let rate =
-                    |value: fn(&RegionCounters) -> u64| (value(now) - value(then)) as f64 / span;
+                let (earlier, now) = (&before.regions[region.index], &after.regions[region.index]);
+                let rate = |value: fn(&RegionCounters) -> u64| {
+                    (value(now) - value(earlier)) as f64 / duration_s
+                };
                 let state = region.state.lock();
                 RegionResult {
                     region: region.index,
--- a/crates/emulator/src/slopes.rs
+++ b/crates/emulator/src/slopes.rs
@@ -1,6 +1,6 @@
 //! Slopes of what was measured in several runs: which quantities are fitted, and to what.
 
-use crate::capacity::{Known, Per, Range, Slope, Slopes, amount};
+use crate::capacity::{Per, Range, Slope, SlopeSource, Slopes, format_amount};
 use crate::fit::fit;
 use crate::report::{ControllerResult, RunResult};
 use std::collections::BTreeMap;
@@ -14,8 +14,8 @@
     value: fn(&RunResult) -> f64,
 }
 
-const REGION: &[Per] = &[Per::Constant, Per::Worker, Per::Running, Per::Start];
-const OF_WORKER: &[Per] = &[Per::Constant, Per::TaskOfWorker, Per::StartOfWorker];
+const REGION_INPUTS: &[Per] = &[Per::Constant, Per::Worker, Per::Running, Per::Start];
+const WORKER_INPUTS: &[Per] = &[Per::Constant, Per::TaskOfWorker, Per::StartOfWorker];
 
 fn controllers(run: &RunResult, value: fn(&ControllerResult) -> f64) -> f64 {
     run.controllers.iter().map(value).sum()
@@ -26,77 +26,77 @@
         role: "Controller",
         resource: "processor, cores",
         divided: true,
-        per: REGION,
+        per: REGION_INPUTS,
         value: |r| controllers(r, |c| c.cores),
     },
     Quantity {
         role: "Controller",
         resource: "memory, MB",
         divided: false,
-        per: REGION,
+        per: REGION_INPUTS,
         value: |r| controllers(r, |c| c.memory_mb) / r.controllers.len().max(1) as f64,
     },
     Quantity {
         role: "Controller",
         resource: "sockets and files",
         divided: true,
-        per: REGION,
+        per: REGION_INPUTS,
         value: |r| controllers(r, |c| c.files as f64),
     },
     Quantity {
         role: "State service",
         resource: "requests a second",
         divided: false,
-        per: REGION,
+        per: REGION_INPUTS,
         value: |r| r.regions[0].state_requests,
     },
     Quantity {
         role: "State service",
         resource: "changes a second",
         divided: false,
-        per: REGION,
+        per: REGION_INPUTS,
         value: |r| r.regions[0].state_changes,
     },
     Quantity {
         role: "State service",
         resource: "bytes in a second",
         divided: false,
-        per: REGION,
+        per: REGION_INPUTS,
         value: |r| r.regions[0].state_bytes_in,
     },
     Quantity {
         role: "State service",
         resource: "bytes out a second",
         divided: false,
-        per: REGION,
+        per: REGION_INPUTS,
         value: |r| r.regions[0].state_bytes_out,
     },
     Quantity {
         role: "State service",
         resource: "bytes of values",
         divided: false,
-        per: REGION,
+        per: REGION_INPUTS,
         value: |r| r.regions[0].state_bytes_kept as f64,
     },
     Quantity {
         role: "Worker",
         resource: "bytes a second, both ways",
         divided: false,
-        per: OF_WORKER,
+        per: WORKER_INPUTS,
         value: |r| r.worker_bytes_per_s.mean,
     },
     Quantity {
         role: "Worker",
         resource: "requests a second, both ways",
         divided: false,
-        per: OF_WORKER,
+        per: WORKER_INPUTS,
         value: |r| r.worker_requests_per_s,
     },
     Quantity {
         role: "Worker",
         resource: "processor, cores (hollow)",
         divided: false,
-        per: OF_WORKER,
+        per: WORKER_INPUTS,
         value: |r| r.worker_cores,
     },
     Quantity {
@@ -159,8 +159,8 @@
             per: *per,
             value: *value,
             divided: quantity.divided,
-            known: Known::Measured,
-            basis: format!("fit error {}", amount(fitted.error)),
+            known: SlopeSource::Measured,
+            basis: format!("fit error {}", format_amount(fitted.error)),
         };
         return per.iter().zip(&fitted.factors).map(slope).collect();
     }
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -1,11 +1,11 @@
-//! Hollow users: they submit through a load balancer, ask until their jobs are over, and cancel some.
+//! Fake users: they submit jobs through a load balancer, poll the jobs until they are finished, and cancel some of them.
 
 use crate::controllers::{URGENT_CLASS, team_name};
+use crate::fakes::submission::Submission;
+use crate::fakes::worker::JobInfo;
 use crate::http::{Answer, Connection, NoAnswer, Traffic};
-use crate::judge::Told;
+use crate::invariants::ReportedState;
 use crate::region::{MACHINE_CORES, Region};
-use crate::standins::submission::Submission;
-use crate::standins::worker::JobInfo;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
@@ -14,131 +14,131 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// How often the balancer asks each controller whether it is healthy.
+/// Interval of the health checks of each controller.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-const PROBE_LIMIT: Duration = Duration::from_secs(1);
-/// Controllers that the balancer tries for one connection.
-const BALANCER_TRIES: usize = 3;
-/// Users wait this long for the answer to a submission or a cancellation.
-const CHANGE_LIMIT: Duration = Duration::from_secs(5);
-/// The same for a poll.
-const POLL_LIMIT: Duration = Duration::from_secs(2);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Controllers that the load balancer tries for a connection.
+const MAX_CONNECT_ATTEMPTS: usize = 3;
+/// Timeout of a request that submits or cancels a job.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of a status query.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
-const LEAST_RETRY_S: u64 = 1;
-const MOST_RETRY_S: u64 = 30;
-/// Users give up on a submission after this long.
-const GIVE_UP: Duration = Duration::from_secs(60);
-/// Submissions that are accepted within this time are counted, in microseconds.
-const PROMPT: u64 = 300_000;
+const MIN_RETRY_S: u64 = 1;
+const MAX_RETRY_S: u64 = 30;
+/// Users repeat a submission or a cancellation for this long, then give up.
+const CHANGE_RETRY_DURATION: Duration = Duration::from_secs(60);
+/// A submission counts as accepted promptly within this time, in microseconds.
+const PROMPT_ACCEPTANCE_US: u64 = 300_000;
 /// Memory of a task in GB.
 const TASK_MEMORY_GB: f64 = 1.0;
-/// The run time of a task that runs for longer than any scenario, in seconds.
+/// Run time of a task that runs for longer than any scenario, in seconds.
 const ENDLESS_S: f64 = 100_000.0;
-/// The most images; every machine ends up with most of them.
-const IMAGES: u64 = 5;
-/// What fetching an image takes, in seconds.
-const FETCH_S: f64 = 0.5;
+/// Number of images; every machine ends up with most of them.
+const IMAGE_COUNT: u64 = 5;
+/// Time to fetch an image, in seconds.
+const IMAGE_FETCH_S: f64 = 0.5;
 
-/// How users fared.
+/// Counters of what users did, and of the responses that they got.
 #[derive(Debug)]
-pub struct Service {
-    /// Submissions begun.
+pub struct UserStats {
+    /// Submissions started.
     pub submitted: AtomicU64,
     /// Submissions accepted.
     pub accepted: AtomicU64,
     /// Submissions accepted within 300 ms of the first attempt.
-    pub prompt: AtomicU64,
-    /// Submissions given up after a minute.
+    pub accepted_promptly: AtomicU64,
+    /// Submissions refused as invalid, or given up after a minute.
     pub given_up: AtomicU64,
-    /// Requests by the status that they got; 0: no answer.
+    /// Requests by response status; 0 means no response.
     pub statuses: Mutex<BTreeMap<u16, u64>>,
-    /// Times from the first attempt to acceptance, in microseconds.
+    /// Times from the first attempt to the acceptance, in microseconds.
     pub accept_times: Mutex<Histogram<u64>>,
-    /// When urgent jobs were submitted, in microseconds.
-    pub urgent: Mutex<BTreeMap<u64, u64>>,
+    /// When urgent jobs were submitted, by job, in microseconds.
+    pub urgent_submitted_at: Mutex<BTreeMap<u64, u64>>,
 }
 
-impl Default for Service {
+impl Default for UserStats {
     fn default() -> Self {
-        Service {
+        UserStats {
             submitted: AtomicU64::new(0),
             accepted: AtomicU64::new(0),
-            prompt: AtomicU64::new(0),
+            accepted_promptly: AtomicU64::new(0),
             given_up: AtomicU64::new(0),
             statuses: Mutex::default(),
             accept_times: Mutex::new(new_histogram()),
-            urgent: Mutex::default(),
+            urgent_submitted_at: Mutex::default(),
         }
     }
 }
 
-/// A histogram of times in microseconds, up to any length, with three digits.
+/// Creates a histogram that accepts values of any size, with three significant digits.
 pub fn new_histogram() -> Histogram<u64> {
-    // Only digits above 5 are refused.
+    // Creation fails only with more than five significant digits.
     Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed"))
 }
 
 /// The load balancer of a region.
-pub struct Balancer {
+pub struct LoadBalancer {
     region: Arc<Region>,
     healthy: Vec<AtomicBool>,
-    open: Vec<AtomicUsize>,
-    /// What went between users and controllers.
+    open_connections: Vec<AtomicUsize>,
+    /// Traffic between users and controllers.
     pub traffic: Arc<Traffic>,
-    /// How users fared.
-    pub service: Arc<Service>,
+    /// Counters of the users.
+    pub user_stats: Arc<UserStats>,
 }
 
-/// A user's connection through the balancer.
+/// A user's connection through the load balancer.
 struct UserConnection {
     connection: Connection,
     node: usize,
-    balancer: Arc<Balancer>,
+    balancer: Arc<LoadBalancer>,
 }
 
 impl Drop for UserConnection {
     fn drop(&mut self) {
-        self.balancer.open[self.node].fetch_sub(1, Ordering::Relaxed);
+        self.balancer.open_connections[self.node].fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Balancer {
-    /// A balancer that has asked nobody yet.
-    pub fn new(region: &Arc<Region>, service: &Arc<Service>) -> Arc<Balancer> {
-        let nodes = region.world.scenario.regions[region.index].controllers;
-        Arc::new(Balancer {
+impl LoadBalancer {
+    /// Creates a load balancer that has not checked the health of any controller yet.
+    pub fn new(region: &Arc<Region>, user_stats: &Arc<UserStats>) -> Arc<LoadBalancer> {
+        let nodes = region.context.scenario.regions[region.index].controllers;
+        Arc::new(LoadBalancer {
             region: Arc::clone(region),
             healthy: (0..nodes).map(|_| AtomicBool::new(false)).collect(),
-            open: (0..nodes).map(|_| AtomicUsize::new(0)).collect(),
+            open_connections: (0..nodes).map(|_| AtomicUsize::new(0)).collect(),
             traffic: Arc::default(),
-            service: Arc::clone(service),
+            user_stats: Arc::clone(user_stats),
         })
     }
 
-    /// Its region.
+    /// The number of its region.
     pub fn region(&self) -> usize {
         self.region.index
     }
 
-    /// Whether some controller is healthy.
+    /// Whether at least one controller is healthy.
     pub fn is_up(&self) -> bool {
         self.healthy.iter().any(|h| h.load(Ordering::Relaxed))
     }
 
-    /// Asks a controller for ever whether it is healthy.
+    /// Checks the health of a controller periodically; does not return.
     pub async fn probe(self: Arc<Self>, node: usize) {
         let traffic = Arc::default();
         let address = self
             .region
-            .world
+            .context
             .addresses
             .controller(self.region.index, node);
         loop {
-            let asking = async {
+            let health_check = async {
                 let mut connection = Connection::open(address, &traffic).await?;
                 connection.call("GET", "/healthz", Bytes::new()).await
             };
-            let answer = tokio::time::timeout(PROBE_LIMIT, asking).await;
+            let answer = tokio::time::timeout(PROBE_TIMEOUT, health_check).await;
             let healthy = matches!(answer, Ok(Ok(Answer { status: 200, .. })));
             self.healthy[node].store(healthy, Ordering::Relaxed);
             tokio::time::sleep(PROBE_INTERVAL).await;
@@ -146,18 +146,18 @@
     }
 
     async fn connect(self: &Arc<Self>) -> Result<UserConnection, NoAnswer> {
-        let mut nodes: Vec<usize> = (0..self.open.len())
+        let mut nodes: Vec<usize> = (0..self.open_connections.len())
             .filter(|n| self.healthy[*n].load(Ordering::Relaxed))
             .collect();
-        nodes.sort_by_key(|n| self.open[*n].load(Ordering::Relaxed));
-        for node in nodes.into_iter().take(BALANCER_TRIES) {
+        nodes.sort_by_key(|n| self.open_connections[*n].load(Ordering::Relaxed));
+        for node in nodes.into_iter().take(MAX_CONNECT_ATTEMPTS) {
             let address = self
                 .region
-                .world
+                .context
                 .addresses
                 .controller(self.region.index, node);
             if let Ok(connection) = Connection::open(address, &self.traffic).await {
-                self.open[node].fetch_add(1, Ordering::Relaxed);
+                self.open_connections[node].fetch_add(1, Ordering::Relaxed);
                 return Ok(UserConnection {
                     connection,
                     node,
@@ -169,28 +169,28 @@
     }
 }
 
-/// A user who sees to one job.
+/// A user, with one job.
 struct User {
-    balancer: Arc<Balancer>,
+    balancer: Arc<LoadBalancer>,
     connection: Option<UserConnection>,
     job: u64,
 }
 
 impl User {
     fn now(&self) -> u64 {
-        self.balancer.region.world.now()
+        self.balancer.region.context.now()
     }
 
-    async fn ask(
+    async fn request(
         &mut self,
         method: &str,
         path: &str,
         body: Bytes,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Answer, NoAnswer> {
         let open = self.connection.take().filter(|c| c.connection.is_open());
         let balancer = Arc::clone(&self.balancer);
-        let asking = async {
+        let exchange = async {
             let mut user = match open {
                 Some(user) => user,
                 None => balancer.connect().await?,
@@ -198,7 +198,7 @@
             let answer = user.connection.call(method, path, body).await?;
             Ok::<_, NoAnswer>((user, answer))
         };
-        let result = match tokio::time::timeout(limit, asking).await {
+        let result = match tokio::time::timeout(timeout, exchange).await {
             Ok(Ok((user, answer))) => {
                 self.connection = Some(user);
                 Ok(answer)
@@ -208,7 +208,7 @@
         let status = result.as_ref().map_or(0, |a| a.status);
         *self
             .balancer
-            .service
+            .user_stats
             .statuses
             .lock()
             .entry(status)
@@ -216,34 +216,37 @@
         result
     }
 
-    /// Tells the judge what an answer said; whether the job is over.
-    fn note(&self, asked: u64, answer: &Answer) -> bool {
+    /// Passes the reported state of the job to the invariant checker; returns whether the job is finished.
+    fn record_answer(&self, sent_at: u64, answer: &Answer) -> bool {
         let now = self.now();
-        let mut judge = self.balancer.region.world.judge.lock();
+        let mut checker = self.balancer.region.context.checker.lock();
         if answer.status == 404 {
-            judge.unknown(now, self.job);
+            checker.job_unknown(now, self.job);
         }
         if !matches!(answer.status, 200 | 201) {
             return false;
         }
         let body: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-        let told = match body["status"].as_str() {
-            Some("done") => Told::Done,
-            Some("cancelled") => Told::Cancelled,
-            _ => Told::Live,
+        let reported = match body["status"].as_str() {
+            Some("done") => ReportedState::Done,
+            Some("cancelled") => ReportedState::Cancelled,
+            _ => ReportedState::Live,
         };
-        judge.told(now, asked, self.job, told);
-        told != Told::Live
+        checker.state_reported(now, sent_at, self.job, reported);
+        reported != ReportedState::Live
     }
 
-    /// Repeats a request that changes something until it is answered; whether it was.
-    async fn insist(&mut self, path: &str, body: Bytes) -> bool {
-        let begun = tokio::time::Instant::now();
-        while begun.elapsed() < GIVE_UP {
-            let asked = self.now();
-            let answer = self.ask("POST", path, body.clone(), CHANGE_LIMIT).await;
+    /// Repeats a submission or a cancellation until it is accepted or refused as invalid, or until the time for retries is over;
+    /// returns whether it was accepted.
+    async fn post_with_retries(&mut self, path: &str, body: Bytes) -> bool {
+        let started_at = tokio::time::Instant::now();
+        while started_at.elapsed() < CHANGE_RETRY_DURATION {
+            let sent_at = self.now();
+            let answer = self
+                .request("POST", path, body.clone(), CHANGE_TIMEOUT)
+                .await;
             if let Ok(answer) = &answer {
-                self.note(asked, answer);
+                self.record_answer(sent_at, answer);
                 match answer.status {
                     200 | 201 => return true,
                     400 | 422 => return false,
@@ -254,41 +257,46 @@
                 .ok()
                 .and_then(|a| a.retry_after)
                 .unwrap_or(0)
-                .clamp(LEAST_RETRY_S, MOST_RETRY_S);
+                .clamp(MIN_RETRY_S, MAX_RETRY_S);
             tokio::time::sleep(Duration::from_secs(pause)).await;
         }
         false
     }
 
     async fn submit(&mut self, body: Bytes) -> bool {
-        let service = Arc::clone(&self.balancer.service);
-        let began = self.now();
-        service.submitted.fetch_add(1, Ordering::Relaxed);
-        if !self.insist("/work", body).await {
-            service.given_up.fetch_add(1, Ordering::Relaxed);
+        let user_stats = Arc::clone(&self.balancer.user_stats);
+        let started_at = self.now();
+        user_stats.submitted.fetch_add(1, Ordering::Relaxed);
+        if !self.post_with_retries("/work", body).await {
+            user_stats.given_up.fetch_add(1, Ordering::Relaxed);
             return false;
         }
-        let took = self.now() - began;
-        service.accepted.fetch_add(1, Ordering::Relaxed);
-        service
-            .prompt
-            .fetch_add(u64::from(took <= PROMPT), Ordering::Relaxed);
-        // A histogram that grows by itself takes every value.
-        let _ = service.accept_times.lock().record(took);
+        let duration_us = self.now() - started_at;
+        user_stats.accepted.fetch_add(1, Ordering::Relaxed);
+        user_stats.accepted_promptly.fetch_add(
+            u64::from(duration_us <= PROMPT_ACCEPTANCE_US),
+            Ordering::Relaxed,
+        );
+        // An auto-resizing histogram accepts every value.
+        let _ = user_stats.accept_times.lock().record(duration_us);
         true
     }
 
-    /// Asks until the job is over; cancels it before the first question if it is to be cancelled.
+    /// Polls until the job is finished. With `cancel`, cancels the job instead, and polls only if that fails.
     async fn follow(&mut self, cancel: bool) {
         let path = format!("/work/{}", Submission::name(self.job));
         tokio::time::sleep(POLL_INTERVAL.mul_f64(self.balancer.region.random())).await;
-        if cancel && self.insist(&format!("{path}/abort"), Bytes::new()).await {
+        if cancel
+            && self
+                .post_with_retries(&format!("{path}/abort"), Bytes::new())
+                .await
+        {
             return;
         }
         loop {
-            let asked = self.now();
-            if let Ok(answer) = self.ask("GET", &path, Bytes::new(), POLL_LIMIT).await
-                && self.note(asked, &answer)
+            let sent_at = self.now();
+            if let Ok(answer) = self.request("GET", &path, Bytes::new(), POLL_TIMEOUT).await
+                && self.record_answer(sent_at, &answer)
             {
                 return;
             }
@@ -297,9 +305,9 @@
     }
 }
 
-/// What kind of job is submitted.
+/// Kinds of jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum JobKind {
     /// Its tasks run for longer than the scenario.
     Endless,
     /// Its tasks run for the scenario's run time.
@@ -308,25 +316,25 @@
     Urgent,
 }
 
-/// Cores of a task of an ordinary size, in whole thousandths.
+/// Cores of a task if `tasks_per_worker` of them fill a worker, rounded down to thousandths.
 pub fn task_cores(tasks_per_worker: f64) -> f64 {
     (MACHINE_CORES / tasks_per_worker * 1e3).floor() / 1e3
 }
 
-/// Submits a job with so many tasks and follows it to its end.
-pub async fn see_to(balancer: Arc<Balancer>, job: u64, kind: Kind, tasks: u32) {
-    let world = Arc::clone(&balancer.region.world);
-    let load = &world.scenario.load;
+/// Submits a job and polls it until it is finished.
+pub async fn submit_and_follow(balancer: Arc<LoadBalancer>, job: u64, kind: JobKind, tasks: u32) {
+    let context = Arc::clone(&balancer.region.context);
+    let load = &context.scenario.load;
     let team = job as usize % load.teams;
-    let run_s = if kind == Kind::Endless {
+    let run_s = if kind == JobKind::Endless {
         ENDLESS_S
     } else {
         load.run_s
     };
     let (lane, urgency) = match kind {
-        Kind::Endless => ("endless", "standard"),
-        Kind::Short => ("short", "standard"),
-        Kind::Urgent => (URGENT_CLASS, "critical"),
+        JobKind::Endless => ("endless", "standard"),
+        JobKind::Short => ("short", "standard"),
+        JobKind::Urgent => (URGENT_CLASS, "critical"),
     };
     let submission = Submission {
         job,
@@ -342,8 +350,8 @@
         one_zone: false,
         apart: false,
         spot: true,
-        image: format!("img-{}", job % IMAGES),
-        size: FETCH_S,
+        image: format!("img-{}", job % IMAGE_COUNT),
+        size: IMAGE_FETCH_S,
         guess: run_s,
         bookmark: 0.0,
         stash: 0.0,
@@ -363,15 +371,19 @@
         saves: false,
         stash: 0.0,
     };
-    world.jobs.write().insert(job, info);
-    world
-        .judge
+    context.jobs.write().insert(job, info);
+    context
+        .checker
         .lock()
-        .submits(job, team, submission.cores, tasks);
-    if kind == Kind::Urgent {
-        balancer.service.urgent.lock().insert(job, world.now());
+        .job_submitted(job, team, submission.cores, tasks);
+    if kind == JobKind::Urgent {
+        balancer
+            .user_stats
+            .urgent_submitted_at
+            .lock()
+            .insert(job, context.now());
     }
-    let cancel = kind == Kind::Short && balancer.region.random() < load.cancelled;
+    let cancel = kind == JobKind::Short && balancer.region.random() < load.cancelled;
     let body = Bytes::from(submission.body().to_string());
     let mut user = User {
         balancer,
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/workers.rs
@@ -1,8 +1,8 @@
 //! Hollow workers: each with its own connection, tokens, sessions, lease, task list and report rhythm.
 
-use crate::http::{Answer, Connection, NoAnswer, Taken, Traffic, serve};
+use crate::fakes::worker::{ANSWER_LIMIT, Deed, NEXT_NODE_PAUSE, Redirect, Worker};
+use crate::http::{Answer, Connection, IncomingRequest, NoAnswer, Traffic, serve};
 use crate::region::Region;
-use crate::standins::worker::{ANSWER_LIMIT, Deed, NEXT_NODE_PAUSE, Redirect, Worker};
 use bytes::Bytes;
 use parking_lot::Mutex;
 use std::future::Future;
@@ -14,16 +14,16 @@
 use tokio::sync::Notify;
 
 /// How long a worker in a cut waits before it looks again.
-const CUT_PAUSE: Duration = Duration::from_millis(500);
+const PARTITION_RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Shortest pause of a worker's loop.
-const LEAST_PAUSE: u64 = 1_000;
+const MIN_PAUSE_US: u64 = 1_000;
 
 /// A report on its way: by which connection, and what came back.
-type Exchange =
+type ReportExchange =
     Pin<Box<dyn Future<Output = (Option<Connection>, Result<Answer, NoAnswer>)> + Send>>;
 
 /// A worker and its connections.
-pub struct HollowWorker {
+pub struct FakeWorker {
     region: Weak<Region>,
     machine: u64,
     zone: String,
@@ -37,17 +37,17 @@
 }
 
 /// A report that is due.
-struct Due {
+struct DueReport {
     body: Vec<u8>,
     node: usize,
     sent: u64,
     session: u64,
 }
 
-impl HollowWorker {
+impl FakeWorker {
     /// Wraps a worker.
-    pub fn new(region: &Arc<Region>, worker: Worker) -> Arc<HollowWorker> {
-        Arc::new(HollowWorker {
+    pub fn new(region: &Arc<Region>, worker: Worker) -> Arc<FakeWorker> {
+        Arc::new(FakeWorker {
             region: Arc::downgrade(region),
             machine: worker.id,
             zone: worker.yard.clone(),
@@ -61,14 +61,14 @@
 
     /// Its machine is gone with all that is on it.
     pub fn stop(&self) {
-        let mut deeds = Vec::new();
+        let mut events = Vec::new();
         {
             let mut worker = self.worker.lock();
             self.gone.store(true, Ordering::Relaxed);
-            worker.kill_all(&mut deeds);
+            worker.kill_all(&mut events);
         }
         if let Some(region) = self.region.upgrade() {
-            self.judge(&region, &deeds);
+            self.record_events(&region, &events);
         }
         self.wake.notify_one();
     }
@@ -78,14 +78,14 @@
         self.worker.lock().lost_leases
     }
 
-    fn judge(&self, region: &Region, deeds: &[Deed]) {
-        if deeds.is_empty() {
+    fn record_events(&self, region: &Region, events: &[Deed]) {
+        if events.is_empty() {
             return;
         }
-        let now = region.world.now();
-        let mut judge = region.world.judge.lock();
-        for deed in deeds {
-            judge.deed(now, (region.index, self.machine), deed);
+        let now = region.context.now();
+        let mut checker = region.context.checker.lock();
+        for task_event in events {
+            checker.task_event(now, (region.index, self.machine), task_event);
         }
     }
 
@@ -94,9 +94,9 @@
         let Some(region) = self.region.upgrade() else {
             return;
         };
-        let keep = region.world.scenario.workers.keep_command_connections;
+        let keep = region.context.scenario.workers.keep_command_connections;
         let commanded = Arc::clone(&self);
-        let handler = move |taken| Arc::clone(&commanded).command(taken);
+        let handler = move |request| Arc::clone(&commanded).command(request);
         let server = tokio::spawn(serve(listener, Arc::clone(&self.traffic), keep, handler));
         self.report_until_gone(&region).await;
         server.abort();
@@ -104,10 +104,10 @@
 
     async fn report_until_gone(&self, region: &Arc<Region>) {
         let mut connection: Option<(usize, Connection)> = None;
-        let mut exchange: Option<(Due, Exchange)> = None;
+        let mut exchange: Option<(DueReport, ReportExchange)> = None;
         while !self.gone.load(Ordering::Relaxed) {
-            let now = region.world.now();
-            let cut = region.is_cut(&self.zone, now);
+            let now = region.context.now();
+            let cut = region.is_partitioned(&self.zone, now);
             if let Some(due) = self.bring_forward(region, now, cut) {
                 let open = connection
                     .take()
@@ -116,9 +116,9 @@
                 exchange = Some((due, Box::pin(sending)));
             }
             let next = self.worker.lock().next_deadline();
-            let mut pause = Duration::from_micros(next.saturating_sub(now).max(LEAST_PAUSE));
+            let mut pause = Duration::from_micros(next.saturating_sub(now).max(MIN_PAUSE_US));
             if cut {
-                pause = CUT_PAUSE;
+                pause = PARTITION_RECHECK_INTERVAL;
             }
             tokio::select! {
                 (kept, result) = wait_for(&mut exchange) => {
@@ -134,41 +134,41 @@
     }
 
     /// Brings tasks and lease forward; a report if one is due and can leave.
-    fn bring_forward(&self, region: &Region, now: u64, cut: bool) -> Option<Due> {
+    fn bring_forward(&self, region: &Region, now: u64, cut: bool) -> Option<DueReport> {
         let jitter = 0.75 + 0.5 * region.random();
-        let interval = (region.world.scenario.workers.report_s * 1e6 * jitter) as u64;
-        let mut deeds = Vec::new();
+        let interval = (region.context.scenario.workers.report_s * 1e6 * jitter) as u64;
+        let mut events = Vec::new();
         let due = {
-            let jobs = region.world.jobs.read();
+            let jobs = region.context.jobs.read();
             let mut worker = self.worker.lock();
             if self.gone.load(Ordering::Relaxed) {
                 return None;
             }
-            worker.check_lease(now, &mut deeds);
-            worker.advance(now, &jobs, &mut deeds);
+            worker.check_lease(now, &mut events);
+            worker.advance(now, &jobs, &mut events);
             let body = if cut {
                 None
             } else {
                 worker.due_report(now, interval)
             };
-            body.map(|body| Due {
+            body.map(|body| DueReport {
                 body,
                 node: worker.node,
                 sent: now,
                 session: worker.shift,
             })
         };
-        self.judge(region, &deeds);
+        self.record_events(region, &events);
         due
     }
 
     fn send(
         &self,
         region: &Region,
-        due: &Due,
+        due: &DueReport,
         open: Option<Connection>,
     ) -> impl Future<Output = (Option<Connection>, Result<Answer, NoAnswer>)> + Send + use<> {
-        let to = region.world.addresses.controller(region.index, due.node);
+        let to = region.context.addresses.controller(region.index, due.node);
         let traffic = Arc::clone(&self.traffic);
         let body = Bytes::from(due.body.clone());
         async move {
@@ -187,11 +187,11 @@
         }
     }
 
-    fn answered(&self, region: &Region, due: &Due, result: Result<Answer, NoAnswer>) {
-        let now = region.world.now();
-        let nodes = region.world.scenario.regions[region.index].controllers;
+    fn answered(&self, region: &Region, due: &DueReport, result: Result<Answer, NoAnswer>) {
+        let now = region.context.now();
+        let nodes = region.context.scenario.regions[region.index].controllers;
         // What a zone in a cut was sent does not reach it.
-        let result = if region.is_cut(&self.zone, now) {
+        let result = if region.is_partitioned(&self.zone, now) {
             Err(NoAnswer)
         } else {
             result
@@ -199,9 +199,9 @@
         if !result.as_ref().is_ok_and(|a| a.status == 200) {
             self.reports_failed.fetch_add(1, Ordering::Relaxed);
         }
-        let mut deeds = Vec::new();
+        let mut events = Vec::new();
         {
-            let jobs = region.world.jobs.read();
+            let jobs = region.context.jobs.read();
             let mut worker = self.worker.lock();
             if self.gone.load(Ordering::Relaxed) {
                 return;
@@ -209,7 +209,7 @@
             let redirect = match result {
                 Ok(answer) => {
                     let message = (answer.status, &answer.body[..]);
-                    worker.take_answer(now, (due.sent, due.session), message, &jobs, &mut deeds)
+                    worker.take_answer(now, (due.sent, due.session), message, &jobs, &mut events)
                 }
                 Err(NoAnswer) => Redirect::Next,
             };
@@ -217,29 +217,31 @@
                 worker.try_next_node(now, nodes, NEXT_NODE_PAUSE);
             }
         }
-        self.judge(region, &deeds);
+        self.record_events(region, &events);
     }
 
-    async fn command(self: Arc<Self>, taken: Taken) -> Option<Answer> {
+    async fn command(self: Arc<Self>, request: IncomingRequest) -> Option<Answer> {
         let region = self.region.upgrade()?;
-        let now = region.world.now();
-        if region.is_cut(&self.zone, now) {
+        let now = region.context.now();
+        if region.is_partitioned(&self.zone, now) {
             return None;
         }
-        let mut deeds = Vec::new();
+        let mut events = Vec::new();
         let answer = {
-            let jobs = region.world.jobs.read();
+            let jobs = region.context.jobs.read();
             let mut worker = self.worker.lock();
             if self.gone.load(Ordering::Relaxed) {
                 return None;
             }
-            match (taken.method.as_str(), taken.path.as_str()) {
-                ("POST", "/commands") => worker.take_command(now, &taken.body, &jobs, &mut deeds),
+            match (request.method.as_str(), request.path.as_str()) {
+                ("POST", "/commands") => {
+                    worker.take_command(now, &request.body, &jobs, &mut events)
+                }
                 ("GET", "/show") => Some((200, worker.report(now))),
                 _ => None,
             }
         };
-        self.judge(&region, &deeds);
+        self.record_events(&region, &events);
         self.wake.notify_one();
         let (status, body) = answer.unwrap_or((400, serde_json::json!({"error": "malformed"})));
         Some(Answer::new(status, &body))
@@ -248,7 +250,7 @@
 
 /// Waits for a report's answer, for ever if none is under way.
 async fn wait_for(
-    exchange: &mut Option<(Due, Exchange)>,
+    exchange: &mut Option<(DueReport, ReportExchange)>,
 ) -> (Option<Connection>, Result<Answer, NoAnswer>) {
     match exchange {
         Some((_, exchange)) => exchange.await,
