--- a/crates/queues/examples/submit.rs
+++ b/crates/queues/examples/submit.rs
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 ///
-/// If the broker cannot be reached or the answer does not come.
+/// If the broker cannot be reached, or the connection ends before the answer arrives.
 pub async fn submit(
     login: &OpenConnectionArguments,
     queue: &str,
@@ -29,7 +29,7 @@
         .finish();
     let (_, mut answers) = channel.basic_consume_rx(consume).await?;
     let mut properties = BasicProperties::default();
-    // The same message_id is the same job, however often it is sent.
+    // Messages with the same message_id are the same job, however often they are sent.
     properties
         .with_reply_to(ANSWER_QUEUE)
         .with_correlation_id("1")
--- a/crates/queues/src/runtime/broker/closure.rs
+++ b/crates/queues/src/runtime/broker/closure.rs
@@ -1,4 +1,4 @@
-//! Notices when the broker closes a connection or a channel.
+//! Detects when the broker closes a connection or a channel.
 
 use super::ConnectionError;
 use amqprs::callbacks::{ChannelCallback, ConnectionCallback};
@@ -14,9 +14,9 @@
 /// AMQP reply code for a queue that does not exist.
 pub(super) const NOT_FOUND: u16 = 404;
 
-/// Why the broker closed something.
+/// Why the broker closed a connection or channel.
 #[derive(Clone, Debug)]
-struct Reason {
+struct CloseReason {
     code: u16,
     text: String,
 }
@@ -24,17 +24,17 @@
 /// Remembers the last reason that the broker gave for closing a connection or channel.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ClosureWatch {
-    reason: Arc<Mutex<Option<Reason>>>,
+    reason: Arc<Mutex<Option<CloseReason>>>,
     closed: Arc<Notify>,
 }
 
 impl ClosureWatch {
-    /// Waits until the broker closes something.
+    /// Waits until the broker closes the connection or channel.
     pub async fn closed(&self) {
         self.closed.notified().await;
     }
 
-    /// Whether something was closed because a queue does not exist.
+    /// Whether the connection or channel was closed because a queue does not exist.
     pub fn is_not_found(&self) -> bool {
         let reason = self.reason.lock();
         reason
@@ -45,13 +45,15 @@
     /// The reason as an error.
     pub fn error(&self) -> ConnectionError {
         match self.reason.lock().clone() {
-            Some(Reason { code, text }) => ConnectionError::ClosedByBroker { code, reason: text },
+            Some(CloseReason { code, text }) => {
+                ConnectionError::ClosedByBroker { code, reason: text }
+            }
             None => ConnectionError::ClosedWithoutReason,
         }
     }
 
     fn record(&self, code: u16, text: &str) {
-        *self.reason.lock() = Some(Reason {
+        *self.reason.lock() = Some(CloseReason {
             code,
             text: text.to_owned(),
         });
@@ -85,7 +87,7 @@
     }
 
     /// A consumer is cancelled when its queue is deleted. That ends the connection; the next one finds out which
-    /// queues there are.
+    /// queues exist.
     async fn cancel(&mut self, _: &Channel, _: Cancel) -> Result<(), Error> {
         self.record(NOT_FOUND, "a consumer was cancelled by the broker");
         Ok(())
--- a/crates/queues/src/runtime/broker/orphan_receipts.rs
+++ b/crates/queues/src/runtime/broker/orphan_receipts.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeSet;
 use tokio::sync::mpsc;
 
-/// Receipts that were read, and the channel that keeps everybody else from reading them while it is open.
+/// Receipts that were read, and the channel that prevents other processes from reading them while it is open.
 pub(super) struct ReceiptsRead {
     pub response: ReceiptsResponse,
     /// Present if the receipts were read completely.
@@ -32,13 +32,13 @@
 
 /// Reads all receipts of another consumer as the exclusive consumer of its receipt queue.
 ///
-/// The broker refuses a second exclusive consumer; that shows that the other one may still commit.
+/// The broker refuses a second exclusive consumer. A refusal shows that the other consumer may still commit.
 pub(super) async fn read(
     connection: &Connection,
-    number: u64,
+    connection_number: u64,
     consumer: ConsumerId,
 ) -> ReceiptsRead {
-    try_read(connection, number, consumer)
+    try_read(connection, connection_number, consumer)
         .await
         .unwrap_or_else(|error| {
             tracing::debug!(%consumer, %error, "cannot read the receipts of a consumer");
@@ -48,7 +48,7 @@
 
 async fn try_read(
     connection: &Connection,
-    number: u64,
+    connection_number: u64,
     consumer: ConsumerId,
 ) -> Result<ReceiptsRead, ConnectionError> {
     let queue = queue_name(consumer);
@@ -68,9 +68,9 @@
             ReceiptsResponse::Busy
         }));
     };
-    let sentinel = publish_sentinel(&channel, &queue, number).await?;
-    let Some(keys) = read_until(&mut receipts, &sentinel).await else {
-        // The receipts are busy whether or not the channel closes.
+    let sentinel = publish_sentinel(&channel, &queue, connection_number).await?;
+    let Some(keys) = read_until_sentinel(&mut receipts, &sentinel).await else {
+        // The result is the same whether or not the channel closes.
         let _ = with_timeout(channel.close()).await;
         return Ok(ReceiptsRead::without_channel(ReceiptsResponse::Busy));
     };
@@ -84,9 +84,9 @@
 async fn publish_sentinel(
     channel: &Channel,
     queue: &str,
-    number: u64,
+    connection_number: u64,
 ) -> Result<Vec<u8>, ConnectionError> {
-    let sentinel = format!("end {number} {}", std::process::id()).into_bytes();
+    let sentinel = format!("end {connection_number} {}", std::process::id()).into_bytes();
     let published = channel.basic_publish(
         BasicProperties::default(),
         sentinel.clone(),
@@ -96,8 +96,8 @@
     Ok(sentinel)
 }
 
-/// Collects the messages of all receipts before the sentinel. `None` if that does not arrive in time.
-async fn read_until(
+/// Collects the messages of all receipts before the sentinel. `None` if the sentinel does not arrive in time.
+async fn read_until_sentinel(
     receipts: &mut mpsc::UnboundedReceiver<ConsumerMessage>,
     sentinel: &[u8],
 ) -> Option<BTreeSet<MessageKey>> {
@@ -112,7 +112,8 @@
     }
 }
 
-/// Closes the channel that read a consumer's receipts, if there is one. Returns whether the queue is known to be gone.
+/// Closes the channel that read a consumer's receipts, if there is one, and deletes their queue on request. Returns
+/// whether the queue is known to be deleted.
 pub(super) async fn release(
     connection: &Connection,
     channel: Option<Channel>,
@@ -123,20 +124,20 @@
         Some(channel) => channel,
         None if delete_queue => match with_timeout(connection.open_channel(None)).await {
             Ok(channel) => channel,
-            // The queue is found again in the next search for gone consumers.
+            // The queue is found again in the next search for dead consumers.
             Err(_) => return false,
         },
         None => return false,
     };
-    let is_gone = delete_queue && delete(&channel, consumer).await;
-    // If that fails the channel ends with its connection.
+    let is_deleted = delete_queue && delete_receipt_queue(&channel, consumer).await;
+    // If closing fails, the channel ends with its connection.
     let _ = with_timeout(channel.close()).await;
-    is_gone
+    is_deleted
 }
 
-async fn delete(channel: &Channel, consumer: ConsumerId) -> bool {
+async fn delete_receipt_queue(channel: &Channel, consumer: ConsumerId) -> bool {
     let watch = ClosureWatch::default();
-    // Without the callback a queue that is gone already is found again in the next search.
+    // Without the callback, a queue that was already deleted is found again in the next search.
     let _ = with_timeout(channel.register_callback(watch.clone())).await;
     let queue = queue_name(consumer);
     let deleted = with_timeout(channel.queue_delete(QueueDeleteArguments::new(&queue))).await;
--- a/crates/queues/src/runtime/broker/session.rs
+++ b/crates/queues/src/runtime/broker/session.rs
@@ -45,13 +45,13 @@
     /// The channel of all transactions.
     channel: Channel,
     /// Number of the connection.
-    number: u64,
+    connection_number: u64,
     events: Events,
     tasks: &'a mut JoinSet<()>,
     /// Known once the receipt queue is opened.
     own_id: Option<ConsumerId>,
     own_receipts: Arc<Mutex<OwnReceipts>>,
-    /// Channels that keep the receipts of other consumers from everybody else.
+    /// Channels that prevent other processes from reading the receipts of a consumer.
     receipt_channels: Arc<Mutex<BTreeMap<ConsumerId, Channel>>>,
 }
 
@@ -60,7 +60,7 @@
     pub async fn run(
         settings: &'a QueueSettings,
         connection: Connection,
-        number: u64,
+        connection_number: u64,
         tasks: &'a mut JoinSet<()>,
         commands: &mut Commands,
         events: &Events,
@@ -74,14 +74,16 @@
             settings,
             connection,
             channel,
-            number,
+            connection_number,
             events: events.clone(),
             tasks,
             own_id: None,
             own_receipts: Arc::default(),
             receipt_channels: Arc::default(),
         };
-        session.send(Event::Connected { connection: number });
+        session.send(Event::Connected {
+            connection: connection_number,
+        });
         session.serve(&watch, commands).await
     }
 
@@ -104,9 +106,9 @@
             else {
                 return Ok(());
             };
-            // Commands for earlier connections are void.
-            if connection == self.number {
-                self.carry_out(command).await?;
+            // Commands for earlier connections are ignored.
+            if connection == self.connection_number {
+                self.execute(command).await?;
             }
             if !self.channel.is_open() {
                 return Err(watch.error());
@@ -116,7 +118,7 @@
     }
 
     fn send(&self, event: Event) {
-        send(&self.events, self.number, event);
+        send(&self.events, self.connection_number, event);
     }
 
     fn reap_tasks(&mut self) {
@@ -127,13 +129,13 @@
         }
     }
 
-    async fn carry_out(&mut self, command: BrokerCommand) -> Result<(), ConnectionError> {
+    async fn execute(&mut self, command: BrokerCommand) -> Result<(), ConnectionError> {
         match command {
             BrokerCommand::OpenReceiptQueue(consumer) => {
                 self.open_receipt_queue(consumer).await?;
             }
             BrokerCommand::StartConsuming => self.start_consuming().await?,
-            BrokerCommand::Reconnect => return Err(ConnectionError::GivenUp),
+            BrokerCommand::Reconnect => return Err(ConnectionError::ReconnectRequested),
             BrokerCommand::Commit(transaction) => {
                 self.commit(transaction).await?;
                 self.send(Event::Committed);
@@ -189,9 +191,17 @@
             let deliveries = self
                 .consume(&queue.name, queue.prefetch, Access::Shared)
                 .await?;
-            let (events, number, name) = (self.events.clone(), self.number, queue.name.clone());
-            self.tasks
-                .spawn(forward_deliveries(name, deliveries, events, number));
+            let (events, connection_number, name) = (
+                self.events.clone(),
+                self.connection_number,
+                queue.name.clone(),
+            );
+            self.tasks.spawn(forward_deliveries(
+                name,
+                deliveries,
+                events,
+                connection_number,
+            ));
         }
         Ok(())
     }
@@ -258,39 +268,49 @@
         with_timeout(self.channel.basic_publish(properties, body, arguments)).await
     }
 
-    /// Reads another consumer's receipts beside everything else.
+    /// Reads another consumer's receipts in a concurrent task.
     fn read_receipts(&mut self, consumer: ConsumerId) {
         let channels = Arc::clone(&self.receipt_channels);
-        let (connection, events, number) =
-            (self.connection.clone(), self.events.clone(), self.number);
+        let (connection, events, connection_number) = (
+            self.connection.clone(),
+            self.events.clone(),
+            self.connection_number,
+        );
         self.tasks.spawn(async move {
-            let read = orphan_receipts::read(&connection, number, consumer).await;
+            let read = orphan_receipts::read(&connection, connection_number, consumer).await;
             if let Some(channel) = read.channel {
                 channels.lock().insert(consumer, channel);
             }
             send(
                 &events,
-                number,
+                connection_number,
                 Event::ReceiptsRead(consumer, read.response),
             );
         });
     }
 
-    /// Lets others read a consumer's receipts again, or deletes them, beside everything else.
+    /// Lets other processes read a consumer's receipts again, or deletes them, in a concurrent task.
     fn release_receipts(&mut self, consumer: ConsumerId, delete_queue: bool) {
         let channel = self.receipt_channels.lock().remove(&consumer);
-        let (connection, events, number) =
-            (self.connection.clone(), self.events.clone(), self.number);
+        let (connection, events, connection_number) = (
+            self.connection.clone(),
+            self.events.clone(),
+            self.connection_number,
+        );
         self.tasks.spawn(async move {
             if orphan_receipts::release(&connection, channel, consumer, delete_queue).await {
-                send(&events, number, Event::ReceiptQueueDeleted(consumer));
+                send(
+                    &events,
+                    connection_number,
+                    Event::ReceiptQueueDeleted(consumer),
+                );
             }
         });
     }
 }
 
 fn send(events: &Events, connection: u64, event: Event) {
-    // Without a receiver the service has ended, and nobody needs the event.
+    // Without a receiver the service has ended, and the event is not needed.
     let _ = events.send(BrokerEvent { connection, event });
 }
 
--- a/crates/queues/src/runtime/clock.rs
+++ b/crates/queues/src/runtime/clock.rs
@@ -6,7 +6,7 @@
 /// Microseconds since the Unix epoch that never go back, whatever happens to the system's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
-    started: Instant,
+    started_instant: Instant,
     started_at: Micros,
 }
 
@@ -17,17 +17,17 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            started: Instant::now(),
+            started_instant: Instant::now(),
             started_at: whole_micros(since_epoch),
         }
     }
 
     /// The present time.
     pub fn now(&self) -> Micros {
-        self.started_at + whole_micros(self.started.elapsed())
+        self.started_at + whole_micros(self.started_instant.elapsed())
     }
 
-    /// How long it is until a time; zero if that has passed.
+    /// The time that remains until `at`; zero if `at` has passed.
     pub fn until(&self, at: Micros) -> Duration {
         Duration::from_micros(at.saturating_sub(self.now()))
     }
--- a/crates/queues/src/runtime/controllers.rs
+++ b/crates/queues/src/runtime/controllers.rs
@@ -15,12 +15,12 @@
 /// Time limit for status queries.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A client that sends requests to one controller until that fails, then to the next one.
+/// A client that sends requests to one controller until a request fails, then to the next controller.
 #[derive(Debug)]
 pub(super) struct ControllerClient {
     client: Client,
     addresses: Vec<String>,
-    /// Number of the current controller, modulo the number of addresses.
+    /// Index of the current controller; used modulo the number of addresses.
     current: AtomicUsize,
 }
 
@@ -104,7 +104,7 @@
     /// Moves on to the next controller, unless another request has done so already.
     fn fail_over(&self, failed: usize) {
         let next = failed.wrapping_add(1);
-        // An error means that the current controller is another one already.
+        // An error means that another request has already moved on to the next controller.
         let _ = self
             .current
             .compare_exchange(failed, next, Ordering::Relaxed, Ordering::Relaxed);
--- a/crates/queues/src/runtime/endpoint.rs
+++ b/crates/queues/src/runtime/endpoint.rs
@@ -11,15 +11,15 @@
 use tokio_rustls::rustls::pki_types::{CertificateDer, ServerName};
 use tokio_rustls::rustls::{ClientConfig, RootCertStore};
 
-/// How the broker has to identify itself.
+/// How the broker is authenticated.
 #[derive(Clone)]
 pub(super) struct TlsIdentity {
     pub connector: TlsConnector,
-    /// The name that its certificate must have.
+    /// The name that the broker's certificate must have.
     pub server_name: String,
 }
 
-/// Where the broker is.
+/// The broker's address.
 #[derive(Clone)]
 pub(super) struct Endpoint {
     pub host: String,
@@ -32,20 +32,20 @@
 impl<S: AsyncRead + AsyncWrite + Send + Unpin> Stream for S {}
 
 impl Endpoint {
-    /// The endpoint of the settings. Relative paths are relative to `base`.
-    pub fn new(settings: &QueueSettings, base: &Path) -> Result<Endpoint, SettingsError> {
+    /// The endpoint of the settings. Relative paths are relative to `base_dir`.
+    pub fn new(settings: &QueueSettings, base_dir: &Path) -> Result<Endpoint, SettingsError> {
         let broker = &settings.broker;
         let tls = broker.tls.as_ref();
         Ok(Endpoint {
             host: broker.host.clone(),
             port: broker.port,
             tls: tls
-                .map(|tls| tls_identity(tls, &broker.host, base))
+                .map(|tls| tls_identity(tls, &broker.host, base_dir))
                 .transpose()?,
         })
     }
 
-    /// Connects in the same way as the AMQP library does by itself.
+    /// Connects in the same way as the AMQP library does.
     pub async fn connect(&self) -> io::Result<Box<dyn Stream>> {
         let stream = TcpStream::connect((self.host.as_str(), self.port)).await?;
         stream.set_nodelay(true)?;
@@ -57,8 +57,12 @@
     }
 }
 
-fn tls_identity(tls: &TlsSettings, host: &str, base: &Path) -> Result<TlsIdentity, SettingsError> {
-    let path = base.join(&tls.root_certificates);
+fn tls_identity(
+    tls: &TlsSettings,
+    host: &str,
+    base_dir: &Path,
+) -> Result<TlsIdentity, SettingsError> {
+    let path = base_dir.join(&tls.root_certificates);
     let roots = load_roots(&path).map_err(|source| SettingsError::File {
         field: "broker.tls.roots",
         path,
@@ -67,7 +71,7 @@
     let config = ClientConfig::builder()
         .with_root_certificates(roots)
         .with_no_client_auth();
-    let server_name = tls.name.clone();
+    let server_name = tls.server_name.clone();
     Ok(TlsIdentity {
         connector: TlsConnector::from(Arc::new(config)),
         server_name: server_name.unwrap_or_else(|| host.to_owned()),
--- a/crates/queues/src/runtime/event_loop.rs
+++ b/crates/queues/src/runtime/event_loop.rs
@@ -3,7 +3,7 @@
 use super::broker::{BrokerEvent, SessionCommand};
 use super::clock::Clock;
 use super::controllers::ControllerClient;
-use super::metrics::{self, Gauges};
+use super::metrics::{self, SharedMetrics};
 use super::state_service::StateClient;
 use crate::state_machine::{BrokerCommand, DeliveryStateMachine, Effect, Event};
 use std::future::Future;
@@ -17,8 +17,8 @@
 const REPORT_INTERVAL: Duration = Duration::from_secs(60);
 /// How often the metrics are brought up to date.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
-/// Most events of the broker that are handled before timers are looked at again.
-const MAX_EVENT_BURST: usize = 256;
+/// Most events of the broker that are handled before timers are checked again.
+const MAX_EVENTS_PER_BURST: usize = 256;
 
 /// Drives the state machine.
 pub(super) struct EventLoop {
@@ -56,9 +56,9 @@
     /// Runs until `stop` completes and the shutdown is finished, at most for `grace` after `stop`.
     pub async fn run(
         &mut self,
-        mut inbox: mpsc::UnboundedReceiver<BrokerEvent>,
+        mut broker_events: mpsc::UnboundedReceiver<BrokerEvent>,
         stop: impl Future<Output = ()>,
-        gauges: &Gauges,
+        shared_metrics: &SharedMetrics,
         grace: Duration,
     ) {
         tokio::pin!(stop);
@@ -68,32 +68,34 @@
         while !self.is_finished {
             let wait = self.clock.until(self.machine.next_wake());
             tokio::select! {
-                Some(event) = inbox.recv() => self.handle_burst(event, &mut inbox),
-                Some(result) = self.requests.join_next() => self.handle_result(result),
+                Some(event) = broker_events.recv() => self.handle_event_burst(event, &mut broker_events),
+                Some(result) = self.requests.join_next() => self.handle_request_result(result),
                 () = tokio::time::sleep(wait.min(REPORT_INTERVAL)) => self.handle(Event::Tick),
-                _ = snapshot.tick() => gauges.set(&self.machine, self.clock.now()),
-                _ = report.tick() => metrics::report(&self.machine, self.clock.now()),
+                _ = snapshot.tick() => shared_metrics.set(&self.machine, self.clock.now()),
+                _ = report.tick() => metrics::log_counters(&self.machine, self.clock.now()),
                 () = &mut stop, if deadline.is_none() => {
-                    tracing::info!(in_hand = self.machine.pending_count(), "stopping: finishing what was begun");
+                    tracing::info!(in_hand = self.machine.pending_count(), "stopping: finishing work in progress");
                     deadline = Some(Instant::now() + grace);
                     self.handle(Event::Stop);
                 }
-                () = passed(deadline) => {
-                    tracing::info!(in_hand = self.machine.pending_count(), "stopping: returning the rest to the broker");
+                () = deadline_passed(deadline) => {
+                    tracing::info!(in_hand = self.machine.pending_count(), "stopping: returning unfinished messages to the broker");
                     return;
                 }
             }
         }
     }
 
-    fn handle_burst(
+    fn handle_event_burst(
         &mut self,
         first: BrokerEvent,
-        inbox: &mut mpsc::UnboundedReceiver<BrokerEvent>,
+        broker_events: &mut mpsc::UnboundedReceiver<BrokerEvent>,
     ) {
         self.handle_broker_event(first);
-        for _ in 0..MAX_EVENT_BURST {
-            let Ok(event) = inbox.try_recv() else { return };
+        for _ in 0..MAX_EVENTS_PER_BURST {
+            let Ok(event) = broker_events.try_recv() else {
+                return;
+            };
             self.handle_broker_event(event);
         }
     }
@@ -109,7 +111,7 @@
         }
     }
 
-    fn handle_result(&mut self, result: Result<Event, JoinError>) {
+    fn handle_request_result(&mut self, result: Result<Event, JoinError>) {
         match result {
             Ok(event) => self.handle(event),
             Err(error) => tracing::error!(%error, "request task failed"),
@@ -118,11 +120,11 @@
 
     fn handle(&mut self, event: Event) {
         for effect in self.machine.handle(self.clock.now(), event) {
-            self.carry_out(effect);
+            self.execute(effect);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         let controllers = Arc::clone(&self.controllers);
         match effect {
             Effect::Submit(request, body) => self
@@ -155,7 +157,7 @@
 }
 
 /// Completes at the deadline, or never without one.
-async fn passed(deadline: Option<Instant>) {
+async fn deadline_passed(deadline: Option<Instant>) {
     match deadline {
         Some(deadline) => tokio::time::sleep_until(deadline).await,
         None => std::future::pending().await,
--- a/crates/queues/src/runtime/header_filter/mod.rs
+++ b/crates/queues/src/runtime/header_filter/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A content header that cannot be decoded (a text that is not UTF-8, an unknown field type) ends an `amqprs`
 //! connection. Its message is not acknowledged, so it is delivered again and ends the next connection as well: one
-//! message would stop its queue. So the connection after a lost one goes through this proxy, over loopback within the
-//! process. An undecodable header is replaced by one with the reply address and the header
+//! message would stop its queue. So after a connection was lost, the next one goes through this proxy, over
+//! loopback within the process. An undecodable header is replaced by one with the reply address and the header
 //! [`UNREADABLE_HEADER`]; everything else passes unchanged.
 
 #[cfg(test)]
@@ -30,7 +30,7 @@
 /// The end octet after the payload.
 const FRAME_END_BYTES: usize = 1;
 /// The type of a frame with a content header.
-const CONTENT_HEADER: u8 = 2;
+const CONTENT_HEADER_FRAME: u8 = 2;
 /// Class, weight and body size, before the properties in a content header.
 const CONTENT_PREFIX_BYTES: usize = 12;
 /// Where the properties begin in a frame with a content header.
@@ -96,7 +96,9 @@
     };
     let downstream = async {
         while let Some(frame) = frames.next().await {
-            to_library.write_all(&decodable(frame?)).await?;
+            to_library
+                .write_all(&replace_undecodable_header(frame?))
+                .await?;
         }
         Ok(())
     };
@@ -119,9 +121,9 @@
 }
 
 /// The frame itself if the library can decode it, otherwise a replacement.
-fn decodable(frame: BytesMut) -> BytesMut {
+fn replace_undecodable_header(frame: BytesMut) -> BytesMut {
     let payload_end = frame.len().saturating_sub(FRAME_END_BYTES);
-    let is_content_header = frame.first() == Some(&CONTENT_HEADER);
+    let is_content_header = frame.first() == Some(&CONTENT_HEADER_FRAME);
     let properties = frame.get(PROPERTIES_START..payload_end);
     let Some(properties) = properties.filter(|_| is_content_header) else {
         return frame;
@@ -129,10 +131,10 @@
     if from_bytes::<BasicProperties>(properties).is_ok() {
         return frame;
     }
-    let Ok(replacement) = to_bytes(&readable_part(properties)) else {
+    let Ok(replacement) = to_bytes(&decodable_properties(properties)) else {
         return frame;
     };
-    tracing::error!("replaced properties or headers of a message that cannot be decoded");
+    tracing::error!("replaced undecodable properties or headers of a message");
     let payload_bytes = CONTENT_PREFIX_BYTES + replacement.len();
     let mut replaced = BytesMut::with_capacity(PROPERTIES_START + replacement.len() + 1);
     replaced.extend_from_slice(&frame[..FRAME_HEADER_BYTES - LENGTH_BYTES]);
@@ -143,24 +145,24 @@
     replaced
 }
 
-/// What can be read of undecodable properties: whom to answer, if that much is valid.
-fn readable_part(properties: &[u8]) -> BasicProperties {
-    let mut readable = BasicProperties::default();
+/// The part of undecodable properties that can be read: the addresses for an answer, if they are valid.
+fn decodable_properties(properties: &[u8]) -> BasicProperties {
+    let mut decodable = BasicProperties::default();
     if let Ok((_, parsed)) = basic::parse_properties(properties) {
         if let Some(reply_to) = parsed.reply_to() {
-            readable.with_reply_to(reply_to.as_str());
+            decodable.with_reply_to(reply_to.as_str());
         }
         if let Some(correlation_id) = parsed.correlation_id() {
-            readable.with_correlation_id(correlation_id.as_str());
+            decodable.with_correlation_id(correlation_id.as_str());
         }
         if let Some(id) = parsed.message_id() {
-            readable.with_message_id(id.as_str());
+            decodable.with_message_id(id.as_str());
         }
     }
     let mut headers = FieldTable::new();
     if let Ok(name) = UNREADABLE_HEADER.try_into() {
         headers.insert(name, FieldValue::t(true));
     }
-    readable.with_headers(headers);
-    readable
+    decodable.with_headers(headers);
+    decodable
 }
--- a/crates/queues/src/runtime/header_filter/tests.rs
+++ b/crates/queues/src/runtime/header_filter/tests.rs
@@ -1,6 +1,6 @@
 use super::{
-    CONTENT_HEADER, CONTENT_PREFIX_BYTES, FRAME_END_BYTES, FRAME_HEADER_BYTES, PROPERTIES_START,
-    decodable,
+    CONTENT_HEADER_FRAME, CONTENT_PREFIX_BYTES, FRAME_END_BYTES, FRAME_HEADER_BYTES,
+    PROPERTIES_START, replace_undecodable_header,
 };
 use amqp_serde::from_bytes;
 use amqprs::BasicProperties;
@@ -27,13 +27,13 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn any_frame_leaves_decodable_and_decodable_frames_leave_unchanged(
+    fn undecodable_headers_are_replaced_and_other_frames_pass_unchanged(
         bytes in prop::collection::vec(any::<u8>(), 0..80),
         kind in 0u8..5,
     ) {
         let received = frame(kind, &bytes);
-        let sent = decodable(received.clone());
-        if kind == CONTENT_HEADER && bytes.len() >= CONTENT_PREFIX_BYTES {
+        let sent = replace_undecodable_header(received.clone());
+        if kind == CONTENT_HEADER_FRAME && bytes.len() >= CONTENT_PREFIX_BYTES {
             prop_assert!(from_bytes::<BasicProperties>(&properties(&sent)).is_ok());
             prop_assert_eq!(sent.len() - FRAME_HEADER_BYTES - FRAME_END_BYTES, payload_length(&sent));
             prop_assert!(sent == received || from_bytes::<BasicProperties>(&properties(&received)).is_err());
--- a/crates/queues/src/runtime/metrics.rs
+++ b/crates/queues/src/runtime/metrics.rs
@@ -21,20 +21,20 @@
 const MAX_CONNECTIONS: usize = 16;
 const NAME_PREFIX: &str = "cometlead_queues_";
 
-/// All values at one time. The metrics have names of their own.
+/// All values at one time. The exported metrics have other names than these fields.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Snapshot {
     /// Counters of the state machine.
     pub counters: Counters,
-    /// Messages in hand.
+    /// Pending messages.
     pub pending_messages: i64,
-    /// How long the oldest message is in hand, in seconds.
+    /// How long the oldest message has been pending, in seconds.
     pub oldest_pending_s: i64,
     /// Entries in the replicated log.
     pub log_entries: i64,
     /// Batches of changes that were written to the log.
     pub applied_batches: u64,
-    /// Batches that were refused because the log had changed.
+    /// Batches that were not written because the log had changed.
     pub log_conflicts: u64,
 }
 
@@ -132,7 +132,7 @@
 }
 
 /// Writes one line with all values to the log.
-pub(super) fn report(machine: &DeliveryStateMachine, now: Micros) {
+pub(super) fn log_counters(machine: &DeliveryStateMachine, now: Micros) {
     let snapshot = Snapshot::of(machine, now);
     let c = snapshot.counters;
     tracing::info!(
@@ -157,14 +157,14 @@
     );
 }
 
-/// The newest values, shared between the state machine's task and the server.
+/// The latest values, shared between the state machine's task and the server.
 #[derive(Clone, Debug, Default)]
-pub struct Gauges(Arc<Mutex<Snapshot>>);
+pub struct SharedMetrics(Arc<Mutex<Snapshot>>);
 
-impl Gauges {
-    /// Gauges that show this snapshot.
-    pub fn new(snapshot: Snapshot) -> Gauges {
-        Gauges(Arc::new(Mutex::new(snapshot)))
+impl SharedMetrics {
+    /// Metrics with the values of this snapshot.
+    pub fn new(snapshot: Snapshot) -> SharedMetrics {
+        SharedMetrics(Arc::new(Mutex::new(snapshot)))
     }
 
     pub(super) fn set(&self, machine: &DeliveryStateMachine, now: Micros) {
@@ -172,7 +172,7 @@
     }
 }
 
-impl Collector for Gauges {
+impl Collector for SharedMetrics {
     fn encode(&self, mut encoder: DescriptorEncoder) -> Result<(), fmt::Error> {
         let snapshot = *self.0.lock();
         for Metric { name, help, value } in COUNTERS {
@@ -202,18 +202,18 @@
 /// # Errors
 ///
 /// [`fmt::Error`] if a value cannot be formatted.
-pub fn render(gauges: Gauges) -> Result<String, fmt::Error> {
+pub fn render(shared_metrics: SharedMetrics) -> Result<String, fmt::Error> {
     let mut registry = Registry::default();
-    registry.register_collector(Box::new(gauges));
+    registry.register_collector(Box::new(shared_metrics));
     let mut text = String::new();
     encode(&mut text, &registry)?;
     Ok(text)
 }
 
-struct MetricsPage(Gauges);
+struct MetricsHandler(SharedMetrics);
 
 #[async_trait]
-impl Handler for MetricsPage {
+impl Handler for MetricsHandler {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         match render(self.0.clone()) {
             Ok(text) => res.render(text),
@@ -224,21 +224,21 @@
     }
 }
 
-struct HealthPage;
+struct HealthHandler;
 
 #[async_trait]
-impl Handler for HealthPage {
+impl Handler for HealthHandler {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         res.render("ok\n");
     }
 }
 
 /// Serves `GET /metrics` and `GET /healthz` until its task is aborted.
-pub(super) async fn serve(address: String, gauges: Gauges) {
+pub(super) async fn serve(address: String, shared_metrics: SharedMetrics) {
     loop {
         let router = Router::new()
-            .push(Router::with_path("metrics").get(MetricsPage(gauges.clone())))
-            .push(Router::with_path("healthz").get(HealthPage));
+            .push(Router::with_path("metrics").get(MetricsHandler(shared_metrics.clone())))
+            .push(Router::with_path("healthz").get(HealthHandler));
         match TcpListener::new(address.clone()).try_bind().await {
             Ok(acceptor) => {
                 let server = Server::new(acceptor).max_connections(MAX_CONNECTIONS);
--- a/crates/queues/src/runtime/mod.rs
+++ b/crates/queues/src/runtime/mod.rs
@@ -1,4 +1,4 @@
-//! The runtime: carries out the effects of the state machine, and feeds what comes of them back as events.
+//! The runtime: carries out the effects of the state machine, and feeds the results back as events.
 //!
 //! One task owns the state machine. Requests run in tasks of their own, whose number the state machine bounds; their
 //! results are events. Events of a broker connection carry the number of the connection, so that events of an earlier
@@ -19,7 +19,7 @@
 use broker::Broker;
 use controllers::ControllerClient;
 use event_loop::EventLoop;
-use metrics::Gauges;
+use metrics::SharedMetrics;
 use reqwest::Client;
 use state_service::StateClient;
 use std::future::Future;
@@ -42,30 +42,30 @@
 }
 
 impl QueueService {
-    /// Prepares a service. Files that the settings name are read now; relative paths are relative to `base`.
+    /// Prepares a service. Files that the settings name are read now; relative paths are relative to `base_dir`.
     ///
     /// # Errors
     ///
     /// [`SettingsError::File`] if one of them cannot be used.
-    pub fn new(settings: QueueSettings, base: &Path) -> Result<QueueService, SettingsError> {
+    pub fn new(settings: QueueSettings, base_dir: &Path) -> Result<QueueService, SettingsError> {
         let settings = Arc::new(settings);
-        let credentials = Credentials::load(base, &settings.broker)?;
-        let broker = Broker::new(Arc::clone(&settings), credentials, base)?;
+        let credentials = Credentials::load(base_dir, &settings.broker)?;
+        let broker = Broker::new(Arc::clone(&settings), credentials, base_dir)?;
         Ok(QueueService { settings, broker })
     }
 
-    /// Serves until `stop` completes, then finishes what was begun and returns the rest to the broker.
+    /// Serves until `stop` completes, then finishes work in progress and returns unfinished messages to the broker.
     ///
     /// `process` must be a random number: it identifies the process in the replicated log.
     pub async fn serve(self, process: u64, stop: impl Future<Output = ()>) {
-        let (events, inbox) = mpsc::unbounded_channel();
-        let (commands, command_inbox) = mpsc::unbounded_channel();
-        let gauges = Gauges::default();
+        let (events, event_receiver) = mpsc::unbounded_channel();
+        let (commands, command_receiver) = mpsc::unbounded_channel();
+        let shared_metrics = SharedMetrics::default();
         let metrics = self
             .settings
             .metrics_address
             .clone()
-            .map(|address| tokio::spawn(metrics::serve(address, gauges.clone())));
+            .map(|address| tokio::spawn(metrics::serve(address, shared_metrics.clone())));
         tracing::info!(process = format!("{process:016x}"), "serving queues");
         let client = http_client(&self.settings);
         let mut event_loop = EventLoop::new(
@@ -74,16 +74,18 @@
             StateClient::new(client, &self.settings.state),
             commands,
         );
-        let connection = tokio::spawn(self.broker.keep_connected(command_inbox, events));
+        let connection = tokio::spawn(self.broker.keep_connected(command_receiver, events));
         let grace = Duration::from_secs(u64::from(self.settings.shutdown_grace_s));
-        event_loop.run(inbox, stop, &gauges, grace).await;
-        // Without a sender of commands the connection closes.
+        event_loop
+            .run(event_receiver, stop, &shared_metrics, grace)
+            .await;
+        // The connection closes when the sender of commands is dropped.
         drop(event_loop);
         if tokio::time::timeout(CLOSE_TIMEOUT, connection)
             .await
             .is_err()
         {
-            tracing::info!("the broker did not confirm the end of the connection");
+            tracing::info!("the broker did not confirm that the connection is closed");
         }
         if let Some(metrics) = metrics {
             metrics.abort();
--- a/crates/queues/src/runtime/own_receipts/mod.rs
+++ b/crates/queues/src/runtime/own_receipts/mod.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 struct Receipt {
     tag: DeliveryTag,
-    /// Messages that the log does not call answered yet.
+    /// Messages that are not recorded as answered in the log yet.
     needed_for: BTreeSet<MessageKey>,
 }
 
@@ -19,12 +19,12 @@
 #[derive(Debug, Default)]
 pub(super) struct OwnReceipts {
     receipts: Vec<Receipt>,
-    /// Messages that became obsolete before their receipts were delivered.
+    /// Messages whose receipts became obsolete before they were delivered.
     obsolete_early: BTreeSet<MessageKey>,
 }
 
 impl OwnReceipts {
-    /// Takes a delivered receipt for these messages.
+    /// Adds a delivered receipt for these messages.
     pub fn add(&mut self, tag: DeliveryTag, keys: Vec<MessageKey>) {
         let needed = keys
             .into_iter()
@@ -33,7 +33,7 @@
         self.receipts.push(Receipt { tag, needed_for });
     }
 
-    /// Takes messages that need no receipt any more, and returns the deliveries to acknowledge.
+    /// Removes messages that need no receipt any more, and returns the receipts' deliveries to acknowledge.
     pub fn remove_obsolete(&mut self, keys: &[MessageKey]) -> Vec<DeliveryTag> {
         for key in keys {
             let mut receipts = self.receipts.iter_mut();
@@ -41,9 +41,9 @@
                 self.obsolete_early.insert(*key);
             }
         }
-        let done = self
+        let obsolete = self
             .receipts
             .extract_if(.., |receipt| receipt.needed_for.is_empty());
-        done.map(|receipt| receipt.tag).collect()
+        obsolete.map(|receipt| receipt.tag).collect()
     }
 }
--- a/crates/queues/src/runtime/state_service.rs
+++ b/crates/queues/src/runtime/state_service.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Time limit for each request. Under load the service takes a few hundred milliseconds.
-const TIMEOUT: Duration = Duration::from_secs(3);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why a request has no usable response.
 #[derive(Debug, thiserror::Error)]
@@ -51,7 +51,7 @@
             StateRequest::CompareAndSwap(request) => self.compare_and_swap(request).await,
         };
         response.unwrap_or_else(|error| {
-            tracing::debug!(%error, "no response of the state service");
+            tracing::debug!(%error, "no usable response from the state service");
             StateResponse::NoResponse
         })
     }
@@ -112,7 +112,7 @@
 
 /// Sends a request, and returns status and body of the response.
 async fn exchange(request: RequestBuilder) -> Result<(u16, Bytes), StateServiceError> {
-    let response = request.timeout(TIMEOUT).send().await?;
+    let response = request.timeout(REQUEST_TIMEOUT).send().await?;
     let status = response.status().as_u16();
     Ok((status, response.bytes().await?))
 }
--- a/crates/queues/src/settings/credentials.rs
+++ b/crates/queues/src/settings/credentials.rs
@@ -24,13 +24,13 @@
 }
 
 impl Credentials {
-    /// Reads the file that the settings name; a relative path is relative to `base`.
+    /// Reads the file that the settings name; a relative path is relative to `base_dir`.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::File`] if the file cannot be read or has not two lines.
-    pub fn load(base: &Path, settings: &BrokerSettings) -> Result<Credentials, SettingsError> {
-        let path = base.join(&settings.credentials_file);
+    /// [`SettingsError::File`] if the file cannot be read or does not have two lines.
+    pub fn load(base_dir: &Path, settings: &BrokerSettings) -> Result<Credentials, SettingsError> {
+        let path = base_dir.join(&settings.credentials_file);
         Credentials::read(&path).map_err(|source| SettingsError::File {
             field: "broker.credentials",
             path,
--- a/crates/queues/src/settings/error.rs
+++ b/crates/queues/src/settings/error.rs
@@ -36,7 +36,7 @@
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// Not a file with a user's name and a password.
-    #[error("two lines are wanted, a name and a password")]
+    #[error("expected two lines: a user name and a password")]
     NotCredentials,
     /// Not in the PEM format.
     #[error(transparent)]
@@ -45,6 +45,6 @@
     #[error(transparent)]
     InvalidCertificate(#[from] tokio_rustls::rustls::Error),
     /// A PEM file without any certificate.
-    #[error("no certificate")]
+    #[error("the file contains no certificate")]
     NoCertificate,
 }
--- a/crates/queues/src/settings/mod.rs
+++ b/crates/queues/src/settings/mod.rs
@@ -59,7 +59,7 @@
     #[serde(rename = "keep_days", default = "default_retention_days")]
     #[schemars(range(min = 1, max = 365))]
     pub retention_days: u32,
-    /// On shutdown: how long it may take to finish what was begun, in seconds.
+    /// Grace period on shutdown to finish work in progress, in seconds.
     #[schemars(
         description = "On SIGTERM: how long what is certain may take to be answered, in seconds."
     )]
@@ -109,7 +109,7 @@
     pub root_certificates: PathBuf,
     /// The name that the broker's certificate must have. Absent: its host.
     #[serde(rename = "name", default)]
-    pub name: Option<String>,
+    pub server_name: Option<String>,
 }
 
 /// The state service that stores the replicated log.
@@ -207,7 +207,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Malformed`] or [`SettingsError::InvalidField`], for the first fault that is found.
+    /// [`SettingsError::Malformed`] or [`SettingsError::InvalidField`], for the first error that is found.
     pub fn parse(text: &[u8]) -> Result<QueueSettings, SettingsError> {
         let settings: QueueSettings = serde_json::from_slice(text)?;
         validation::validate(&settings)?;
--- a/crates/queues/src/settings/validation.rs
+++ b/crates/queues/src/settings/validation.rs
@@ -72,7 +72,7 @@
 fn validate_state(state: &StateSettings) -> Result<(), SettingsError> {
     require(
         "state.prefix",
-        is_prefix(&state.key_prefix),
+        is_valid_prefix(&state.key_prefix),
         "a prefix of its own that ends with /",
     )?;
     let batches_per_s = state.batches_per_s;
@@ -85,15 +85,15 @@
     )
 }
 
-fn is_prefix(prefix: &str) -> bool {
+fn is_valid_prefix(prefix: &str) -> bool {
     let is_reserved = RESERVED_PREFIXES
         .iter()
         .any(|reserved| prefix.starts_with(reserved));
-    let is_plain = prefix
+    let has_valid_characters = prefix
         .bytes()
         .all(|b| b.is_ascii_alphanumeric() || b"/-_.".contains(&b));
     let has_valid_length = (2..=MAX_PREFIX_BYTES).contains(&prefix.len());
-    !is_reserved && is_plain && has_valid_length && prefix.ends_with('/')
+    !is_reserved && has_valid_characters && has_valid_length && prefix.ends_with('/')
 }
 
 fn validate_broker(broker: &BrokerSettings) -> Result<(), SettingsError> {
--- a/crates/queues/src/wire/controllers.rs
+++ b/crates/queues/src/wire/controllers.rs
@@ -5,7 +5,7 @@
 use crate::time::{Micros, from_seconds};
 use serde::Deserialize;
 
-/// Longest `Retry-After` that is honoured, in seconds.
+/// Longest `Retry-After` that is respected, in seconds.
 const MAX_RETRY_AFTER_S: f64 = 30.0;
 /// Retry delay when a busy controller names none, in seconds.
 const DEFAULT_RETRY_AFTER_S: f64 = 1.0;
@@ -25,7 +25,7 @@
     format!("/work/{job}/abort")
 }
 
-/// What a request was for, as far as it changes how a response is read.
+/// The kind of a request, as far as the meaning of a response depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// Submission or status query.
@@ -55,7 +55,8 @@
     error: Option<String>,
 }
 
-/// Interprets a response. [`ControllerResponse::NoResponse`] and [`ControllerResponse::RetryAfter`] suggest that another controller be tried.
+/// Interprets a response. After [`ControllerResponse::NoResponse`] or [`ControllerResponse::RetryAfter`], the next
+/// request should go to another controller.
 pub fn decode_response(kind: RequestKind, response: HttpResponse<'_>) -> ControllerResponse {
     let body: JobBody = serde_json::from_slice(response.body).unwrap_or_default();
     match (response.status, body.status.as_str()) {
--- a/crates/queues/src/wire/state_service.rs
+++ b/crates/queues/src/wire/state_service.rs
@@ -5,7 +5,7 @@
 use serde_json::value::RawValue;
 
 /// Closed segments per page.
-const PAGE_SIZE: u32 = 200;
+const SEGMENTS_PER_PAGE: u32 = 200;
 /// Path for compare-and-swap transactions.
 pub const TRANSACTION_PATH: &str = "/txn";
 
@@ -13,11 +13,11 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StateWireError {
     /// A response is not the JSON that the service documents.
-    #[error("malformed response of the state service to {request}")]
+    #[error("malformed response from the state service to {request}")]
     MalformedResponse {
-        /// What was asked.
+        /// The request that was sent.
         request: &'static str,
-        /// The parser's complaint.
+        /// The parser's error.
         #[source]
         source: serde_json::Error,
     },
@@ -26,7 +26,7 @@
     UnencodableValue {
         /// The key that was to be written.
         key: String,
-        /// The encoder's complaint.
+        /// The encoder's error.
         #[source]
         source: serde_json::Error,
     },
@@ -67,7 +67,10 @@
             .checked_sub(1)
             .map(|segment| format!("&after={}", self.closed(segment)))
             .unwrap_or_default();
-        format!("/kv?prefix={}closed/{after}&most={PAGE_SIZE}", self.prefix)
+        format!(
+            "/kv?prefix={}closed/{after}&most={SEGMENTS_PER_PAGE}",
+            self.prefix
+        )
     }
 }
 
@@ -187,7 +190,8 @@
 ///
 /// If the body is not a response with a segment.
 pub fn decode_open_segment(body: &[u8]) -> Result<OpenSegment, StateWireError> {
-    let key: KeyBody = serde_json::from_slice(body).map_err(malformed("the open segment"))?;
+    let key: KeyBody =
+        serde_json::from_slice(body).map_err(malformed("a read of the open segment"))?;
     Ok(OpenSegment {
         text: key.value.get().to_owned(),
         revision: key.revision,
@@ -200,7 +204,8 @@
 ///
 /// If the body is not a page of segments.
 pub fn decode_page(body: &[u8]) -> Result<SegmentPage, StateWireError> {
-    let page: PageBody = serde_json::from_slice(body).map_err(malformed("a page of segments"))?;
+    let page: PageBody =
+        serde_json::from_slice(body).map_err(malformed("a read of closed segments"))?;
     let segment = |item: &PageItem| {
         let (_, number) = item.key.rsplit_once('/')?;
         Some(ClosedSegment {
