--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -62,14 +62,14 @@
     leadership: leadership::Leadership,
     agents: BTreeMap<MachineId, agents::Agent>,
     /// Since when users may have been told that their jobs are cancelled.
-    cancelled: agents::cancellations::Cancellations,
+    cancellations: agents::cancellations::Cancellations,
     /// Machines to whose agents a command may have to be pushed.
     agents_to_command: BTreeSet<MachineId>,
     /// Recently removed machines, those with the highest numbers: late heartbeats must not bring them back.
     removed_machines: BTreeSet<MachineId>,
     /// Largest number of machines whose agents this controller has answered at a time; bounds the size of
     /// `removed_machines`.
-    largest_fleet: usize,
+    max_agents_served: usize,
     connectivity: health::connectivity::Connectivity,
     rounds: commit::Rounds,
     users: api::UserRequests,
@@ -102,7 +102,7 @@
         operator_settings: OperatorSettings,
         seed: u64,
     ) -> Controller {
-        let controllers = settings.controllers() as f64;
+        let controllers = settings.controller_count() as f64;
         Controller {
             incarnation: Incarnation(seed),
             now: Now::default(),
@@ -114,17 +114,17 @@
             limits: commit::limits::EffectiveLimits::new(&settings),
             budget: Budget::new(
                 settings.state_rps / controllers,
-                settings.limits.write_rps / controllers,
+                settings.state_limits.write_rps / controllers,
             ),
             cell: CellState::default(),
             stall: health::stall::StallDetector::default(),
             replica: replication::Replica::default(),
             leadership: leadership::Leadership::default(),
             agents: BTreeMap::new(),
-            cancelled: agents::cancellations::Cancellations::default(),
+            cancellations: agents::cancellations::Cancellations::default(),
             agents_to_command: BTreeSet::new(),
             removed_machines: BTreeSet::new(),
-            largest_fleet: 0,
+            max_agents_served: 0,
             connectivity: health::connectivity::Connectivity::default(),
             rounds: commit::Rounds::default(),
             users: api::UserRequests::default(),
@@ -145,10 +145,10 @@
 
     /// Limits the controller to record formats up to this one, as in an earlier version. A version without the compact
     /// encoding does not support announced limits either.
-    pub fn understanding(mut self, record_format: u32) -> Controller {
+    pub fn with_max_record_format(mut self, record_format: u32) -> Controller {
         self.record_format = record_format;
         if record_format < COMPACT_FORMAT {
-            self.limits = commit::limits::EffectiveLimits::without_next(&self.settings);
+            self.limits = commit::limits::EffectiveLimits::current_only(&self.settings);
         }
         self
     }
@@ -156,10 +156,10 @@
     /// Handles an event and returns the effects to carry out, in order.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Effect> {
         self.now = Now {
-            steady: now.steady.max(self.now.steady),
-            day: now.day,
+            monotonic: now.monotonic.max(self.now.monotonic),
+            time_of_day: now.time_of_day,
         };
-        self.cell.time_of_day = now.day;
+        self.cell.time_of_day = now.time_of_day;
         self.detect_stall();
         self.dispatch(event);
         self.drive();
@@ -175,13 +175,13 @@
                 self.on_invalid_submission(call, job, reason);
             }
             Event::Heartbeat(call, heartbeat) => {
-                self.connectivity.on_agent_contact(self.now.steady);
+                self.connectivity.on_agent_contact(self.now.monotonic);
                 let response = self.on_heartbeat(&heartbeat);
                 self.effects.push(Effect::Heartbeat(call, response));
             }
             Event::State(call, result) => self.on_state(call, result),
-            Event::Cloud(call, result) => self.on_cloud(call, result),
-            Event::PushCommand(call, response) => self.on_agent_response(call, response),
+            Event::Cloud(call, result) => self.on_cloud_response(call, result),
+            Event::AgentResponse(call, response) => self.on_agent_response(call, response),
             Event::Peer(hint) => self.on_hint(hint),
         }
     }
@@ -189,11 +189,11 @@
     /// An agent responded to a pushed command or a probe, or no response arrived in time.
     fn on_agent_response(&mut self, call: CallId, response: Option<(bool, Heartbeat)>) {
         if response.is_some() {
-            self.connectivity.on_agent_contact(self.now.steady);
+            self.connectivity.on_agent_contact(self.now.monotonic);
         }
         match self.calls.remove(&call).map(|call| call.purpose) {
-            Some(Purpose::PushCommand(machine)) => self.on_pushed_command(call, machine, response),
-            Some(Purpose::Probe) => self.on_probe_answer(response.is_some()),
+            Some(Purpose::PushCommand(machine)) => self.on_push_result(call, machine, response),
+            Some(Purpose::Probe) => self.on_probe_result(response.is_some()),
             _ => {}
         }
     }
@@ -212,14 +212,16 @@
         if !self.replica.is_ready() {
             return false;
         }
-        let contact_age = now.steady.since(self.replica.last_contact());
+        let contact_age = now.monotonic.since(self.replica.last_contact());
         contact_age < Self::CONTACT_LOSS_AGE || !self.peer_has_newer_contact(now, contact_age)
     }
 
     fn peer_has_newer_contact(&self, now: Now, contact_age: Micros) -> bool {
         self.peers.values().any(|(received, hint)| {
-            let hint_age = now.steady.since(*received);
-            let peer_contact_age = hint.contact_ms.map(|ms| Micros::millis(ms) + hint_age);
+            let hint_age = now.monotonic.since(*received);
+            let peer_contact_age = hint
+                .state_store_contact_ms
+                .map(|ms| Micros::millis(ms) + hint_age);
             hint_age < Self::PEER_HINT_MAX_AGE
                 && peer_contact_age
                     .is_some_and(|age| age + Self::MIN_CONTACT_AGE_DIFFERENCE < contact_age)
@@ -245,8 +247,8 @@
     /// last.
     fn drive(&mut self) {
         self.next_wake = Micros::FOREVER;
-        if self.now.steady >= self.next_tick {
-            self.next_tick = self.now.steady + Self::TICK_INTERVAL;
+        if self.now.monotonic >= self.next_tick {
+            self.next_tick = self.now.monotonic + Self::TICK_INTERVAL;
             self.tick();
         }
         self.wake_at(self.next_tick);
@@ -273,7 +275,7 @@
         }
         self.tick_cancellations();
         self.tick_starvation();
-        self.tick_set_reservation();
+        self.tick_gang_reservation();
         self.tick_users();
         self.tick_rules();
         self.tick_counters();
@@ -286,7 +288,7 @@
 
     /// Time since the last contact with the state store.
     fn contact_age(&self) -> Micros {
-        self.now.steady.since(self.replica.last_contact())
+        self.now.monotonic.since(self.replica.last_contact())
     }
 
     /// Notifies the components of changes of the replica.
@@ -309,8 +311,8 @@
         for ended in &changes.ended {
             self.throughput.record_ended(ended);
             self.on_job_removed(ended.job);
-            if let Some(end) = ended.how {
-                self.users.remember(ended.job, end);
+            if let Some(end) = ended.outcome {
+                self.users.record_end(ended.job, end);
             }
         }
         for job in &changes.jobs {
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -13,8 +13,8 @@
 
     /// Sends a hint when it is due, and updates what this controller borrows of the peers' unused write rates.
     pub(super) fn drive_hints(&mut self) {
-        if self.now.steady >= self.next_hint {
-            self.next_hint = self.now.steady + Self::HINT_INTERVAL;
+        if self.now.monotonic >= self.next_hint {
+            self.next_hint = self.now.monotonic + Self::HINT_INTERVAL;
             self.send_hint();
             self.borrow_unused_rate();
         }
@@ -31,25 +31,26 @@
             .collect();
         let hint = PeerHint {
             node: self.settings.node.clone(),
-            run: self.incarnation,
-            contact_ms: contact,
+            incarnation: self.incarnation,
+            state_store_contact_ms: contact,
             revision: self.cell.revision,
-            terms,
+            shard_terms: terms,
             last_heartbeat_ms: self.agent_contact_age_ms(),
-            saturated: self.rounds.is_saturated(self.now.steady),
-            spends: (self.budget.take_spending_rate(self.now.steady) * 1e3) as u64,
+            saturated: self.rounds.is_saturated(self.now.monotonic),
+            write_rate_milli: (self.budget.take_spending_rate(self.now.monotonic) * 1e3) as u64,
         };
         self.effects.push(Effect::Peers(hint));
     }
 
     fn borrow_unused_rate(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let recent_rate = |(received, hint): &(Micros, PeerHint)| {
-            (now.since(*received) < Self::HINTED_RATE_MAX_AGE).then_some(hint.spends as f64 / 1e3)
+            (now.since(*received) < Self::HINTED_RATE_MAX_AGE)
+                .then_some(hint.write_rate_milli as f64 / 1e3)
         };
         let rates = self
             .settings
-            .others
+            .peers
             .iter()
             .map(|other| self.peers.get(&other.node).and_then(recent_rate));
         self.budget.borrow_unused(now, rates);
@@ -60,7 +61,7 @@
         if self.is_from_earlier_run(&hint) {
             return;
         }
-        for (shard, (term, leads)) in hint.terms.iter().enumerate() {
+        for (shard, (term, leads)) in hint.shard_terms.iter().enumerate() {
             if *leads && self.leads(shard) && *term > self.cell.leaders[shard].mod_revision {
                 tracing::info!(shard, term, peer = hint.node, "peer has a newer term");
                 self.on_newer_term(shard, *term);
@@ -68,13 +69,15 @@
             }
         }
         self.peers
-            .insert(hint.node.clone(), (self.now.steady, hint));
+            .insert(hint.node.clone(), (self.now.monotonic, hint));
     }
 
     /// Whether a hint arrived late from an earlier run of its sender: when it was sent, the sender's replica had not
     /// reached the revision of the node record of a later run.
     fn is_from_earlier_run(&self, hint: &PeerHint) -> bool {
         let node = self.cell.nodes.get(&hint.node);
-        node.is_some_and(|n| n.value.run != hint.run && n.mod_revision > hint.revision)
+        node.is_some_and(|n| {
+            n.value.incarnation != hint.incarnation && n.mod_revision > hint.revision
+        })
     }
 }
--- a/src/coordination/replication/barrier.rs
+++ b/src/coordination/replication/barrier.rs
@@ -89,7 +89,7 @@
 impl Controller {
     /// Sends the next barrier if one is requested and due.
     pub(super) fn drive_barrier(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let Some(urgency) = self.replica.barrier.urgency() else {
             return;
         };
@@ -113,7 +113,7 @@
             after: self.cell.revision,
             wait: Micros::ZERO,
         };
-        let id = self.ask_state(Purpose::Barrier, request);
+        let id = self.send_state_request(Purpose::Barrier, request);
         self.replica.barrier.on_sent(id, now);
     }
 
@@ -121,7 +121,7 @@
     fn is_catch_up_in_flight(&self) -> bool {
         let replica = &self.replica;
         let sent = replica.watch.sent();
-        replica.is_far_behind(self.now.steady)
+        replica.is_far_behind(self.now.monotonic)
             && sent.is_some_and(|sent| replica.is_far_behind(sent))
     }
 
@@ -135,7 +135,7 @@
 
     /// Whether all queries can wait longer: none has waited for [`FULL_BUDGET_QUERY_WAIT`].
     fn can_queries_wait(&self) -> bool {
-        let oldest = self.users.oldest_pending_read(self.now.steady);
+        let oldest = self.users.oldest_pending_read(self.now.monotonic);
         oldest.is_none_or(|waited| waited < FULL_BUDGET_QUERY_WAIT)
     }
 }
--- a/src/coordination/replication/changes.rs
+++ b/src/coordination/replication/changes.rs
@@ -21,7 +21,7 @@
         sent: Micros,
         result: Result<StateResponse, CallError>,
     ) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         self.replica.watch.on_answered(now);
         if self.on_changes(id, sent, result) == ReadOutcome::Failed {
             self.replica.watch.on_failed(now);
@@ -34,7 +34,7 @@
         sent: Micros,
         result: Result<StateResponse, CallError>,
     ) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         self.replica.barrier.on_answered(id);
         if self.on_changes(id, sent, result) == ReadOutcome::Failed {
             self.replica.barrier.on_failed(now);
@@ -97,7 +97,7 @@
             self.refuse_unknown_format();
             return;
         }
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         self.replica.progress.on_read(id, sent, now);
         self.end_stall_recovery();
         if self.replica.phase == Phase::Listed {
--- a/src/coordination/replication/watch.rs
+++ b/src/coordination/replication/watch.rs
@@ -47,7 +47,7 @@
 impl Controller {
     /// Sends the next watch if it is due.
     pub(super) fn drive_watch(&mut self) {
-        let now = self.now.steady;
+        let now = self.now.monotonic;
         let far_behind = self.replica.is_far_behind(now);
         let watch = &self.replica.watch;
         if watch.sent.is_some() || far_behind && self.replica.barrier.is_in_flight() {
@@ -68,6 +68,6 @@
         };
         let after = self.cell.revision;
         self.replica.watch.sent = Some(now);
-        self.ask_state(Purpose::Watch, StateRequest::Changes { after, wait });
+        self.send_state_request(Purpose::Watch, StateRequest::Changes { after, wait });
     }
 }
--- a/src/coordination/throughput.rs
+++ b/src/coordination/throughput.rs
@@ -37,7 +37,7 @@
 impl Throughput {
     /// Counts a job that has ended, unless it was cancelled or its outcome is unknown.
     pub fn record_ended(&mut self, ended: &EndedJob) {
-        if ended.how.is_some_and(|outcome| !outcome.cancelled) {
+        if ended.outcome.is_some_and(|outcome| !outcome.cancelled) {
             for owner in Owner::of_job(&ended.job_class, &ended.team) {
                 self.0.entry(owner).or_default().jobs_done += 1;
             }
@@ -62,7 +62,7 @@
                 "throughput"
             );
         }
-        for (name, cores) in self.starved_classes_and_teams() {
+        for (name, cores) in self.classes_and_teams_with_deficit() {
             tracing::info!(name, cores, "fair share deficit");
         }
     }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -7,7 +7,9 @@
 mod machine_view;
 
 use crate::protocol::user::InvalidSubmission;
-use crate::scheduler::constraints::{self, ClassTraits, JobConstraints, clash, subject};
+use crate::scheduler::constraints::{
+    self, ClassTraits, JobConstraints, rule_subject, smallest_conflict,
+};
 use crate::storage::ids::MachineId;
 use crate::storage::machine_classes::{Class, Classes};
 use cometlead_constraints::explain::{Explanation, explain};
@@ -50,10 +52,10 @@
     pub allowed: bool,
     /// Fields of the submission that exclude the machine, and rules of jobs on it that exclude the job.
     #[serde(rename = "against")]
-    pub against: Vec<String>,
+    pub exclusions: Vec<String>,
     /// Results of the rules.
     #[serde(rename = "verdict")]
-    pub verdict: Explanation,
+    pub explanation: Explanation,
 }
 
 /// Explanation for all machines.
@@ -64,7 +66,7 @@
     pub possible: bool,
     /// The smallest set of conflicting rules, if no machine could run the job.
     #[serde(rename = "clash")]
-    pub clash: Vec<String>,
+    pub conflicting_rules: Vec<String>,
     /// The explanation for each machine.
     #[serde(rename = "machines")]
     pub machines: Vec<MachineReport>,
@@ -85,7 +87,7 @@
     let conflicting = explainer.conflicting_rules();
     Ok(Report {
         possible: conflicting.is_none(),
-        clash: conflicting.unwrap_or_default(),
+        conflicting_rules: conflicting.unwrap_or_default(),
         machines,
     })
 }
@@ -105,7 +107,7 @@
         Explainer {
             input,
             job_name: input.job.to_string(),
-            labelled_machines: constraints::labelled(&rule_sets),
+            labelled_machines: constraints::labelled_machines(&rule_sets),
             rule_sets,
         }
     }
@@ -114,7 +116,7 @@
         let Input { rules, spec, .. } = self.input;
         let job = NamedJob {
             name: &self.job_name,
-            subject: subject(spec),
+            subject: rule_subject(spec),
         };
         let class = self.class(machine);
         let traits = self
@@ -132,8 +134,8 @@
         MachineReport {
             host: machine.host.clone(),
             allowed: verdict.allowed && against.is_empty(),
-            against,
-            verdict,
+            exclusions: against,
+            explanation: verdict,
         }
     }
 
@@ -154,7 +156,7 @@
     /// Names of the fields of the submission that exclude a class.
     fn excluding_fields(&self, class: &Class) -> Vec<String> {
         let catalog = &self.input.catalog;
-        let mut fields = constraints::fields_against(&self.input.spec, class, catalog);
+        let mut fields = constraints::excluding_field_names(&self.input.spec, class, catalog);
         if catalog.get(&class.machine_type).is_none() {
             // The last of the fields is the size, which counts as too small if the type is unknown.
             fields.pop();
@@ -173,13 +175,13 @@
             .map(|class| self.class_traits(class))
             .collect();
         let constraints = JobConstraints::of(spec, &self.rule_sets, &traits).unwrap_or_default();
-        clash(spec, &constraints, &self.rule_sets, &classes, catalog)
+        smallest_conflict(spec, &constraints, &self.rule_sets, &classes, catalog)
     }
 
     /// The classes of the machines that are listed or that the catalog offers.
     fn classes(&self) -> Classes {
         let mut classes = Classes::default();
-        classes.label(self.labelled_machines.clone(), std::iter::empty());
+        classes.set_labelled_machines(self.labelled_machines.clone(), std::iter::empty());
         classes.set_catalog(&self.input.catalog);
         for machine in &self.input.machines {
             if let Ok(id) = machine.host.parse() {
--- a/src/explain/machine_view.rs
+++ b/src/explain/machine_view.rs
@@ -116,7 +116,7 @@
 /// Whether a rule tests for colocated jobs in a way that selects this job.
 fn rule_selects_job(rule: &Rule, job: NamedJob<'_>) -> bool {
     let mut selected = false;
-    rule.expr.tests(&mut |test| {
+    rule.expr.visit_tests(&mut |test| {
         selected |= matches!(test, Expr::Colocated(field, words) if job.matches(*field, words));
     });
     selected
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -3,7 +3,7 @@
 use super::state::CallError;
 use crate::storage::catalog::{Catalog, MachineType};
 use crate::storage::ids::MachineId;
-use crate::storage::resources::{Amount, offered};
+use crate::storage::resources::{Amount, thousandths_rounded_down};
 use crate::time::Micros;
 use serde::Deserialize;
 
@@ -236,16 +236,16 @@
     fn from(wire: MachineTypeWire) -> MachineType {
         MachineType {
             name: wire.name,
-            room: Amount {
-                cores: offered(wire.cores),
-                accelerators: offered(wire.accelerators),
-                memory: offered(wire.memory_gb),
+            capacity: Amount {
+                cores: thousandths_rounded_down(wire.cores),
+                accelerators: thousandths_rounded_down(wire.accelerators),
+                memory: thousandths_rounded_down(wire.memory_gb),
             },
-            cache: offered(wire.cache_gb),
-            fetch: offered(wire.fetch_gb_per_s),
-            price: offered(wire.price),
-            spot_price: offered(wire.spot_price.unwrap_or(wire.price)),
-            boot: Micros::from_secs_f64(wire.boot_s),
+            cache_size: thousandths_rounded_down(wire.cache_gb),
+            fetch_rate: thousandths_rounded_down(wire.fetch_gb_per_s),
+            price: thousandths_rounded_down(wire.price),
+            spot_price: thousandths_rounded_down(wire.spot_price.unwrap_or(wire.price)),
+            boot_time: Micros::from_secs_f64(wire.boot_s),
             zones: wire.zones,
         }
     }
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -11,19 +11,19 @@
     pub node: String,
     /// Incarnation of its process.
     #[serde(rename = "run")]
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
     /// Milliseconds since the state store last responded to it; absent if it never did.
     #[serde(rename = "contact_ms")]
-    pub contact_ms: Option<u64>,
+    pub state_store_contact_ms: Option<u64>,
     /// Revision of the state store that its replica has reached.
     #[serde(rename = "epoch")]
     pub revision: u64,
     /// For each shard, in order: its leader term in the controller's replica, and whether the controller leads it.
     #[serde(rename = "terms")]
-    pub terms: Vec<(u64, bool)>,
+    pub shard_terms: Vec<(u64, bool)>,
     /// Rate of its writes to the state store, in thousandths of a change per second.
     #[serde(rename = "spends", default)]
-    pub spends: u64,
+    pub write_rate_milli: u64,
     /// Milliseconds since it last received a heartbeat from any agent; absent if it never received one.
     #[serde(rename = "heard_ms", default)]
     pub last_heartbeat_ms: Option<u64>,
--- a/src/protocol/settings/mod.rs
+++ b/src/protocol/settings/mod.rs
@@ -61,7 +61,7 @@
 
 impl Team {
     /// Whether the team has a guarantee or a limit.
-    pub fn has_share(&self) -> bool {
+    pub fn has_guarantee_or_limit(&self) -> bool {
         self.guarantee != (0, 0) || self.cores_limit.is_some() || self.accelerators_limit.is_some()
     }
 
@@ -119,7 +119,7 @@
     /// Address at which it listens for its peers.
     pub peer_bind: SocketAddrV4,
     /// The other controllers.
-    pub others: Vec<Peer>,
+    pub peers: Vec<Peer>,
     /// Address of the cloud's API.
     pub cloud_address: SocketAddrV4,
     /// Address of the state store.
@@ -131,19 +131,19 @@
     /// Interval of an agent's heartbeats.
     pub heartbeat_interval: Micros,
     /// Duration of an agent's lease: an agent whose lease expires ends its tasks.
-    pub lease: Micros,
+    pub agent_lease: Micros,
     /// Time after a cancellation by which the job's tasks must have stopped.
-    pub cancel: Micros,
+    pub cancellation_timeout: Micros,
     /// Requests per second that the state store accepts from all controllers together.
     pub state_rps: f64,
     /// Current limits of the state store.
-    pub limits: StateLimits,
+    pub state_limits: StateLimits,
     /// Limits announced for later; equal to `limits` if there is no announcement.
-    pub next_limits: StateLimits,
+    pub announced_state_limits: StateLimits,
     /// Requests per second that the cloud accepts.
     pub cloud_rps: f64,
     /// Longest time by which the cloud's machine list may be out of date.
-    pub list_lag: Micros,
+    pub max_list_lag: Micros,
     /// Fraction of a processor core that the process may use.
     pub core_share: f64,
     /// Memory that the process may use, in MB.
@@ -203,13 +203,13 @@
     /// A job may be cancelled right after the last contact, and an agent whose lease is renewed at the end of this time
     /// keeps its tasks for the duration of a whole lease. Both durations together must stay within the time for
     /// cancellations. The result is zero where that leaves no time.
-    pub fn contact_limit(&self) -> Micros {
+    pub fn max_contact_age(&self) -> Micros {
         const CANCELLATION_MARGIN: Micros = Micros::millis(1_500);
-        self.cancel - self.lease.with_drift() - CANCELLATION_MARGIN
+        self.cancellation_timeout - self.agent_lease.with_drift() - CANCELLATION_MARGIN
     }
 
     /// Number of controllers, this one included.
-    pub fn controllers(&self) -> usize {
-        self.others.len() + 1
+    pub fn controller_count(&self) -> usize {
+        self.peers.len() + 1
     }
 }
--- a/src/protocol/settings/validation.rs
+++ b/src/protocol/settings/validation.rs
@@ -2,7 +2,7 @@
 
 use super::file::{DeployFile, ObjectiveEntry, PeerEntry, StateSection, TeamEntry};
 use super::{Objective, ObjectiveKind, Peer, Settings, SettingsError, StateLimits, Team};
-use crate::storage::resources::offered;
+use crate::storage::resources::thousandths_rounded_down;
 use crate::time::Micros;
 use std::net::SocketAddrV4;
 
@@ -38,7 +38,7 @@
             zone: file.zone,
             bind: address("bind", &file.bind)?,
             peer_bind: address("back", &file.peer_bind)?,
-            others,
+            peers: others,
             cloud_address: address("outside.cloud", &file.services.cloud)?,
             state_store_address: address("outside.state", &file.services.state)?,
             teams,
@@ -51,13 +51,13 @@
                 "params.workers.report_s",
                 params.agents.heartbeat_interval_s,
             )?,
-            lease: duration("params.workers.lease_s", params.agents.lease_s)?,
-            cancel: duration("params.workers.cancel_s", params.agents.cancel_s)?,
+            agent_lease: duration("params.workers.lease_s", params.agents.lease_s)?,
+            cancellation_timeout: duration("params.workers.cancel_s", params.agents.cancel_s)?,
             state_rps: positive("params.state.rps", params.state.rps)?,
-            limits,
-            next_limits,
+            state_limits: limits,
+            announced_state_limits: next_limits,
             cloud_rps: positive("params.cloud.rps", params.cloud.rps)?,
-            list_lag: duration("params.cloud.list_lag_s", params.cloud.list_lag_s)?,
+            max_list_lag: duration("params.cloud.list_lag_s", params.cloud.list_lag_s)?,
             core_share: positive("params.quota.core_share", params.quota.core_share)?,
             ram_mb: positive("params.quota.ram_mb", params.quota.ram_mb)?,
             max_connections,
@@ -124,12 +124,12 @@
             return invalid(field, "must be 0 to 1e9");
         }
     }
-    let limit = |amount: f64| (amount > 0.0).then(|| offered(amount));
+    let limit = |amount: f64| (amount > 0.0).then(|| thousandths_rounded_down(amount));
     Ok(Team {
         name: entry.name,
         guarantee: (
-            offered(entry.guaranteed_cores),
-            offered(entry.guaranteed_accelerators),
+            thousandths_rounded_down(entry.guaranteed_cores),
+            thousandths_rounded_down(entry.guaranteed_accelerators),
         ),
         cores_limit: limit(entry.cores_limit),
         accelerators_limit: limit(entry.accelerators_limit),
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -51,14 +51,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Transaction {
     /// The conditions: keys, each with the revision that its last change must have; 0 for a key that must not exist.
-    pub when: Vec<(Key, u64)>,
+    pub conditions: Vec<(Key, u64)>,
     /// The changes.
     pub changes: Vec<KeyChange>,
 }
 
 impl Transaction {
     /// Size of the largest value that it writes, in bytes.
-    pub fn largest(&self) -> usize {
+    pub fn largest_value_bytes(&self) -> usize {
         self.changes
             .iter()
             .filter_map(|change| change.value.as_ref())
--- a/src/protocol/state/request.rs
+++ b/src/protocol/state/request.rs
@@ -1,7 +1,7 @@
 //! The encoding of requests to the state store.
 
 use super::{KeyChange, StateRequest, Transaction};
-use crate::storage::records::{Key, LIVE};
+use crate::storage::records::{Key, LIVE_PREFIX};
 use serde::Serialize;
 use serde_json::value::RawValue;
 
@@ -49,7 +49,7 @@
         StateRequest::LeaseKeepAlive(id) => ("POST", format!("/leases/{id}/touch"), Vec::new()),
         StateRequest::Changes { after, wait } => {
             let wait = wait.as_millis();
-            let path = format!("/changes?prefix={LIVE}&after={after}&waitMs={wait}");
+            let path = format!("/changes?prefix={LIVE_PREFIX}&after={after}&waitMs={wait}");
             ("GET", path, Vec::new())
         }
     }
@@ -57,14 +57,14 @@
 
 fn list_path(after: Option<&str>) -> String {
     let after = after.map(|key| format!("&after={key}")).unwrap_or_default();
-    format!("/kv?prefix={LIVE}{after}&most={PAGE_KEYS_LIMIT}")
+    format!("/kv?prefix={LIVE_PREFIX}{after}&most={PAGE_KEYS_LIMIT}")
 }
 
 impl Transaction {
     /// The body of the request for this transaction.
     pub fn body(&self) -> Vec<u8> {
         let wire = TransactionWire {
-            conditions: self.when.iter().map(ConditionWire::new).collect(),
+            conditions: self.conditions.iter().map(ConditionWire::new).collect(),
             changes: self.changes.iter().map(ChangeWire::new).collect(),
         };
         serde_json::to_vec(&wire).unwrap_or_default()
--- a/src/protocol/state/response.rs
+++ b/src/protocol/state/response.rs
@@ -2,7 +2,7 @@
 
 use super::{CallError, StateRequest, StateResponse};
 use crate::storage::cell_state::{Change, Content};
-use crate::storage::records::{Key, LIVE};
+use crate::storage::records::{Key, LIVE_PREFIX};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
@@ -10,7 +10,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Prefix of the keys of machine groups, after [`LIVE`].
+/// Prefix of the keys of machine groups, after [`LIVE_PREFIX`].
 const GROUP_PREFIX: &str = "group/";
 
 #[derive(Deserialize)]
@@ -194,7 +194,7 @@
 }
 
 fn is_group(key: &str) -> bool {
-    key.strip_prefix(LIVE)
+    key.strip_prefix(LIVE_PREFIX)
         .is_some_and(|rest| rest.starts_with(GROUP_PREFIX))
 }
 
--- a/src/protocol/state/tests.rs
+++ b/src/protocol/state/tests.rs
@@ -39,6 +39,6 @@
         [2]
     );
     assert!(
-        matches!(&changes_seen.ended[..], [ended] if ended.job == id && ended.how.is_some_and(|f| f.cancelled))
+        matches!(&changes_seen.ended[..], [ended] if ended.job == id && ended.outcome.is_some_and(|f| f.cancelled))
     );
 }
--- a/src/protocol/user.rs
+++ b/src/protocol/user.rs
@@ -2,7 +2,7 @@
 
 use crate::storage::ids::JobId;
 use crate::storage::job::{JobSpec, Priority};
-use crate::storage::resources::{Amount, taken};
+use crate::storage::resources::{Amount, thousandths_rounded_up};
 use crate::time::Micros;
 use cometlead_constraints::rules::{RuleText, RulesError, parse_job_rules};
 use serde::{Deserialize, Serialize};
@@ -134,7 +134,7 @@
             anti_affinity: self.anti_affinity,
             spot_allowed: self.spot_allowed,
             image: parse_text("bundle", self.image)?,
-            size: parse_amount("sizeGb", self.image_size_gb)?,
+            image_size: parse_amount("sizeGb", self.image_size_gb)?,
             estimated_runtime: parse_duration("guessS", self.estimated_runtime_s)?,
             checkpoint_interval: parse_duration("bookmarkS", self.checkpoint_interval_s)?,
             checkpoint_duration: parse_duration("stashS", self.checkpoint_duration_s)?,
@@ -214,7 +214,7 @@
 
 /// The amount of a resource that a task needs, in thousandths.
 fn parse_amount(field: &'static str, number: f64) -> Result<u64, InvalidSubmission> {
-    parse_number(field, number).map(taken)
+    parse_number(field, number).map(thousandths_rounded_up)
 }
 
 fn parse_duration(field: &'static str, seconds: f64) -> Result<Micros, InvalidSubmission> {
@@ -289,14 +289,14 @@
     /// `GET /work/{id}`: queries a job's status.
     Query(JobId),
     /// `POST /work/{id}/abort`: cancels a job.
-    Abort(JobId),
+    Cancel(JobId),
 }
 
 impl UserRequest {
     /// The job that the request names.
     pub fn job(&self) -> JobId {
         match self {
-            UserRequest::Submit(id, _) | UserRequest::Query(id) | UserRequest::Abort(id) => *id,
+            UserRequest::Submit(id, _) | UserRequest::Query(id) | UserRequest::Cancel(id) => *id,
         }
     }
 }
--- a/src/protocol/user/tests.rs
+++ b/src/protocol/user/tests.rs
@@ -12,7 +12,7 @@
     let (id, spec) = parse_submission(VALID.as_bytes()).unwrap();
     assert_eq!(id, JobId(412));
     assert_eq!(
-        (spec.need.cores, spec.need.memory, spec.size),
+        (spec.need.cores, spec.need.memory, spec.image_size),
         (8_000, 64_500, 6_200)
     );
     assert_eq!(spec.deadline, Some(Micros::secs(900)));
--- a/src/scheduler/boot_times.rs
+++ b/src/scheduler/boot_times.rs
@@ -34,7 +34,7 @@
     const LATE_BOOT_MARGIN_DIVISOR: u64 = 4;
 
     /// Records that a machine has come up.
-    pub fn ended(&mut self, machine_type: &str, at: Micros, duration: Micros) {
+    pub fn record_boot(&mut self, machine_type: &str, at: Micros, duration: Micros) {
         let records = self
             .completed_boots
             .entry(machine_type.to_owned())
@@ -54,7 +54,7 @@
     /// `nominal`: the boot time of the catalog. It counts twice, so that a single boot does not determine the result.
     /// `ages_in_progress`: ages of the boots in progress. Stuck ones are ignored, because they do not indicate how long
     /// other boots take.
-    pub fn expected(
+    pub fn expected_boot_time(
         &self,
         machine_type: &str,
         nominal: Micros,
--- a/src/scheduler/boot_times/tests.rs
+++ b/src/scheduler/boot_times/tests.rs
@@ -8,7 +8,7 @@
 fn late_boots_raise_the_estimate_before_they_end() {
     let boots = BootTimeEstimates::default();
     let expected = |ages: &[u64]| {
-        boots.expected(
+        boots.expected_boot_time(
             "x",
             NOMINAL,
             Micros::secs(99),
@@ -25,10 +25,10 @@
 fn quick_boots_lower_the_estimate_until_they_are_too_old() {
     let mut boots = BootTimeEstimates::default();
     for i in 0..4 {
-        boots.ended("x", Micros::secs(100 + i), Micros::secs(1));
+        boots.record_boot("x", Micros::secs(100 + i), Micros::secs(1));
     }
     let expected = |now: u64, ages: &[u64]| {
-        boots.expected(
+        boots.expected_boot_time(
             "x",
             NOMINAL,
             Micros::secs(now),
--- a/src/scheduler/constraints.rs
+++ b/src/scheduler/constraints.rs
@@ -9,7 +9,9 @@
 mod machine_context;
 mod traits;
 
-pub use conflicts::{clash, fields_against};
-pub use evaluation::{JobConstraints, Preference, RequiredPreferences, has_hard, subject};
+pub use conflicts::{excluding_field_names, smallest_conflict};
+pub use evaluation::{
+    JobConstraints, Preference, RequiredPreferences, has_hard_rule, rule_subject,
+};
 pub use machine_context::{JobRef, MachineContext, PlacementContext};
-pub use traits::{ClassTraits, labelled, traits};
+pub use traits::{ClassTraits, labelled_machines, traits};
--- a/src/scheduler/constraints/conflicts.rs
+++ b/src/scheduler/constraints/conflicts.rs
@@ -7,7 +7,7 @@
 use crate::storage::job::JobSpec;
 use crate::storage::machine_classes::{Class, Classes};
 use cometlead_constraints::RuleSet;
-use cometlead_constraints::clash::{RuleMask, smallest};
+use cometlead_constraints::conflict::{self, RuleMask};
 use cometlead_constraints::rules::LabelTable;
 use std::sync::Arc;
 
@@ -30,12 +30,16 @@
     let spot_excluded = class.spot && !spec.spot_allowed;
     let too_small = catalog
         .get(&class.machine_type)
-        .is_none_or(|entry| !spec.need.fits(&entry.room));
+        .is_none_or(|entry| !spec.need.fits(&entry.capacity));
     [type_excluded, zone_excluded, spot_excluded, too_small]
 }
 
 /// Names of the fields of a submission that exclude a class.
-pub fn fields_against(spec: &JobSpec, class: &Class, catalog: &Catalog) -> Vec<&'static str> {
+pub fn excluding_field_names(
+    spec: &JobSpec,
+    class: &Class,
+    catalog: &Catalog,
+) -> Vec<&'static str> {
     let failing = excluding_fields(spec, class, catalog);
     FIELDS
         .into_iter()
@@ -47,7 +51,7 @@
 
 /// The smallest set of rules, by name, that excludes a job from every machine that is up or could be provisioned;
 /// `None` if some machine could run it.
-pub fn clash(
+pub fn smallest_conflict(
     spec: &JobSpec,
     constraints: &JobConstraints,
     sets: &[Arc<RuleSet>],
@@ -69,7 +73,7 @@
             .chain(requirements_excluding(&constraints, 0));
         failing_by_class.push(rule_mask(failing)?);
     }
-    let conflict = smallest(&failing_by_class)?;
+    let conflict = conflict::smallest_conflict(&failing_by_class)?;
     let fields = FIELDS.into_iter();
     Some(rule_names(
         conflict,
@@ -171,7 +175,7 @@
                 rule_mask(violated).unwrap_or(0)
             })
             .collect();
-        let conflict = smallest(&failing_by_machine)?;
+        let conflict = conflict::smallest_conflict(&failing_by_machine)?;
         Some(rule_names(conflict, requirement_names(constraints)))
     }
 }
--- a/src/scheduler/constraints/evaluation.rs
+++ b/src/scheduler/constraints/evaluation.rs
@@ -6,7 +6,9 @@
 use crate::time::Micros;
 use cometlead_constraints::evaluation::EmptyMachine;
 use cometlead_constraints::expr::{Field, Words};
-use cometlead_constraints::{Evaluation, Expr, Kind, MachineState, Rule, RuleSet, Subject, Traits};
+use cometlead_constraints::{
+    Evaluation, Expr, MachineState, Rule, RuleKind, RuleSet, Subject, Traits,
+};
 use std::ops::Range;
 use std::sync::Arc;
 
@@ -25,7 +27,7 @@
 impl Requirement {
     fn new(rule: &Rule, by_class: Vec<Evaluation>) -> Requirement {
         let mut colocation_tests = Vec::new();
-        rule.expr.tests(&mut |test| {
+        rule.expr.visit_tests(&mut |test| {
             if let Expr::Colocated(field, words) = test {
                 colocation_tests.push((*field, words.clone()));
             }
@@ -104,8 +106,10 @@
         };
         for RuleInSets { rule, sets } in rules {
             match rule.kind {
-                Kind::Require => constraints.add_requirement(rule, evaluate(rule, &sets, classes)),
-                Kind::Prefer { weight, wait } if sets.end > last_set => {
+                RuleKind::Require => {
+                    constraints.add_requirement(rule, evaluate(rule, &sets, classes))
+                }
+                RuleKind::Prefer { weight, wait } if sets.end > last_set => {
                     let last_only = sets.start.max(last_set)..sets.end;
                     constraints.preferences.push(Preference {
                         name: rule.name.clone(),
@@ -114,7 +118,7 @@
                         by_class: evaluate(rule, &last_only, classes),
                     });
                 }
-                Kind::Prefer { .. } => {}
+                RuleKind::Prefer { .. } => {}
             }
         }
         constraints.order_preferences();
@@ -216,7 +220,7 @@
     }
 
     /// Whether the job waits for any of its preferences.
-    pub fn waits(&self) -> bool {
+    pub fn waits_for_preferences(&self) -> bool {
         self.preferences
             .iter()
             .any(|preference| preference.wait > Micros::ZERO)
@@ -259,7 +263,7 @@
 /// The rules that concern a job: its own rules, evaluated under all rule sets, and those of each set, evaluated under
 /// that set.
 fn rules_concerning<'a>(spec: &'a JobSpec, sets: &'a [Arc<RuleSet>]) -> Vec<RuleInSets<'a>> {
-    let subject = subject(spec);
+    let subject = rule_subject(spec);
     let own_rules = spec.rules.iter().map(|rule| RuleInSets {
         rule,
         sets: 0..sets.len().max(1),
@@ -276,14 +280,14 @@
 }
 
 /// Whether any hard rule concerns a job.
-pub fn has_hard(spec: &JobSpec, sets: &[Arc<RuleSet>]) -> bool {
+pub fn has_hard_rule(spec: &JobSpec, sets: &[Arc<RuleSet>]) -> bool {
     rules_concerning(spec, sets)
         .iter()
         .any(|rule_in_sets| rule_in_sets.rule.is_hard())
 }
 
 /// The properties of a job that select the rules which concern it.
-pub fn subject(spec: &JobSpec) -> Subject<'_> {
+pub fn rule_subject(spec: &JobSpec) -> Subject<'_> {
     Subject {
         job_class: &spec.job_class,
         team: &spec.team,
--- a/src/scheduler/constraints/machine_context.rs
+++ b/src/scheduler/constraints/machine_context.rs
@@ -40,7 +40,7 @@
     /// Constraints of the jobs that some rule concerns.
     pub job_constraints: &'a HashMap<JobId, JobConstraints>,
     /// Whether any rule tests colocated jobs.
-    pub colocated: bool,
+    pub rules_test_colocation: bool,
 }
 
 /// The current state of a machine, as far as rules may test it.
@@ -99,7 +99,7 @@
 impl PlacementContext<'_> {
     /// Whether rules of a job restrict which jobs may be colocated with it.
     pub fn restricts_colocation(&self, job: JobId) -> bool {
-        self.colocated
+        self.rules_test_colocation
             && self
                 .job_constraints
                 .get(&job)
--- a/src/scheduler/constraints/traits.rs
+++ b/src/scheduler/constraints/traits.rs
@@ -22,7 +22,7 @@
     let machine = class.machine.map(|machine| machine.to_string());
     let traits_under = |set: &Arc<RuleSet>| {
         let mut traits = built_in.clone();
-        set.label(
+        set.add_labels(
             &mut traits,
             &class.machine_type,
             &class.zone,
@@ -48,25 +48,25 @@
         ("type", Value::Word(machine_type.to_owned())),
         ("zone", Value::Word(zone.to_owned())),
         ("spot", Value::Flag(spot)),
-        ("cores", number(entry.room.cores, Dimension::Plain)),
+        ("cores", number(entry.capacity.cores, Dimension::Plain)),
         (
             "accelerators",
-            number(entry.room.accelerators, Dimension::Plain),
+            number(entry.capacity.accelerators, Dimension::Plain),
         ),
-        ("memory", number(entry.room.memory, Dimension::Size)),
-        ("cache", number(entry.cache, Dimension::Size)),
-        ("fetch", number(entry.fetch, Dimension::Rate)),
+        ("memory", number(entry.capacity.memory, Dimension::Size)),
+        ("cache", number(entry.cache_size, Dimension::Size)),
+        ("fetch", number(entry.fetch_rate, Dimension::Rate)),
         ("price", number(entry.price_of(spot), Dimension::Plain)),
         (
             "boot",
-            number(entry.boot.0 / MICROS_PER_MILLI, Dimension::Time),
+            number(entry.boot_time.0 / MICROS_PER_MILLI, Dimension::Time),
         ),
     ];
     Some(traits.map(|(name, value)| (name.to_owned(), value)).into())
 }
 
 /// Machines that have labels in any rule set.
-pub fn labelled(sets: &[Arc<RuleSet>]) -> BTreeSet<MachineId> {
+pub fn labelled_machines(sets: &[Arc<RuleSet>]) -> BTreeSet<MachineId> {
     sets.iter()
         .flat_map(|set| set.file.labels.machines.keys())
         .filter_map(|machine| machine.parse().ok())
--- a/src/scheduler/fair_shares.rs
+++ b/src/scheduler/fair_shares.rs
@@ -40,10 +40,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Deficit {
     /// Cores that it may be assigned ahead of the order, in thousandths: what it lacks of half of its fair share.
-    pub ahead: u64,
+    pub cores_ahead_of_order: u64,
     /// Whether its late tasks are protected from preemption: it has no more than its fair share. If they were protected
     /// only up to half of it, the room assigned ahead of the order would be preempted as soon as that half is reached.
-    pub protected: bool,
+    pub protected_from_preemption: bool,
 }
 
 /// The deficit of each class or team; none unless it is late and another one has more than half of its own fair share.
@@ -60,8 +60,8 @@
                 return Deficit::default();
             }
             Deficit {
-                ahead: (fair[index] / 2).saturating_sub(share.assigned),
-                protected: share.assigned <= fair[index],
+                cores_ahead_of_order: (fair[index] / 2).saturating_sub(share.assigned),
+                protected_from_preemption: share.assigned <= fair[index],
             }
         })
         .collect()
--- a/src/scheduler/fair_shares/tests.rs
+++ b/src/scheduler/fair_shares/tests.rs
@@ -16,7 +16,7 @@
 fn ahead(room: u64, shares: &[Share]) -> Vec<u64> {
     deficits(room, shares)
         .into_iter()
-        .map(|d| d.ahead)
+        .map(|d| d.cores_ahead_of_order)
         .collect()
 }
 
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -9,8 +9,10 @@
 mod preemption;
 mod request;
 
-pub use candidate::{Candidate, GroupAllowance, PreemptibleTask};
-pub use gang_reservation::{Drain, DrainCandidate, DrainDemand, EndingTask, drain};
+pub use candidate::{Candidate, GroupWriteLimit, PreemptibleTask};
+pub use gang_reservation::{
+    EndingTask, GangDemand, ReservationCandidate, ReservedMachines, select_reserved_machines,
+};
 pub use preemption::{Preemption, preempt};
 pub use request::{Claim, PlacementRequest, PlacementRules};
 
@@ -27,7 +29,7 @@
 pub fn plan<'a>(
     candidates: &mut [Candidate<'a>],
     requests: &mut [PlacementRequest<'a>],
-    groups: &mut GroupAllowance,
+    groups: &mut GroupWriteLimit,
     claim_limit: usize,
 ) -> Vec<Claim> {
     let mut planner = Planner::new(candidates, groups, claim_limit);
@@ -46,7 +48,7 @@
 /// State of one plan.
 struct Planner<'p, 'a> {
     candidates: &'p mut [Candidate<'a>],
-    groups: &'p mut GroupAllowance,
+    groups: &'p mut GroupWriteLimit,
     claim_limit: usize,
     claims: Vec<Claim>,
     /// Indexes of the candidates with free room. Free room only shrinks, so a full machine is not visited again.
@@ -81,7 +83,7 @@
 impl<'p, 'a> Planner<'p, 'a> {
     fn new(
         candidates: &'p mut [Candidate<'a>],
-        groups: &'p mut GroupAllowance,
+        groups: &'p mut GroupWriteLimit,
         claim_limit: usize,
     ) -> Planner<'p, 'a> {
         let available = (0..candidates.len())
@@ -151,7 +153,7 @@
         // choice until it is full: one ranking is enough for all tasks of the job.
         let mut ranked = self.rank_machines(request);
         let any_fits = !ranked.is_empty();
-        let task_limit = request.most.min(self.claim_limit as u64) as usize;
+        let task_limit = request.remaining_task_quota.min(self.claim_limit as u64) as usize;
         let task_count = request.tasks.len().min(task_limit);
         let mut placed = 0;
         while placed < task_count && !self.claim_limit_reached() {
@@ -191,14 +193,14 @@
     fn rank(&self, index: usize, request: &PlacementRequest<'_>) -> MachineRank {
         let candidate = &self.candidates[index];
         MachineRank {
-            in_gang_reservation: candidate.held,
-            avoided: request.avoid.contains(&candidate.machine),
+            in_gang_reservation: candidate.in_gang_reservation,
+            avoided: request.avoided_machines.contains(&candidate.machine),
             score: Reverse(request.score(candidate)),
             image_missing: !candidate.has_image(&request.spec.image),
             other_owner: candidate.owner != request.owner,
             free_cores: candidate.free.cores,
             free_memory: candidate.free.memory,
-            needs_group_write: !self.groups.open[candidate.group],
+            needs_group_write: !self.groups.written[candidate.group],
             price: candidate.price,
             machine: candidate.machine,
             candidate: index,
@@ -262,7 +264,7 @@
     });
     let mut room_by_zone: BTreeMap<&str, u64> = BTreeMap::new();
     for candidate in feasible {
-        let room = spec.need.times_in(&candidate.free, task_count);
+        let room = spec.need.count_fitting_in(&candidate.free, task_count);
         *room_by_zone.entry(candidate.zone).or_default() += room;
     }
     room_by_zone
--- a/src/scheduler/placement/candidate.rs
+++ b/src/scheduler/placement/candidate.rs
@@ -13,7 +13,7 @@
 pub struct Candidate<'a> {
     /// The machine.
     pub machine: MachineId,
-    /// Index of the machine's group in [`GroupAllowance::open`].
+    /// Index of the machine's group in [`GroupWriteLimit::written`].
     pub group: usize,
     /// Controller that serves the machine's agent, numbered like [`super::PlacementRequest::owner`].
     pub owner: usize,
@@ -30,15 +30,15 @@
     /// Unassigned capacity.
     pub free: Amount,
     /// Reserved in this plan for a request of higher precedence that found no room.
-    pub reserved: bool,
-    /// Part of a gang reservation, see [`super::drain`]: usable only by requests that may use reserved machines.
-    pub held: bool,
+    pub reserved_in_plan: bool,
+    /// Part of a gang reservation, see [`super::select_reserved_machines`]: usable only by requests that may use reserved machines.
+    pub in_gang_reservation: bool,
     /// Images that the machine holds or fetches.
     pub images: &'a [(Arc<str>, u64)],
     /// Image that the machine has to fetch for tasks placed by this plan.
     pub fetching_image: Option<&'a str>,
     /// Tasks that may be preempted, the most recently started last.
-    pub running: Vec<PreemptibleTask>,
+    pub preemptible_tasks: Vec<PreemptibleTask>,
     /// Machine class, if rules need it.
     pub class: ClassId,
     /// Jobs with tasks on the machine, if rules need them.
@@ -66,7 +66,7 @@
 
     /// Whether this plan may still place tasks on the machine.
     pub(super) fn is_available(&self) -> bool {
-        !self.reserved && self.free.cores > 0
+        !self.reserved_in_plan && self.free.cores > 0
     }
 
     /// Claims the room of a task that needs `need` and runs `image`.
@@ -79,27 +79,27 @@
 /// Machine groups that a commit round may write. Each machine group is one operation of the round's transaction, and
 /// the number of operations is bounded.
 #[derive(Clone, Debug, Default)]
-pub struct GroupAllowance {
+pub struct GroupWriteLimit {
     /// For each machine group: whether the round writes it already.
-    pub open: Vec<bool>,
+    pub written: Vec<bool>,
     /// How many more machine groups the round may write.
-    pub left: usize,
+    pub remaining: usize,
 }
 
-impl GroupAllowance {
+impl GroupWriteLimit {
     /// Whether the round may write a machine group.
     pub(super) fn may_write(&self, group: usize) -> bool {
-        self.left > 0 || self.open[group]
+        self.remaining > 0 || self.written[group]
     }
 
-    /// Adds a machine group to those that the round writes; returns false if that exceeds the allowance.
+    /// Adds a machine group to those that the round writes; returns false if that exceeds the limit.
     pub(super) fn add_write(&mut self, group: usize) -> bool {
         if !self.may_write(group) {
             return false;
         }
-        let already_written = std::mem::replace(&mut self.open[group], true);
+        let already_written = std::mem::replace(&mut self.written[group], true);
         if !already_written {
-            self.left -= 1;
+            self.remaining -= 1;
         }
         true
     }
--- a/src/scheduler/placement/gang_reservation.rs
+++ b/src/scheduler/placement/gang_reservation.rs
@@ -11,7 +11,7 @@
 
 /// A machine that may be reserved.
 #[derive(Clone, Debug)]
-pub struct DrainCandidate<'a> {
+pub struct ReservationCandidate<'a> {
     /// The machine.
     pub machine: MachineId,
     /// Its zone.
@@ -19,7 +19,7 @@
     /// Unassigned capacity.
     pub free: Amount,
     /// Assigned tasks that end by themselves.
-    pub ending: Vec<EndingTask>,
+    pub ending_tasks: Vec<EndingTask>,
 }
 
 /// An assigned task that ends by itself.
@@ -33,7 +33,7 @@
 
 /// The tasks of a gang that are to fit on the reserved machines.
 #[derive(Clone, Copy, Debug)]
-pub struct DrainDemand {
+pub struct GangDemand {
     /// Resources of one task.
     pub need: Amount,
     /// Number of tasks.
@@ -46,11 +46,11 @@
 
 /// Machines to reserve.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Drain {
+pub struct ReservedMachines {
     /// The machines.
     pub machines: BTreeSet<MachineId>,
     /// The longest estimated runtime of the tasks that have to end first.
-    pub duration: Micros,
+    pub longest_runtime: Micros,
     /// Tasks that fit on the machines once these tasks have ended.
     pub tasks: u64,
 }
@@ -78,8 +78,11 @@
 }
 
 /// The machines to reserve for a demand: those that are expected to be free the soonest. They may have room for fewer
-/// tasks than the demand has, see [`Drain::tasks`].
-pub fn drain(candidates: &[DrainCandidate<'_>], demand: &DrainDemand) -> Drain {
+/// tasks than the demand has, see [`ReservedMachines::tasks`].
+pub fn select_reserved_machines(
+    candidates: &[ReservationCandidate<'_>],
+    demand: &GangDemand,
+) -> ReservedMachines {
     let mut offers: Vec<RoomOffer<'_>> = candidates
         .iter()
         .flat_map(|candidate| machine_offers(candidate, demand))
@@ -100,11 +103,11 @@
 }
 
 /// The reservation with room for more tasks, otherwise the shorter one; the first of two equal ones.
-fn better_reservation(first: Drain, second: Drain) -> Drain {
-    let rank = |choice: &Drain| {
+fn better_reservation(first: ReservedMachines, second: ReservedMachines) -> ReservedMachines {
+    let rank = |choice: &ReservedMachines| {
         (
             std::cmp::Reverse(choice.tasks),
-            duration_class(choice.duration),
+            duration_class(choice.longest_runtime),
         )
     };
     if rank(&second) < rank(&first) {
@@ -115,11 +118,14 @@
 }
 
 /// The offers of a machine: for its free room, and for each ending task that makes room for more tasks of the demand.
-fn machine_offers<'a>(candidate: &DrainCandidate<'a>, demand: &DrainDemand) -> Vec<RoomOffer<'a>> {
-    let mut ending = candidate.ending.clone();
+fn machine_offers<'a>(
+    candidate: &ReservationCandidate<'a>,
+    demand: &GangDemand,
+) -> Vec<RoomOffer<'a>> {
+    let mut ending = candidate.ending_tasks.clone();
     ending.sort_unstable_by_key(|task| task.estimated_runtime);
     let mut room = candidate.free;
-    let mut fitting_tasks = demand.need.times_in(&room, demand.tasks);
+    let mut fitting_tasks = demand.need.count_fitting_in(&room, demand.tasks);
     let mut offers = Vec::new();
     let mut add_offer = |must_wait, duration, tasks| {
         offers.push(RoomOffer {
@@ -136,7 +142,7 @@
     }
     for task in ending {
         room += task.need;
-        let tasks = demand.need.times_in(&room, demand.tasks);
+        let tasks = demand.need.count_fitting_in(&room, demand.tasks);
         if tasks > fitting_tasks {
             add_offer(true, task.estimated_runtime, tasks - fitting_tasks);
             fitting_tasks = tasks;
@@ -146,8 +152,8 @@
 }
 
 /// Accepts offers in their order until all tasks fit.
-fn accept_offers(offers: &[RoomOffer<'_>], demand: &DrainDemand) -> Drain {
-    let mut reservation = Drain::default();
+fn accept_offers(offers: &[RoomOffer<'_>], demand: &GangDemand) -> ReservedMachines {
+    let mut reservation = ReservedMachines::default();
     let mut placed_by_zone: BTreeMap<&str, u64> = BTreeMap::new();
     for offer in offers {
         let placed_in_zone = placed_by_zone.entry(offer.zone).or_default();
@@ -161,7 +167,7 @@
         }
         *placed_in_zone += tasks;
         reservation.tasks += tasks;
-        reservation.duration = reservation.duration.max(offer.duration);
+        reservation.longest_runtime = reservation.longest_runtime.max(offer.duration);
         reservation.machines.insert(offer.machine);
     }
     reservation
--- a/src/scheduler/placement/plan_reservation.rs
+++ b/src/scheduler/placement/plan_reservation.rs
@@ -16,7 +16,7 @@
     request: &PlacementRequest<'_>,
     missing: u64,
 ) {
-    let mut missing = missing.min(request.most);
+    let mut missing = missing.min(request.remaining_task_quota);
     if missing == 0 || request.never_reserves {
         return;
     }
@@ -39,8 +39,11 @@
             return;
         };
         let candidate = &mut candidates[index];
-        candidate.reserved = true;
-        let capacity = request.spec.need.times_in(&candidate.capacity, missing);
+        candidate.reserved_in_plan = true;
+        let capacity = request
+            .spec
+            .need
+            .count_fitting_in(&candidate.capacity, missing);
         missing = missing.saturating_sub(capacity);
     }
 }
--- a/src/scheduler/placement/preemption.rs
+++ b/src/scheduler/placement/preemption.rs
@@ -70,7 +70,7 @@
             .filter(|claim| claim.job == request.job)
             .count();
         let mut missing = (request.tasks.len() as u64)
-            .min(request.most)
+            .min(request.remaining_task_quota)
             .saturating_sub(placed as u64);
         if missing > 0 && !running_loaded {
             load_running(candidates, running);
@@ -92,7 +92,7 @@
 /// whether their tasks can start depends on more than a single machine.
 fn may_preempt(request: &PlacementRequest<'_>) -> bool {
     request.is_local
-        && request.preempts
+        && request.may_preempt
         && !request.gang
         && !request.spec.single_zone
         && !request.spec.anti_affinity
@@ -103,7 +103,7 @@
     running: &dyn Fn(MachineId) -> Vec<PreemptibleTask>,
 ) {
     for candidate in candidates {
-        candidate.running = running(candidate.machine);
+        candidate.preemptible_tasks = running(candidate.machine);
     }
 }
 
@@ -131,8 +131,8 @@
     missing: u64,
 ) -> Option<PreemptionOption> {
     let victims = select_victims(candidate, request, missing)?;
-    let first_victim = candidate.running.len() - victims.count;
-    let lost_cores: u64 = candidate.running[first_victim..]
+    let first_victim = candidate.preemptible_tasks.len() - victims.count;
+    let lost_cores: u64 = candidate.preemptible_tasks[first_victim..]
         .iter()
         .map(|victim| victim.need.cores)
         .sum();
@@ -142,7 +142,7 @@
     }
     Some(PreemptionOption {
         cost: PreemptionCost {
-            in_gang_reservation: candidate.held,
+            in_gang_reservation: candidate.in_gang_reservation,
             image_missing: !candidate.has_image(&request.spec.image),
             loss_per_gain: lost_cores * LOSS_PER_GAIN_SCALE / gained_cores.max(1),
             machine: candidate.machine,
@@ -162,12 +162,12 @@
     let mut room = candidate.free;
     let mut best = None;
     let mut fitting_tasks = 0;
-    for (index, task) in candidate.running.iter().rev().enumerate() {
+    for (index, task) in candidate.preemptible_tasks.iter().rev().enumerate() {
         if !is_preemptible(task, request) || fitting_tasks >= missing {
             break;
         }
         room += task.need;
-        let tasks = request.spec.need.times_in(&room, missing);
+        let tasks = request.spec.need.count_fitting_in(&room, missing);
         if tasks > fitting_tasks {
             fitting_tasks = tasks;
             best = Some(VictimSet {
@@ -196,7 +196,7 @@
     candidate.free = victims.room;
     candidate.free -= request.spec.need.times(victims.tasks);
     request.add_resident_to(candidate);
-    let first_victim = candidate.running.len() - victims.count;
+    let first_victim = candidate.preemptible_tasks.len() - victims.count;
     let machine = candidate.machine;
     let claim = |index| Claim {
         job: request.job,
@@ -206,7 +206,7 @@
     Preemption {
         machine,
         victims: candidate
-            .running
+            .preemptible_tasks
             .drain(first_victim..)
             .map(|task| task.assignment)
             .collect(),
--- a/src/scheduler/placement/request.rs
+++ b/src/scheduler/placement/request.rs
@@ -23,7 +23,7 @@
     /// Assigned tasks of the job by zone.
     pub zones: BTreeMap<&'a str, u32>,
     /// Largest number of tasks that the quota of its team still allows.
-    pub most: u64,
+    pub remaining_task_quota: u64,
     /// Highest price per core of a machine that may run it.
     pub price_limit: u64,
     /// Controller that places the job, numbered like [`Candidate::owner`].
@@ -32,7 +32,7 @@
     /// lower precedence takes the room that these controllers are about to claim.
     pub is_local: bool,
     /// Whether it must start at once and may preempt other tasks.
-    pub preempts: bool,
+    pub may_preempt: bool,
     /// Whether it is within the guarantee of its team.
     pub guaranteed: bool,
     /// Whether the plan reserves no machines for it: it uses leftover capacity only, or it has a gang reservation
@@ -40,11 +40,11 @@
     pub never_reserves: bool,
     /// Whether it may use machines of gang reservations: the reservation is its own, or it does not delay the gang that
     /// the machines are reserved for.
-    pub uses_held_machines: bool,
+    pub may_use_gang_reservations: bool,
     /// Whether it is a gang: all of its tasks are placed or none.
     pub gang: bool,
     /// Machines to use only if no other machine fits.
-    pub avoid: &'a [MachineId],
+    pub avoided_machines: &'a [MachineId],
     /// The rules that apply, if any.
     pub rules: Option<PlacementRules<'a>>,
 }
@@ -76,7 +76,7 @@
     /// Whether price, type, zone and kind (spot or not) of the machine match the request, and the request may use it if
     /// it is part of a gang reservation.
     pub(super) fn allows_machine(&self, candidate: &Candidate<'_>) -> bool {
-        (self.uses_held_machines || !candidate.held)
+        (self.may_use_gang_reservations || !candidate.in_gang_reservation)
             && candidate.price <= self.price_limit
             && self
                 .spec
@@ -118,7 +118,10 @@
 
     /// Records on the candidate that it runs tasks of the job, if rules test colocated jobs.
     pub(super) fn add_resident_to(&self, candidate: &mut Candidate<'_>) {
-        let Some(rules) = self.rules.filter(|rules| rules.context.colocated) else {
+        let Some(rules) = self
+            .rules
+            .filter(|rules| rules.context.rules_test_colocation)
+        else {
             return;
         };
         if !candidate.residents.contains(&self.job) {
@@ -166,7 +169,7 @@
             spot: spec.spot_allowed,
             price_limit: request.price_limit,
             is_local: request.is_local,
-            may_use_gang_reservations: request.uses_held_machines,
+            may_use_gang_reservations: request.may_use_gang_reservations,
         })
     }
 }
--- a/src/scheduler/placement/tests.rs
+++ b/src/scheduler/placement/tests.rs
@@ -46,11 +46,11 @@
         price: 1,
         capacity: cores(6_000),
         free: cores(free_cores),
-        reserved: false,
-        held: false,
+        reserved_in_plan: false,
+        in_gang_reservation: false,
         images: &[],
         fetching_image: None,
-        running: Vec::new(),
+        preemptible_tasks: Vec::new(),
         class: 0,
         restricts_colocation: false,
         residents: Vec::new(),
@@ -64,16 +64,16 @@
         priority: spec.priority,
         tasks: (0..spec.task_count).collect(),
         zones: BTreeMap::new(),
-        most: u64::MAX,
+        remaining_task_quota: u64::MAX,
         price_limit,
         owner: 0,
         is_local,
-        preempts: false,
+        may_preempt: false,
         guaranteed: false,
         never_reserves: false,
-        uses_held_machines: true,
+        may_use_gang_reservations: true,
         gang: spec.runs_all_tasks_at_once(),
-        avoid: &[],
+        avoided_machines: &[],
         rules: None,
     }
 }
@@ -100,9 +100,9 @@
                 .enumerate()
                 .map(|(index, spec)| request(index, spec, is_local[index], price_limit(index)))
                 .collect();
-            let mut groups = GroupAllowance {
-                open: vec![false; free.len() / MACHINES_PER_GROUP],
-                left: 3,
+            let mut groups = GroupWriteLimit {
+                written: vec![false; free.len() / MACHINES_PER_GROUP],
+                remaining: 3,
             };
             plan(&mut candidates, &mut requests, &mut groups, 20)
         };
--- a/src/scheduler/provisioning.rs
+++ b/src/scheduler/provisioning.rs
@@ -58,7 +58,7 @@
     fn plan_demand(&mut self, demand: &Demand<'_>) {
         let mut missing = self
             .pools
-            .place(demand, PriceFilter::WithinLimit, demand.count);
+            .place(demand, PriceFilter::WithinLimit, demand.task_count);
         let mut price_filter = PriceFilter::WithinLimit;
         while missing > 0 && self.provisioned < MAX_MACHINES_PER_PLAN {
             let backlog = self.backlog(demand, missing, price_filter);
@@ -86,7 +86,8 @@
             work: self.unplaced_work + demand.task_work() * u128::from(missing),
         };
         for pool in self.pools.feasible(demand, price_filter) {
-            let usable_cores = need.times_in(&pool.capacity, u64::from(u32::MAX)) * need.cores;
+            let usable_cores =
+                need.count_fitting_in(&pool.capacity, u64::from(u32::MAX)) * need.cores;
             if usable_cores > 0 {
                 backlog.cores += u128::from(usable_cores * pool.count);
                 backlog.work += pool.work;
@@ -98,8 +99,8 @@
     /// Provisions one machine for the `missing` tasks of a demand; returns how many fit on it.
     fn provision(&mut self, chosen: BorrowedOffer<'a>, demand: &Demand<'_>, missing: u64) -> u64 {
         let need = &demand.spec.need;
-        let room = chosen.machine_type.room;
-        let tasks = need.times_in(&room, missing);
+        let room = chosen.machine_type.capacity;
+        let tasks = need.count_fitting_in(&room, missing);
         let offer = chosen.to_offer();
         self.pools.add(
             (&chosen.machine_type.name, chosen.zone, chosen.spot),
--- a/src/scheduler/provisioning/demand.rs
+++ b/src/scheduler/provisioning/demand.rs
@@ -9,11 +9,11 @@
 /// The machines that rules allow one job.
 pub trait PlacementFilter {
     /// Whether machines of a class may run it, in some state of the machine.
-    fn class(&self, class: ClassId) -> bool;
+    fn allows_class(&self, class: ClassId) -> bool;
     /// Whether a machine may run it in its current state; `None` stands for a machine that is not up yet.
-    fn machine(&self, class: ClassId, machine: Option<MachineId>) -> bool;
+    fn allows_machine(&self, class: ClassId, machine: Option<MachineId>) -> bool;
     /// Total weight of the preferences that a machine provisioned for it meets; `None` if it may not run there.
-    fn offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u32>;
+    fn offer_score(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u32>;
 }
 
 /// Pending tasks of one job.
@@ -21,11 +21,11 @@
     /// The specification of the job.
     pub spec: &'a JobSpec,
     /// Number of tasks.
-    pub count: u64,
+    pub task_count: u64,
     /// Time until the tasks must start to meet their deadline; zero if that has passed.
     pub slack: Micros,
     /// Estimated runtime of a task.
-    pub run: Micros,
+    pub estimated_runtime: Micros,
     /// Highest price per core of machines for tasks that are not at risk of being late, see
     /// [`super::price_limit`].
     pub price_limit: u64,
@@ -42,7 +42,7 @@
                 .as_ref()
                 .is_none_or(|placement_filter| {
                     pool.class
-                        .is_some_and(|class| placement_filter.class(class))
+                        .is_some_and(|class| placement_filter.allows_class(class))
                 })
     }
 
@@ -54,12 +54,12 @@
         self.placement_filter
             .as_ref()
             .map_or(Some(0), |placement_filter| {
-                placement_filter.offer(machine_type, zone, spot)
+                placement_filter.offer_score(machine_type, zone, spot)
             })
     }
 
     /// Core time of one task, in thousandths of a core times microseconds.
     pub(super) fn task_work(&self) -> u128 {
-        u128::from(self.spec.need.cores) * u128::from(self.run.0)
+        u128::from(self.spec.need.cores) * u128::from(self.estimated_runtime.0)
     }
 }
--- a/src/scheduler/provisioning/offers.rs
+++ b/src/scheduler/provisioning/offers.rs
@@ -35,7 +35,7 @@
 
 /// Price per core of a machine, scaled for comparison.
 pub fn core_price(machine_type: &MachineType, spot: bool) -> u64 {
-    machine_type.price_of(spot) * CORE_PRICE_SCALE / machine_type.room.cores.max(1)
+    machine_type.price_of(spot) * CORE_PRICE_SCALE / machine_type.capacity.cores.max(1)
 }
 
 /// Highest price per core for work that is not at risk of being late: 1.5 times the price of the cheapest machine that
@@ -56,7 +56,7 @@
     catalog
         .types
         .iter()
-        .filter(|machine_type| spec.need.fits(&machine_type.room))
+        .filter(|machine_type| spec.need.fits(&machine_type.capacity))
         .flat_map(|machine_type| [(machine_type, true), (machine_type, false)])
         .filter(|(machine_type, spot)| allowed(machine_type, *spot))
         .map(|(machine_type, spot)| core_price(machine_type, spot))
@@ -172,7 +172,7 @@
             .demand
             .spec
             .need
-            .times_in(&machine_type.room, self.missing);
+            .count_fitting_in(&machine_type.capacity, self.missing);
         if tasks == 0 || !self.is_useful(machine_type, tasks) {
             return None;
         }
@@ -214,18 +214,18 @@
         let ready_after = self.ready_after(machine_type);
         self.backlog.duration() > self.demand.slack
             && ready_after < self.demand.slack
-            && ready_after <= self.demand.run
+            && ready_after <= self.demand.estimated_runtime
     }
 
     /// Time until a machine is up and holds the image.
     fn ready_after(&self, machine_type: &MachineType) -> Micros {
-        machine_type.boot + machine_type.fetch_time(self.demand.spec.size)
+        machine_type.boot_time + machine_type.fetch_time(self.demand.spec.image_size)
     }
 
     /// Time that a machine is charged for.
     fn charged_time(&self, machine_type: &MachineType) -> Micros {
-        let busy = self.demand.run.max(MIN_ESTIMATED_RUNTIME)
-            + machine_type.fetch_time(self.demand.spec.size);
-        (machine_type.boot + busy * RUNS_PER_COST_ESTIMATE).max(MIN_CHARGED_TIME)
+        let busy = self.demand.estimated_runtime.max(MIN_ESTIMATED_RUNTIME)
+            + machine_type.fetch_time(self.demand.spec.image_size);
+        (machine_type.boot_time + busy * RUNS_PER_COST_ESTIMATE).max(MIN_CHARGED_TIME)
     }
 }
--- a/src/scheduler/provisioning/pools.rs
+++ b/src/scheduler/provisioning/pools.rs
@@ -42,7 +42,7 @@
             machine_type,
             zone,
             spot,
-            capacity: entry.map_or(Amount::default(), |entry| entry.room),
+            capacity: entry.map_or(Amount::default(), |entry| entry.capacity),
             price: entry.map_or(0, |entry| core_price(entry, spot)),
             count: 0,
             work: 0,
@@ -59,11 +59,11 @@
                 break;
             }
             if let (Some(placement_filter), Some(class)) = (&demand.placement_filter, self.class)
-                && !placement_filter.machine(class, *machine)
+                && !placement_filter.allows_machine(class, *machine)
             {
                 continue;
             }
-            let tasks = need.times_in(free, missing);
+            let tasks = need.count_fitting_in(free, missing);
             *free -= need.times(tasks);
             self.work += demand.task_work() * u128::from(tasks);
             missing -= tasks;
--- a/src/scheduler/zone_health.rs
+++ b/src/scheduler/zone_health.rs
@@ -12,9 +12,9 @@
     /// Machines there whose agents it serves and has received heartbeats from.
     pub machines: usize,
     /// Time since the last heartbeat of any of them.
-    pub quiet: Micros,
+    pub time_since_heartbeat: Micros,
     /// Machines that were probed since that heartbeat and did not respond.
-    pub unanswered: usize,
+    pub unresponsive_machines: usize,
     /// Machines that sent a heartbeat since the zone was lost.
     pub reconnected: usize,
     /// Whether agents of other zones send heartbeats as usual. If not, the controller itself may be disconnected.
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ZoneHealth {
     state: ZoneState,
-    since: Micros,
+    in_state_since: Micros,
     /// Losses that still count.
     losses: u32,
     /// Time of the last loss.
@@ -79,12 +79,12 @@
     }
 
     /// Since when it has been in this state.
-    pub fn since(&self) -> Micros {
-        self.since
+    pub fn in_state_since(&self) -> Micros {
+        self.in_state_since
     }
 
     /// Whether the zone may be lost. If so, no decision is made about a single machine of it.
-    pub fn is_suspected(&self) -> bool {
+    pub fn may_be_lost(&self) -> bool {
         matches!(self.state, ZoneState::Suspected | ZoneState::Lost)
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// Applies new evidence; returns the new state, if it changes.
-    pub fn note(
+    pub fn apply_evidence(
         &mut self,
         now: Micros,
         heartbeat_interval: Micros,
@@ -111,7 +111,7 @@
             self.count_loss(now);
         }
         self.state = next;
-        self.since = now;
+        self.in_state_since = now;
         Some(next)
     }
 
@@ -121,9 +121,10 @@
         heartbeat_interval: Micros,
         evidence: &ZoneEvidence,
     ) -> ZoneState {
-        let silent = evidence.quiet > Self::usual_silence(evidence.machines, heartbeat_interval);
+        let silent = evidence.time_since_heartbeat
+            > Self::usual_silence(evidence.machines, heartbeat_interval);
         let quorum = Self::PROBED_MACHINES.min(evidence.machines.max(1));
-        let time_in_state = now.since(self.since);
+        let time_in_state = now.since(self.in_state_since);
         match self.state {
             ZoneState::Healthy | ZoneState::Recovering
                 if silent && Self::is_conclusive(evidence) =>
@@ -134,7 +135,7 @@
             ZoneState::Suspected if !silent && self.in_recovery(now) => ZoneState::Recovering,
             ZoneState::Suspected if !silent => ZoneState::Healthy,
             ZoneState::Suspected
-                if evidence.other_zones_connected && evidence.unanswered >= quorum =>
+                if evidence.other_zones_connected && evidence.unresponsive_machines >= quorum =>
             {
                 ZoneState::Lost
             }
@@ -174,13 +175,13 @@
     }
 
     /// Share of the machines that accept new tasks, in percent.
-    pub fn share(&self, now: Micros) -> u64 {
+    pub fn accepting_percent(&self, now: Micros) -> u64 {
         match self.state {
             ZoneState::Suspected if self.losses > 0 => Self::INITIAL_SHARE_PERCENT,
             ZoneState::Healthy | ZoneState::Suspected => Self::FULL_SHARE_PERCENT,
             ZoneState::Lost => 0,
             ZoneState::Recovering => {
-                let elapsed = now.since(self.since).0;
+                let elapsed = now.since(self.in_state_since).0;
                 let added = elapsed * (Self::FULL_SHARE_PERCENT - Self::INITIAL_SHARE_PERCENT)
                     / self.recovery_duration().0;
                 (Self::INITIAL_SHARE_PERCENT + added).min(Self::FULL_SHARE_PERCENT)
@@ -195,7 +196,7 @@
         const MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
         const HASH_RANGE: u64 = 0x1_0000;
         let hash = machine.wrapping_mul(MULTIPLIER) >> 32 & (HASH_RANGE - 1);
-        hash < self.share(now) * HASH_RANGE / Self::FULL_SHARE_PERCENT
+        hash < self.accepting_percent(now) * HASH_RANGE / Self::FULL_SHARE_PERCENT
     }
 }
 
--- a/src/storage/catalog.rs
+++ b/src/storage/catalog.rs
@@ -12,13 +12,13 @@
     pub name: String,
     /// Resources of one machine.
     #[serde(rename = "room")]
-    pub room: Amount,
+    pub capacity: Amount,
     /// Size of the image cache, in thousandths of a GB.
     #[serde(rename = "cache")]
-    pub cache: u64,
+    pub cache_size: u64,
     /// Rate at which images are fetched, in thousandths of a GB per second.
     #[serde(rename = "fetch")]
-    pub fetch: u64,
+    pub fetch_rate: u64,
     /// Price of an on-demand machine.
     #[serde(rename = "price")]
     pub price: u64,
@@ -27,7 +27,7 @@
     pub spot_price: u64,
     /// Nominal boot time.
     #[serde(rename = "boot")]
-    pub boot: Micros,
+    pub boot_time: Micros,
     /// Zones that offer it.
     #[serde(rename = "zones")]
     pub zones: Vec<String>,
@@ -41,7 +41,7 @@
 
     /// Time to fetch an image of this size, in thousandths of a GB.
     pub fn fetch_time(&self, size: u64) -> Micros {
-        Micros(size.saturating_mul(MICROS_PER_SECOND) / self.fetch.max(1))
+        Micros(size.saturating_mul(MICROS_PER_SECOND) / self.fetch_rate.max(1))
     }
 }
 
--- a/src/storage/cell_state/assignments.rs
+++ b/src/storage/cell_state/assignments.rs
@@ -10,7 +10,7 @@
     /// The machine.
     pub machine: MachineId,
     /// Number of the attempt.
-    pub number: u64,
+    pub attempt_number: u64,
 }
 
 /// Places of the assigned tasks, by job and task number; jobs without assigned tasks have no entry.
@@ -23,7 +23,7 @@
         for assignment in &record.tasks {
             let place = Place {
                 machine,
-                number: assignment.number,
+                attempt_number: assignment.attempt_number,
             };
             self.0
                 .entry(assignment.job)
@@ -37,7 +37,7 @@
         for assignment in &record.tasks {
             let place = Place {
                 machine,
-                number: assignment.number,
+                attempt_number: assignment.attempt_number,
             };
             let Some(tasks) = self.0.get_mut(&assignment.job) else {
                 continue;
--- a/src/storage/cell_state/changes.rs
+++ b/src/storage/cell_state/changes.rs
@@ -53,7 +53,7 @@
     /// The job.
     pub job: JobId,
     /// How it ended, if that is known.
-    pub how: Option<FinalRecord>,
+    pub outcome: Option<FinalRecord>,
     /// Job class.
     pub job_class: String,
     /// Team.
@@ -247,7 +247,7 @@
     ) {
         self.ensure_shard(shard);
         let old = std::mem::replace(&mut self.usage[shard], usage);
-        self.update_recorded_finished_tasks(shard, &old.value.ends, changes_seen);
+        self.update_recorded_finished_tasks(shard, &old.value.finished_tasks, changes_seen);
         changes_seen.usage = true;
     }
 }
--- a/src/storage/cell_state/jobs.rs
+++ b/src/storage/cell_state/jobs.rs
@@ -75,7 +75,7 @@
             } = job.record.spec;
             changes_seen.ended.push(EndedJob {
                 job: id,
-                how,
+                outcome: how,
                 job_class,
                 team,
             });
--- a/src/storage/cell_state/queries.rs
+++ b/src/storage/cell_state/queries.rs
@@ -61,7 +61,7 @@
     }
 
     /// Whether the machine groups alone say what is assigned; see [`RecordFormat::Fenced`].
-    pub fn fenced(&self) -> bool {
+    pub fn is_fenced(&self) -> bool {
         self.known_format().is_fenced()
     }
 
@@ -124,33 +124,36 @@
     }
 
     /// Gives each machine that rules label individually a class of its own.
-    pub fn label(&mut self, labelled: BTreeSet<MachineId>) {
+    pub fn set_labelled_machines(&mut self, labelled: BTreeSet<MachineId>) {
         let machines = self
             .groups
             .iter()
             .flat_map(|groups| groups.values())
             .flat_map(|group| &group.value.machines)
             .map(|(machine, record)| (*machine, record));
-        self.classes.label(labelled, machines);
+        self.classes.set_labelled_machines(labelled, machines);
     }
 
     /// All machines of all shards.
     pub fn machines(&self) -> impl Iterator<Item = (ShardId, MachineId, &MachineRecord)> {
         (0..self.groups.len()).flat_map(|shard| {
-            self.machines_of(shard)
+            self.machines_of_shard(shard)
                 .map(move |(machine, record)| (shard, machine, record))
         })
     }
 
     /// All schedulable machines of all shards.
-    pub fn machines_up(&self) -> impl Iterator<Item = (MachineId, &MachineRecord)> {
+    pub fn schedulable_machines(&self) -> impl Iterator<Item = (MachineId, &MachineRecord)> {
         self.machines()
             .filter(|(_, _, record)| record.health == MachineHealth::Schedulable)
             .map(|(_, machine, record)| (machine, record))
     }
 
     /// The machines of a shard.
-    pub fn machines_of(&self, shard: ShardId) -> impl Iterator<Item = (MachineId, &MachineRecord)> {
+    pub fn machines_of_shard(
+        &self,
+        shard: ShardId,
+    ) -> impl Iterator<Item = (MachineId, &MachineRecord)> {
         self.groups
             .get(shard)
             .into_iter()
@@ -171,10 +174,10 @@
 
     /// Free resources of a machine. Preempted tasks are not counted, since their resources are already assigned to
     /// other tasks.
-    pub fn free(&self, record: &MachineRecord) -> Amount {
+    pub fn free_resources(&self, record: &MachineRecord) -> Amount {
         let mut free = self
             .machine_type(&record.machine_type)
-            .map(|machine_type| machine_type.room)
+            .map(|machine_type| machine_type.capacity)
             .unwrap_or_default();
         let assignments = record.tasks.iter();
         for assignment in assignments.filter(|task| !record.preempted.contains(task)) {
@@ -215,7 +218,7 @@
         let is_assigned =
             move |index: &u32| assigned.is_some_and(|tasks| tasks.contains_key(index));
         (0..job.record.spec.task_count)
-            .filter(move |index| !job.finished(*index) && !is_assigned(index))
+            .filter(move |index| !job.is_finished(*index) && !is_assigned(index))
     }
 
     /// How many tasks of a job are neither finished nor assigned.
@@ -223,6 +226,6 @@
         job.record
             .spec
             .task_count
-            .saturating_sub(job.done() + self.assigned_count(id))
+            .saturating_sub(job.finished_count() + self.assigned_count(id))
     }
 }
--- a/src/storage/cell_state/usage.rs
+++ b/src/storage/cell_state/usage.rs
@@ -24,12 +24,12 @@
     /// The shard's leader knows all assignments of the shard's jobs; otherwise its next commit fails for its condition
     /// on the usage record. It may not know all releases. So the returned amounts are never less than what is assigned,
     /// and a quota that they stay within is not exceeded.
-    pub fn used(&self, shard: ShardId, team: &str) -> (u64, u64) {
-        if !self.fenced() {
+    pub fn assigned_to_team(&self, shard: ShardId, team: &str) -> (u64, u64) {
+        if !self.is_fenced() {
             return self
                 .usage
                 .get(shard)
-                .map_or((0, 0), |usage| usage.value.of(team));
+                .map_or((0, 0), |usage| usage.value.assigned_to(team));
         }
         self.assigned_by_team
             .0
@@ -65,7 +65,7 @@
         let mut recorded = self
             .usage
             .iter()
-            .filter_map(|usage| usage.value.ends.get(&id));
+            .filter_map(|usage| usage.value.finished_tasks.get(&id));
         let mut all = recorded.next().cloned().unwrap_or_default();
         recorded.for_each(|ends| all.merge(ends));
         all
@@ -78,7 +78,7 @@
         before: &BTreeMap<JobId, CompletionBitmap>,
         changes_seen: &mut CellChanges,
     ) {
-        let after = &self.usage[shard].value.ends;
+        let after = &self.usage[shard].value.finished_tasks;
         let changed = after
             .iter()
             .filter(|(id, ends)| before.get(id) != Some(ends))
--- a/src/storage/completion_bitmap.rs
+++ b/src/storage/completion_bitmap.rs
@@ -64,7 +64,7 @@
     }
 
     /// Upper bound of the size of the stored form, in bytes, in either encoding.
-    pub fn bytes(&self) -> usize {
+    pub fn max_stored_bytes(&self) -> usize {
         self.words.len() * WORD_DIGITS
     }
 
@@ -75,16 +75,16 @@
 
     /// Whether the bitmap has all tasks of `other`.
     pub fn covers(&self, other: &CompletionBitmap) -> bool {
-        self.count_with(other) == self.count
+        self.union_count(other) == self.count
     }
 
     /// Whether the bitmap has the task with this number within the chunk.
-    pub fn has(&self, bit: u32) -> bool {
+    pub fn contains(&self, bit: u32) -> bool {
         self.word((bit / WORD_BITS) as usize) >> (bit % WORD_BITS) & 1 == 1
     }
 
     /// Number of tasks that are in at least one of the two bitmaps.
-    pub fn count_with(&self, other: &CompletionBitmap) -> u32 {
+    pub fn union_count(&self, other: &CompletionBitmap) -> u32 {
         let longest = self.words.len().max(other.words.len());
         (0..longest)
             .map(|word_index| (self.word(word_index) | other.word(word_index)).count_ones())
@@ -104,7 +104,7 @@
 
     /// Adds the task with this number within the chunk; returns false if the bitmap already had it.
     pub fn insert(&mut self, bit: u32) -> bool {
-        if self.has(bit) {
+        if self.contains(bit) {
             return false;
         }
         let word_index = (bit / WORD_BITS) as usize;
--- a/src/storage/dependency_graph/mod.rs
+++ b/src/storage/dependency_graph/mod.rs
@@ -63,7 +63,7 @@
 
 impl DependencyGraph {
     /// Jobs for which the state store has to be queried to learn how they ended.
-    pub fn unknown(&self) -> &BTreeSet<JobId> {
+    pub fn jobs_with_unknown_end(&self) -> &BTreeSet<JobId> {
         &self.unknown
     }
 
@@ -209,16 +209,16 @@
 /// A record is removed only when its job ends. A job that its user cancelled ends as cancelled. A job with dependencies
 /// may have been cancelled because of them, which its own record does not say.
 fn derive_end(job: &Job, time_of_day: Micros) -> Option<FinalRecord> {
-    let cancelled = job.cancelled();
+    let cancelled = job.is_cancelled();
     let is_known = cancelled || !job.dependency_state.blocked;
     let done = if cancelled {
-        job.done()
+        job.finished_count()
     } else {
         job.spec().task_count
     };
     is_known.then_some(FinalRecord {
         cancelled,
         done,
-        at: time_of_day,
+        ended_at: time_of_day,
     })
 }
--- a/src/storage/dependency_graph/propagation.rs
+++ b/src/storage/dependency_graph/propagation.rs
@@ -77,13 +77,13 @@
             match (self.jobs.get(dependency), self.graph.ends.get(dependency)) {
                 (Some(live), _) => {
                     state.blocked = true;
-                    state.cancelled |= live.cancelled();
+                    state.cancelled |= live.is_cancelled();
                     state.cancellation_unknown |= live.dependency_state.cancellation_unknown;
                 }
                 (None, Some(end)) => {
                     state.blocked |= end.cancelled;
                     state.cancelled |= end.cancelled;
-                    state.ready_at = state.ready_at.max(end.at);
+                    state.ready_at = state.ready_at.max(end.ended_at);
                 }
                 (None, None) => {
                     state.blocked = true;
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -81,7 +81,7 @@
     pub image: String,
     /// Size of the image, in thousandths of a GB.
     #[serde(rename = "z", default, skip_serializing_if = "is_zero")]
-    pub size: u64,
+    pub image_size: u64,
     /// The user's estimate of the run time of a task.
     #[serde(rename = "g")]
     pub estimated_runtime: Micros,
@@ -130,7 +130,7 @@
     /// Whether an on-demand machine of this type, in one of the type's zones, could run a task of the job.
     pub fn fits_type(&self, machine_type: &MachineType) -> bool {
         let is_allowed_in = |zone: &String| self.allows(&machine_type.name, zone, false);
-        self.need.fits(&machine_type.room) && machine_type.zones.iter().any(is_allowed_in)
+        self.need.fits(&machine_type.capacity) && machine_type.zones.iter().any(is_allowed_in)
     }
 
     /// Whether all of the job's tasks must be able to run at the same time.
@@ -180,7 +180,7 @@
     pub complete_chunks: u32,
     /// Number of failures of its tasks.
     #[serde(rename = "e", default, skip_serializing_if = "is_zero_count")]
-    pub errors: u32,
+    pub failures: u32,
     /// Machines on which a task failed, the latest last.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
     pub failed_machines: Vec<MachineId>,
@@ -188,7 +188,7 @@
 
 impl JobRecord {
     /// Number of finished tasks.
-    pub fn done(&self) -> u32 {
+    pub fn finished_count(&self) -> u32 {
         self.finished.count() + self.finished_in_chunks
     }
 
@@ -202,8 +202,8 @@
     const MAX_FAILED_MACHINES: usize = 6;
 
     /// Records that a task failed on a machine.
-    pub fn failed_on(&mut self, machine: MachineId) {
-        self.errors = self.errors.saturating_add(1);
+    pub fn record_failure_on(&mut self, machine: MachineId) {
+        self.failures = self.failures.saturating_add(1);
         self.failed_machines.retain(|other| *other != machine);
         self.failed_machines.push(machine);
         if self.failed_machines.len() > Self::MAX_FAILED_MACHINES {
@@ -223,5 +223,5 @@
     pub done: u32,
     /// When the job ended, by the time of day; zero if that was not stored.
     #[serde(rename = "t", default, skip_serializing_if = "is_zero_time")]
-    pub at: Micros,
+    pub ended_at: Micros,
 }
--- a/src/storage/live_job.rs
+++ b/src/storage/live_job.rs
@@ -42,14 +42,14 @@
 
 impl Job {
     /// Whether the job is cancelled, by its user or because a job that it depends on is cancelled.
-    pub fn cancelled(&self) -> bool {
+    pub fn is_cancelled(&self) -> bool {
         self.record.cancelled || self.dependency_state.cancelled
     }
 
     /// Whether the job's tasks may be assigned: it is not cancelled, and all jobs that it depends on are known to be
     /// done.
-    pub fn ready(&self) -> bool {
-        !self.cancelled() && !self.dependency_state.blocked
+    pub fn is_ready(&self) -> bool {
+        !self.is_cancelled() && !self.dependency_state.blocked
     }
 
     /// The earliest time at which the job's tasks could have started, by the time of day: when the job was submitted,
@@ -64,19 +64,19 @@
     }
 
     /// Number of finished tasks.
-    pub fn done(&self) -> u32 {
-        self.record.finished.count_with(&self.ends) + self.record.finished_in_chunks
+    pub fn finished_count(&self) -> u32 {
+        self.record.finished.union_count(&self.ends) + self.record.finished_in_chunks
     }
 
     /// Whether the task with this number is finished.
-    pub fn finished(&self, index: u32) -> bool {
+    pub fn is_finished(&self, index: u32) -> bool {
         match index / TASKS_PER_CHUNK {
-            0 => self.record.finished.has(index) || self.ends.has(index),
+            0 => self.record.finished.contains(index) || self.ends.contains(index),
             chunk if self.record.complete_chunks >> chunk & 1 == 1 => true,
             chunk => self
                 .chunks
                 .get(&chunk)
-                .is_some_and(|bitmap| bitmap.value.has(index % TASKS_PER_CHUNK)),
+                .is_some_and(|bitmap| bitmap.value.contains(index % TASKS_PER_CHUNK)),
         }
     }
 
@@ -88,14 +88,14 @@
         const MIN_FAILURES: u32 = 2;
         const MIN_FAILURES_BEYOND_DONE: u32 = 4;
 
-        let done = self.done();
+        let done = self.finished_count();
         let min_failures = if done == 0 && !self.spec().service {
             MIN_FAILURES
         } else {
             done.saturating_add(MIN_FAILURES_BEYOND_DONE)
         };
         self.record.failed_machines.len() >= MIN_FAILED_MACHINES
-            && self.record.errors >= min_failures
+            && self.record.failures >= min_failures
     }
 
     /// What the user requested.
--- a/src/storage/machine_classes.rs
+++ b/src/storage/machine_classes.rs
@@ -88,7 +88,7 @@
     }
 
     /// Sets the machines to which operators gave labels of their own. `machines`: all machines that are up.
-    pub fn label<'a>(
+    pub fn set_labelled_machines<'a>(
         &mut self,
         labelled: BTreeSet<MachineId>,
         machines: impl Iterator<Item = (MachineId, &'a MachineRecord)>,
@@ -104,12 +104,12 @@
     }
 
     /// The class of a machine that is up.
-    pub fn of(&self, machine: MachineId) -> Option<ClassId> {
+    pub fn class_of_machine(&self, machine: MachineId) -> Option<ClassId> {
         self.class_of.get(&machine).copied()
     }
 
     /// The class of machines of this type and zone, spot or on-demand; `None` if the catalog does not offer them.
-    pub fn of_offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<ClassId> {
+    pub fn class_of_offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<ClassId> {
         let is_offered = |(class, offered): (&Class, &bool)| {
             *offered
                 && class.spot == spot
--- a/src/storage/machine_group/encoding/reader.rs
+++ b/src/storage/machine_group/encoding/reader.rs
@@ -250,7 +250,7 @@
         Some(Assignment {
             job: JobId(*job),
             index: u32::try_from(index).ok()?,
-            number: *number,
+            attempt_number: *number,
         })
     }
 }
--- a/src/storage/machine_group/encoding/tests.rs
+++ b/src/storage/machine_group/encoding/tests.rs
@@ -13,7 +13,7 @@
     Assignment {
         job: JobId(job),
         index,
-        number,
+        attempt_number: number,
     }
 }
 
--- a/src/storage/machine_group/encoding/writer.rs
+++ b/src/storage/machine_group/encoding/writer.rs
@@ -66,7 +66,7 @@
 }
 
 fn attempt_entry(assignment: &Assignment) -> AttemptEntry {
-    (assignment.job.0, assignment.number)
+    (assignment.job.0, assignment.attempt_number)
 }
 
 /// Machine type, zone, spot and address.
--- a/src/storage/machine_group/mod.rs
+++ b/src/storage/machine_group/mod.rs
@@ -19,7 +19,7 @@
     /// Number of the task within the job.
     pub index: u32,
     /// Number of the attempt.
-    pub number: u64,
+    pub attempt_number: u64,
 }
 
 impl Assignment {
@@ -28,7 +28,7 @@
         Assignment {
             job: attempt.task.job,
             index: attempt.task.index,
-            number: attempt.number,
+            attempt_number: attempt.number,
         }
     }
 
@@ -39,7 +39,7 @@
                 job: self.job,
                 index: self.index,
             },
-            number: self.number,
+            number: self.attempt_number,
         }
     }
 }
@@ -98,7 +98,7 @@
 
     /// Records that the machine has, or soon will have, an image. `size` and `cache`, the sizes of the image and of the
     /// machine's cache, are in thousandths of a GB.
-    pub fn use_image(&mut self, name: &str, size: u64, cache: u64) {
+    pub fn record_image_use(&mut self, name: &str, size: u64, cache: u64) {
         let is_latest = |(latest, _): &(Arc<str>, u64)| **latest == *name;
         if self.images.last().is_some_and(is_latest) {
             return;
@@ -112,7 +112,7 @@
     }
 
     /// Removes all but the `kept` most recently used images from the record.
-    pub fn forget_images(&mut self, kept: usize) {
+    pub fn truncate_images(&mut self, kept: usize) {
         self.images.drain(..self.images.len().saturating_sub(kept));
     }
 }
@@ -129,7 +129,7 @@
 /// Upper bounds and estimates of the size of the stored form, plain or compact.
 impl GroupRecord {
     /// Upper bound of the bytes that one more assignment adds.
-    pub fn assignment_bytes(attempt: &Attempt, image: &str, size: u64) -> usize {
+    pub fn max_assignment_bytes(attempt: &Attempt, image: &str, size: u64) -> usize {
         const ATTEMPT_PUNCTUATION_BYTES: usize = 4;
         const IMAGE_PUNCTUATION_BYTES: usize = 6;
         const IMAGE_REFERENCE_BYTES: usize = 4;
@@ -149,10 +149,10 @@
 
     /// Upper bound of the bytes that marking one more assignment as preempted adds: the numbers of the machine, the
     /// attempt and the task, and punctuation.
-    pub const PREEMPTED_BYTES: usize = 20 + 5 + 10 + 5;
+    pub const MAX_PREEMPTED_ENTRY_BYTES: usize = 20 + 5 + 10 + 5;
 
     /// Upper bound of the bytes that a machine without assignments adds.
-    pub fn machine_bytes(id: MachineId, record: &MachineRecord) -> usize {
+    pub fn max_machine_bytes(id: MachineId, record: &MachineRecord) -> usize {
         const KIND_PUNCTUATION_BYTES: usize = 10;
         const SPOT_BYTES: usize = 2;
         const PORT_BYTES: usize = 6;
--- a/src/storage/machine_group/tests.rs
+++ b/src/storage/machine_group/tests.rs
@@ -38,7 +38,7 @@
 impl SizeCheckedGroup {
     fn add_machine(&mut self, id: MachineId, record: MachineRecord) {
         let before = stored_bytes(&self.0);
-        let max_growth = GroupRecord::machine_bytes(id, &record);
+        let max_growth = GroupRecord::max_machine_bytes(id, &record);
         self.0.machines.insert(id, record);
         assert!(
             stored_bytes(&self.0) <= before + max_growth,
@@ -48,10 +48,10 @@
 
     fn add_assignment(&mut self, id: MachineId, attempt: Attempt, image: &str) {
         let before = stored_bytes(&self.0);
-        let max_growth = GroupRecord::assignment_bytes(&attempt, image, IMAGE_SIZE);
+        let max_growth = GroupRecord::max_assignment_bytes(&attempt, image, IMAGE_SIZE);
         let record = self.0.machines.get_mut(&id).unwrap();
         record.tasks.push(Assignment::of(attempt));
-        record.use_image(image, IMAGE_SIZE, u64::MAX);
+        record.record_image_use(image, IMAGE_SIZE, u64::MAX);
         assert!(
             stored_bytes(&self.0) <= before + max_growth,
             "assignment exceeds its upper bound"
@@ -65,7 +65,8 @@
         let record = self.0.machines.get_mut(&id).unwrap();
         record.preempted.extend(record.tasks.last().copied());
         assert!(
-            stored_bytes(&self.0) <= before + GroupRecord::PREEMPTED_BYTES + LIST_KEY_BYTES,
+            stored_bytes(&self.0)
+                <= before + GroupRecord::MAX_PREEMPTED_ENTRY_BYTES + LIST_KEY_BYTES,
             "preemption exceeds its upper bound"
         );
     }
@@ -124,7 +125,7 @@
         let mut record = machine(&format!("10.1.0.{i}:9000"));
         let attempt = attempt(400_000 + i / 8, i as u32, 10_000 + i / 8);
         record.tasks.push(Assignment::of(attempt));
-        record.use_image("img-07", 900, u64::MAX);
+        record.record_image_use("img-07", 900, u64::MAX);
         group.machines.insert(MachineId(i), record);
     }
     assert!(stored_bytes(&group) < 3_000);
--- a/src/storage/records/key.rs
+++ b/src/storage/records/key.rs
@@ -3,7 +3,7 @@
 use crate::storage::ids::{GroupIndex, JobId, ShardId};
 
 /// Prefix of the keys that are watched: those of all records but the ended jobs'.
-pub const LIVE: &str = "c/";
+pub const LIVE_PREFIX: &str = "c/";
 
 /// Prefix of the keys of ended jobs, which are not watched.
 const FINAL_PREFIX: &str = "final/";
@@ -43,16 +43,18 @@
 impl std::fmt::Display for Key {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Key::Meta => write!(f, "{LIVE}meta"),
-            Key::Types => write!(f, "{LIVE}types"),
-            Key::Fleet => write!(f, "{LIVE}fleet"),
-            Key::Node(name) => write!(f, "{LIVE}node/{name}"),
-            Key::ShardLeader(shard) => write!(f, "{LIVE}own/{shard}"),
-            Key::Group(shard, group) => write!(f, "{LIVE}group/{shard}/{group}"),
-            Key::Usage(shard) => write!(f, "{LIVE}usage/{shard}"),
-            Key::Job(id) => write!(f, "{LIVE}job/{}", id.0),
-            Key::Chunk(id, chunk) => write!(f, "{LIVE}job/{}/{chunk}", id.0),
-            Key::Rules(digest) => write!(f, "{LIVE}rules/{digest:0RULES_DIGEST_HEX_DIGITS$x}"),
+            Key::Meta => write!(f, "{LIVE_PREFIX}meta"),
+            Key::Types => write!(f, "{LIVE_PREFIX}types"),
+            Key::Fleet => write!(f, "{LIVE_PREFIX}fleet"),
+            Key::Node(name) => write!(f, "{LIVE_PREFIX}node/{name}"),
+            Key::ShardLeader(shard) => write!(f, "{LIVE_PREFIX}own/{shard}"),
+            Key::Group(shard, group) => write!(f, "{LIVE_PREFIX}group/{shard}/{group}"),
+            Key::Usage(shard) => write!(f, "{LIVE_PREFIX}usage/{shard}"),
+            Key::Job(id) => write!(f, "{LIVE_PREFIX}job/{}", id.0),
+            Key::Chunk(id, chunk) => write!(f, "{LIVE_PREFIX}job/{}/{chunk}", id.0),
+            Key::Rules(digest) => {
+                write!(f, "{LIVE_PREFIX}rules/{digest:0RULES_DIGEST_HEX_DIGITS$x}")
+            }
             Key::Final(id) => write!(f, "{FINAL_PREFIX}{}", id.0),
         }
     }
@@ -64,7 +66,7 @@
         if let Some(id) = text.strip_prefix(FINAL_PREFIX) {
             return parse_job_id(id).map(Key::Final);
         }
-        let key = text.strip_prefix(LIVE)?;
+        let key = text.strip_prefix(LIVE_PREFIX)?;
         match key.split_once('/') {
             Some((kind, id)) => Key::parse_with_id(kind, id),
             None => Key::parse_singleton(key),
--- a/src/storage/records/mod.rs
+++ b/src/storage/records/mod.rs
@@ -14,7 +14,7 @@
     COMPACT_FORMAT, DEPENDENCIES_FORMAT, FENCED_FORMAT, FENCED_RULES_FORMAT, INITIAL_FORMAT,
     LATEST_FORMAT, RecordFormat, format_has_rules,
 };
-pub use key::{Key, LIVE};
+pub use key::{Key, LIVE_PREFIX};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -42,7 +42,7 @@
 pub struct NodeRecord {
     /// The controller's current incarnation.
     #[serde(rename = "run")]
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
     /// Number of the newest record format that the controller can read. Versions of the software before
     /// [`RecordFormat::Compact`] did not store it.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
@@ -69,7 +69,7 @@
     /// The controller's incarnation. After a restart the controller does not lead the shard until it has acquired it
     /// again.
     #[serde(rename = "run")]
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// Resources assigned to a shard's teams, and recently finished tasks. Every commit that assigns a shard's tasks writes
@@ -85,25 +85,25 @@
     pub teams: BTreeMap<String, (u64, u64)>,
     /// Finished tasks that the jobs' own records do not have yet.
     #[serde(rename = "f", default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub ends: BTreeMap<JobId, CompletionBitmap>,
+    pub finished_tasks: BTreeMap<JobId, CompletionBitmap>,
 }
 
 impl UsageRecord {
     /// Cores and accelerators assigned to a team, in thousandths.
-    pub fn of(&self, team: &str) -> (u64, u64) {
+    pub fn assigned_to(&self, team: &str) -> (u64, u64) {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
     /// Adds to the resources assigned to a team; amounts in thousandths.
     pub fn add(&mut self, team: &str, cores: u64, accelerators: u64) {
-        let (used_cores, used_accelerators) = self.of(team);
+        let (used_cores, used_accelerators) = self.assigned_to(team);
         let sum = (used_cores + cores, used_accelerators + accelerators);
         self.teams.insert(team.to_owned(), sum);
     }
 
     /// Subtracts from the resources assigned to a team, down to zero; amounts in thousandths.
-    pub fn take(&mut self, team: &str, cores: u64, accelerators: u64) {
-        let (used_cores, used_accelerators) = self.of(team);
+    pub fn subtract(&mut self, team: &str, cores: u64, accelerators: u64) {
+        let (used_cores, used_accelerators) = self.assigned_to(team);
         let remaining = (
             used_cores.saturating_sub(cores),
             used_accelerators.saturating_sub(accelerators),
@@ -136,7 +136,7 @@
     pub count: u32,
     /// When the request was made, by the time of day.
     #[serde(rename = "t")]
-    pub at: Micros,
+    pub requested_at: Micros,
 }
 
 /// Machines being provisioned and decommissioned.
--- a/src/storage/resources.rs
+++ b/src/storage/resources.rs
@@ -37,7 +37,7 @@
     }
 
     /// How many times `self` fits into `room`, at most `limit`.
-    pub fn times_in(&self, room: &Amount, limit: u64) -> u64 {
+    pub fn count_fitting_in(&self, room: &Amount, limit: u64) -> u64 {
         let times = |need: u64, available: u64| available.checked_div(need).unwrap_or(limit);
         times(self.cores, room.cores)
             .min(times(self.accelerators, room.accelerators))
@@ -80,14 +80,14 @@
 }
 
 /// Converts a wire amount to thousandths, rounded up: for what a task needs.
-pub fn taken(amount: f64) -> u64 {
+pub fn thousandths_rounded_up(amount: f64) -> u64 {
     (amount * THOUSANDTHS_PER_UNIT - ROUNDING_TOLERANCE)
         .ceil()
         .max(0.0) as u64
 }
 
 /// Converts a wire amount to thousandths, rounded down: for what a machine or a quota provides.
-pub fn offered(amount: f64) -> u64 {
+pub fn thousandths_rounded_down(amount: f64) -> u64 {
     (amount * THOUSANDTHS_PER_UNIT + ROUNDING_TOLERANCE)
         .floor()
         .max(0.0) as u64
--- a/src/storage/restart_history.rs
+++ b/src/storage/restart_history.rs
@@ -46,7 +46,7 @@
     }
 
     /// When the process of the latest start may first acquire shards, by the time of day.
-    pub fn stable_from(&self) -> Micros {
+    pub fn may_acquire_shards_from(&self) -> Micros {
         let Some(last) = self.0.last() else {
             return Micros::ZERO;
         };
@@ -60,7 +60,7 @@
 
     /// Whether, at `time_of_day`, the process of the latest start has been up for long enough to acquire shards.
     pub fn is_stable(&self, time_of_day: Micros) -> bool {
-        time_of_day >= self.stable_from()
+        time_of_day >= self.may_acquire_shards_from()
     }
 }
 
--- a/src/transport/admission.rs
+++ b/src/transport/admission.rs
@@ -2,7 +2,7 @@
 
 use super::clock::Clock;
 use crate::coordination::api::connections::{
-    ConnectionCounts, ConnectionId, Connections, Request, Verdict,
+    ConnectionCounts, ConnectionId, Connections, Request, RequestDecision,
 };
 use crate::time::Micros;
 use salvo::conn::ConnCtrl;
@@ -39,7 +39,7 @@
     }
 
     fn close(&mut self, id: ConnectionId, remote: SocketAddr) {
-        self.connections.closed(id);
+        self.connections.on_closed(id);
         // A new connection of the same address may be registered before the old one is dropped.
         if self.id_of(remote) == Some(id) {
             self.open.remove(&remote);
@@ -108,24 +108,24 @@
     }
 
     fn now(&self) -> Micros {
-        self.clock.now().steady
+        self.clock.now().monotonic
     }
 
     fn on_open(&self, remote: SocketAddr, control: ConnCtrl) -> ConnectionId {
         let mut inner = self.lock();
         let id = inner.next_id;
         inner.next_id += 1;
-        inner.connections.opened(self.now(), id);
+        inner.connections.on_opened(self.now(), id);
         inner.open.insert(remote, OpenConnection { id, control });
         id
     }
 
     /// Decides on a request whose head has arrived on the connection from `remote`.
-    pub fn on_request(&self, remote: SocketAddr, request: Request) -> Verdict {
+    pub fn on_request(&self, remote: SocketAddr, request: Request) -> RequestDecision {
         let mut inner = self.lock();
         match inner.id_of(remote) {
-            Some(id) => inner.connections.requested(self.now(), id, request),
-            None => Verdict::Serve,
+            Some(id) => inner.connections.on_request(self.now(), id, request),
+            None => RequestDecision::Serve,
         }
     }
 
@@ -133,7 +133,7 @@
     pub fn on_response(&self, remote: SocketAddr) -> bool {
         let mut inner = self.lock();
         match inner.id_of(remote) {
-            Some(id) => inner.connections.answered(self.now(), id),
+            Some(id) => inner.connections.on_response(self.now(), id),
             None => false,
         }
     }
@@ -152,7 +152,7 @@
     /// The controls of connections that are too slow.
     fn slow_connections(&self) -> Vec<ConnCtrl> {
         let mut inner = self.lock();
-        let slow = inner.connections.too_slow(self.now());
+        let slow = inner.connections.take_slow_connections(self.now());
         if slow.is_empty() {
             return Vec::new();
         }
--- a/src/transport/clock.rs
+++ b/src/transport/clock.rs
@@ -28,8 +28,8 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Now {
-            steady: Micros(self.start.elapsed().as_micros() as u64),
-            day: Micros(day.as_micros() as u64),
+            monotonic: Micros(self.start.elapsed().as_micros() as u64),
+            time_of_day: Micros(day.as_micros() as u64),
         }
     }
 
--- a/src/transport/node.rs
+++ b/src/transport/node.rs
@@ -57,7 +57,7 @@
 impl Node {
     /// Creates the node of a controller; [`Node::run`] drives its timers.
     pub fn new(controller: Controller, settings: &Settings) -> Arc<Node> {
-        let sockets = SocketPlan::new(settings.max_connections, settings.others.len());
+        let sockets = SocketPlan::new(settings.max_connections, settings.peers.len());
         Arc::new(Node {
             inner: Mutex::new(Inner {
                 controller,
@@ -65,7 +65,11 @@
                 next_call: 1,
             }),
             wake_changed: Notify::new(),
-            client: HttpClient::new(sockets.calls, sockets.kept_calls, settings.body_limit()),
+            client: HttpClient::new(
+                sockets.calls,
+                sockets.idle_agent_connections,
+                settings.body_limit(),
+            ),
             clock: Clock::start(),
             cloud_address: settings.cloud_address.to_string(),
             state_store_address: settings.state_store_address.to_string(),
@@ -112,7 +116,7 @@
     pub async fn run(self: Arc<Self>) {
         loop {
             let wake = self.lock().controller.wake();
-            if wake <= self.clock.now().steady {
+            if wake <= self.clock.now().monotonic {
                 self.post(Event::Tick);
                 // If the wake-up time stays in the past, this loop must not keep other tasks from running.
                 tokio::task::yield_now().await;
@@ -173,7 +177,7 @@
                     call,
                     endpoint,
                     body,
-                    limit,
+                    timeout: limit,
                 } => {
                     tokio::spawn(Arc::clone(self).push_command(call, endpoint, body, limit));
                 }
@@ -228,7 +232,7 @@
         let result = response
             .ok()
             .and_then(|(status, body)| parse_command_response(status, &body));
-        self.post(Event::PushCommand(call, result));
+        self.post(Event::AgentResponse(call, result));
     }
 
     fn respond_to_user(&self, call: CallId, response: UserResponse) {
--- a/src/transport/server/mod.rs
+++ b/src/transport/server/mod.rs
@@ -4,7 +4,7 @@
 
 use super::admission::{Admission, RegisterConnections};
 use super::node::Node;
-use crate::coordination::api::connections::{Request as RequestKind, Verdict};
+use crate::coordination::api::connections::{Request as RequestKind, RequestDecision};
 use crate::protocol::user::{
     BODY_BYTES_LIMIT, InvalidSubmission, UserRequest, UserResponse, parse_submission,
 };
@@ -79,12 +79,12 @@
         _: &mut FlowCtrl,
     ) {
         let remote = request.remote_addr().clone().into_std();
-        let decision = remote.map_or(Verdict::Serve, |remote| {
+        let decision = remote.map_or(RequestDecision::Serve, |remote| {
             self.admission.on_request(remote, self.kind)
         });
         match decision {
-            Verdict::Serve => self.serve(request, response).await,
-            Verdict::Reject(seconds) => {
+            RequestDecision::Serve => self.serve(request, response).await,
+            RequestDecision::Reject(seconds) => {
                 write_user_response(response, UserResponse::RetryAfter(seconds));
             }
         }
@@ -150,7 +150,7 @@
     }
 
     async fn cancel(&self, request: &Request, response: &mut Response) {
-        self.serve_job(request, response, UserRequest::Abort).await;
+        self.serve_job(request, response, UserRequest::Cancel).await;
     }
 
     /// Serves a request about the job in its path.
